--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -18,10 +18,10 @@
 
 // Ledger is what was seen. It may be used from many goroutines.
 type Ledger struct {
-	rules Rules
-	mu    sync.Mutex
-	calls map[string]*entry
-	told  map[string]time.Time // instance and server: when it was told of a drain
+	rules          Rules
+	mu             sync.Mutex
+	calls          map[string]*callRecord
+	drainAnnounced map[string]time.Time // instance and server: when it was told of a drain
 	Violations
 }
 
@@ -41,25 +41,25 @@
 	return b.MissingAnswers+b.DuplicateAnswers+b.OverlappingAttempts+b.TooSoon+b.SendsAfterDrain+b.UnknownCalls > 0
 }
 
-type entry struct {
-	offered  time.Time
-	answers  int
-	left     bool // its caller gave it up, or its connection ended with it: nothing is owed any more
-	out      string
-	attempts int
-	clearAt  time.Time
+type callRecord struct {
+	offeredAt     time.Time
+	answers       int
+	abandoned     bool // its caller gave it up, or its connection ended with it: nothing is owed any more
+	outstandingAt string
+	attempts      int
+	nextAttemptAt time.Time
 }
 
-const textsMost = 20
+const maxDescriptions = 20
 
 // New makes a ledger.
 func New(r Rules) *Ledger {
-	return &Ledger{rules: r, calls: map[string]*entry{}, told: map[string]time.Time{}}
+	return &Ledger{rules: r, calls: map[string]*callRecord{}, drainAnnounced: map[string]time.Time{}}
 }
 
-func (l *Ledger) broke(n *int, format string, a ...any) {
+func (l *Ledger) addViolation(n *int, format string, a ...any) {
 	*n++
-	if len(l.Descriptions) < textsMost {
+	if len(l.Descriptions) < maxDescriptions {
 		l.Descriptions = append(l.Descriptions, fmt.Sprintf(format, a...))
 	}
 }
@@ -68,7 +68,7 @@
 func (l *Ledger) Offered(call string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls[call] = &entry{offered: at}
+	l.calls[call] = &callRecord{offeredAt: at}
 }
 
 // Answered notes a final answer that a caller read.
@@ -77,7 +77,7 @@
 	defer l.mu.Unlock()
 	if e := l.calls[call]; e != nil {
 		if e.answers++; e.answers > 1 {
-			l.broke(&l.DuplicateAnswers, "call %s has %d answers", call, e.answers)
+			l.addViolation(&l.DuplicateAnswers, "call %s has %d answers", call, e.answers)
 		}
 	}
 }
@@ -87,17 +87,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.calls[call]; e != nil {
-		e.left = true
+		e.abandoned = true
 	}
 }
 
 // Overdue notes that a caller's time is up without an answer.
-func (l *Ledger) TimedOut(call, why string) {
+func (l *Ledger) TimedOut(call, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.calls[call]; e != nil && e.answers == 0 && !e.left {
-		e.left = true
-		l.broke(&l.MissingAnswers, "call %s has no answer: %s", call, why)
+	if e := l.calls[call]; e != nil && e.answers == 0 && !e.abandoned {
+		e.abandoned = true
+		l.addViolation(&l.MissingAnswers, "call %s has no answer: %s", call, reason)
 	}
 }
 
@@ -105,14 +105,14 @@
 func (l *Ledger) DrainAnnounced(instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told[instance+" "+server] = at
+	l.drainAnnounced[instance+" "+server] = at
 }
 
 // Listed notes that an instance was told that a server takes work again.
 func (l *Ledger) ServingAnnounced(instance, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.told, instance+" "+server)
+	delete(l.drainAnnounced, instance+" "+server)
 }
 
 // Sent notes an attempt that reached a server whole.
@@ -121,19 +121,19 @@
 	defer l.mu.Unlock()
 	e := l.calls[call]
 	if e == nil {
-		l.broke(&l.UnknownCalls, "attempt of the unknown call %s", call)
+		l.addViolation(&l.UnknownCalls, "attempt of the unknown call %s", call)
 		return
 	}
-	if e.out != "" {
-		l.broke(&l.OverlappingAttempts, "call %s goes to %s while out at %s", call, server, e.out)
+	if e.outstandingAt != "" {
+		l.addViolation(&l.OverlappingAttempts, "call %s goes to %s while out at %s", call, server, e.outstandingAt)
 	}
-	if at.Before(e.clearAt.Add(-l.rules.Slack)) {
-		l.broke(&l.TooSoon, "call %s again %v too soon", call, e.clearAt.Sub(at))
+	if at.Before(e.nextAttemptAt.Add(-l.rules.Slack)) {
+		l.addViolation(&l.TooSoon, "call %s again %v too soon", call, e.nextAttemptAt.Sub(at))
 	}
-	if told, ok := l.told[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
-		l.broke(&l.SendsAfterDrain, "call %s to %s, %v after %s was told", call, server, at.Sub(told), instance)
+	if told, ok := l.drainAnnounced[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
+		l.addViolation(&l.SendsAfterDrain, "call %s to %s, %v after %s was told", call, server, at.Sub(told), instance)
 	}
-	e.out = server
+	e.outstandingAt = server
 	e.attempts++
 }
 
@@ -142,12 +142,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[call]
-	if e == nil || e.out != server {
+	if e == nil || e.outstandingAt != server {
 		return
 	}
-	e.out = ""
+	e.outstandingAt = ""
 	if givenUp {
-		e.clearAt = at.Add(l.rules.ReleaseWait)
+		e.nextAttemptAt = at.Add(l.rules.ReleaseWait)
 	}
 }
 
--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -11,9 +11,9 @@
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	rules := Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond}
 	for _, tc := range []struct {
-		name string
-		do   func(l *Ledger)
-		of   func(b Violations) int
+		name   string
+		record func(l *Ledger)
+		count  func(b Violations) int
 	}{
 		{"clean", func(l *Ledger) {
 			l.AttemptSent("a", "n0", "s0", at(1))
@@ -48,9 +48,9 @@
 	} {
 		l := New(rules)
 		l.Offered("a", at(0))
-		tc.do(l)
+		tc.record(l)
 		b, _, _ := l.Result()
-		if tc.of(b) != 1 {
+		if tc.count(b) != 1 {
 			t.Errorf("%s: %+v", tc.name, b)
 		}
 		if tc.name != "clean" && (!b.Any() || len(b.Descriptions) != 1) {
--- a/lab/host/host.go
+++ b/lab/host/host.go
@@ -23,13 +23,13 @@
 	Config             map[string]any // the platform's file, but for its list
 	Env                []string       // beside what it needs
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	cpu   time.Duration // of the processes that have ended
-	log   bytes.Buffer
-	line  []byte
-	ready chan string // its address
-	ended chan struct{}
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	cpu         time.Duration // of the processes that have ended
+	log         bytes.Buffer
+	partialLine []byte
+	ready       chan string // its address
+	ended       chan struct{}
 }
 
 // Start writes the configuration with the list as known now, starts the program and waits until it serves.
@@ -111,22 +111,22 @@
 }
 
 // logMost bounds what is kept of an instance's log.
-const logMost = 1 << 20
+const maxLogSize = 1 << 20
 
 // Write takes the program's log, and from it the address where it listens.
 func (i *Instance) Write(b []byte) (int, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.log.Len() < logMost {
+	if i.log.Len() < maxLogSize {
 		i.log.Write(b)
 	}
-	i.line = append(i.line, b...)
+	i.partialLine = append(i.partialLine, b...)
 	for {
-		line, rest, ok := bytes.Cut(i.line, []byte("\n"))
+		line, rest, ok := bytes.Cut(i.partialLine, []byte("\n"))
 		if !ok {
 			return len(b), nil
 		}
-		i.line = rest
+		i.partialLine = rest
 		if _, addr, ok := strings.Cut(string(line), "listen="); ok && bytes.Contains(line, []byte("msg=serving ")) {
 			addr, _, _ = strings.Cut(addr, " ")
 			select {
@@ -178,9 +178,9 @@
 }
 
 // Platform is the platform's part for instance number k, but for its list.
-func PlatformConfig(name string, k int, o Site, journal string, seed uint64) map[string]any {
-	ns := func(d time.Duration) int64 { return int64(d) }
-	cells := make([]int, o.Servers)
+func PlatformConfig(name string, ordinal int, site Site, journal string, seed uint64) map[string]any {
+	nanoseconds := func(d time.Duration) int64 { return int64(d) }
+	cells := make([]int, site.Servers)
 	for c := range cells {
 		cells[c] = c
 	}
@@ -189,19 +189,19 @@
 		name     string
 		fraction float64
 	}{{"slaney-vines", 0.55}, {"barrow-estate", 0.33}, {"suir-growers", 0.12}} {
-		tenants = append(tenants, map[string]any{"name": t.name, "fraction": t.fraction, "quota_per_s": o.Planned * t.fraction})
+		tenants = append(tenants, map[string]any{"name": t.name, "fraction": t.fraction, "quota_per_s": site.Planned * t.fraction})
 	}
 	return map[string]any{"name": name, "listen": "127.0.0.1:0", "seed": fmt.Sprintf("%016x", seed), "journal": journal,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"settings": map[string]any{"group_size": o.Instances, "ordinal": k, "discovery": "pushed",
-			"extra": map[string]any{"class_cells": [][]int{cells}, "clear_wait_ns": ns(300 * time.Millisecond), "this_node": -1,
+		"settings": map[string]any{"group_size": site.Instances, "ordinal": ordinal, "discovery": "pushed",
+			"extra": map[string]any{"class_cells": [][]int{cells}, "clear_wait_ns": nanoseconds(300 * time.Millisecond), "this_node": -1,
 				"topology": "groups", "says_wait": true, "peer_load": "answers"},
-			"grades": []any{map[string]any{"name": "open-log", "aim_ns": ns(1200 * time.Millisecond), "deadline_ns": ns(9 * time.Second),
+			"grades": []any{map[string]any{"name": "open-log", "aim_ns": nanoseconds(1200 * time.Millisecond), "deadline_ns": nanoseconds(9 * time.Second),
 				"effect": "free", "late_value": 0.25, "worth": 1.0, "stream": true}},
-			"limits": map[string]any{"max_attempts": 4, "may_cancel": true, "retry_after": true, "max_retry_after_ns": ns(2 * time.Second),
-				"connect_timeout_ns": ns(500 * time.Millisecond)},
+			"limits": map[string]any{"max_attempts": 4, "may_cancel": true, "retry_after": true, "max_retry_after_ns": nanoseconds(2 * time.Second),
+				"connect_timeout_ns": nanoseconds(500 * time.Millisecond)},
 			"tenants": tenants, "feedback": map[string]any{"fields": []string{"spare", "total", "cpu", "waiting"}, "source": "answers"},
-			"resolution_ns": ns(5 * time.Millisecond),
-			"rules": map[string]any{"cold_from": 0.31, "cold_ns": ns(15 * time.Second), "drain_grace_ns": ns(time.Second),
-				"fall_multiple": 2.0, "fall_ns": ns(time.Second)}}}
+			"resolution_ns": nanoseconds(5 * time.Millisecond),
+			"rules": map[string]any{"cold_from": 0.31, "cold_ns": nanoseconds(15 * time.Second), "drain_grace_ns": nanoseconds(time.Second),
+				"fall_multiple": 2.0, "fall_ns": nanoseconds(time.Second)}}}
 }
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -18,61 +18,61 @@
 }
 
 // toldMost is the part of the sends of a fall beyond which controllers that had been told are to blame.
-const toldMost = 2.0 / 3
+const maxInformedShare = 2.0 / 3
 
 // Broken tells whether the fall breaks the rule: over two thirds came from controllers that had been told.
-func (c ColdStart) BreaksRule() bool { return c.BoundExceeded && c.InformedShare > toldMost }
+func (c ColdStart) BreaksRule() bool { return c.BoundExceeded && c.InformedShare > maxInformedShare }
 
 // coldSend is a set-up that reached a cold server.
 type coldSend struct {
-	at   int64
-	told bool
+	at       int64
+	informed bool
 }
 
 // coldWatch follows one start of a server.
-type coldWatch struct {
-	ready int64
-	sends []coldSend // of the last window
+type coldStartTracker struct {
+	readyAt int64
+	sends   []coldSend // of the last window
 	ColdStart
 }
 
 // fallBound is the number of requests in a window that a cold server with a budget of n bears.
-func fallBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // watchCold counts a set-up that has reached a server.
-func (s *server) watchCold(from *controller) {
-	m := s.m
-	age := m.now - s.ready
-	if s.ready <= 0 || age >= m.coldSpan || s.silentAt > 0 {
+func (s *server) recordColdSend(from *controller) {
+	m := s.model
+	age := m.now - s.readyAt
+	if s.readyAt <= 0 || age >= m.coldSpan || s.silentSince > 0 {
 		return
 	}
-	if s.watch == nil || s.watch.ready != s.ready {
-		s.watch = &coldWatch{ready: s.ready}
-		m.coldWatches = append(m.coldWatches, s.watch)
+	if s.coldStart == nil || s.coldStart.readyAt != s.readyAt {
+		s.coldStart = &coldStartTracker{readyAt: s.readyAt}
+		m.coldStarts = append(m.coldStarts, s.coldStart)
 	}
-	w := s.watch
-	w.sends = append(w.sends, coldSend{m.now, from.list[s.id].ReadyAt == s.ready})
+	w := s.coldStart
+	w.sends = append(w.sends, coldSend{m.now, from.offices[s.id].ReadyAt == s.readyAt})
 	for w.sends[0].at <= m.now-m.fallWindow {
 		w.sends = w.sends[1:]
 	}
 	warmth := m.params.ColdFrom + (1-m.params.ColdFrom)*float64(age)/float64(m.coldSpan)
 	budget := m.fallMultiple * warmth * m.params.Capacity() * float64(m.fallWindow) / 1e9
-	told := 0
-	for _, one := range w.sends {
-		if one.told {
-			told++
+	informed := 0
+	for _, send := range w.sends {
+		if send.informed {
+			informed++
 		}
 	}
-	toldOf, load := float64(told)/float64(len(w.sends)), float64(len(w.sends))/fallBound(budget)
+	informedShare, load := float64(informed)/float64(len(w.sends)), float64(len(w.sends))/overloadBound(budget)
 	w.TotalSent++
 	if load > w.PeakLoad {
 		w.PeakLoad, w.Sent, w.Budget = load, len(w.sends), budget
 	}
-	if toldOf > toldMost {
+	if informedShare > maxInformedShare {
 		w.InformedLoad = max(w.InformedLoad, load)
 	}
 	if load > 1 && !w.BoundExceeded {
-		w.BoundExceeded, w.InformedShare = true, toldOf
+		w.BoundExceeded, w.InformedShare = true, informedShare
 	}
 }
 
@@ -80,28 +80,28 @@
 // mean, and processes of the fleet itself start anew. Only cold servers count in them.
 var ColdScenes = []Scene{
 	{"replace", "six servers of ten replaced within 7 s", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}}
 	}},
 	{"return", "three servers of ten away for 3 s and back cold", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "down", At: sceneFrom, Duration: 3 * time.Second, Share: 0.3}}
+		sc.Faults = []Fault{{Kind: "down", At: sceneStart, Duration: 3 * time.Second, Share: 0.3}}
 	}},
 	{"silent", "three servers of ten silent for 6 s and back cold", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "silent", At: sceneFrom, Duration: 6 * time.Second, Share: 0.3}}
+		sc.Faults = []Fault{{Kind: "silent", At: sceneStart, Duration: 6 * time.Second, Share: 0.3}}
 	}},
 	{"killed", "six servers of ten replaced within 7 s, seven in ten controllers killed amid it", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}, {Kind: "kill", At: sceneFrom + 4*time.Second, Share: 0.7}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}, {Kind: "kill", At: sceneStart + 4*time.Second, Share: 0.7}}
 	}},
 	{"rolled", "half of the servers replaced while all controllers are restarted, a tenth at a time", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "restarts", At: sceneFrom, Duration: 20 * time.Second, Share: 1, Batch: 0.1},
-			{Kind: "replace", At: sceneFrom, Duration: 20 * time.Second, Share: 0.5}}
+		sc.Faults = []Fault{{Kind: "restarts", At: sceneStart, Duration: 20 * time.Second, Share: 1, Batch: 0.1},
+			{Kind: "replace", At: sceneStart, Duration: 20 * time.Second, Share: 0.5}}
 	}},
 	{"shifted", "six servers of ten replaced within 7 s, traffic shifts between controllers, 1.8 times the calls for 6 s", func(sc *Scenario) {
-		sc.RateFactor = jump(1.8, 6*time.Second)
-		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}, {Kind: "shift", At: sceneFrom + 3*time.Second}}
+		sc.RateFactor = rateJump(1.8, 6*time.Second)
+		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}, {Kind: "shift", At: sceneStart + 3*time.Second}}
 	}},
 	{"paused", "six servers of ten replaced within 2 s, no calls for 5 s, then 2.5 times as many for 6 s", func(sc *Scenario) {
 		sc.RateFactor = func(at time.Duration) float64 {
-			switch since := at - sceneFrom; {
+			switch since := at - sceneStart; {
 			case since < 0 || since > 11*time.Second:
 				return 1
 			case since < 5*time.Second:
@@ -109,17 +109,17 @@
 			}
 			return 2.5
 		}
-		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 2 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 2 * time.Second, Share: 0.6}}
 	}},
 }
 
 // coldLength is how long a cold scene plays: until what has started is warm.
-const coldLength = 46 * time.Second
+const coldSceneDuration = 46 * time.Second
 
 // ColdScenario is a cold scene for a fleet of a size. Skew is the spread of the controllers' shares of the traffic, as the
 // standard deviation of their logarithms.
 func (s Scene) ColdScenario(seed uint64, controllers, servers int, skew float64) Scenario {
 	sc := s.Scenario(seed, controllers, servers)
-	sc.Duration, sc.Skew, sc.TrackColdStarts = coldLength, skew, true
+	sc.Duration, sc.Skew, sc.TrackColdStarts = coldSceneDuration, skew, true
 	return sc
 }
--- a/lab/model/cold_test.go
+++ b/lab/model/cold_test.go
@@ -12,50 +12,50 @@
 
 // watched is a cold server for 10 calls a second when warm, two seconds after its start, and a controller that knows of
 // that start or not.
-func watched(told bool) (*server, *controller) {
+func newColdServer(informed bool) (*server, *controller) {
 	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFrom: 0.4}, fallMultiple: 2, fallWindow: 1e9, coldSpan: 10e9}
-	c := &controller{m: m, list: map[uint64]exchange.Office{}}
-	if told {
-		c.list[0] = exchange.Office{Entry: control.Entry{ReadyAt: start}}
+	c := &controller{model: m, offices: map[uint64]exchange.Office{}}
+	if informed {
+		c.offices[0] = exchange.Office{Entry: control.Entry{ReadyAt: start}}
 	}
-	return &server{m: m, ready: start}, c
+	return &server{model: m, readyAt: start}, c
 }
 
 // N is 2 * (0.4 + 0.6 * 0.2) * 10 = 10.4, and N + 2 root of N + 2 is 18.8.
 func TestColdFallIsSeen(t *testing.T) {
-	s, c := watched(true)
+	s, c := newColdServer(true)
 	for range 18 {
-		s.watchCold(c)
+		s.recordColdSend(c)
 	}
-	if s.watch.BoundExceeded || s.watch.Sent != 18 || s.watch.PeakLoad < 0.95 || s.watch.PeakLoad > 1 {
-		t.Fatalf("18 sends: %+v", s.watch.ColdStart)
+	if s.coldStart.BoundExceeded || s.coldStart.Sent != 18 || s.coldStart.PeakLoad < 0.95 || s.coldStart.PeakLoad > 1 {
+		t.Fatalf("18 sends: %+v", s.coldStart.ColdStart)
 	}
-	s.watchCold(c)
-	if !s.watch.BreaksRule() || s.watch.InformedShare != 1 || s.watch.TotalSent != 19 {
-		t.Errorf("19 sends: %+v", s.watch.ColdStart)
+	s.recordColdSend(c)
+	if !s.coldStart.BreaksRule() || s.coldStart.InformedShare != 1 || s.coldStart.TotalSent != 19 {
+		t.Errorf("19 sends: %+v", s.coldStart.ColdStart)
 	}
-	s, c = watched(true)
+	s, c = newColdServer(true)
 	for range 40 { // one every 60 ms: no more than 17 in any window
-		s.watchCold(c)
-		s.m.now += 60e6
+		s.recordColdSend(c)
+		s.model.now += 60e6
 	}
-	if s.watch.BoundExceeded || s.watch.Sent > 17 {
-		t.Errorf("spread: %+v", s.watch.ColdStart)
+	if s.coldStart.BoundExceeded || s.coldStart.Sent > 17 {
+		t.Errorf("spread: %+v", s.coldStart.ColdStart)
 	}
 }
 
 func TestFallByControllersThatWereNotToldBreaksNothing(t *testing.T) {
-	s, untold := watched(false)
+	s, untold := newColdServer(false)
 	for range 30 {
-		s.watchCold(untold)
+		s.recordColdSend(untold)
 	}
-	if !s.watch.BoundExceeded || s.watch.BreaksRule() {
-		t.Errorf("%+v", s.watch.ColdStart)
+	if !s.coldStart.BoundExceeded || s.coldStart.BreaksRule() {
+		t.Errorf("%+v", s.coldStart.ColdStart)
 	}
-	s.m.now += 20e9 // warm
-	before := s.watch.TotalSent
-	s.watchCold(untold)
-	if s.watch.TotalSent != before {
+	s.model.now += 20e9 // warm
+	before := s.coldStart.TotalSent
+	s.recordColdSend(untold)
+	if s.coldStart.TotalSent != before {
 		t.Error("a send to a warm server was counted")
 	}
 }
@@ -75,7 +75,7 @@
 			}
 		}
 		again, err := Run(sc)
-		if err != nil || !reflect.DeepEqual(timeless(r), timeless(again)) {
+		if err != nil || !reflect.DeepEqual(withoutRealTime(r), withoutRealTime(again)) {
 			t.Errorf("%s: two runs of a seed differ, %v", s.Name, err)
 		}
 	}
@@ -84,14 +84,14 @@
 // With a skew some controllers see several times the mean; a shift draws the shares anew.
 func TestSkewedTraffic(t *testing.T) {
 	count := func(sc Scenario) (most int) {
-		m := &model{Scenario: sc, rng: stream(1, streamCallers, 0)}
+		m := &model{Scenario: sc, rng: randomStream(1, streamCallers, 0)}
 		for n := range sc.Controllers {
-			m.controllers = append(m.controllers, &controller{n: n})
+			m.controllers = append(m.controllers, &controller{index: n})
 		}
-		m.shareTraffic()
+		m.drawTrafficShares()
 		by := make([]int, sc.Controllers)
 		for range 20000 {
-			by[m.drawController(m.rng).n]++
+			by[m.drawController(m.rng).index]++
 		}
 		for _, n := range by {
 			most = max(most, n)
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -101,11 +101,11 @@
 const LateValue = 0.25
 
 const (
-	aim, deadline = int64(1200e6), int64(9e9)
-	late          = LateValue
-	hold          = int64(9e9)
-	reportEvery   = int64(300e6)
-	circuits      = 1000
+	targetDelay, deadline = int64(1200e6), int64(9e9)
+	lateValue             = LateValue
+	meanCallLength        = int64(9e9)
+	reportInterval        = int64(300e6)
+	circuitsPerServer     = 1000
 )
 
 var tenants = []struct {
@@ -127,22 +127,22 @@
 	params               processor.Params
 	ledger               *check.Ledger
 	servers              []*server // all that ever were
-	listed               []*server // by cell, as they are now
+	current              []*server // by cell, as they are now
 	controllers          []*controller
 	rng                  *rand.Rand // of the callers
 	callers              map[string]*caller
-	ids                  uint64
-	all                  []*caller
+	lastID               uint64
+	allCallers           []*caller
 	restarts             int
-	cutUntil             []int64 // by cell: nothing passes to and from it before
-	use                  float64 // part of the processors' time that the planned load takes
-	lossy                float64 // part of the answers that get lost now
-	discard              *slog.Logger
-	silentSends          []int     // by second since a server went silent: set-ups sent there
-	peerSent             int64     // messages between controllers, by receiver
+	unreachableUntil     []int64 // by cell: nothing passes to and from it before
+	utilization          float64 // part of the processors' time that the planned load takes
+	answerLoss           float64 // part of the answers that get lost now
+	logger               *slog.Logger
+	sendsToSilent        []int     // by second since a server went silent: set-ups sent there
+	peerMessages         int64     // messages between controllers, by receiver
 	peerBytes            int64     // in each message once
-	traffic              []float64 // by controller: its part of the calls and those before it, with a skew
-	coldWatches          []*coldWatch
+	cumulativeTraffic    []float64 // by controller: its part of the calls and those before it, with a skew
+	coldStarts           []*coldStartTracker
 	fallMultiple         float64
 	fallWindow, coldSpan int64
 }
@@ -158,57 +158,57 @@
 	if sc.ListDelay[1] == 0 {
 		sc.ListDelay = [2]time.Duration{500 * time.Millisecond, 3 * time.Second}
 	}
-	real := time.Now()
-	site := stream(sc.Seed, streamSite, 0)
-	use := 0.72 + site.Float64()*0.15
-	work := use * float64(sc.Servers) / sc.Planned * 1e9
-	follow := 0.25 + site.Float64()*0.25
-	setup := work / (1 + follow)
-	refuse := int64(2100+site.IntN(1500)) * 1e6
+	wallStart := time.Now()
+	siteRNG := randomStream(sc.Seed, streamSite, 0)
+	utilization := 0.72 + siteRNG.Float64()*0.15
+	work := utilization * float64(sc.Servers) / sc.Planned * 1e9
+	followShare := 0.25 + siteRNG.Float64()*0.25
+	setUpWork := work / (1 + followShare)
+	refusalWait := int64(2100+siteRNG.IntN(1500)) * 1e6
 	m := &model{clock: clock{now: start}, Scenario: sc, ledger: check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second}),
-		rng: stream(sc.Seed, streamCallers, 0), callers: map[string]*caller{}, discard: slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.Level(100)})),
-		params: processor.Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2), Reject: int64(setup * 0.2), RefusalWait: refuse,
+		rng: randomStream(sc.Seed, streamCallers, 0), callers: map[string]*caller{}, logger: slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.Level(100)})),
+		params: processor.Params{SetUp: int64(setUpWork), Answer: int64(setUpWork * followShare / 2), Release: int64(setUpWork * followShare / 2), Reject: int64(setUpWork * 0.2), RefusalWait: refusalWait,
 			ColdFrom: 0.31, ColdSpan: 15e9, FallMultiple: 2, FallWindow: 1e9,
 			QueueOrder: sc.QueueOrder, DropAnswers: sc.DropAnswers}}
-	m.use = use
+	m.utilization = utilization
 	m.fallMultiple, m.fallWindow, m.coldSpan = m.params.FallMultiple, m.params.FallWindow, m.params.ColdSpan
 	if sc.TrackColdStarts {
 		m.params.FallMultiple = math.MaxFloat64
 	}
-	m.shareTraffic()
-	m.cutUntil = make([]int64, sc.Servers)
+	m.drawTrafficShares()
+	m.unreachableUntil = make([]int64, sc.Servers)
 	for cell := range sc.Servers {
 		s := m.newServer(cell, 0)
-		m.listed = append(m.listed, s)
+		m.current = append(m.current, s)
 	}
 	for n := range sc.Controllers {
-		c := &controller{m: m, n: n, rng: stream(sc.Seed, streamController, n)}
+		c := &controller{model: m, index: n, rng: randomStream(sc.Seed, streamController, n)}
 		for range sc.Servers {
-			c.way = append(c.way, int64(9.7e6+c.rng.Float64()*15.3e6))
+			c.latencies = append(c.latencies, int64(9.7e6+c.rng.Float64()*15.3e6))
 		}
 		m.controllers = append(m.controllers, c)
-		if err := c.up(); err != nil {
+		if err := c.startProcess(); err != nil {
 			return nil, err
 		}
 	}
 	for k, t := range sc.Faults {
-		m.trouble(t, stream(sc.Seed, streamTrouble, k))
+		m.scheduleFault(t, randomStream(sc.Seed, streamTrouble, k))
 	}
-	m.after(1, m.arrivals)
+	m.scheduleAfter(1, m.scheduleArrival)
 	if f := sc.Flood; f != nil {
-		m.after(int64(f.At), m.flood)
+		m.scheduleAfter(int64(f.At), m.scheduleFloodCall)
 	}
 	if sc.OnStatus != nil {
-		m.after(1e9, m.look)
+		m.scheduleAfter(1e9, m.reportStatus)
 	}
 	m.run(start + int64(sc.Duration))
 	end := m.now
 	m.run(end + deadline) // what is open still has its answer; nothing new comes
-	return m.result(time.Since(real)), nil
+	return m.result(time.Since(wallStart)), nil
 }
 
 // arrivals plans the next caller.
-func (m *model) arrivals() {
+func (m *model) scheduleArrival() {
 	at := time.Duration(m.now - start)
 	if at >= m.Duration {
 		return
@@ -217,31 +217,31 @@
 	if m.RateFactor != nil {
 		rate *= m.RateFactor(at)
 	}
-	m.caller()
-	m.after(int64(m.rng.ExpFloat64()/max(rate, 1e-3)*1e9), m.arrivals)
+	m.addCaller()
+	m.scheduleAfter(int64(m.rng.ExpFloat64()/max(rate, 1e-3)*1e9), m.scheduleArrival)
 }
 
 // flood plans the next call of a flood.
-func (m *model) flood() {
+func (m *model) scheduleFloodCall() {
 	f := m.Flood
 	if at := time.Duration(m.now - start); at >= f.At+f.Duration || at >= m.Duration {
 		return
 	}
-	m.caller().tenant = f.Tenant
-	m.after(int64(m.rng.ExpFloat64()/(f.Load*m.Planned)*1e9), m.flood)
+	m.addCaller().tenant = f.Tenant
+	m.scheduleAfter(int64(m.rng.ExpFloat64()/(f.Load*m.Planned)*1e9), m.scheduleFloodCall)
 }
 
-func (m *model) look() {
+func (m *model) reportStatus() {
 	at := time.Duration(m.now - start)
 	var all []exchange.Status
 	for _, c := range m.controllers {
-		if c.x != nil {
-			all = append(all, c.x.StatusDirect())
+		if c.exchange != nil {
+			all = append(all, c.exchange.StatusDirect())
 		}
 	}
 	m.OnStatus(at, all)
 	if at < m.Duration {
-		m.after(1e9, m.look)
+		m.scheduleAfter(1e9, m.reportStatus)
 	}
 }
 
@@ -254,159 +254,159 @@
 	return control.Settings{GroupSize: m.Controllers, Ordinal: n, ThisNode: -1, MaxAttempts: 4, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: 2e9, Fields: []string{"spare", "total", "cpu", "waiting"}, Resolution: 5e6, ClearWait: 300e6, DrainGrace: 1e9,
 		FallMultiple: 2, FallWindow: 1e9, ColdFrom: 0.31, ColdSpan: 15e9,
-		Classes: []control.Class{{Aim: aim, Deadline: deadline, Worth: 1, LateValue: late, Cells: cells}}}
+		Classes: []control.Class{{Aim: targetDelay, Deadline: deadline, Worth: 1, LateValue: lateValue, Cells: cells}}}
 }
 
 // office is the list's entry of a server.
-func (s *server) office(state control.EntryState) exchange.Office {
-	return exchange.Office{Entry: control.Entry{Cell: s.cell, Share: 1, Server: s.id, ReadyAt: s.ready, State: state}, Addr: fmt.Sprint(s.id)}
+func (s *server) listEntry(state control.EntryState) exchange.Office {
+	return exchange.Office{Entry: control.Entry{Cell: s.cell, Share: 1, Server: s.id, ReadyAt: s.readyAt, State: state}, Addr: fmt.Sprint(s.id)}
 }
 
 // tell has every controller hear of a change, each late in its own way.
-func (m *model) tell(s *server, state control.EntryState) {
-	o := s.office(state)
+func (m *model) announce(s *server, state control.EntryState) {
+	o := s.listEntry(state)
 	for _, c := range m.controllers {
 		wait := int64(m.ListDelay[0]) + c.rng.Int64N(int64(m.ListDelay[1]-m.ListDelay[0])+1)
-		at := max(m.now+wait, c.heardAt) // in order
-		c.heardAt = at
-		m.at(at, func() { c.hear(o) })
+		at := max(m.now+wait, c.lastUpdateAt) // in order
+		c.lastUpdateAt = at
+		m.scheduleAt(at, func() { c.applyUpdate(o) })
 	}
 }
 
 // The list's service notices after these times that a process has gone, or that one is silent (the site file's figures).
 var (
-	downNoticed   = [2]time.Duration{1200 * time.Millisecond, 3600 * time.Millisecond}
-	silentNoticed = [2]time.Duration{4400 * time.Millisecond, 12 * time.Second}
+	downDetection    = [2]time.Duration{1200 * time.Millisecond, 3600 * time.Millisecond}
+	silenceDetection = [2]time.Duration{4400 * time.Millisecond, 12 * time.Second}
 )
 
 // noticed has the list tell that a server is away, unless it is back before that shows.
-func (m *model) noticed(s *server, t Fault, within [2]time.Duration, rng *rand.Rand) {
-	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < t.Duration {
-		m.after(int64(wait), func() { m.tell(s, control.Removed) })
+func (m *model) announceRemoval(s *server, fault Fault, within [2]time.Duration, rng *rand.Rand) {
+	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < fault.Duration {
+		m.scheduleAfter(int64(wait), func() { m.announce(s, control.Removed) })
 	}
 }
 
 // trouble plans one trouble.
-func (m *model) trouble(t Fault, rng *rand.Rand) {
-	struck := max(int(t.Share*float64(m.Servers)+0.5), 1)
-	m.at(start+int64(t.At), func() {
-		switch t.Kind {
+func (m *model) scheduleFault(fault Fault, rng *rand.Rand) {
+	affected := max(int(fault.Share*float64(m.Servers)+0.5), 1)
+	m.scheduleAt(start+int64(fault.At), func() {
+		switch fault.Kind {
 		case "replace":
-			for k, cell := range rng.Perm(m.Servers)[:struck] {
-				m.after(int64(t.Duration)*int64(k)/int64(struck), func() {
-					old, s := m.listed[cell], m.newServer(cell, m.now)
-					m.listed[cell] = s
-					old.drains = true
-					m.tell(old, control.Draining)
-					m.tell(s, control.Serving)
-					m.after(11e9, func() { old.stop(); m.tell(old, control.Removed) })
+			for k, cell := range rng.Perm(m.Servers)[:affected] {
+				m.scheduleAfter(int64(fault.Duration)*int64(k)/int64(affected), func() {
+					old, s := m.current[cell], m.newServer(cell, m.now)
+					m.current[cell] = s
+					old.draining = true
+					m.announce(old, control.Draining)
+					m.announce(s, control.Serving)
+					m.scheduleAfter(11e9, func() { old.stop(); m.announce(old, control.Removed) })
 				})
 			}
 		case "down": // its process is away for a while, and begins anew
-			for _, cell := range rng.Perm(m.Servers)[:struck] {
-				s := m.listed[cell]
+			for _, cell := range rng.Perm(m.Servers)[:affected] {
+				s := m.current[cell]
 				s.stop()
-				m.noticed(s, t, downNoticed, rng)
-				m.after(int64(t.Duration), func() {
-					s.gone = false
+				m.announceRemoval(s, fault, downDetection, rng)
+				m.scheduleAfter(int64(fault.Duration), func() {
+					s.stopped = false
 					s.crash()
-					m.tell(s, control.Serving)
+					m.announce(s, control.Serving)
 				})
 			}
 		case "cut": // what is on its way to them and from them comes when it is over
-			for _, cell := range rng.Perm(m.Servers)[:struck] {
-				m.cutUntil[cell] = m.now + int64(t.Duration)
+			for _, cell := range rng.Perm(m.Servers)[:affected] {
+				m.unreachableUntil[cell] = m.now + int64(fault.Duration)
 			}
 		case "kill":
-			for _, n := range rng.Perm(m.Controllers)[:int(t.Share*float64(m.Controllers)+0.5)] {
+			for _, n := range rng.Perm(m.Controllers)[:int(fault.Share*float64(m.Controllers)+0.5)] {
 				m.controllers[n].kill(int64(200e6 + rng.Float64()*1.3e9))
 			}
 		case "late":
-			usual, more := m.ListDelay, time.Duration(t.Magnitude*1e9)
-			m.ListDelay = [2]time.Duration{usual[0] + more, usual[1] + more}
-			m.after(int64(t.Duration), func() { m.ListDelay = usual })
+			previous, extra := m.ListDelay, time.Duration(fault.Magnitude*1e9)
+			m.ListDelay = [2]time.Duration{previous[0] + extra, previous[1] + extra}
+			m.scheduleAfter(int64(fault.Duration), func() { m.ListDelay = previous })
 		case "shift":
-			m.shareTraffic()
+			m.drawTrafficShares()
 		case "lossy":
-			m.lossy = t.Share
-			m.after(int64(t.Duration), func() { m.lossy = 0 })
+			m.answerLoss = fault.Share
+			m.scheduleAfter(int64(fault.Duration), func() { m.answerLoss = 0 })
 		case "crash":
-			for _, cell := range rng.Perm(m.Servers)[:struck] {
-				s := m.listed[cell]
+			for _, cell := range rng.Perm(m.Servers)[:affected] {
+				s := m.current[cell]
 				s.crash()
-				m.tell(s, control.Serving)
+				m.announce(s, control.Serving)
 			}
 		case "slow", "silent":
-			for _, cell := range rng.Perm(m.Servers)[:struck] {
-				s := m.listed[cell]
-				set := func(on bool) {
-					if t.Kind == "silent" {
-						s.done(s.proc.SetSilent(m.now, on))
-						if s.silentAt = 0; on {
-							s.silentAt = m.now
+			for _, cell := range rng.Perm(m.Servers)[:affected] {
+				s := m.current[cell]
+				apply := func(on bool) {
+					if fault.Kind == "silent" {
+						s.handleCompleted(s.processor.SetSilent(m.now, on))
+						if s.silentSince = 0; on {
+							s.silentSince = m.now
 						}
-						if s.cold = s.cold || !on; on {
-							m.noticed(s, t, silentNoticed, rng)
+						if s.startedInRun = s.startedInRun || !on; on {
+							m.announceRemoval(s, fault, silenceDetection, rng)
 						} else {
-							s.ready = m.now
-							m.tell(s, control.Serving)
+							s.readyAt = m.now
+							m.announce(s, control.Serving)
 						}
 					} else if on {
-						s.done(s.proc.SetSlowdown(m.now, t.Magnitude))
+						s.handleCompleted(s.processor.SetSlowdown(m.now, fault.Magnitude))
 					} else {
-						s.done(s.proc.SetSlowdown(m.now, 1))
+						s.handleCompleted(s.processor.SetSlowdown(m.now, 1))
 					}
-					s.wake()
+					s.scheduleAdvance()
 				}
-				set(true)
-				m.after(int64(t.Duration), func() { set(false) })
+				apply(true)
+				m.scheduleAfter(int64(fault.Duration), func() { apply(false) })
 			}
 		case "restarts":
-			order := rng.Perm(m.Controllers)[:int(t.Share*float64(m.Controllers)+0.5)]
-			batch := max(int(t.Batch*float64(m.Controllers)), 1)
+			order := rng.Perm(m.Controllers)[:int(fault.Share*float64(m.Controllers)+0.5)]
+			batch := max(int(fault.Batch*float64(m.Controllers)), 1)
 			batches := max((len(order)+batch-1)/batch, 1)
 			for k, n := range order {
 				down := int64(200e6 + rng.Float64()*1.3e9)
-				m.after(int64(t.Duration)*int64(k/batch)/int64(batches), func() { m.controllers[n].restart(down) })
+				m.scheduleAfter(int64(fault.Duration)*int64(k/batch)/int64(batches), func() { m.controllers[n].restart(down) })
 			}
 		}
 	})
 }
 
-func (m *model) result(real time.Duration) *Result {
-	r := &Result{Seed: m.Seed, Controllers: m.Controllers, Servers: m.Servers, Calls: len(m.all), Events: m.events, RealSeconds: real.Seconds(),
-		EventsPerSecond: float64(m.events) / real.Seconds(), RefusalPointMS: float64(m.params.RefusalWait) / 1e6, UtilizationAtPlan: m.use, Restarts: m.restarts, SendsToSilentServers: m.silentSends, PeerSent: m.peerSent, PeerBytes: m.peerBytes, ServedByTenant: map[string]float64{}}
+func (m *model) result(wallTime time.Duration) *Result {
+	r := &Result{Seed: m.Seed, Controllers: m.Controllers, Servers: m.Servers, Calls: len(m.allCallers), Events: m.processed, RealSeconds: wallTime.Seconds(),
+		EventsPerSecond: float64(m.processed) / wallTime.Seconds(), RefusalPointMS: float64(m.params.RefusalWait) / 1e6, UtilizationAtPlan: m.utilization, Restarts: m.restarts, SendsToSilentServers: m.sendsToSilent, PeerSent: m.peerMessages, PeerBytes: m.peerBytes, ServedByTenant: map[string]float64{}}
 	r.Violations, _, _ = m.ledger.Result()
 	seconds := int(m.Duration/time.Second) + 1
 	r.ServedBySecond, r.OfferedBySecond = make([]float64, seconds), make([]int, seconds)
-	of := map[string]float64{}
+	callsByTenant := map[string]float64{}
 	lateCalls := 0
-	for _, c := range m.all {
+	for _, c := range m.allCallers {
 		w := c.worth()
 		r.ServedShare += w
 		r.Tries += c.tries
 		if c.cut {
 			r.CutCalls++
 		}
-		if c.stoodAt > 0 && c.stoodAt-c.first > aim {
+		if c.establishedAt > 0 && c.establishedAt-c.firstTryAt > targetDelay {
 			lateCalls++
 		}
-		of[c.tenant]++
+		callsByTenant[c.tenant]++
 		r.ServedByTenant[c.tenant] += w
-		k := int((c.first - start) / 1e9)
+		k := int((c.firstTryAt - start) / 1e9)
 		r.ServedBySecond[k] += w
 		r.OfferedBySecond[k]++
 	}
-	n := float64(max(len(m.all), 1))
+	n := float64(max(len(m.allCallers), 1))
 	r.ServedShare, r.LateShare = r.ServedShare/n, float64(lateCalls)/n
 	for name := range r.ServedByTenant {
-		r.ServedByTenant[name] /= of[name]
+		r.ServedByTenant[name] /= callsByTenant[name]
 	}
 	if f := m.Flood; f != nil {
 		r.ServedInFlood = map[string]float64{}
 		n := map[string]float64{}
-		for _, c := range m.all {
-			if at := time.Duration(c.first - start); at >= f.At && at < f.At+f.Duration {
+		for _, c := range m.allCallers {
+			if at := time.Duration(c.firstTryAt - start); at >= f.At && at < f.At+f.Duration {
 				r.ServedInFlood[c.tenant] += c.worth()
 				n[c.tenant]++
 			}
@@ -419,14 +419,14 @@
 		r.ServedBySecond[k] /= float64(max(r.OfferedBySecond[k], 1))
 	}
 	for _, s := range m.servers {
-		r.FellOver = r.FellOver || s.proc.FellOver()
-		_, refused := s.proc.Counts()
+		r.FellOver = r.FellOver || s.processor.FellOver()
+		_, refused := s.processor.Counts()
 		r.RefusedByServers += refused
-		if s.cold {
-			r.MaxColdWaitMS = max(r.MaxColdWaitMS, float64(s.proc.MaxWait())/1e6)
+		if s.startedInRun {
+			r.MaxColdWaitMS = max(r.MaxColdWaitMS, float64(s.processor.MaxWait())/1e6)
 		}
 	}
-	for _, w := range m.coldWatches {
+	for _, w := range m.coldStarts {
 		r.ColdStarts = append(r.ColdStarts, w.ColdStart)
 	}
 	var mem runtime.MemStats
@@ -437,7 +437,7 @@
 }
 
 // byName is a deterministic order of a map's keys.
-func byName[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -17,7 +17,7 @@
 }
 
 // timeless clears what hangs on the machine.
-func timeless(r *Result) *Result {
+func withoutRealTime(r *Result) *Result {
 	r.EventsPerSecond, r.RealSeconds, r.MemoryKB = 0, 0, 0
 	return r
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(timeless(a), timeless(b)) {
+	if !reflect.DeepEqual(withoutRealTime(a), withoutRealTime(b)) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	if a.Any() || a.Restarts != 6 || a.Calls < 1500 || a.ServedShare < 0.7 {
@@ -48,7 +48,7 @@
 
 // A flood by one member leaves the other two's service nearly as it was, where shares are on; without them all suffer.
 func TestAFloodByOneMember(t *testing.T) {
-	played := func(join func(control.Settings, float64, uint64, int64) join.Chain) map[string]float64 {
+	run := func(join func(control.Settings, float64, uint64, int64) join.Chain) map[string]float64 {
 		r, err := Run(Scenario{Seed: 2, Controllers: 7, Servers: 3, Load: 0.8, Duration: 60 * time.Second, Redials: 2, Join: join,
 			Flood: &Flood{Tenant: "barrow-estate", At: 20 * time.Second, Duration: 40 * time.Second, Load: 1.5}})
 		if err != nil || r.Any() {
@@ -56,8 +56,8 @@
 		}
 		return r.ServedInFlood
 	}
-	plain := played(nil)
-	fair := played(func(s control.Settings, planned float64, seed uint64, now int64) join.Chain {
+	plain := run(nil)
+	fair := run(func(s control.Settings, planned float64, seed uint64, now int64) join.Chain {
 		return join.Chain{shares.New(s, Tenants(), planned, seed, now)}
 	})
 	for _, name := range []string{"slaney-vines", "suir-growers"} {
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -10,65 +10,65 @@
 )
 
 // peerTick is how often an instance's shell has it do what is due: internal/peers' figure.
-const peerTick = int64(100e6)
+const peerTickInterval = int64(100e6)
 
 // peerCut tells whether what one controller says does not reach another now.
-func (m *model) peerCut(from, to int) bool {
+func (m *model) peersPartitioned(from, to int) bool {
 	return m.PeersPartitioned != nil && m.PeersPartitioned(time.Duration(m.now-start), from, to)
 }
 
 // talk finds the module that talks with the others, and has it tick.
-func (c *controller) talk(chain join.Chain) {
-	c.peer = nil
-	for _, one := range chain {
-		if s, ok := one.(*shared.Shared); ok {
-			c.peer = s
+func (c *controller) startPeerTicks(chain join.Chain) {
+	c.peers = nil
+	for _, module := range chain {
+		if s, ok := module.(*shared.Shared); ok {
+			c.peers = s
 		}
 	}
-	if c.peer == nil {
+	if c.peers == nil {
 		return
 	}
-	gen := c.gen
+	gen := c.generation
 	var tick func()
 	tick = func() {
-		if c.gen != gen || c.x == nil {
+		if c.generation != gen || c.exchange == nil {
 			return
 		}
-		c.say(c.peer.Tick(c.m.now, len(c.m.controllers)))
-		c.m.after(peerTick, tick)
+		c.sendToPeers(c.peers.Tick(c.model.now, len(c.model.controllers)))
+		c.model.scheduleAfter(peerTickInterval, tick)
 	}
-	c.m.after(c.rng.Int64N(peerTick), tick)
+	c.model.scheduleAfter(c.rng.Int64N(peerTickInterval), tick)
 }
 
 // lie tells that every server is dead.
-func (c *controller) lie() *outlier.Message {
+func (c *controller) falseReports() *outlier.Message {
 	m := &outlier.Message{From: c.name(), Machine: c.name()}
-	for _, s := range c.m.listed {
+	for _, s := range c.model.current {
 		m.Reports = append(m.Reports, outlier.Report{Server: s.id, Kind: outlier.Dead, Streak: 99})
 	}
 	return m
 }
 
 // say sends messages on their way.
-func (c *controller) say(out []shared.Outgoing) {
-	if c.n+1 == c.m.FalseReporter {
-		out = append(out, shared.Outgoing{Message: shared.Message{Health: c.lie()}})
+func (c *controller) sendToPeers(outgoing []shared.Outgoing) {
+	if c.index+1 == c.model.FalseReporter {
+		outgoing = append(outgoing, shared.Outgoing{Message: shared.Message{Health: c.falseReports()}})
 	}
-	for _, o := range out {
-		if c.m.PeerBytes {
+	for _, o := range outgoing {
+		if c.model.PeerBytes {
 			b, _ := peers.Encode(o.Message)
-			c.m.peerBytes += int64(len(b))
+			c.model.peerBytes += int64(len(b))
 		}
-		for k, to := range c.m.controllers {
-			if to == c || o.To != "" && o.To != to.name() || c.m.peerCut(c.n, k) {
+		for k, to := range c.model.controllers {
+			if to == c || o.To != "" && o.To != to.name() || c.model.peersPartitioned(c.index, k) {
 				continue
 			}
-			c.m.peerSent++
+			c.model.peerMessages++
 			wait := int64(9.7e6 + c.rng.Float64()*15.3e6)
-			c.m.after(wait, func() {
-				if to.x != nil && to.peer != nil {
-					to.say(to.peer.Receive(c.m.now, o.Message))
-					to.drive()
+			c.model.scheduleAfter(wait, func() {
+				if to.exchange != nil && to.peers != nil {
+					to.sendToPeers(to.peers.Receive(c.model.now, o.Message))
+					to.runDue()
 				}
 			})
 		}
--- a/lab/model/scenes.go
+++ b/lab/model/scenes.go
@@ -9,20 +9,20 @@
 // Scene is a scenario by name, for any size of a fleet.
 type Scene struct {
 	Name, Description string
-	set               func(sc *Scenario)
+	configure         func(sc *Scenario)
 }
 
 const (
 	// sceneFrom is when what a scene is about begins, sceneLength how long a scene plays.
-	sceneFrom, sceneLength = 20 * time.Second, 70 * time.Second
-	swingEvery             = 4 * time.Second // half a swing
+	sceneStart, sceneDuration = 20 * time.Second, 70 * time.Second
+	swingHalfPeriod           = 4 * time.Second // half a swing
 )
 
 // jump is a rate that is so many times the usual for a while.
-func jump(times float64, d time.Duration) func(time.Duration) float64 {
+func rateJump(factor float64, d time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
-		if at >= sceneFrom && at < sceneFrom+d {
-			return times
+		if at >= sceneStart && at < sceneStart+d {
+			return factor
 		}
 		return 1
 	}
@@ -34,39 +34,39 @@
 	{"swing", "between 0.9 and 1.2 of plan every 4 s", func(sc *Scenario) {
 		sc.Load = 1
 		sc.RateFactor = func(at time.Duration) float64 {
-			if at > 10*time.Second && at/swingEvery%2 == 1 {
+			if at > 10*time.Second && at/swingHalfPeriod%2 == 1 {
 				return 1.2
 			}
 			return 0.9
 		}
 	}},
-	{"jump-small", "1.4 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = jump(1.4, 9300*time.Millisecond) }},
-	{"jump-short", "1.8 times the calls for 3 s", func(sc *Scenario) { sc.RateFactor = jump(1.8, 3*time.Second) }},
-	{"jump-long", "1.8 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = jump(1.8, 9300*time.Millisecond) }},
+	{"jump-small", "1.4 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.4, 9300*time.Millisecond) }},
+	{"jump-short", "1.8 times the calls for 3 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.8, 3*time.Second) }},
+	{"jump-long", "1.8 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.8, 9300*time.Millisecond) }},
 	{"slow", "a third of the servers 2.5 times slower for 20 s", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.34, Magnitude: 2.5}}
+		sc.Faults = []Fault{{Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.34, Magnitude: 2.5}}
 	}},
 	{"silent", "a seventh of the servers silent for 15 s, and back cold", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "silent", At: sceneFrom, Duration: 15 * time.Second, Share: 0.14}}
+		sc.Faults = []Fault{{Kind: "silent", At: sceneStart, Duration: 15 * time.Second, Share: 0.14}}
 	}},
-	{"overload", "1.15 of plan for 40 s", func(sc *Scenario) { sc.RateFactor = jump(1.15/0.93, 40*time.Second) }},
+	{"overload", "1.15 of plan for 40 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.15/0.93, 40*time.Second) }},
 	{"herd", "seven in ten controllers killed at once, one server of eight slow", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "kill", At: sceneFrom, Share: 0.7}, {Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.125, Magnitude: 3}}
+		sc.Faults = []Fault{{Kind: "kill", At: sceneStart, Share: 0.7}, {Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.125, Magnitude: 3}}
 	}},
 	{"zone", "three servers of ten away for 5 s and back cold, one of eight of all slow", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "down", At: sceneFrom, Duration: 5 * time.Second, Share: 0.3},
-			{Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.125, Magnitude: 2.5}}
+		sc.Faults = []Fault{{Kind: "down", At: sceneStart, Duration: 5 * time.Second, Share: 0.3},
+			{Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.125, Magnitude: 2.5}}
 	}},
 	{"split", "a fifth of the servers cut off for 6 s, lists 4 s later, one answer in fifty lost", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "cut", At: sceneFrom, Duration: 6 * time.Second, Share: 0.2}, {Kind: "late", At: sceneFrom - time.Second, Duration: 20 * time.Second, Magnitude: 4},
-			{Kind: "lossy", At: sceneFrom, Duration: 20 * time.Second, Share: 0.02}}
+		sc.Faults = []Fault{{Kind: "cut", At: sceneStart, Duration: 6 * time.Second, Share: 0.2}, {Kind: "late", At: sceneStart - time.Second, Duration: 20 * time.Second, Magnitude: 4},
+			{Kind: "lossy", At: sceneStart, Duration: 20 * time.Second, Share: 0.02}}
 	}},
 	{"join", "six servers of ten replaced within 7 s", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}}
 	}},
 	{"roll", "all controllers restarted within 25 s, half of the servers replaced", func(sc *Scenario) {
-		sc.Faults = []Fault{{Kind: "restarts", At: sceneFrom, Duration: 25 * time.Second, Share: 1, Batch: 0.1},
-			{Kind: "replace", At: sceneFrom, Duration: 25 * time.Second, Share: 0.5}}
+		sc.Faults = []Fault{{Kind: "restarts", At: sceneStart, Duration: 25 * time.Second, Share: 1, Batch: 0.1},
+			{Kind: "replace", At: sceneStart, Duration: 25 * time.Second, Share: 0.5}}
 	}},
 }
 
@@ -88,7 +88,7 @@
 
 // Scenario is the scene for a fleet of a size, with the brief's figures.
 func (s Scene) Scenario(seed uint64, controllers, servers int) Scenario {
-	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, Duration: sceneLength, Redials: 2}
-	s.set(&sc)
+	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, Duration: sceneDuration, Redials: 2}
+	s.configure(&sc)
 	return sc
 }
--- a/lab/model/sim.go
+++ b/lab/model/sim.go
@@ -13,7 +13,7 @@
 type event struct {
 	at  int64
 	seq uint64 // in order of planning, where the times are equal
-	do  func()
+	run func()
 }
 
 type events []event
@@ -34,10 +34,10 @@
 
 // clock is the simulated time and all that is planned.
 type clock struct {
-	now    int64 // Unix nanoseconds
-	seq    uint64
-	plan   events
-	events uint64 // done so far
+	now       int64 // Unix nanoseconds
+	seq       uint64
+	queue     events
+	processed uint64 // done so far
 }
 
 // start is an arbitrary time at which every run begins.
@@ -46,20 +46,20 @@
 func (c *clock) time() time.Time { return time.Unix(0, c.now) }
 
 // at plans something; what is planned for the past happens next.
-func (c *clock) at(t int64, do func()) {
+func (c *clock) scheduleAt(t int64, do func()) {
 	c.seq++
-	heap.Push(&c.plan, event{max(t, c.now), c.seq, do})
+	heap.Push(&c.queue, event{max(t, c.now), c.seq, do})
 }
 
-func (c *clock) after(d int64, do func()) { c.at(c.now+d, do) }
+func (c *clock) scheduleAfter(d int64, do func()) { c.scheduleAt(c.now+d, do) }
 
 // run does everything up to a time.
 func (c *clock) run(until int64) {
-	for len(c.plan) > 0 && c.plan[0].at <= until {
-		e := heap.Pop(&c.plan).(event)
+	for len(c.queue) > 0 && c.queue[0].at <= until {
+		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		c.events++
-		e.do()
+		c.processed++
+		e.run()
 	}
 	c.now = until
 }
@@ -73,6 +73,6 @@
 	streamTrouble
 )
 
-func stream(seed uint64, kind, n int) *rand.Rand {
+func randomStream(seed uint64, kind, n int) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, uint64(kind)<<32|uint64(n)))
 }
--- a/lab/model/traffic.go
+++ b/lab/model/traffic.go
@@ -7,24 +7,24 @@
 )
 
 // shareTraffic draws the controllers' shares of the traffic anew.
-func (m *model) shareTraffic() {
+func (m *model) drawTrafficShares() {
 	if m.Skew == 0 {
 		return
 	}
-	m.traffic = make([]float64, m.Controllers)
+	m.cumulativeTraffic = make([]float64, m.Controllers)
 	total := 0.0
-	for k := range m.traffic {
+	for k := range m.cumulativeTraffic {
 		total += math.Exp(m.Skew * m.rng.NormFloat64())
-		m.traffic[k] = total
+		m.cumulativeTraffic[k] = total
 	}
 }
 
 // drawController draws the controller that a try comes to.
 func (m *model) drawController(rng *rand.Rand) *controller {
-	if m.traffic == nil {
+	if m.cumulativeTraffic == nil {
 		return m.controllers[rng.IntN(len(m.controllers))]
 	}
-	u := rng.Float64() * m.traffic[len(m.traffic)-1]
-	k := sort.SearchFloat64s(m.traffic, u)
+	u := rng.Float64() * m.cumulativeTraffic[len(m.cumulativeTraffic)-1]
+	k := sort.SearchFloat64s(m.cumulativeTraffic, u)
 	return m.controllers[min(k, len(m.controllers)-1)]
 }
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -59,53 +59,55 @@
 }
 
 type job struct {
-	step Step
-	call string
-	left float64 // work
-	seq  int     // in order of coming
+	step      Step
+	call      string
+	remaining float64 // work
+	seq       int     // in order of coming
 }
 
 // Processor is one processor's state.
 type Processor struct {
-	p        Params
-	started  int64 // 0: long ago
-	slow     float64
-	silent   bool
-	fallen   bool
-	now      int64
-	cur      *job
-	setups   []*job // a FIFO
-	rest     []*job // answers, releases and rejects: behind all set-ups
-	arrivals []int64
-	busyFor  float64 // time busy, fading
-	worst    int64   // the longest wait seen by a set-up that came
-	setupsIn int
-	refused  int
-	seq      int
+	params        Params
+	started       int64 // 0: long ago
+	slowdown      float64
+	silent        bool
+	fellOver      bool
+	now           int64
+	current       *job
+	setUps        []*job // a FIFO
+	otherWork     []*job // answers, releases and rejects: behind all set-ups
+	arrivals      []int64
+	busyTime      float64 // time busy, fading
+	maxWait       int64   // the longest wait seen by a set-up that came
+	setUpsOffered int
+	refused       int
+	seq           int
 }
 
 // New makes a processor that started at a time, cold, or long ago (0).
-func New(p Params, started int64) *Processor { return &Processor{p: p, started: started, slow: 1} }
+func New(p Params, started int64) *Processor {
+	return &Processor{params: p, started: started, slowdown: 1}
+}
 
 // Speed is the work that it does in a unit of time at a moment.
 func (p *Processor) Speed(now int64) float64 {
-	if p.silent || p.fallen {
+	if p.silent || p.fellOver {
 		return 0
 	}
-	return p.warmth(now) / p.slow
+	return p.warmth(now) / p.slowdown
 }
 
 func (p *Processor) warmth(now int64) float64 {
-	if p.started <= 0 || now >= p.started+p.p.ColdSpan {
+	if p.started <= 0 || now >= p.started+p.params.ColdSpan {
 		return 1
 	}
-	return p.p.ColdFrom + (1-p.p.ColdFrom)*float64(max(now-p.started, 0))/float64(p.p.ColdSpan)
+	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.started, 0))/float64(p.params.ColdSpan)
 }
 
 // SetSlow makes it so many times slower from now on; 1: as usual.
 func (p *Processor) SetSlowdown(now int64, times float64) []Completed {
 	done := p.Advance(now)
-	p.slow = max(times, 1e-3)
+	p.slowdown = max(times, 1e-3)
 	return done
 }
 
@@ -120,19 +122,19 @@
 }
 
 // Fallen tells whether it has fallen over.
-func (p *Processor) FellOver() bool { return p.fallen }
+func (p *Processor) FellOver() bool { return p.fellOver }
 
 // backlog is the work in front of a new set-up.
 func (p *Processor) backlog() (work float64) {
-	if p.cur != nil {
-		work = p.cur.left
+	if p.current != nil {
+		work = p.current.remaining
 	}
-	for _, j := range p.setups {
-		work += j.left
+	for _, j := range p.setUps {
+		work += j.remaining
 	}
-	if p.p.QueueOrder != SetUpsFirst {
-		for _, j := range p.rest {
-			work += j.left
+	if p.params.QueueOrder != SetUpsFirst {
+		for _, j := range p.otherWork {
+			work += j.remaining
 		}
 	}
 	return work
@@ -148,71 +150,71 @@
 }
 
 // WorstWait is the longest wait that a set-up found when it came.
-func (p *Processor) MaxWait() int64 { return p.worst }
+func (p *Processor) MaxWait() int64 { return p.maxWait }
 
 // Counts tells the set-ups that came and those turned away.
-func (p *Processor) Counts() (came, refused int) { return p.setupsIn, p.refused }
+func (p *Processor) Counts() (offered, refused int) { return p.setUpsOffered, p.refused }
 
 // Queue is the number of set-ups that wait.
-func (p *Processor) QueueLength() int { return len(p.setups) }
+func (p *Processor) QueueLength() int { return len(p.setUps) }
 
 // Util is the part of the last second or so that it was busy.
-func (p *Processor) Utilization() float64 { return min(p.busyFor/utilSpan, 1) }
+func (p *Processor) Utilization() float64 { return min(p.busyTime/utilizationWindow, 1) }
 
-const utilSpan = 1e9
+const utilizationWindow = 1e9
 
 // Offer brings a set-up. Where it is turned away, wait is how long the caller is told to stay away.
 func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Completed) {
 	done = p.Advance(now)
-	p.setupsIn++
-	p.fall(now)
-	if p.silent || p.fallen {
+	p.setUpsOffered++
+	p.recordArrival(now)
+	if p.silent || p.fellOver {
 		return true, 0, done // it says nothing, ever
 	}
 	wait = p.ExpectedWait(now)
-	p.worst = max(p.worst, wait)
-	if wait > p.p.RefusalWait {
+	p.maxWait = max(p.maxWait, wait)
+	if wait > p.params.RefusalWait {
 		p.refused++
-		p.wait(&p.rest, reject, call, p.p.Reject)
+		p.enqueue(&p.otherWork, reject, call, p.params.Reject)
 		return false, wait, done
 	}
-	p.wait(&p.setups, SetUp, call, p.p.SetUp)
+	p.enqueue(&p.setUps, SetUp, call, p.params.SetUp)
 	return true, 0, done
 }
 
 // wait puts work at the end of a line.
-func (p *Processor) wait(line *[]*job, s Step, call string, work int64) {
+func (p *Processor) enqueue(queue *[]*job, s Step, call string, work int64) {
 	p.seq++
-	*line = append(*line, &job{s, call, float64(work), p.seq})
-	p.next()
+	*queue = append(*queue, &job{s, call, float64(work), p.seq})
+	p.startNext()
 }
 
 // fall notes a set-up that came, and lets a cold processor fall over that gets too many.
-func (p *Processor) fall(now int64) {
+func (p *Processor) recordArrival(now int64) {
 	p.arrivals = append(p.arrivals, now)
-	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.p.FallWindow {
+	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.FallWindow {
 		p.arrivals = p.arrivals[1:]
 	}
 	w := p.warmth(now)
 	if w >= 1 {
 		return
 	}
-	budget := p.p.FallMultiple * w * p.p.Capacity() * float64(p.p.FallWindow) / 1e9
+	budget := p.params.FallMultiple * w * p.params.Capacity() * float64(p.params.FallWindow) / 1e9
 	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // a little slack for chance
-		p.fallen = true
-		p.cur, p.setups, p.rest = nil, nil, nil
+		p.fellOver = true
+		p.current, p.setUps, p.otherWork = nil, nil, nil
 	}
 }
 
 // Add brings work that belongs to a call that stands.
 func (p *Processor) Add(now int64, s Step, call string) []Completed {
 	done := p.Advance(now)
-	work := p.p.Answer
+	work := p.params.Answer
 	if s == Release {
-		work = p.p.Release
+		work = p.params.Release
 	}
-	if !p.fallen {
-		p.wait(&p.rest, s, call, work)
+	if !p.fellOver {
+		p.enqueue(&p.otherWork, s, call, work)
 	}
 	return done
 }
@@ -220,34 +222,34 @@
 // Drop takes a set-up that was given up out of the line.
 func (p *Processor) Drop(now int64, call string) []Completed {
 	done := p.Advance(now)
-	drop := func(line []*job, s Step) []*job {
-		return slices.DeleteFunc(line, func(j *job) bool { return j.call == call && j.step == s })
+	remove := func(queue []*job, s Step) []*job {
+		return slices.DeleteFunc(queue, func(j *job) bool { return j.call == call && j.step == s })
 	}
-	p.setups = drop(p.setups, SetUp)
-	if p.p.DropAnswers {
-		p.rest = drop(p.rest, Answer)
+	p.setUps = remove(p.setUps, SetUp)
+	if p.params.DropAnswers {
+		p.otherWork = remove(p.otherWork, Answer)
 	}
 	return done
 }
 
 // next begins a piece of work where none is under way.
-func (p *Processor) next() {
-	if p.cur != nil {
+func (p *Processor) startNext() {
+	if p.current != nil {
 		return
 	}
-	setup := len(p.setups) > 0
-	if setup && len(p.rest) > 0 {
-		setup = p.p.QueueOrder == SetUpsFirst || p.p.QueueOrder == FIFO && p.setups[0].seq < p.rest[0].seq
+	takeSetUp := len(p.setUps) > 0
+	if takeSetUp && len(p.otherWork) > 0 {
+		takeSetUp = p.params.QueueOrder == SetUpsFirst || p.params.QueueOrder == FIFO && p.setUps[0].seq < p.otherWork[0].seq
 	}
-	if setup {
-		p.cur, p.setups = p.setups[0], p.setups[1:]
-	} else if len(p.rest) > 0 {
-		p.cur, p.rest = p.rest[0], p.rest[1:]
+	if takeSetUp {
+		p.current, p.setUps = p.setUps[0], p.setUps[1:]
+	} else if len(p.otherWork) > 0 {
+		p.current, p.otherWork = p.otherWork[0], p.otherWork[1:]
 	}
 }
 
 // step bounds how long the speed is taken as constant while it warms up.
-const step = int64(50e6)
+const maxStep = int64(50e6)
 
 // Advance works up to a time and gives what was finished, in order.
 func (p *Processor) Advance(now int64) (done []Completed) {
@@ -255,53 +257,53 @@
 		p.now = now
 	}
 	for p.now < now {
-		part := min(now-p.now, step)
+		slice := min(now-p.now, maxStep)
 		speed := p.Speed(p.now)
-		if p.cur != nil && speed > 0 {
-			if need := int64(math.Ceil(p.cur.left / speed)); need <= part {
-				part = max(need, 1)
-				p.pass(part, true)
-				j := p.cur
-				p.cur = nil
+		if p.current != nil && speed > 0 {
+			if need := int64(math.Ceil(p.current.remaining / speed)); need <= slice {
+				slice = max(need, 1)
+				p.elapse(slice, true)
+				j := p.current
+				p.current = nil
 				if j.step != reject {
 					done = append(done, Completed{j.step, j.call, p.now})
 				}
-				p.next()
+				p.startNext()
 				continue
 			}
-			p.cur.left -= speed * float64(part)
+			p.current.remaining -= speed * float64(slice)
 		}
-		p.pass(part, p.cur != nil && speed > 0)
+		p.elapse(slice, p.current != nil && speed > 0)
 	}
 	return done
 }
 
-func (p *Processor) pass(d int64, busy bool) {
+func (p *Processor) elapse(d int64, busy bool) {
 	p.now += d
-	p.busyFor *= math.Exp(-float64(d) / utilSpan)
+	p.busyTime *= math.Exp(-float64(d) / utilizationWindow)
 	if busy {
-		p.busyFor += utilSpan * (1 - math.Exp(-float64(d)/utilSpan))
+		p.busyTime += utilizationWindow * (1 - math.Exp(-float64(d)/utilizationWindow))
 	}
 }
 
 // Due is when the next piece of work will be finished, if nothing else comes; 0: there is none.
 func (p *Processor) NextDue() int64 {
 	speed := p.Speed(p.now)
-	if p.cur == nil || speed <= 0 {
+	if p.current == nil || speed <= 0 {
 		return 0
 	}
-	return p.now + max(min(int64(math.Ceil(p.cur.left/speed)), step), 1)
+	return p.now + max(min(int64(math.Ceil(p.current.remaining/speed)), maxStep), 1)
 }
 
 // Draw draws a processor's figures as the brief gives their ranges, for one of so many that are planned for so many calls a
 // second together.
 func DrawParams(planned float64, servers int, rng *rand.Rand) Params {
-	use := 0.72 + rng.Float64()*0.15
-	work := use * float64(servers) / planned * 1e9 // of a whole call, so that the planned load uses so much
-	follow := 0.25 + rng.Float64()*0.25
-	setup := work / (1 + follow)
-	refuse := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
-	return Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2),
-		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refuse), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
+	utilization := 0.72 + rng.Float64()*0.15
+	work := utilization * float64(servers) / planned * 1e9 // of a whole call, so that the planned load uses so much
+	followShare := 0.25 + rng.Float64()*0.25
+	setup := work / (1 + followShare)
+	refusalWait := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
+	return Params{SetUp: int64(setup), Answer: int64(setup * followShare / 2), Release: int64(setup * followShare / 2),
+		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
 		FallMultiple: 2, FallWindow: int64(time.Second)}
 }
--- a/lab/processor/processor_test.go
+++ b/lab/processor/processor_test.go
@@ -14,17 +14,17 @@
 }
 
 // play offers set-ups at a rate and finishes each call's answer; it gives the calls that stood and were turned away.
-func play(p *Processor, from, to int64, rate float64) (stood, refused int) {
-	take := func(done []Completed) {
-		for len(done) > 0 {
-			d := done[0]
-			done = done[1:]
+func play(p *Processor, from, to int64, rate float64) (established, refused int) {
+	process := func(completed []Completed) {
+		for len(completed) > 0 {
+			d := completed[0]
+			completed = completed[1:]
 			switch d.Step {
 			case SetUp:
-				done = append(done, p.Add(d.At, Answer, d.Call)...)
+				completed = append(completed, p.Add(d.At, Answer, d.Call)...)
 			case Answer:
-				stood++
-				done = append(done, p.Add(d.At, Release, d.Call)...)
+				established++
+				completed = append(completed, p.Add(d.At, Release, d.Call)...)
 			}
 		}
 	}
@@ -34,13 +34,13 @@
 			break
 		}
 		taken, _, done := p.Offer(at, fmt.Sprint(n))
-		take(done)
+		process(done)
 		if !taken {
 			refused++
 		}
 	}
-	take(p.Advance(to))
-	return stood, refused
+	process(p.Advance(to))
+	return established, refused
 }
 
 func TestCapacityRefusalAndWork(t *testing.T) {
@@ -48,8 +48,8 @@
 		t.Fatal(c)
 	}
 	p := New(params(), 0)
-	if stood, refused := play(p, 1, 20_000*ms, 30); refused > 0 || stood < 590 {
-		t.Errorf("under its capacity: %d stood, %d refused", stood, refused)
+	if established, refused := play(p, 1, 20_000*ms, 30); refused > 0 || established < 590 {
+		t.Errorf("under its capacity: %d stood, %d refused", established, refused)
 	}
 	p = New(params(), 0)
 	if _, refused := play(p, 1, 20_000*ms, 60); refused == 0 || p.MaxWait() < 200*ms || p.MaxWait() > 250*ms {
@@ -63,9 +63,9 @@
 // Answers wait behind new set-ups: under a flood of set-ups hardly anything stands.
 func TestAnswersWaitBehindSetUps(t *testing.T) {
 	p := New(params(), 0)
-	stood, _ := play(p, 1, 10_000*ms, 100)
-	if stood > 60 { // 333 without the flood
-		t.Errorf("%d stood", stood)
+	established, _ := play(p, 1, 10_000*ms, 100)
+	if established > 60 { // 333 without the flood
+		t.Errorf("%d stood", established)
 	}
 }
 
@@ -118,11 +118,11 @@
 
 // However finely the clock is moved, the same work is finished at the same time.
 func TestStepsDoNotMatter(t *testing.T) {
-	whole, fine := New(params(), 1000*ms), New(params(), 1000*ms)
-	whole.Offer(1000*ms, "a")
+	coarse, fine := New(params(), 1000*ms), New(params(), 1000*ms)
+	coarse.Offer(1000*ms, "a")
 	fine.Offer(1000*ms, "a")
 	var a, b []Completed
-	a = whole.Advance(1200 * ms)
+	a = coarse.Advance(1200 * ms)
 	for at := 1000 * ms; at <= 1200*ms; at += 50 * ms {
 		b = append(b, fine.Advance(at)...)
 	}
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -47,39 +47,39 @@
 	Ledger *check.Ledger
 	seed   uint64
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	gates    map[string]*gate
-	waiting  map[string]wait // by call id
-	standing map[string]*Outcome
-	results  []*Outcome
-	ids      uint64
-	busy     sync.WaitGroup
+	mu        sync.Mutex
+	rng       *rand.Rand
+	links     map[string]*instanceLink
+	pending   map[string]pendingTry // by call id
+	openCalls map[string]*Outcome
+	results   []*Outcome
+	lastID    uint64
+	readers   sync.WaitGroup
 }
 
 // gate is the way to one instance.
-type gate struct {
-	name string
-	conn *conn
-	open bool // in the rotation
-	gone bool // its connection has ended
+type instanceLink struct {
+	name         string
+	conn         *conn
+	inRotation   bool // in the rotation
+	disconnected bool // its connection has ended
 }
 
 type reply struct {
-	status int
-	later  time.Duration
+	status     int
+	retryAfter time.Duration
 }
 
 // wait is a try that waits for its answer, and where it went.
-type wait struct {
+type pendingTry struct {
 	answer chan reply
-	gate   *gate
+	link   *instanceLink
 }
 
 // NewCrowd makes the callers.
 func NewCallerPool(d Demand, l *check.Ledger, seed uint64) *CallerPool {
-	return &CallerPool{Demand: d, Ledger: l, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), gates: map[string]*gate{},
-		waiting: map[string]wait{}, standing: map[string]*Outcome{}}
+	return &CallerPool{Demand: d, Ledger: l, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), links: map[string]*instanceLink{},
+		pending: map[string]pendingTry{}, openCalls: map[string]*Outcome{}}
 }
 
 // Enter takes an instance into the rotation, once it passes the test; ctx bounds the wait for that.
@@ -88,18 +88,18 @@
 	if err != nil {
 		return err
 	}
-	cn := &conn{Conn: raw}
-	cn.write([]byte("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: ping\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"))
+	link := &conn{Conn: raw}
+	link.write([]byte("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: ping\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"))
 	r := sip.NewReader(raw)
 	if m, err := r.Next(); err != nil || m.Status != 200 {
 		raw.Close()
 		return fmt.Errorf("%s fails its test: %v", name, err)
 	}
-	g := &gate{name: name, conn: cn, open: true}
+	g := &instanceLink{name: name, conn: link, inRotation: true}
 	c.mu.Lock()
-	c.gates[name] = g
+	c.links[name] = g
 	c.mu.Unlock()
-	c.busy.Go(func() { c.read(g, r) })
+	c.readers.Go(func() { c.readLink(g, r) })
 	return nil
 }
 
@@ -107,16 +107,16 @@
 func (c *CallerPool) HasInstance(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := c.gates[name]
-	return g != nil && g.open
+	g := c.links[name]
+	return g != nil && g.inRotation
 }
 
 // Leave takes an instance out of the rotation. What it has taken goes on.
 func (c *CallerPool) RemoveInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.gates[name]; g != nil {
-		g.open = false
+	if g := c.links[name]; g != nil {
+		g.inRotation = false
 	}
 }
 
@@ -124,14 +124,14 @@
 func (c *CallerPool) InstanceKilled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := c.gates[name]
+	g := c.links[name]
 	if g == nil {
 		return
 	}
-	g.open, g.gone = false, true
+	g.inRotation, g.disconnected = false, true
 	g.conn.Close()
-	for id, w := range c.waiting {
-		if w.gate == g {
+	for id, w := range c.pending {
+		if w.link == g {
 			c.Ledger.Abandoned(id)
 		}
 	}
@@ -141,10 +141,10 @@
 func (c *CallerPool) InstanceFrozen(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.gates[name]; g != nil {
-		g.open = false
-		for id, w := range c.waiting {
-			if w.gate == g {
+	if g := c.links[name]; g != nil {
+		g.inRotation = false
+		for id, w := range c.pending {
+			if w.link == g {
 				c.Ledger.Abandoned(id)
 			}
 		}
@@ -155,13 +155,13 @@
 func (c *CallerPool) InstanceResumed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.gates[name]; g != nil && !g.gone {
-		g.open = true
+	if g := c.links[name]; g != nil && !g.disconnected {
+		g.inRotation = true
 	}
 }
 
 // read takes what one instance says.
-func (c *CallerPool) read(g *gate, r *sip.Reader) {
+func (c *CallerPool) readLink(g *instanceLink, r *sip.Reader) {
 	defer g.conn.Close()
 	for {
 		m, err := r.Next()
@@ -172,10 +172,10 @@
 		if string(m.Method) == "BYE" {
 			g.conn.write(sip.Response(m, 200))
 			c.mu.Lock()
-			if o := c.standing[id]; o != nil && string(m.Get("Reason")) != "Q.850;cause=16" {
+			if o := c.openCalls[id]; o != nil && string(m.Get("Reason")) != "Q.850;cause=16" {
 				o.Cut = true
 			}
-			delete(c.standing, id)
+			delete(c.openCalls, id)
 			c.mu.Unlock()
 			continue
 		}
@@ -185,17 +185,17 @@
 		c.Ledger.Answered(id)
 		ms, _ := strconv.ParseInt(string(m.Get("X-Later-Ms")), 10, 64)
 		g.conn.write([]byte("ACK sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n"))
-		c.tell(id, reply{status: m.Status, later: time.Duration(ms) * time.Millisecond})
+		c.deliver(id, reply{status: m.Status, retryAfter: time.Duration(ms) * time.Millisecond})
 	}
 	c.mu.Lock()
-	g.open, g.gone = false, true
+	g.inRotation, g.disconnected = false, true
 	c.mu.Unlock()
 }
 
-func (c *CallerPool) tell(id string, r reply) {
+func (c *CallerPool) deliver(id string, r reply) {
 	c.mu.Lock()
-	w := c.waiting[id]
-	delete(c.waiting, id)
+	w := c.pending[id]
+	delete(c.pending, id)
 	c.mu.Unlock()
 	if w.answer != nil {
 		w.answer <- r
@@ -203,26 +203,26 @@
 }
 
 // Run offers calls for so long, then waits until the last caller has its answer or has given up.
-func (c *CallerPool) Run(ctx context.Context, d time.Duration) error {
-	began := time.Now()
+func (c *CallerPool) Run(ctx context.Context, duration time.Duration) error {
+	startedAt := time.Now()
 	g, ctx := errgroup.WithContext(ctx)
-	next := began
+	next := startedAt
 	for ctx.Err() == nil {
 		rate := c.Rate
 		if c.RateFactor != nil {
-			rate *= c.RateFactor(time.Since(began))
+			rate *= c.RateFactor(time.Since(startedAt))
 		}
 		c.mu.Lock()
 		next = next.Add(time.Duration(c.rng.ExpFloat64() / max(rate, 1e-3) * 1e9))
 		seed := c.rng.Uint64()
 		c.mu.Unlock()
-		if next.Sub(began) >= d {
+		if next.Sub(startedAt) >= duration {
 			break
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(next)):
-			g.Go(func() error { c.caller(ctx, began, rand.New(rand.NewPCG(seed, 1))); return nil })
+			g.Go(func() error { c.runCaller(ctx, startedAt, rand.New(rand.NewPCG(seed, 1))); return nil })
 		}
 	}
 	return g.Wait()
@@ -231,11 +231,11 @@
 // Close ends all connections.
 func (c *CallerPool) Close() {
 	c.mu.Lock()
-	for _, g := range c.gates {
+	for _, g := range c.links {
 		g.conn.Close()
 	}
 	c.mu.Unlock()
-	c.busy.Wait()
+	c.readers.Wait()
 }
 
 // Results are the outcomes of all callers, by the time of their first try.
@@ -253,10 +253,10 @@
 	return all
 }
 
-func between(rng *rand.Rand, lo, hi float64) float64 { return lo + rng.Float64()*(hi-lo) }
+func uniform(rng *rand.Rand, lo, hi float64) float64 { return lo + rng.Float64()*(hi-lo) }
 
 // tenant draws one by the shares, in a fixed order.
-func (c *CallerPool) tenant(rng *rand.Rand) string {
+func (c *CallerPool) drawTenant(rng *rand.Rand) string {
 	names := make([]string, 0, len(c.Tenants))
 	for name := range c.Tenants {
 		names = append(names, name)
@@ -275,23 +275,23 @@
 }
 
 // caller makes one call, and dials again as it likes to.
-func (c *CallerPool) caller(ctx context.Context, began time.Time, rng *rand.Rand) {
+func (c *CallerPool) runCaller(ctx context.Context, startedAt time.Time, rng *rand.Rand) {
 	first := time.Now()
-	o := &Outcome{At: first.Sub(began)}
+	o := &Outcome{At: first.Sub(startedAt)}
 	c.mu.Lock()
 	c.results = append(c.results, o)
 	c.mu.Unlock()
-	tenant, number, dest := c.tenant(rng), fmt.Sprintf("%016x", rng.Uint64()), rng.IntN(max(c.Cells, 1))
+	tenant, number, dest := c.drawTenant(rng), fmt.Sprintf("%016x", rng.Uint64()), rng.IntN(max(c.Cells, 1))
 	for try := 0; try <= c.Redials && ctx.Err() == nil; try++ {
-		left := c.Deadline - time.Since(first)
-		patience := min(time.Duration(between(rng, c.Patience[0], c.Patience[1])*float64(c.Deadline)), left)
+		remaining := c.Deadline - time.Since(first)
+		patience := min(time.Duration(uniform(rng, c.Patience[0], c.Patience[1])*float64(c.Deadline)), remaining)
 		if patience <= 0 {
 			return
 		}
 		c.mu.Lock()
 		o.Tries++
 		c.mu.Unlock()
-		r := c.try(ctx, o, tenant, number, dest, try > 0, patience, rng)
+		r := c.sendTry(ctx, o, tenant, number, dest, try > 0, patience, rng)
 		if r.status == 200 {
 			after := time.Since(first)
 			c.mu.Lock()
@@ -301,27 +301,27 @@
 			c.mu.Unlock()
 			return
 		}
-		gap := time.Duration(between(rng, float64(c.RedialGap[0]), float64(c.RedialGap[1])))
-		if told := r.later; told > 0 {
+		pause := time.Duration(uniform(rng, float64(c.RedialGap[0]), float64(c.RedialGap[1])))
+		if told := r.retryAfter; told > 0 {
 			if c.ObeyedWait != nil {
 				told = c.ObeyedWait(told)
 			}
-			gap = max(gap, told)
+			pause = max(pause, told)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(gap):
+		case <-time.After(pause):
 		}
 	}
 }
 
 // try sends one set-up to an instance in the rotation and waits for its answer.
-func (c *CallerPool) try(ctx context.Context, o *Outcome, tenant, number string, dest int, again bool, patience time.Duration, rng *rand.Rand) reply {
+func (c *CallerPool) sendTry(ctx context.Context, o *Outcome, tenant, number string, dest int, isRedial bool, patience time.Duration, rng *rand.Rand) reply {
 	c.mu.Lock()
-	names := make([]string, 0, len(c.gates))
-	for name, g := range c.gates {
-		if g.open {
+	names := make([]string, 0, len(c.links))
+	for name, g := range c.links {
+		if g.inRotation {
 			names = append(names, name)
 		}
 	}
@@ -330,12 +330,12 @@
 		return reply{}
 	}
 	sort.Strings(names)
-	g := c.gates[names[rng.IntN(len(names))]]
-	c.ids++
-	id := fmt.Sprintf("%08x%08x", uint32(c.seed), uint32(c.ids))
+	g := c.links[names[rng.IntN(len(names))]]
+	c.lastID++
+	id := fmt.Sprintf("%08x%08x", uint32(c.seed), uint32(c.lastID))
 	w := make(chan reply, 1)
-	c.waiting[id] = wait{w, g}
-	c.standing[id] = o
+	c.pending[id] = pendingTry{w, g}
+	c.openCalls[id] = o
 	c.mu.Unlock()
 
 	b := sip.AppendRequest(nil, "INVITE", number)
@@ -347,7 +347,7 @@
 		b = sip.AppendHeader(b, "Organization", tenant)
 	}
 	b = sip.AppendHeader(b, "X-Patience", fmt.Sprint(patience.Milliseconds()))
-	if again {
+	if isRedial {
 		b = sip.AppendHeader(b, "X-Retry", "1")
 	}
 	b = sip.AppendHeader(b, "X-Facts", fmt.Sprintf("dest:%d;width:1;via:-1", dest))
@@ -359,8 +359,8 @@
 	case r = <-w:
 	case <-time.After(patience + 50*time.Millisecond):
 		c.mu.Lock()
-		delete(c.waiting, id)
-		gone := g.gone
+		delete(c.pending, id)
+		gone := g.disconnected
 		c.mu.Unlock()
 		if gone { // lost with its connection, unless its instance was killed
 			c.Ledger.TimedOut(id, "the connection to "+g.name+" ended")
@@ -373,7 +373,7 @@
 	}
 	if r.status != 200 {
 		c.mu.Lock()
-		delete(c.standing, id)
+		delete(c.openCalls, id)
 		c.mu.Unlock()
 	}
 	return r
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -24,57 +24,57 @@
 	Started int64   `json:"started_ms"`
 }
 
-type hosts struct {
+type serverList struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
 type event struct {
-	Pos   int64 `json:"pos"`
-	Hosts hosts `json:"hosts"`
+	Pos   int64      `json:"pos"`
+	Hosts serverList `json:"hosts"`
 }
 
 // List is the service that tells one instance the list of servers. Changes are told late.
 type ListService struct {
-	mu     sync.Mutex
-	events []event
-	due    []time.Time // when each event is told
-	change chan struct{}
-	l      net.Listener
-	onTold func(e Entry, at time.Time)
+	mu          sync.Mutex
+	events      []event
+	due         []time.Time // when each event is told
+	changed     chan struct{}
+	listener    net.Listener
+	onAnnounced func(e Entry, at time.Time)
 }
 
 // NewList makes the service with the list of the start. onTold, if any, hears of each entry as it becomes known.
-func NewListService(first []Entry, onTold func(e Entry, at time.Time)) (*ListService, error) {
+func NewListService(initial []Entry, onAnnounced func(e Entry, at time.Time)) (*ListService, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &ListService{l: l, change: make(chan struct{}), onTold: onTold}
-	s.events = []event{{1, hosts{1, true, first}}}
+	s := &ListService{listener: l, changed: make(chan struct{}), onAnnounced: onAnnounced}
+	s.events = []event{{1, serverList{1, true, initial}}}
 	s.due = []time.Time{time.Now()}
 	return s, nil
 }
 
 // Addr is the service's address.
-func (s *ListService) Addr() string { return s.l.Addr().String() }
+func (s *ListService) Addr() string { return s.listener.Addr().String() }
 
 // Change tells a changed entry after a delay.
-func (s *ListService) AnnounceChange(e Entry, late time.Duration) {
+func (s *ListService) AnnounceChange(e Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := time.Now().Add(late)
+	due := time.Now().Add(delay)
 	if last := s.due[len(s.due)-1]; due.Before(last) { // in order, as they are numbered
 		due = last
 	}
 	n := int64(len(s.events) + 1)
-	s.events = append(s.events, event{n, hosts{n, false, []Entry{e}}})
+	s.events = append(s.events, event{n, serverList{n, false, []Entry{e}}})
 	s.due = append(s.due, due)
-	close(s.change)
-	s.change = make(chan struct{})
-	if s.onTold != nil {
-		s.onTold(e, due)
+	close(s.changed)
+	s.changed = make(chan struct{})
+	if s.onAnnounced != nil {
+		s.onAnnounced(e, due)
 	}
 }
 
@@ -83,24 +83,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	told := []event{}
+	announced := []event{}
 	for k, e := range s.events {
 		if !s.due[k].After(now) {
-			told = append(told, e)
+			announced = append(announced, e)
 		}
 	}
-	text, _ := json.Marshal(map[string]any{"pos": len(told), "entries": told})
+	text, _ := json.Marshal(map[string]any{"pos": len(announced), "entries": announced})
 	return text
 }
 
 // Run serves until ctx ends.
 func (s *ListService) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /journal", s.stream)
+	mux.HandleFunc("GET /journal", s.serveJournal)
 	server := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		if err := server.Serve(s.l); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
@@ -109,15 +109,15 @@
 	return g.Wait()
 }
 
-func (s *ListService) stream(w http.ResponseWriter, r *http.Request) {
+func (s *ListService) serveJournal(w http.ResponseWriter, r *http.Request) {
 	pos, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
-	flush := http.NewResponseController(w)
-	comment := time.NewTicker(time.Second)
-	defer comment.Stop()
+	response := http.NewResponseController(w)
+	keepAlive := time.NewTicker(time.Second)
+	defer keepAlive.Stop()
 	fmt.Fprint(w, ":\n\n")
 	for {
 		s.mu.Lock()
-		change := s.change
+		changed := s.changed
 		wait := time.Hour
 		for pos < len(s.events) {
 			if wait = time.Until(s.due[pos]); wait > 0 {
@@ -129,20 +129,20 @@
 			wait = time.Hour
 		}
 		s.mu.Unlock()
-		if flush.Flush() != nil {
+		if response.Flush() != nil {
 			return
 		}
-		later := time.NewTimer(wait)
+		nextDue := time.NewTimer(wait)
 		select {
 		case <-r.Context().Done():
-			later.Stop()
+			nextDue.Stop()
 			return
-		case <-later.C:
-		case <-change:
-		case <-comment.C:
+		case <-nextDue.C:
+		case <-changed:
+		case <-keepAlive.C:
 			fmt.Fprint(w, ":\n\n")
 		}
-		later.Stop()
+		nextDue.Stop()
 	}
 }
 
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -21,11 +21,11 @@
 
 const (
 	// writeFor bounds one write of a stand-in: an instance that does not read must not hold up the others.
-	writeFor = time.Second
+	writeTimeout = time.Second
 	// reportEvery is how often a report's figures are refreshed.
-	reportEvery = 300 * time.Millisecond
+	reportInterval = 300 * time.Millisecond
 	// circuits is what a server has room for: far more than are usual.
-	circuits = 1000
+	circuitsPerServer = 1000
 )
 
 // Server is one session server. It listens once for each instance, as its connections are told apart by that.
@@ -35,19 +35,19 @@
 	Ledger         *check.Ledger
 	MeanCallLength time.Duration // mean of a call's length
 
-	params  processor.Params
-	mu      sync.Mutex
-	proc    *processor.Processor
-	rng     *rand.Rand
-	wake    chan struct{}
-	addrs   map[string]string // by instance
-	ls      []net.Listener
-	conns   map[string][]*conn // by instance, oldest first
-	calls   map[string]*call
-	drains  bool
-	gone    bool
-	report  string
-	reportA time.Time
+	params     processor.Params
+	mu         sync.Mutex
+	processor  *processor.Processor
+	rng        *rand.Rand
+	wake       chan struct{}
+	addrs      map[string]string // by instance
+	listeners  []net.Listener
+	conns      map[string][]*conn // by instance, oldest first
+	calls      map[string]*call
+	draining   bool
+	stopped    bool
+	loadReport string
+	reportedAt time.Time
 }
 
 type conn struct {
@@ -58,7 +58,7 @@
 func (c *conn) write(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.SetWriteDeadline(time.Now().Add(writeFor))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(b); err != nil {
 		c.Close()
 	}
@@ -66,21 +66,21 @@
 
 // call is a set-up in the line, or a call that stands.
 type call struct {
-	id, instance string
-	conn         *conn
-	echo         []byte
-	stands, over bool
-	timer        *time.Timer
+	id, instance        string
+	conn                *conn
+	echo                []byte
+	established, hungUp bool
+	timer               *time.Timer
 }
 
 // NewServer makes a server that listens for each of the instances. started is its processor's start, for a cold one;
 // the zero time: long ago.
-func NewServer(id string, cell int, p processor.Params, started time.Time, hold time.Duration, instances []string, seed uint64, l *check.Ledger) (*Server, error) {
+func NewServer(id string, cell int, p processor.Params, started time.Time, meanCallLength time.Duration, instances []string, seed uint64, l *check.Ledger) (*Server, error) {
 	at := int64(0)
 	if !started.IsZero() {
 		at = started.UnixNano()
 	}
-	s := &Server{ID: id, Cell: cell, Ledger: l, MeanCallLength: hold, params: p, proc: processor.New(p, at), rng: rand.New(rand.NewPCG(seed, 0x736572)),
+	s := &Server{ID: id, Cell: cell, Ledger: l, MeanCallLength: meanCallLength, params: p, processor: processor.New(p, at), rng: rand.New(rand.NewPCG(seed, 0x736572)),
 		wake: make(chan struct{}, 1), addrs: map[string]string{}, conns: map[string][]*conn{}, calls: map[string]*call{}}
 	for _, name := range instances {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,7 +88,7 @@
 			s.Close()
 			return nil, err
 		}
-		s.ls = append(s.ls, ln)
+		s.listeners = append(s.listeners, ln)
 		s.addrs[name] = ln.Addr().String()
 	}
 	return s, nil
@@ -99,7 +99,7 @@
 
 // Close lets go of the listeners of a server that was never run.
 func (s *Server) Close() {
-	for _, l := range s.ls {
+	for _, l := range s.listeners {
 		l.Close()
 	}
 }
@@ -111,7 +111,7 @@
 	for name, addr := range s.addrs {
 		byAddr[addr] = name
 	}
-	for _, l := range s.ls {
+	for _, l := range s.listeners {
 		g.Go(func() error {
 			for {
 				c, err := l.Accept()
@@ -121,11 +121,11 @@
 				if err != nil {
 					return err
 				}
-				g.Go(func() error { s.serve(&conn{Conn: c}, byAddr[l.Addr().String()]); return nil })
+				g.Go(func() error { s.serveConn(&conn{Conn: c}, byAddr[l.Addr().String()]); return nil })
 			}
 		})
 	}
-	g.Go(func() error { s.work(ctx); return nil })
+	g.Go(func() error { s.runProcessor(ctx); return nil })
 	g.Go(func() error {
 		<-ctx.Done()
 		s.Stop()
@@ -138,8 +138,8 @@
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = true
-	for _, l := range s.ls {
+	s.stopped = true
+	for _, l := range s.listeners {
 		l.Close()
 	}
 	for _, of := range s.conns {
@@ -168,7 +168,7 @@
 		if c.timer != nil {
 			c.timer.Stop()
 		}
-		if !c.stands {
+		if !c.established {
 			s.Ledger.AttemptEnded(c.id, s.ID, true, started)
 		}
 	}
@@ -181,8 +181,8 @@
 			c.Conn.Close()
 		}
 	}
-	s.proc = processor.New(s.params, started.UnixNano())
-	s.kick()
+	s.processor = processor.New(s.params, started.UnixNano())
+	s.wakeWorker()
 	return started
 }
 
@@ -190,41 +190,41 @@
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drains = true
+	s.draining = true
 }
 
 // Slow makes the processor so many times slower; Silence has it say nothing.
 func (s *Server) SetSlowdown(times float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done(s.proc.SetSlowdown(time.Now().UnixNano(), times))
-	s.kick()
+	s.handleCompleted(s.processor.SetSlowdown(time.Now().UnixNano(), times))
+	s.wakeWorker()
 }
 
 // Silence has the processor stop, or come back cold.
-func (s *Server) SetSilent(on bool) {
+func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done(s.proc.SetSilent(time.Now().UnixNano(), on))
-	s.kick()
+	s.handleCompleted(s.processor.SetSilent(time.Now().UnixNano(), silent))
+	s.wakeWorker()
 }
 
 // Look gives the processor's figures: the longest wait that a set-up found, whether it fell over, and what came.
-func (s *Server) Stats() (worst time.Duration, fallen bool, came, refused int) {
+func (s *Server) Stats() (maxWait time.Duration, fellOver bool, offered, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	came, refused = s.proc.Counts()
-	return time.Duration(s.proc.MaxWait()), s.proc.FellOver(), came, refused
+	offered, refused = s.processor.Counts()
+	return time.Duration(s.processor.MaxWait()), s.processor.FellOver(), offered, refused
 }
 
 // Wait is what a new set-up would wait now.
 func (s *Server) ExpectedWait() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.proc.ExpectedWait(time.Now().UnixNano()))
+	return time.Duration(s.processor.ExpectedWait(time.Now().UnixNano()))
 }
 
-func (s *Server) kick() {
+func (s *Server) wakeWorker() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -232,19 +232,19 @@
 }
 
 // work finishes what the processor has done, when it is due.
-func (s *Server) work(ctx context.Context) {
+func (s *Server) runProcessor(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
 		now := time.Now().UnixNano()
-		s.done(s.proc.Advance(now))
-		rest := time.Hour
-		if due := s.proc.NextDue(); due > 0 {
-			rest = max(time.Duration(due-time.Now().UnixNano()), 0)
+		s.handleCompleted(s.processor.Advance(now))
+		untilDue := time.Hour
+		if due := s.processor.NextDue(); due > 0 {
+			untilDue = max(time.Duration(due-time.Now().UnixNano()), 0)
 		}
 		s.mu.Unlock()
-		timer.Reset(rest)
+		timer.Reset(untilDue)
 		select {
 		case <-ctx.Done():
 			return
@@ -255,16 +255,16 @@
 }
 
 // state is the report that answers carry, refreshed now and then.
-func (s *Server) state() string {
-	if time.Since(s.reportA) > reportEvery {
-		s.reportA = time.Now()
-		s.report = fmt.Sprintf("x0:%d;x1:%d;util:%.2f;queue:%d", circuits-len(s.calls), circuits, s.proc.Utilization(), s.proc.QueueLength())
+func (s *Server) currentReport() string {
+	if time.Since(s.reportedAt) > reportInterval {
+		s.reportedAt = time.Now()
+		s.loadReport = fmt.Sprintf("x0:%d;x1:%d;util:%.2f;queue:%d", circuitsPerServer-len(s.calls), circuitsPerServer, s.processor.Utilization(), s.processor.QueueLength())
 	}
-	return s.report
+	return s.loadReport
 }
 
 // done takes finished work: a set-up goes on to its answer, an answer is written, a release is told.
-func (s *Server) done(finished []processor.Completed) {
+func (s *Server) handleCompleted(finished []processor.Completed) {
 	for _, d := range finished {
 		c := s.calls[d.Call]
 		if c == nil {
@@ -272,19 +272,19 @@
 		}
 		switch d.Step {
 		case processor.SetUp:
-			s.done(s.proc.Add(d.At, processor.Answer, d.Call))
+			s.handleCompleted(s.processor.Add(d.At, processor.Answer, d.Call))
 		case processor.Answer:
-			c.stands = true
+			c.established = true
 			s.Ledger.AttemptEnded(c.id, s.ID, false, time.Now())
 			desc := "log of " + c.id + " at " + s.ID
 			b := append(sip.AppendStatus(nil, 200), c.echo...)
-			b = sip.AppendHeader(b, "X-State", s.state())
+			b = sip.AppendHeader(b, "X-State", s.currentReport())
 			c.conn.write(sip.AppendBody(b, []byte(desc)))
 			length := time.Duration(s.rng.ExpFloat64() * float64(s.MeanCallLength))
 			c.timer = time.AfterFunc(length, func() { s.hangUp(c) })
 		case processor.Release:
 			delete(s.calls, c.id)
-			s.tellRelease(c)
+			s.sendRelease(c)
 		}
 	}
 }
@@ -293,21 +293,21 @@
 func (s *Server) hangUp(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone || c.over {
+	if s.stopped || c.hungUp {
 		return
 	}
-	c.over = true
-	s.done(s.proc.Add(time.Now().UnixNano(), processor.Release, c.id))
-	s.kick()
+	c.hungUp = true
+	s.handleCompleted(s.processor.Add(time.Now().UnixNano(), processor.Release, c.id))
+	s.wakeWorker()
 }
 
 // tellRelease writes a release on the connection of its set-up, or on any open one of that instance.
-func (s *Server) tellRelease(c *call) {
+func (s *Server) sendRelease(c *call) {
 	b := sip.AppendRequest(nil, "BYE", c.id)
 	b = sip.AppendHeader(b, "Call-ID", c.id)
 	b = sip.AppendHeader(b, "CSeq", "9 BYE")
 	b = sip.AppendHeader(b, "Reason", "Q.850;cause=16")
-	b = sip.AppendBody(sip.AppendHeader(b, "X-State", s.state()), nil)
+	b = sip.AppendBody(sip.AppendHeader(b, "X-State", s.currentReport()), nil)
 	open := s.conns[c.instance]
 	for _, o := range open {
 		if o == c.conn {
@@ -320,15 +320,15 @@
 	}
 }
 
-func (s *Server) serve(c *conn, instance string) {
+func (s *Server) serveConn(c *conn, instance string) {
 	defer c.Close()
 	s.mu.Lock()
-	if s.gone {
+	if s.stopped {
 		s.mu.Unlock()
 		return
 	}
 	s.conns[instance] = append(s.conns[instance], c)
-	c.write([]byte("NOTIFY sip:x@net SIP/2.0\r\nX-State: " + s.state() + "\r\nContent-Length: 0\r\n\r\n"))
+	c.write([]byte("NOTIFY sip:x@net SIP/2.0\r\nX-State: " + s.currentReport() + "\r\nContent-Length: 0\r\n\r\n"))
 	s.mu.Unlock()
 	r := sip.NewReader(c)
 	for {
@@ -337,9 +337,9 @@
 			break
 		}
 		s.mu.Lock()
-		if !s.gone {
-			s.take(c, instance, m)
-			s.kick()
+		if !s.stopped {
+			s.handleMessage(c, instance, m)
+			s.wakeWorker()
 		}
 		s.mu.Unlock()
 	}
@@ -352,45 +352,45 @@
 		}
 	}
 	for _, o := range s.calls { // set-ups open on a connection that closes are given up
-		if o.conn == c && !o.stands {
-			s.drop(o)
+		if o.conn == c && !o.established {
+			s.abandon(o)
 		}
 	}
 }
 
-func (s *Server) drop(c *call) {
+func (s *Server) abandon(c *call) {
 	delete(s.calls, c.id)
 	s.Ledger.AttemptEnded(c.id, s.ID, true, time.Now())
-	s.done(s.proc.Drop(time.Now().UnixNano(), c.id))
+	s.handleCompleted(s.processor.Drop(time.Now().UnixNano(), c.id))
 }
 
-func (s *Server) take(c *conn, instance string, m *sip.Message) {
+func (s *Server) handleMessage(c *conn, instance string, m *sip.Message) {
 	id := string(m.Get("Call-ID"))
 	now := time.Now()
 	switch string(m.Method) {
 	case "INVITE":
 		s.Ledger.AttemptSent(id, instance, s.ID, now)
-		if s.drains {
+		if s.draining {
 			s.Ledger.AttemptEnded(id, s.ID, false, now)
 			c.write(sip.Response(m, 480))
 			return
 		}
-		one := &call{id: id, instance: instance, conn: c, echo: sip.EchoHeaders(m)}
-		s.calls[id] = one
-		taken, wait, done := s.proc.Offer(now.UnixNano(), id)
-		s.done(done)
+		newCall := &call{id: id, instance: instance, conn: c, echo: sip.EchoHeaders(m)}
+		s.calls[id] = newCall
+		taken, wait, done := s.processor.Offer(now.UnixNano(), id)
+		s.handleCompleted(done)
 		if taken {
 			return
 		}
 		delete(s.calls, id)
 		s.Ledger.AttemptEnded(id, s.ID, false, now)
-		b := append(sip.AppendStatus(nil, 503), one.echo...)
+		b := append(sip.AppendStatus(nil, 503), newCall.echo...)
 		b = sip.AppendHeader(b, "X-Note", "cpu_full")
 		b = sip.AppendHeader(b, "X-Delay", fmt.Sprint(min(wait, int64(10*time.Second))/1e6))
-		c.write(sip.AppendBody(sip.AppendHeader(b, "X-State", s.state()), nil))
+		c.write(sip.AppendBody(sip.AppendHeader(b, "X-State", s.currentReport()), nil))
 	case "CANCEL":
-		if o := s.calls[id]; o != nil && !o.stands {
-			s.drop(o)
+		if o := s.calls[id]; o != nil && !o.established {
+			s.abandon(o)
 		}
 	case "BYE":
 		if o := s.calls[id]; o != nil {
@@ -398,7 +398,7 @@
 				o.timer.Stop()
 			}
 			delete(s.calls, id)
-			s.done(s.proc.Add(now.UnixNano(), processor.Release, id))
+			s.handleCompleted(s.processor.Add(now.UnixNano(), processor.Release, id))
 		}
 		c.write(sip.Response(m, 200))
 	case "OPTIONS":
--- a/lab/wave/demo.go
+++ b/lab/wave/demo.go
@@ -25,25 +25,25 @@
 // Demo runs a fleet of three under a supervisor against stand-ins for so long, restarts it meanwhile, and prints what it
 // sees. It is a first look for a new user, and a check that the quick start works.
 func Demo(ctx context.Context, program, dir string, d time.Duration, out io.Writer) error {
-	const instances, servers, everyone = 3, 3, "all"
+	const instances, servers, allInstances = 3, 3, "all"
 	o := Options{Instances: instances, Servers: servers, Planned: 30}
 	o.defaults()
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := processor.DrawParams(o.Planned, o.Servers, rng)
+	params := processor.DrawParams(o.Planned, o.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	var first []standin.Entry
+	var initial []standin.Entry
 	for k := range servers {
-		s, err := standin.NewServer(fmt.Sprintf("s-%08x", 0xa0+k), k, p, time.Time{}, 3*time.Second, []string{everyone}, uint64(k), ledger)
+		s, err := standin.NewServer(fmt.Sprintf("s-%08x", 0xa0+k), k, params, time.Time{}, 3*time.Second, []string{allInstances}, uint64(k), ledger)
 		if err != nil {
 			return err
 		}
 		g.Go(func() error { return s.Run(ctx) })
-		first = append(first, standin.NewEntry(s, everyone, "SERVING", time.Time{}))
+		initial = append(initial, standin.NewEntry(s, allInstances, "SERVING", time.Time{}))
 	}
-	list, err := standin.NewListService(first, nil)
+	list, err := standin.NewListService(initial, nil)
 	if err != nil {
 		return err
 	}
@@ -67,23 +67,23 @@
 	if err != nil {
 		return err
 	}
-	up := exec.Command(program, "fleet", "up", file)
-	up.Stderr = io.Discard
-	if err := up.Start(); err != nil {
+	supervisor := exec.Command(program, "fleet", "up", file)
+	supervisor.Stderr = io.Discard
+	if err := supervisor.Start(); err != nil {
 		return err
 	}
 	defer func() {
-		up.Process.Signal(syscall.SIGTERM) // ends the fleet in order
-		up.Wait()
+		supervisor.Process.Signal(syscall.SIGTERM) // ends the fleet in order
+		supervisor.Wait()
 	}()
-	crowd := standin.NewCallerPool(standin.Demand{Rate: 25, Class: "open-log", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
+	callers := standin.NewCallerPool(standin.Demand{Rate: 25, Class: "open-log", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
 		Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: servers, RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, ledger, 1)
-	defer crowd.Close()
+	defer callers.Close()
 	client := fleet.Dial(spec)
-	if err := rotation(ctx, client, crowd, instances); err != nil {
+	if err := waitForRotation(ctx, client, callers, instances); err != nil {
 		return err
 	}
-	g.Go(func() error { follow(ctx, client, crowd); return nil })
+	g.Go(func() error { followFleet(ctx, client, callers); return nil })
 	fmt.Fprintf(out, "three instances serve; calls for %v, and a restart of the fleet meanwhile\n", d)
 	g.Go(func() error {
 		select {
@@ -95,23 +95,23 @@
 		}
 		return nil
 	})
-	if err := crowd.Run(ctx, d); err != nil {
+	if err := callers.Run(ctx, d); err != nil {
 		return err
 	}
-	show := exec.Command(program, "fleet", "status", file)
-	show.Stdout = out
-	show.Run()
-	b, tries, attempts := ledger.Result()
-	worth, all := 0.0, crowd.Results()
-	for _, o := range all {
-		worth += o.Worth
+	status := exec.Command(program, "fleet", "status", file)
+	status.Stdout = out
+	status.Run()
+	violations, tries, attempts := ledger.Result()
+	total, outcomes := 0.0, callers.Results()
+	for _, o := range outcomes {
+		total += o.Worth
 	}
-	fmt.Fprintf(out, "%d calls, %d tries, %d attempts; served %.3f; answers missing %d, twice %d; attempts overlapping %d\n", len(all), tries, attempts,
-		worth/float64(max(len(all), 1)), b.MissingAnswers, b.DuplicateAnswers, b.OverlappingAttempts)
+	fmt.Fprintf(out, "%d calls, %d tries, %d attempts; served %.3f; answers missing %d, twice %d; attempts overlapping %d\n", len(outcomes), tries, attempts,
+		total/float64(max(len(outcomes), 1)), violations.MissingAnswers, violations.DuplicateAnswers, violations.OverlappingAttempts)
 	cancel()
 	g.Wait()
-	if b.Any() {
-		return fmt.Errorf("a rule was broken: %v", b.Descriptions)
+	if violations.Any() {
+		return fmt.Errorf("a rule was broken: %v", violations.Descriptions)
 	}
 	return nil
 }
@@ -123,9 +123,9 @@
 `
 
 // rotation waits until all instances are in it.
-func rotation(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool, instances int) error {
+func waitForRotation(ctx context.Context, c *fleet.Client, callers *standin.CallerPool, instances int) error {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if turn(ctx, c, crowd) == instances {
+		if updateRotation(ctx, c, callers) == instances {
 			return nil
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // follow is the front: it takes instances in and out as they come and go.
-func follow(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool) {
+func followFleet(ctx context.Context, c *fleet.Client, callers *standin.CallerPool) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -141,27 +141,27 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			turn(ctx, c, crowd)
+			updateRotation(ctx, c, callers)
 		}
 	}
 }
 
-func turn(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool) (in int) {
+func updateRotation(ctx context.Context, c *fleet.Client, callers *standin.CallerPool) (serving int) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return 0
 	}
 	for _, m := range s.Instances {
 		if m.Phase != "serving" && m.Phase != "recovering" {
-			crowd.RemoveInstance(m.Name)
+			callers.RemoveInstance(m.Name)
 			continue
 		}
-		if !crowd.HasInstance(m.Name) {
-			if crowd.AddInstance(ctx, m.Name, m.Listen) != nil {
+		if !callers.HasInstance(m.Name) {
+			if callers.AddInstance(ctx, m.Name, m.Listen) != nil {
 				continue
 			}
 		}
-		in++
+		serving++
 	}
-	return in
+	return serving
 }
--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -43,22 +43,22 @@
 }
 
 func (o *Options) defaults() {
-	set := func(x *float64, d float64) {
+	setFloat := func(x *float64, d float64) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	span := func(x *time.Duration, d time.Duration) {
+	setDuration := func(x *time.Duration, d time.Duration) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	set(&o.Planned, 66)
-	set(&o.RestartShare, 0.93)
-	set(&o.BatchShare, 0.28)
-	span(&o.WarmUp, 10*time.Second)
-	span(&o.RestartWindow, 28*time.Second)
-	span(&o.After, 12*time.Second)
+	setFloat(&o.Planned, 66)
+	setFloat(&o.RestartShare, 0.93)
+	setFloat(&o.BatchShare, 0.28)
+	setDuration(&o.WarmUp, 10*time.Second)
+	setDuration(&o.RestartWindow, 28*time.Second)
+	setDuration(&o.After, 12*time.Second)
 }
 
 // Result is what a wave showed.
@@ -107,14 +107,14 @@
 	}
 	p := processor.DrawParams(o.Planned, o.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
-	began := time.Now()
+	startedAt := time.Now()
 	r := &Result{Seed: o.Seed, Instances: o.Instances, Servers: o.Servers, Load: o.Load, RefusalPointMS: float64(p.RefusalWait / 1e6)}
-	w := &run{Options: o, ctx: ctx, r: r, ledger: ledger, rng: rng, params: p, began: began, lists: map[string]*standin.ListService{}}
+	w := &waveRun{Options: o, ctx: ctx, result: r, ledger: ledger, rng: rng, params: p, began: startedAt, lists: map[string]*standin.ListService{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	w.ctx, w.group = ctx, g
-	err := w.play()
+	err := w.execute()
 	for _, i := range w.instances {
 		i.Stop(true)
 	}
@@ -125,17 +125,17 @@
 	if err != nil {
 		return nil, err
 	}
-	w.sum()
-	r.WallSeconds = time.Since(began).Seconds()
+	w.summarize()
+	r.WallSeconds = time.Since(startedAt).Seconds()
 	return r, nil
 }
 
 // run is a wave under way.
-type run struct {
+type waveRun struct {
 	Options
 	ctx       context.Context
 	group     *errgroup.Group
-	r         *Result
+	result    *Result
 	ledger    *check.Ledger
 	rng       *rand.Rand
 	params    processor.Params
@@ -144,17 +144,17 @@
 	instances []*host.Instance
 	lists     map[string]*standin.ListService
 	servers   []*standin.Server // the cold one last, once it is there
-	crowd     *standin.CallerPool
+	callers   *standin.CallerPool
 
 	mu      sync.Mutex
 	serving int
 }
 
-const hold = 9 * time.Second
+const meanCallLength = 9 * time.Second
 
 // server starts a session server and gives its entry for an instance.
-func (w *run) server(id string, cell int, started time.Time) (*standin.Server, error) {
-	s, err := standin.NewServer(id, cell, w.params, started, hold, w.names, w.rng.Uint64(), w.ledger)
+func (w *waveRun) startServer(id string, cell int, started time.Time) (*standin.Server, error) {
+	s, err := standin.NewServer(id, cell, w.params, started, meanCallLength, w.names, w.rng.Uint64(), w.ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -162,28 +162,28 @@
 	return s, nil
 }
 
-func (w *run) play() error {
+func (w *waveRun) execute() error {
 	for k := range w.Instances {
 		w.names = append(w.names, fmt.Sprintf("n%d", k))
 	}
 	for k := range w.Servers {
-		s, err := w.server(fmt.Sprintf("s-%08x", 0xa0+k), k, time.Time{})
+		s, err := w.startServer(fmt.Sprintf("s-%08x", 0xa0+k), k, time.Time{})
 		if err != nil {
 			return err
 		}
 		w.servers = append(w.servers, s)
 	}
-	w.crowd = standin.NewCallerPool(standin.Demand{Rate: w.Load * w.Planned, RateFactor: w.RateFactor, Class: "open-log",
+	w.callers = standin.NewCallerPool(standin.Demand{Rate: w.Load * w.Planned, RateFactor: w.RateFactor, Class: "open-log",
 		Tenants: map[string]float64{"slaney-vines": 0.55, "barrow-estate": 0.33, "suir-growers": 0.12}, Aim: 1200 * time.Millisecond,
 		Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: w.Servers,
 		RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, w.ledger, w.rng.Uint64())
-	defer w.crowd.Close()
+	defer w.callers.Close()
 	for k, name := range w.names {
-		var first []standin.Entry
+		var initial []standin.Entry
 		for _, s := range w.servers {
-			first = append(first, standin.NewEntry(s, name, "SERVING", time.Time{}))
+			initial = append(initial, standin.NewEntry(s, name, "SERVING", time.Time{}))
 		}
-		list, err := standin.NewListService(first, func(e standin.Entry, at time.Time) {
+		list, err := standin.NewListService(initial, func(e standin.Entry, at time.Time) {
 			if e.State != "SERVING" {
 				w.ledger.DrainAnnounced(name, e.ID, at)
 			}
@@ -200,26 +200,26 @@
 		i := &host.Instance{Name: name, Dir: dir, Program: w.Program, Settings: strings.ReplaceAll(w.Settings, "%DIR%", dir),
 			Config: host.PlatformConfig(name, k, host.Site{Instances: w.Instances, Servers: w.Servers, Planned: w.Planned}, list.Addr(), w.rng.Uint64())}
 		w.instances = append(w.instances, i)
-		if err := w.up(i); err != nil {
+		if err := w.startInstance(i); err != nil {
 			return err
 		}
 	}
-	calm := time.Now()
-	w.began = calm
+	calmFrom := time.Now()
+	w.began = calmFrom
 	total := w.WarmUp + w.RestartWindow + w.After
 	if !w.Steady {
-		w.group.Go(func() error { return w.trouble(calm) })
+		w.group.Go(func() error { return w.injectFaults(calmFrom) })
 	}
-	w.group.Go(func() error { w.sample(calm, total); return nil })
-	return w.crowd.Run(w.ctx, total)
+	w.group.Go(func() error { w.sample(calmFrom, total); return nil })
+	return w.callers.Run(w.ctx, total)
 }
 
-func (w *run) up(i *host.Instance) error {
+func (w *waveRun) startInstance(i *host.Instance) error {
 	addr, err := i.Start(w.ctx, w.lists[i.Name].KnownList())
 	if err != nil {
 		return err
 	}
-	if err := w.crowd.AddInstance(w.ctx, i.Name, addr); err != nil {
+	if err := w.callers.AddInstance(w.ctx, i.Name, addr); err != nil {
 		return err
 	}
 	w.mu.Lock()
@@ -229,23 +229,23 @@
 }
 
 // trouble replaces one server by a cold one just before the wave, and restarts instances batch by batch.
-func (w *run) trouble(calm time.Time) error {
+func (w *waveRun) injectFaults(calmFrom time.Time) error {
 	rng := rand.New(rand.NewPCG(w.Seed, 0x74726f75))
-	if !w.until(calm.Add(w.WarmUp - 2*time.Second)) {
+	if !w.sleepUntil(calmFrom.Add(w.WarmUp - 2*time.Second)) {
 		return nil
 	}
 	old := w.servers[w.Servers-1]
 	if w.Crash {
-		w.until(calm.Add(w.WarmUp - 300*time.Millisecond)) // while the first batch is being restarted
+		w.sleepUntil(calmFrom.Add(w.WarmUp - 300*time.Millisecond)) // while the first batch is being restarted
 		started := old.Crash()
 		for _, name := range w.names { // the list tells of it late: who starts meanwhile takes it for warm
 			w.lists[name].AnnounceChange(standin.NewEntry(old, name, "SERVING", started), 4*time.Second+time.Duration(rng.Int64N(int64(3*time.Second))))
 		}
-		w.wave(calm, rng)
+		w.restartInBatches(calmFrom, rng)
 		return nil
 	}
 	started := time.Now()
-	cold, err := w.server(fmt.Sprintf("s-%08x", 0xc0), old.Cell, started)
+	cold, err := w.startServer(fmt.Sprintf("s-%08x", 0xc0), old.Cell, started)
 	if err != nil {
 		return err
 	}
@@ -260,22 +260,22 @@
 		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DELETED", time.Time{}), 12*time.Second)
 	}
 	w.group.Go(func() error {
-		if w.until(started.Add(11 * time.Second)) {
+		if w.sleepUntil(started.Add(11 * time.Second)) {
 			old.Stop()
 		}
 		return nil
 	})
-	w.wave(calm, rng)
+	w.restartInBatches(calmFrom, rng)
 	return nil
 }
 
 // wave restarts instances batch by batch.
-func (w *run) wave(calm time.Time, rng *rand.Rand) {
+func (w *waveRun) restartInBatches(calmFrom time.Time, rng *rand.Rand) {
 	order := rng.Perm(w.Instances)[:int(w.RestartShare*float64(w.Instances)+0.5)]
 	batch := max(int(w.BatchShare*float64(w.Instances)), 1)
 	batches := (len(order) + batch - 1) / batch
 	for b := range batches {
-		if !w.until(calm.Add(w.WarmUp + w.RestartWindow*time.Duration(b)/time.Duration(batches))) {
+		if !w.sleepUntil(calmFrom.Add(w.WarmUp + w.RestartWindow*time.Duration(b)/time.Duration(batches))) {
 			return
 		}
 		for _, k := range order[b*batch : min((b+1)*batch, len(order))] {
@@ -285,7 +285,7 @@
 	}
 }
 
-func (w *run) until(t time.Time) bool {
+func (w *waveRun) sleepUntil(t time.Time) bool {
 	select {
 	case <-w.ctx.Done():
 		return false
@@ -294,71 +294,71 @@
 	}
 }
 
-func (w *run) restart(i *host.Instance, down time.Duration) {
+func (w *waveRun) restart(i *host.Instance, down time.Duration) {
 	w.mu.Lock()
-	w.r.Restarts++
+	w.result.Restarts++
 	w.serving--
-	w.r.RestartTimes = append(w.r.RestartTimes, time.Since(w.began).Seconds())
+	w.result.RestartTimes = append(w.result.RestartTimes, time.Since(w.began).Seconds())
 	w.mu.Unlock()
 	if w.Kill {
-		w.crowd.InstanceKilled(i.Name)
+		w.callers.InstanceKilled(i.Name)
 	} else { // the front notices that the test fails
-		time.AfterFunc(200*time.Millisecond, func() { w.crowd.RemoveInstance(i.Name) })
+		time.AfterFunc(200*time.Millisecond, func() { w.callers.RemoveInstance(i.Name) })
 	}
 	err := i.Stop(w.Kill)
 	if err == nil {
-		w.until(time.Now().Add(down))
-		err = w.up(i)
+		w.sleepUntil(time.Now().Add(down))
+		err = w.startInstance(i)
 	}
 	if err != nil && w.ctx.Err() == nil {
 		w.mu.Lock()
-		w.r.Errors = append(w.r.Errors, err.Error())
+		w.result.Errors = append(w.result.Errors, err.Error())
 		w.mu.Unlock()
 	}
 }
 
 // sample looks at the servers ten times a second, and notes how late this rig runs itself.
-func (w *run) sample(calm time.Time, total time.Duration) {
-	const every = 100 * time.Millisecond
-	for n := 1; time.Duration(n)*every <= total; n++ {
-		due := calm.Add(time.Duration(n) * every)
-		if !w.until(due) {
+func (w *waveRun) sample(calmFrom time.Time, total time.Duration) {
+	const interval = 100 * time.Millisecond
+	for n := 1; time.Duration(n)*interval <= total; n++ {
+		due := calmFrom.Add(time.Duration(n) * interval)
+		if !w.sleepUntil(due) {
 			return
 		}
 		w.mu.Lock()
-		w.r.MaxDelayMS = max(w.r.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
-		s := Sample{AtS: (time.Duration(n) * every).Seconds(), Serving: w.serving}
+		w.result.MaxDelayMS = max(w.result.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
+		s := Sample{AtS: (time.Duration(n) * interval).Seconds(), Serving: w.serving}
 		for _, one := range w.servers {
 			s.WaitMS = append(s.WaitMS, float64(min(one.ExpectedWait(), time.Minute).Microseconds())/1000)
 		}
-		w.r.Samples = append(w.r.Samples, s)
+		w.result.Samples = append(w.result.Samples, s)
 		w.mu.Unlock()
 	}
 }
 
 // sum makes the figures of the result.
-func (w *run) sum() {
-	r := w.r
+func (w *waveRun) summarize() {
+	r := w.result
 	r.Violations, r.Tries, r.Attempts = w.ledger.Result()
-	r.Outcomes = w.crowd.Results()
+	r.Outcomes = w.callers.Results()
 	r.Calls = len(r.Outcomes)
 	worth := 0.0
-	bySecond, of := map[int]float64{}, map[int]int{}
+	bySecond, offered := map[int]float64{}, map[int]int{}
 	for _, o := range r.Outcomes {
 		worth += o.Worth
 		bySecond[int(o.At/time.Second)] += o.Worth
-		of[int(o.At/time.Second)]++
+		offered[int(o.At/time.Second)]++
 		if o.Cut {
 			r.CutCalls++
 		}
 	}
 	r.Served = worth / float64(max(r.Calls, 1))
 	for at := range int((w.WarmUp+w.RestartWindow+w.After)/time.Second) + 1 {
-		r.ServedBySecond, r.OfferedBySecond = append(r.ServedBySecond, bySecond[at]/float64(max(of[at], 1))), append(r.OfferedBySecond, of[at])
+		r.ServedBySecond, r.OfferedBySecond = append(r.ServedBySecond, bySecond[at]/float64(max(offered[at], 1))), append(r.OfferedBySecond, offered[at])
 	}
 	for k := range r.Samples {
-		if at := int(r.Samples[k].AtS); of[at] > 0 {
-			r.Samples[k].Served = bySecond[at] / float64(of[at])
+		if at := int(r.Samples[k].AtS); offered[at] > 0 {
+			r.Samples[k].Served = bySecond[at] / float64(offered[at])
 		}
 	}
 	r.MaxWaitMS = map[string]float64{}
