--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -49,8 +49,8 @@
 	}
 	var open []*controller
 	for range 8 { // a few draws; all may be away
-		if one := m.drawController(c.rng); one.inRotation {
-			open = append(open, one)
+		if candidate := m.drawController(c.rng); candidate.inRotation {
+			open = append(open, candidate)
 			break
 		}
 	}
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -50,29 +50,29 @@
 		s.coldStart = &coldStartTracker{readyAt: s.readyAt}
 		m.coldStarts = append(m.coldStarts, s.coldStart)
 	}
-	w := s.coldStart
-	w.sends = append(w.sends, coldSend{m.now, from.offices[s.id].ReadyAt == s.readyAt})
-	for w.sends[0].at <= m.now-m.fallWindow {
-		w.sends = w.sends[1:]
+	tracker := s.coldStart
+	tracker.sends = append(tracker.sends, coldSend{m.now, from.offices[s.id].ReadyAt == s.readyAt})
+	for tracker.sends[0].at <= m.now-m.fallWindow {
+		tracker.sends = tracker.sends[1:]
 	}
 	warmth := m.params.ColdFrom + (1-m.params.ColdFrom)*float64(age)/float64(m.coldSpan)
 	budget := m.fallMultiple * warmth * m.params.Capacity() * float64(m.fallWindow) / 1e9
 	informed := 0
-	for _, send := range w.sends {
+	for _, send := range tracker.sends {
 		if send.informed {
 			informed++
 		}
 	}
-	informedShare, load := float64(informed)/float64(len(w.sends)), float64(len(w.sends))/overloadBound(budget)
-	w.TotalSent++
-	if load > w.PeakLoad {
-		w.PeakLoad, w.Sent, w.Budget = load, len(w.sends), budget
+	informedShare, load := float64(informed)/float64(len(tracker.sends)), float64(len(tracker.sends))/overloadBound(budget)
+	tracker.TotalSent++
+	if load > tracker.PeakLoad {
+		tracker.PeakLoad, tracker.Sent, tracker.Budget = load, len(tracker.sends), budget
 	}
 	if informedShare > maxInformedShare {
-		w.InformedLoad = max(w.InformedLoad, load)
+		tracker.InformedLoad = max(tracker.InformedLoad, load)
 	}
-	if load > 1 && !w.BoundExceeded {
-		w.BoundExceeded, w.InformedShare = true, informedShare
+	if load > 1 && !tracker.BoundExceeded {
+		tracker.BoundExceeded, tracker.InformedShare = true, informedShare
 	}
 }
 
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -96,9 +96,9 @@
 		}
 	})
 	for _, id := range sortedKeys(c.model.callers) {
-		if one := c.model.callers[id]; one.controller == c && one.id == id && one.establishedAt == 0 {
+		if call := c.model.callers[id]; call.controller == c && call.id == id && call.establishedAt == 0 {
 			c.model.ledger.Abandoned(id)
-			one.scheduleRedial(0)
+			call.scheduleRedial(0)
 		}
 	}
 	for _, s := range c.model.servers {
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -192,7 +192,7 @@
 		}
 	}
 	for k, t := range sc.Faults {
-		m.scheduleFault(t, randomStream(sc.Seed, streamTrouble, k))
+		m.scheduleFault(t, randomStream(sc.Seed, streamFault, k))
 	}
 	m.scheduleAfter(1, m.scheduleArrival)
 	if f := sc.Flood; f != nil {
@@ -382,8 +382,8 @@
 	callsByTenant := map[string]float64{}
 	lateCalls := 0
 	for _, c := range m.allCallers {
-		w := c.worth()
-		r.ServedShare += w
+		worth := c.worth()
+		r.ServedShare += worth
 		r.Tries += c.tries
 		if c.cut {
 			r.CutCalls++
@@ -392,27 +392,27 @@
 			lateCalls++
 		}
 		callsByTenant[c.tenant]++
-		r.ServedByTenant[c.tenant] += w
+		r.ServedByTenant[c.tenant] += worth
 		k := int((c.firstTryAt - start) / 1e9)
-		r.ServedBySecond[k] += w
+		r.ServedBySecond[k] += worth
 		r.OfferedBySecond[k]++
 	}
-	n := float64(max(len(m.allCallers), 1))
-	r.ServedShare, r.LateShare = r.ServedShare/n, float64(lateCalls)/n
+	calls := float64(max(len(m.allCallers), 1))
+	r.ServedShare, r.LateShare = r.ServedShare/calls, float64(lateCalls)/calls
 	for name := range r.ServedByTenant {
 		r.ServedByTenant[name] /= callsByTenant[name]
 	}
 	if f := m.Flood; f != nil {
 		r.ServedInFlood = map[string]float64{}
-		n := map[string]float64{}
+		offered := map[string]float64{}
 		for _, c := range m.allCallers {
 			if at := time.Duration(c.firstTryAt - start); at >= f.At && at < f.At+f.Duration {
 				r.ServedInFlood[c.tenant] += c.worth()
-				n[c.tenant]++
+				offered[c.tenant]++
 			}
 		}
 		for name := range r.ServedInFlood {
-			r.ServedInFlood[name] /= n[name]
+			r.ServedInFlood[name] /= offered[name]
 		}
 	}
 	for k := range r.ServedBySecond {
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -83,11 +83,11 @@
 		s.recordColdSend(c)
 	}
 	if s.silentSince > 0 {
-		k := int((s.model.now - s.silentSince) / 1e9)
-		for len(s.model.sendsToSilent) <= k {
+		second := int((s.model.now - s.silentSince) / 1e9)
+		for len(s.model.sendsToSilent) <= second {
 			s.model.sendsToSilent = append(s.model.sendsToSilent, 0)
 		}
-		s.model.sendsToSilent[k]++
+		s.model.sendsToSilent[second]++
 	}
 	if s.draining {
 		s.model.ledger.AttemptEnded(a.ID, s.name(), false, s.model.time())
--- a/lab/model/sim.go
+++ b/lab/model/sim.go
@@ -70,7 +70,7 @@
 	streamCallers
 	streamServer
 	streamController
-	streamTrouble
+	streamFault
 )
 
 func randomStream(seed uint64, kind, n int) *rand.Rand {
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -260,8 +260,8 @@
 		slice := min(now-p.now, maxStep)
 		speed := p.Speed(p.now)
 		if p.current != nil && speed > 0 {
-			if need := int64(math.Ceil(p.current.remaining / speed)); need <= slice {
-				slice = max(need, 1)
+			if needed := int64(math.Ceil(p.current.remaining / speed)); needed <= slice {
+				slice = max(needed, 1)
 				p.elapse(slice, true)
 				j := p.current
 				p.current = nil
--- a/lab/processor/processor_test.go
+++ b/lab/processor/processor_test.go
@@ -33,8 +33,8 @@
 		if at >= to {
 			break
 		}
-		taken, _, done := p.Offer(at, fmt.Sprint(n))
-		process(done)
+		taken, _, finished := p.Offer(at, fmt.Sprint(n))
+		process(finished)
 		if !taken {
 			refused++
 		}
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -88,18 +88,18 @@
 	if err != nil {
 		return err
 	}
-	link := &conn{Conn: raw}
-	link.write([]byte("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: ping\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"))
+	connection := &conn{Conn: raw}
+	connection.write([]byte("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: ping\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"))
 	r := sip.NewReader(raw)
 	if m, err := r.Next(); err != nil || m.Status != 200 {
 		raw.Close()
 		return fmt.Errorf("%s fails its test: %v", name, err)
 	}
-	g := &instanceLink{name: name, conn: link, inRotation: true}
+	link := &instanceLink{name: name, conn: connection, inRotation: true}
 	c.mu.Lock()
-	c.links[name] = g
+	c.links[name] = link
 	c.mu.Unlock()
-	c.readers.Go(func() { c.readLink(g, r) })
+	c.readers.Go(func() { c.readLink(link, r) })
 	return nil
 }
 
@@ -107,16 +107,16 @@
 func (c *CallerPool) HasInstance(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := c.links[name]
-	return g != nil && g.inRotation
+	link := c.links[name]
+	return link != nil && link.inRotation
 }
 
 // Leave takes an instance out of the rotation. What it has taken goes on.
 func (c *CallerPool) RemoveInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.links[name]; g != nil {
-		g.inRotation = false
+	if link := c.links[name]; link != nil {
+		link.inRotation = false
 	}
 }
 
@@ -124,14 +124,14 @@
 func (c *CallerPool) InstanceKilled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g := c.links[name]
-	if g == nil {
+	link := c.links[name]
+	if link == nil {
 		return
 	}
-	g.inRotation, g.disconnected = false, true
-	g.conn.Close()
+	link.inRotation, link.disconnected = false, true
+	link.conn.Close()
 	for id, w := range c.pending {
-		if w.link == g {
+		if w.link == link {
 			c.Ledger.Abandoned(id)
 		}
 	}
@@ -141,10 +141,10 @@
 func (c *CallerPool) InstanceFrozen(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.links[name]; g != nil {
-		g.inRotation = false
+	if link := c.links[name]; link != nil {
+		link.inRotation = false
 		for id, w := range c.pending {
-			if w.link == g {
+			if w.link == link {
 				c.Ledger.Abandoned(id)
 			}
 		}
@@ -155,14 +155,14 @@
 func (c *CallerPool) InstanceResumed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if g := c.links[name]; g != nil && !g.disconnected {
-		g.inRotation = true
+	if link := c.links[name]; link != nil && !link.disconnected {
+		link.inRotation = true
 	}
 }
 
 // read takes what one instance says.
-func (c *CallerPool) readLink(g *instanceLink, r *sip.Reader) {
-	defer g.conn.Close()
+func (c *CallerPool) readLink(link *instanceLink, r *sip.Reader) {
+	defer link.conn.Close()
 	for {
 		m, err := r.Next()
 		if err != nil {
@@ -170,7 +170,7 @@
 		}
 		id := string(m.Get("Call-ID"))
 		if string(m.Method) == "BYE" {
-			g.conn.write(sip.Response(m, 200))
+			link.conn.write(sip.Response(m, 200))
 			c.mu.Lock()
 			if o := c.openCalls[id]; o != nil && string(m.Get("Reason")) != "Q.850;cause=16" {
 				o.Cut = true
@@ -184,11 +184,11 @@
 		}
 		c.Ledger.Answered(id)
 		ms, _ := strconv.ParseInt(string(m.Get("X-Later-Ms")), 10, 64)
-		g.conn.write([]byte("ACK sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n"))
+		link.conn.write([]byte("ACK sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 ACK\r\nContent-Length: 0\r\n\r\n"))
 		c.deliver(id, reply{status: m.Status, retryAfter: time.Duration(ms) * time.Millisecond})
 	}
 	c.mu.Lock()
-	g.inRotation, g.disconnected = false, true
+	link.inRotation, link.disconnected = false, true
 	c.mu.Unlock()
 }
 
@@ -231,8 +231,8 @@
 // Close ends all connections.
 func (c *CallerPool) Close() {
 	c.mu.Lock()
-	for _, g := range c.links {
-		g.conn.Close()
+	for _, link := range c.links {
+		link.conn.Close()
 	}
 	c.mu.Unlock()
 	c.readers.Wait()
@@ -243,11 +243,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.results {
-		one := *o
-		if one.Cut {
-			one.Worth = 0
+		outcome := *o
+		if outcome.Cut {
+			outcome.Worth = 0
 		}
-		all = append(all, one)
+		all = append(all, outcome)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].At < all[j].At })
 	return all
@@ -276,14 +276,14 @@
 
 // caller makes one call, and dials again as it likes to.
 func (c *CallerPool) runCaller(ctx context.Context, startedAt time.Time, rng *rand.Rand) {
-	first := time.Now()
-	o := &Outcome{At: first.Sub(startedAt)}
+	firstTryAt := time.Now()
+	o := &Outcome{At: firstTryAt.Sub(startedAt)}
 	c.mu.Lock()
 	c.results = append(c.results, o)
 	c.mu.Unlock()
 	tenant, number, dest := c.drawTenant(rng), fmt.Sprintf("%016x", rng.Uint64()), rng.IntN(max(c.Cells, 1))
 	for try := 0; try <= c.Redials && ctx.Err() == nil; try++ {
-		remaining := c.Deadline - time.Since(first)
+		remaining := c.Deadline - time.Since(firstTryAt)
 		patience := min(time.Duration(uniform(rng, c.Patience[0], c.Patience[1])*float64(c.Deadline)), remaining)
 		if patience <= 0 {
 			return
@@ -293,7 +293,7 @@
 		c.mu.Unlock()
 		r := c.sendTry(ctx, o, tenant, number, dest, try > 0, patience, rng)
 		if r.status == 200 {
-			after := time.Since(first)
+			after := time.Since(firstTryAt)
 			c.mu.Lock()
 			if o.EstablishedAfter, o.Worth = after, 1; after > c.Aim {
 				o.Worth = c.LateValue
@@ -302,11 +302,11 @@
 			return
 		}
 		pause := time.Duration(uniform(rng, float64(c.RedialGap[0]), float64(c.RedialGap[1])))
-		if told := r.retryAfter; told > 0 {
+		if retryAfter := r.retryAfter; retryAfter > 0 {
 			if c.ObeyedWait != nil {
-				told = c.ObeyedWait(told)
+				retryAfter = c.ObeyedWait(retryAfter)
 			}
-			pause = max(pause, told)
+			pause = max(pause, retryAfter)
 		}
 		select {
 		case <-ctx.Done():
@@ -320,8 +320,8 @@
 func (c *CallerPool) sendTry(ctx context.Context, o *Outcome, tenant, number string, dest int, isRedial bool, patience time.Duration, rng *rand.Rand) reply {
 	c.mu.Lock()
 	names := make([]string, 0, len(c.links))
-	for name, g := range c.links {
-		if g.inRotation {
+	for name, link := range c.links {
+		if link.inRotation {
 			names = append(names, name)
 		}
 	}
@@ -330,11 +330,11 @@
 		return reply{}
 	}
 	sort.Strings(names)
-	g := c.links[names[rng.IntN(len(names))]]
+	link := c.links[names[rng.IntN(len(names))]]
 	c.lastID++
 	id := fmt.Sprintf("%08x%08x", uint32(c.seed), uint32(c.lastID))
-	w := make(chan reply, 1)
-	c.pending[id] = pendingTry{w, g}
+	answer := make(chan reply, 1)
+	c.pending[id] = pendingTry{answer, link}
 	c.openCalls[id] = o
 	c.mu.Unlock()
 
@@ -353,20 +353,20 @@
 	b = sip.AppendHeader(b, "X-Facts", fmt.Sprintf("dest:%d;width:1;via:-1", dest))
 	sent := time.Now()
 	c.Ledger.Offered(id, sent)
-	g.conn.write(sip.AppendBody(b, []byte("offer of "+id)))
+	link.conn.write(sip.AppendBody(b, []byte("offer of "+id)))
 	var r reply
 	select {
-	case r = <-w:
+	case r = <-answer:
 	case <-time.After(patience + 50*time.Millisecond):
 		c.mu.Lock()
 		delete(c.pending, id)
-		gone := g.disconnected
+		disconnected := link.disconnected
 		c.mu.Unlock()
-		if gone { // lost with its connection, unless its instance was killed
-			c.Ledger.TimedOut(id, "the connection to "+g.name+" ended")
+		if disconnected { // lost with its connection, unless its instance was killed
+			c.Ledger.TimedOut(id, "the connection to "+link.name+" ended")
 		} else {
-			c.Ledger.TimedOut(id, "none from "+g.name+" in time")
-			g.conn.write([]byte("CANCEL sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"))
+			c.Ledger.TimedOut(id, "none from "+link.name+" in time")
+			link.conn.write([]byte("CANCEL sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"))
 		}
 	case <-ctx.Done():
 		c.Ledger.Abandoned(id)
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -107,9 +107,9 @@
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	byAddr := map[string]string{}
+	instanceByAddr := map[string]string{}
 	for name, addr := range s.addrs {
-		byAddr[addr] = name
+		instanceByAddr[addr] = name
 	}
 	for _, l := range s.listeners {
 		g.Go(func() error {
@@ -121,7 +121,7 @@
 				if err != nil {
 					return err
 				}
-				g.Go(func() error { s.serveConn(&conn{Conn: c}, byAddr[l.Addr().String()]); return nil })
+				g.Go(func() error { s.serveConn(&conn{Conn: c}, instanceByAddr[l.Addr().String()]); return nil })
 			}
 		})
 	}
@@ -345,10 +345,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := s.conns[instance]
-	for k, o := range of {
+	open := s.conns[instance]
+	for k, o := range open {
 		if o == c {
-			s.conns[instance] = append(of[:k:k], of[k+1:]...)
+			s.conns[instance] = append(open[:k:k], open[k+1:]...)
 		}
 	}
 	for _, o := range s.calls { // set-ups open on a connection that closes are given up
--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -109,7 +109,7 @@
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	startedAt := time.Now()
 	r := &Result{Seed: o.Seed, Instances: o.Instances, Servers: o.Servers, Load: o.Load, RefusalPointMS: float64(p.RefusalWait / 1e6)}
-	w := &waveRun{Options: o, ctx: ctx, result: r, ledger: ledger, rng: rng, params: p, began: startedAt, lists: map[string]*standin.ListService{}}
+	w := &waveRun{Options: o, ctx: ctx, result: r, ledger: ledger, rng: rng, params: p, startedAt: startedAt, lists: map[string]*standin.ListService{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
@@ -119,8 +119,8 @@
 		i.Stop(true)
 	}
 	cancel()
-	if waited := g.Wait(); err == nil {
-		err = waited
+	if groupErr := g.Wait(); err == nil {
+		err = groupErr
 	}
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	ledger    *check.Ledger
 	rng       *rand.Rand
 	params    processor.Params
-	began     time.Time
+	startedAt time.Time
 	names     []string
 	instances []*host.Instance
 	lists     map[string]*standin.ListService
@@ -205,7 +205,7 @@
 		}
 	}
 	calmFrom := time.Now()
-	w.began = calmFrom
+	w.startedAt = calmFrom
 	total := w.WarmUp + w.RestartWindow + w.After
 	if !w.Steady {
 		w.group.Go(func() error { return w.injectFaults(calmFrom) })
@@ -298,7 +298,7 @@
 	w.mu.Lock()
 	w.result.Restarts++
 	w.serving--
-	w.result.RestartTimes = append(w.result.RestartTimes, time.Since(w.began).Seconds())
+	w.result.RestartTimes = append(w.result.RestartTimes, time.Since(w.startedAt).Seconds())
 	w.mu.Unlock()
 	if w.Kill {
 		w.callers.InstanceKilled(i.Name)
@@ -328,8 +328,8 @@
 		w.mu.Lock()
 		w.result.MaxDelayMS = max(w.result.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
 		s := Sample{AtS: (time.Duration(n) * interval).Seconds(), Serving: w.serving}
-		for _, one := range w.servers {
-			s.WaitMS = append(s.WaitMS, float64(min(one.ExpectedWait(), time.Minute).Microseconds())/1000)
+		for _, server := range w.servers {
+			s.WaitMS = append(s.WaitMS, float64(min(server.ExpectedWait(), time.Minute).Microseconds())/1000)
 		}
 		w.result.Samples = append(w.result.Samples, s)
 		w.mu.Unlock()
