--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -1,6 +1,6 @@
-// Package check is the ledger that stand-ins and callers write what they saw to, and the checker of the rules over it:
-// one final answer a call and in time, one attempt out at a time, the release wait, no new work to a draining server.
-// It knows nothing of what the program believes.
+// Package check has the ledger in which stand-ins and callers record what they observe, and which checks the rules on it:
+// one final answer per call and in time, one outstanding attempt at a time, the release wait, and no new work to a draining
+// server. It uses no information from the program under test.
 package check
 
 import (
@@ -9,47 +9,49 @@
 	"time"
 )
 
-// Rules are the figures of the rules.
+// Rules are the time limits of the rules.
 type Rules struct {
-	ReleaseWait time.Duration // after an attempt that was given up or cut
-	DrainGrace  time.Duration // after an instance was told
-	Slack       time.Duration // on sockets every limit is so much longer
+	ReleaseWait time.Duration // between an attempt that was given up or cut and the next one
+	DrainGrace  time.Duration // how long an instance may still send after it was told of a drain
+	Slack       time.Duration // tolerance added to every limit, for runs on real sockets
 }
 
-// Ledger is what was seen. It may be used from many goroutines.
+// Ledger records what was observed. It is safe for concurrent use.
 type Ledger struct {
 	rules          Rules
 	mu             sync.Mutex
 	calls          map[string]*callRecord
-	drainAnnounced map[string]time.Time // instance and server: when it was told of a drain
+	drainAnnounced map[string]time.Time // by instance and server: when the instance was told of the drain
 	Violations
 }
 
-// Broken counts what broke a rule; the texts are of the first few.
+// Violations counts the violations of each rule, and describes the first few.
 type Violations struct {
 	MissingAnswers      int      `json:"answers_missing"`
 	DuplicateAnswers    int      `json:"answers_twice"`
 	OverlappingAttempts int      `json:"attempts_overlapping"`
 	TooSoon             int      `json:"attempts_too_soon"`
 	SendsAfterDrain     int      `json:"sends_after_drain"`
-	UnknownCalls        int      `json:"attempts_unasked"` // of calls that no caller made, or that are over
+	UnknownCalls        int      `json:"attempts_unasked"` // attempts of calls that no caller made
 	Descriptions        []string `json:"broken,omitempty"`
 }
 
-// Any tells whether anything broke.
+// Any tells whether there was any violation.
 func (b Violations) Any() bool {
 	return b.MissingAnswers+b.DuplicateAnswers+b.OverlappingAttempts+b.TooSoon+b.SendsAfterDrain+b.UnknownCalls > 0
 }
 
+// callRecord is what was observed of one call.
 type callRecord struct {
 	offeredAt     time.Time
 	answers       int
-	abandoned     bool // its caller gave it up, or its connection ended with it: nothing is owed any more
-	outstandingAt string
+	abandoned     bool   // its caller gave it up, or its instance was killed: no answer is due any more
+	outstandingAt string // server that has its attempt; empty: none
 	attempts      int
-	nextAttemptAt time.Time
+	nextAttemptAt time.Time // when the release wait is over
 }
 
+// maxDescriptions bounds the number of violations that are described.
 const maxDescriptions = 20
 
 // New makes a ledger.
@@ -57,6 +59,7 @@
 	return &Ledger{rules: r, calls: map[string]*callRecord{}, drainAnnounced: map[string]time.Time{}}
 }
 
+// addViolation increments a count, and describes the violation if there is room.
 func (l *Ledger) addViolation(n *int, format string, a ...any) {
 	*n++
 	if len(l.Descriptions) < maxDescriptions {
@@ -64,14 +67,14 @@
 	}
 }
 
-// Offered notes a call that was written whole to an instance.
+// Offered records a call that is sent to an instance.
 func (l *Ledger) Offered(call string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[call] = &callRecord{offeredAt: at}
 }
 
-// Answered notes a final answer that a caller read.
+// Answered records a final answer that a caller received.
 func (l *Ledger) Answered(call string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +85,7 @@
 	}
 }
 
-// Left notes that a call is given up by its caller, or that the instance that had it was killed.
+// Abandoned records that a caller gave up its call, or that the instance that had it was killed or stopped.
 func (l *Ledger) Abandoned(call string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +94,7 @@
 	}
 }
 
-// Overdue notes that a caller's time is up without an answer.
+// TimedOut records that a caller's time is up; it is a violation if there was no answer and the call was not abandoned.
 func (l *Ledger) TimedOut(call, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,43 +104,43 @@
 	}
 }
 
-// Told notes that an instance was told that a server drains or is gone.
+// DrainAnnounced records that an instance was told that a server drains or is gone.
 func (l *Ledger) DrainAnnounced(instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drainAnnounced[instance+" "+server] = at
 }
 
-// Listed notes that an instance was told that a server takes work again.
+// ServingAnnounced records that an instance was told that a server takes work again.
 func (l *Ledger) ServingAnnounced(instance, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.drainAnnounced, instance+" "+server)
 }
 
-// Sent notes an attempt that reached a server whole.
+// AttemptSent records an attempt that reached a server.
 func (l *Ledger) AttemptSent(call, instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[call]
 	if e == nil {
-		l.addViolation(&l.UnknownCalls, "attempt of the unknown call %s", call)
+		l.addViolation(&l.UnknownCalls, "attempt of unknown call %s", call)
 		return
 	}
 	if e.outstandingAt != "" {
-		l.addViolation(&l.OverlappingAttempts, "call %s goes to %s while out at %s", call, server, e.outstandingAt)
+		l.addViolation(&l.OverlappingAttempts, "call %s sent to %s while an attempt is outstanding at %s", call, server, e.outstandingAt)
 	}
 	if at.Before(e.nextAttemptAt.Add(-l.rules.Slack)) {
-		l.addViolation(&l.TooSoon, "call %s again %v too soon", call, e.nextAttemptAt.Sub(at))
+		l.addViolation(&l.TooSoon, "call %s sent again %v too soon after a given-up attempt", call, e.nextAttemptAt.Sub(at))
 	}
 	if told, ok := l.drainAnnounced[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
-		l.addViolation(&l.SendsAfterDrain, "call %s to %s, %v after %s was told", call, server, at.Sub(told), instance)
+		l.addViolation(&l.SendsAfterDrain, "call %s sent to draining server %s, %v after %s was told", call, server, at.Sub(told), instance)
 	}
 	e.outstandingAt = server
 	e.attempts++
 }
 
-// Ended notes that a server wrote an attempt's end, or that it was given up (which makes the release wait due).
+// AttemptEnded records that a server answered an attempt, or that the attempt was given up, which starts the release wait.
 func (l *Ledger) AttemptEnded(call, server string, givenUp bool, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,7 +154,7 @@
 	}
 }
 
-// Result gives what broke so far, and the calls and attempts seen.
+// Result gives the violations so far, and the number of calls and attempts observed.
 func (l *Ledger) Result() (b Violations, calls, attempts int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Each rule, broken on purpose, is caught; a clean history is not.
-func TestEachRuleIsCaught(t *testing.T) {
+// A violation of each rule is detected and described, and a history without violations is not reported.
+func TestViolationsAreDetected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	rules := Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond}
@@ -54,7 +54,7 @@
 			t.Errorf("%s: %+v", tc.name, b)
 		}
 		if tc.name != "clean" && (!b.Any() || len(b.Descriptions) != 1) {
-			t.Errorf("%s is not told: %+v", tc.name, b)
+			t.Errorf("%s is not reported once: %+v", tc.name, b)
 		}
 	}
 }
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -8,7 +8,7 @@
 	"masthill/internal/exchange"
 )
 
-// caller is one call with all its tries.
+// caller is one call with all its tries. Times are in simulated nanoseconds.
 type caller struct {
 	model         *model
 	rng           *rand.Rand
@@ -17,14 +17,14 @@
 	dest          int
 	firstTryAt    int64
 	tries         int
-	id            string // of the try under way
-	controller    *controller
-	establishedAt int64
-	cut           bool
+	id            string      // of the current try; empty between tries
+	controller    *controller // that the current try was sent to
+	establishedAt int64       // 0: not established
+	cut           bool        // the call ended other than by a normal release
 	ended         bool
 }
 
-// caller makes a call; its first try follows at once.
+// addCaller creates a call with a random tenant, number and destination, and schedules its first try at once.
 func (m *model) addCaller() *caller {
 	c := &caller{model: m, rng: rand.New(rand.NewPCG(m.rng.Uint64(), 7)), firstTryAt: m.now}
 	u := c.rng.Float64()
@@ -40,6 +40,7 @@
 	return c
 }
 
+// try sends one set-up to a controller in the rotation. Where none is found, it is repeated after 500 ms.
 func (c *caller) try() {
 	m := c.model
 	remaining := c.firstTryAt + deadline - m.now
@@ -48,7 +49,7 @@
 		return
 	}
 	var open []*controller
-	for range 8 { // a few draws; all may be away
+	for range 8 { // bounded, as no controller may be in the rotation
 		if candidate := m.drawController(c.rng); candidate.inRotation {
 			open = append(open, candidate)
 			break
@@ -69,11 +70,13 @@
 	open[0].runDue()
 	m.scheduleAfter(patience+50e6, func() {
 		if c.id == id && c.establishedAt == 0 {
-			m.ledger.TimedOut(id, "none in time")
+			m.ledger.TimedOut(id, "no answer within its patience")
 		}
 	})
 }
 
+// worth is the value of the call to the caller: 0 if it was cut or never established, lateValue if it was established
+// after targetDelay, else 1.
 func (c *caller) worth() float64 {
 	switch {
 	case c.cut || c.establishedAt == 0:
@@ -84,7 +87,7 @@
 	return 1
 }
 
-// Answer implements exchange.Caller for all callers.
+// Answer implements exchange.Caller for all callers. An answer to a try that is no longer current only goes to the ledger.
 func (m *model) Answer(id string, f exchange.FinalAnswer) {
 	m.ledger.Answered(id)
 	c := m.callers[id]
@@ -98,7 +101,7 @@
 	c.scheduleRedial(int64(f.Wait))
 }
 
-// again ends a try; the caller dials once more after its own wait, or the told one if that is longer.
+// scheduleRedial ends the current try and schedules the next one, after 0.3 to 1 s or retryAfter, whichever is longer.
 func (c *caller) scheduleRedial(retryAfter int64) {
 	delete(c.model.callers, c.id)
 	c.id = ""
@@ -108,6 +111,7 @@
 // Release implements exchange.Caller.
 func (m *model) Release(id string, cut bool) { m.endCall(id, cut) }
 
+// endCall ends the call that has this ID, if any.
 func (m *model) endCall(id string, cut bool) {
 	if c := m.callers[id]; c != nil && !c.ended {
 		c.ended, c.cut = true, cut
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// ColdStart is what one server got from all controllers together while it was cold, held against the platform's rule:
-// a cold server falls when it gets more than N + 2 √N + 2 requests in the window, N being its budget at that time.
+// ColdStart records the load that one server received from all controllers together while it was cold, compared with the
+// platform's rule: a cold server falls over when it receives more than N + 2 √N + 2 requests within the window, where N is
+// its budget at that time.
 type ColdStart struct {
-	PeakLoad      float64 `json:"load"`      // the most sent in a window, over that bound
-	Sent          int     `json:"sent"`      // in that window
-	Budget        float64 `json:"budget"`    // N at its end
-	BoundExceeded bool    `json:"fell"`      // the bound was passed
-	InformedShare float64 `json:"told"`      // the part sent by controllers that had been told of the start, at the first fall
-	InformedLoad  float64 `json:"told_load"` // the same over the windows of which over two thirds came from controllers that had been told
-	TotalSent     int     `json:"in_total"`  // all that it got while cold
+	PeakLoad      float64 `json:"load"`      // the most sent in a window, divided by that bound
+	Sent          int     `json:"sent"`      // set-ups in the window of the peak load
+	Budget        float64 `json:"budget"`    // N at the end of that window
+	BoundExceeded bool    `json:"fell"`      // the bound was exceeded at least once
+	InformedShare float64 `json:"told"`      // share from controllers that knew of the start, when first exceeded
+	InformedLoad  float64 `json:"told_load"` // peak load of the windows with over two thirds of the set-ups from such controllers
+	TotalSent     int     `json:"in_total"`  // all set-ups received while cold
 }
 
-// toldMost is the part of the sends of a fall beyond which controllers that had been told are to blame.
+// maxInformedShare is the share of set-ups from controllers that knew of the start, above which these controllers are held
+// responsible for exceeding the bound.
 const maxInformedShare = 2.0 / 3
 
-// Broken tells whether the fall breaks the rule: over two thirds came from controllers that had been told.
+// BreaksRule tells whether the bound was exceeded with over two thirds of the set-ups from controllers that knew of the
+// start.
 func (c ColdStart) BreaksRule() bool { return c.BoundExceeded && c.InformedShare > maxInformedShare }
 
-// coldSend is a set-up that reached a cold server.
+// coldSend is a set-up that reached a cold server; informed tells whether its controller knew of the server's start.
 type coldSend struct {
 	at       int64
 	informed bool
 }
 
-// coldWatch follows one start of a server.
+// coldStartTracker records the set-ups that a server receives after one start.
 type coldStartTracker struct {
 	readyAt int64
-	sends   []coldSend // of the last window
+	sends   []coldSend // within the last window
 	ColdStart
 }
 
-// fallBound is the number of requests in a window that a cold server with a budget of n bears.
+// overloadBound is the number of requests in a window that a cold server with a budget of n withstands.
 func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// watchCold counts a set-up that has reached a server.
+// recordColdSend counts a set-up that has reached the server, if the server is cold.
 func (s *server) recordColdSend(from *controller) {
 	m := s.model
 	age := m.now - s.readyAt
@@ -76,8 +79,8 @@
 	}
 }
 
-// ColdScenes are days on which many servers start while the traffic makes it hard: some controllers see several times the
-// mean, and processes of the fleet itself start anew. Only cold servers count in them.
+// ColdScenes are scenes in which many servers start under difficult traffic: some controllers receive several times the
+// mean rate, and processes of the fleet itself restart. Only the load on cold servers is judged in them.
 var ColdScenes = []Scene{
 	{"replace", "six servers of ten replaced within 7 s", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}}
@@ -113,11 +116,11 @@
 	}},
 }
 
-// coldLength is how long a cold scene plays: until what has started is warm.
+// coldSceneDuration is long enough for every server that started to become warm.
 const coldSceneDuration = 46 * time.Second
 
-// ColdScenario is a cold scene for a fleet of a size. Skew is the spread of the controllers' shares of the traffic, as the
-// standard deviation of their logarithms.
+// ColdScenario makes a cold scene for a fleet of the given size. skew is the spread of the controllers' shares of the
+// traffic, as the standard deviation of their logarithms.
 func (s Scene) ColdScenario(seed uint64, controllers, servers int, skew float64) Scenario {
 	sc := s.Scenario(seed, controllers, servers)
 	sc.Duration, sc.Skew, sc.TrackColdStarts = coldSceneDuration, skew, true
--- a/lab/model/cold_test.go
+++ b/lab/model/cold_test.go
@@ -10,8 +10,8 @@
 	"masthill/lab/processor"
 )
 
-// watched is a cold server for 10 calls a second when warm, two seconds after its start, and a controller that knows of
-// that start or not.
+// newColdServer makes a server that can take 10 calls a second when warm, two seconds after its start, and a controller
+// that knows of the start if informed.
 func newColdServer(informed bool) (*server, *controller) {
 	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFrom: 0.4}, fallMultiple: 2, fallWindow: 1e9, coldSpan: 10e9}
 	c := &controller{model: m, offices: map[uint64]exchange.Office{}}
@@ -21,8 +21,9 @@
 	return &server{model: m, readyAt: start}, c
 }
 
-// N is 2 * (0.4 + 0.6 * 0.2) * 10 = 10.4, and N + 2 root of N + 2 is 18.8.
-func TestColdFallIsSeen(t *testing.T) {
+// The budget N is 2 * (0.4 + 0.6 * 0.2) * 10 = 10.4, so the bound N + 2 √N + 2 is 18.8: 18 set-ups in a window are within
+// it, 19 exceed it, and 40 spread over several windows do not.
+func TestColdStartBoundIsDetected(t *testing.T) {
 	s, c := newColdServer(true)
 	for range 18 {
 		s.recordColdSend(c)
@@ -35,16 +36,17 @@
 		t.Errorf("19 sends: %+v", s.coldStart.ColdStart)
 	}
 	s, c = newColdServer(true)
-	for range 40 { // one every 60 ms: no more than 17 in any window
+	for range 40 { // one every 60 ms: at most 17 in any window
 		s.recordColdSend(c)
 		s.model.now += 60e6
 	}
 	if s.coldStart.BoundExceeded || s.coldStart.Sent > 17 {
-		t.Errorf("spread: %+v", s.coldStart.ColdStart)
+		t.Errorf("40 sends over several windows: %+v", s.coldStart.ColdStart)
 	}
 }
 
-func TestFallByControllersThatWereNotToldBreaksNothing(t *testing.T) {
+// Exceeding the bound breaks no rule if the controllers did not know of the start, and sends to a warm server don't count.
+func TestUninformedControllersBreakNoRule(t *testing.T) {
 	s, untold := newColdServer(false)
 	for range 30 {
 		s.recordColdSend(untold)
@@ -56,11 +58,11 @@
 	before := s.coldStart.TotalSent
 	s.recordColdSend(untold)
 	if s.coldStart.TotalSent != before {
-		t.Error("a send to a warm server was counted")
+		t.Error("a set-up to a warm server was counted")
 	}
 }
 
-// Every cold scene has cold servers that are used, none of which gets too much, and is the same in each run.
+// In every cold scene cold servers receive set-ups, none receives more than the bound, and two runs of a seed are equal.
 func TestColdScenes(t *testing.T) {
 	for _, s := range ColdScenes {
 		sc := s.ColdScenario(3, 20, 8, 0.8)
@@ -81,7 +83,8 @@
 	}
 }
 
-// With a skew some controllers see several times the mean; a shift draws the shares anew.
+// With a skew some controllers receive at least twice the mean share of the traffic; without one all receive about the
+// same.
 func TestSkewedTraffic(t *testing.T) {
 	count := func(sc Scenario) (most int) {
 		m := &model{Scenario: sc, rng: randomStream(1, streamCallers, 0)}
@@ -99,9 +102,9 @@
 		return most
 	}
 	if n := count(Scenario{Controllers: 20}); n > 1200 {
-		t.Errorf("alike: one has %d of 20000", n)
+		t.Errorf("no skew: one controller has %d of 20000 calls", n)
 	}
 	if n := count(Scenario{Controllers: 20, Skew: 0.8, Duration: time.Second}); n < 2000 {
-		t.Errorf("skewed: the most is %d of 20000", n)
+		t.Errorf("skew 0.8: the busiest controller has only %d of 20000 calls", n)
 	}
 }
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -10,24 +10,24 @@
 	"masthill/internal/exchange"
 )
 
-// controller is one instance: the program's own core, driven by the clock.
+// controller is one instance of the program: its real core, driven by the simulated clock.
 type controller struct {
 	model        *model
 	index        int
-	generation   int // of its process
+	generation   int // number of its current process, which drops deliveries to earlier ones
 	rng          *rand.Rand
-	latencies    []int64 // one way to each cell
-	exchange     *exchange.Exchange
-	inRotation   bool // in the front's rotation
-	wakeAt       int64
-	lastUpdateAt int64
-	offices      map[uint64]exchange.Office // as last told: what a restart begins with
-	peers        *shared.Shared             // nil: it talks with nobody
+	latencies    []int64                    // one-way latency to each cell, nanoseconds
+	exchange     *exchange.Exchange         // nil: no process runs
+	inRotation   bool                       // callers' front sends it new calls
+	wakeAt       int64                      // time of the next scheduled runDue; 0: none
+	lastUpdateAt int64                      // when the latest list update arrives; updates stay in order
+	offices      map[uint64]exchange.Office // list of servers as last received; a restarted process begins with it
+	peers        *shared.Shared             // nil: it exchanges no messages with other controllers
 }
 
 func (c *controller) name() string { return fmt.Sprint("n", c.index) }
 
-// up starts a process with nothing but the last list.
+// startProcess starts a process that knows only the last list of servers.
 func (c *controller) startProcess() error {
 	c.generation++
 	set := c.model.settings(c.index)
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// restart is a planned one: nothing new comes, what is open is answered, and the process starts anew.
+// restart is a planned restart: the controller leaves the rotation, has up to 3.3 s to finish its open calls, refuses
+// the rest, ends, and starts again after down.
 func (c *controller) restart(down int64) {
 	if c.exchange == nil || !c.inRotation {
 		return
@@ -83,7 +84,7 @@
 	c.model.scheduleAfter(800e6, poll)
 }
 
-// kill ends the process at once: callers see their connections end, and servers give up the set-ups on theirs.
+// kill ends the process at once. Callers whose connections end redial, and servers give up the open set-ups on theirs.
 func (c *controller) kill(down int64) {
 	if c.exchange == nil {
 		return
@@ -112,7 +113,7 @@
 	}
 }
 
-// hear takes a change of the list.
+// applyUpdate applies a change of the list of servers.
 func (c *controller) applyUpdate(o exchange.Office) {
 	c.offices[o.Server] = o
 	if o.State != control.Serving {
@@ -126,7 +127,7 @@
 	}
 }
 
-// drive has the core do what is due, and plans its next alarm.
+// runDue has the core do what is due, and schedules the next run.
 func (c *controller) runDue() {
 	if c.exchange == nil {
 		return
@@ -145,12 +146,12 @@
 	})
 }
 
-// delay is the time that something takes to or from a cell now.
+// delay is the present transit time to or from a cell.
 func (c *controller) delay(cell int) int64 {
 	return c.latencies[cell] + max(c.model.unreachableUntil[cell]-c.model.now, 0)
 }
 
-// later has the process of now hear something from a server, after its way.
+// deliver runs f after the transit time from the cell, if the process of this generation still runs then.
 func (c *controller) deliver(gen, cell int, f func()) {
 	c.model.scheduleAfter(c.delay(cell), func() {
 		if c.exchange != nil && c.generation == gen {
@@ -160,13 +161,13 @@
 	})
 }
 
-// send has a server hear something after the way.
+// sendToServer runs f on the server after the transit time.
 func (c *controller) sendToServer(id uint64, f func(s *server)) {
 	s := c.model.servers[id-0x1000]
 	c.model.scheduleAfter(c.delay(s.cell), func() { f(s) })
 }
 
-// List implements exchange.Offices.
+// UpdateList implements exchange.Offices.
 func (c *controller) UpdateList([]exchange.Office, bool) {}
 
 // Invite implements exchange.Offices.
@@ -185,5 +186,5 @@
 	c.sendToServer(to, func(s *server) { s.onBye(id) })
 }
 
-// Suspect implements exchange.Offices. Connections here never hang by themselves.
+// ReportSilence implements exchange.Offices. Simulated connections never hang by themselves.
 func (c *controller) ReportSilence(uint64, time.Time, bool) {}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -18,55 +18,56 @@
 	"masthill/lab/processor"
 )
 
-// Scenario is what is played. Zero figures have the brief's.
+// Scenario describes a run. Planned, Load and ListDelay have defaults where they are zero.
 type Scenario struct {
 	Seed        uint64
 	Controllers int
 	Servers     int
-	Planned     float64 // calls a second that the servers are planned for; 0: 22 for each server
-	Load        float64 // of the planned load
+	Planned     float64 // calls per second that all servers together are planned for; 0: 22 for each server
+	Load        float64 // share of the planned load that callers offer; 0: 0.92
 	Duration    time.Duration
-	RateFactor  func(at time.Duration) float64 // times the load; nil: 1
+	RateFactor  func(at time.Duration) float64 // multiplies the load; nil: 1
 	Faults      []Fault
 	Flood       *Flood
-	ListDelay   [2]time.Duration // how late each controller hears of a change
+	ListDelay   [2]time.Duration // range of the delay until a controller learns of a change; zero: 0.5 to 3 s
 	Redials     int
-	QueueOrder  processor.QueueOrder // the order of work at the servers
-	DropAnswers bool                 // a call that is given up takes its pending answer with it
-	// Join makes the decision modules of a controller that starts at a time; nil: none.
+	QueueOrder  processor.QueueOrder // order in which servers do their work
+	DropAnswers bool                 // canceling a call also removes its queued answer
+	// Join makes the decision modules of a controller that starts at now; nil: none.
 	Join func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
-	// PeerCut tells whether what one controller says to another gets lost; nil: it never does. PeerBytes has what is said
-	// measured, which takes time.
+	// PeersPartitioned tells whether messages from one controller to another are lost; nil: none are. PeerBytes has the
+	// messages encoded to count their bytes, which slows the run down.
 	PeersPartitioned func(at time.Duration, from, to int) bool
 	PeerBytes        bool
-	// Liar is a controller, counted from 1, that tells the others all the time that every server is dead; 0: none.
+	// FalseReporter is a controller, counted from 1, that keeps reporting to the others that every server is dead; 0: none.
 	FalseReporter int
-	// Skew is the spread of the controllers' shares of the traffic, as the standard deviation of their logarithms; 0: alike.
+	// Skew is the spread of the controllers' shares of the traffic, as the standard deviation of their logarithms; 0: all
+	// shares are equal.
 	Skew float64
-	// WatchCold counts what servers get while they are cold, and has none of them fall over.
+	// TrackColdStarts records the load on servers while they are cold, and keeps them from falling over.
 	TrackColdStarts bool
-	// Look, if any, is called once a simulated second with what the controllers tell.
+	// OnStatus, if not nil, is called once per simulated second with the status of all running controllers.
 	OnStatus func(at time.Duration, all []exchange.Status)
 }
 
-// Trouble is one thing that goes wrong.
+// Fault is one fault injected into a run.
 type Fault struct {
 	Kind      string // replace, crash, down, slow, silent, cut, restarts, kill, late, lossy, shift
 	At        time.Duration
-	Duration  time.Duration // restarts and replace: until the last of them begins
-	Share     float64       // of the servers (one at least); restarts and kill: of the controllers; lossy: of the answers
-	Batch     float64       // restarts: of the controllers, at a time
-	Magnitude float64       // slow: so many times slower; late: so many seconds later
+	Duration  time.Duration // restarts and replace: the span within which all of them begin
+	Share     float64       // of the servers (at least one); restarts and kill: of the controllers; lossy: of the answers
+	Batch     float64       // restarts: share of the controllers that restart at a time
+	Magnitude float64       // slow: how many times slower; late: delay added to list changes, in seconds
 }
 
-// Flood is one member's callers calling far beyond its share, beside the usual calls.
+// Flood is additional calls of one tenant, far beyond its share.
 type Flood struct {
 	Tenant       string
 	At, Duration time.Duration
-	Load         float64 // of the planned load of all
+	Load         float64 // share of the planned load of all tenants
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Seed                 uint64      `json:"seed"`
 	Controllers          int         `json:"controllers"`
@@ -74,22 +75,22 @@
 	Calls                int         `json:"calls"`
 	Tries                int         `json:"tries"`
 	ServedShare          float64     `json:"served_share"`
-	LateShare            float64     `json:"late_share"` // calls that stood after their aim
+	LateShare            float64     `json:"late_share"` // share of the calls that were established after the target delay
 	CutCalls             int         `json:"cut"`
 	FellOver             bool        `json:"fell_over"`
-	MaxColdWaitMS        float64     `json:"cold_wait_max_ms"` // at a server that started during the run
+	MaxColdWaitMS        float64     `json:"cold_wait_max_ms"` // greatest wait for a set-up at a server that started during the run
 	RefusalPointMS       float64     `json:"refusal_point_ms"`
-	UtilizationAtPlan    float64     `json:"use_at_plan"` // part of the processors' time that the planned load takes
+	UtilizationAtPlan    float64     `json:"use_at_plan"` // share of the processors' time that the planned load takes
 	RefusedByServers     int         `json:"refused_by_servers"`
 	Restarts             int         `json:"restarts"`
-	SendsToSilentServers []int       `json:"set_ups_to_silent_servers_by_s,omitempty"` // since they went silent
-	PeerSent             int64       `json:"peer_messages,omitempty"`                  // between controllers, counted at each receiver
-	PeerBytes            int64       `json:"peer_bytes,omitempty"`                     // of what was said, each message once
+	SendsToSilentServers []int       `json:"set_ups_to_silent_servers_by_s,omitempty"` // by second since they went silent
+	PeerSent             int64       `json:"peer_messages,omitempty"`                  // messages between controllers, counted once for each receiver
+	PeerBytes            int64       `json:"peer_bytes,omitempty"`                     // of these messages, each message counted once
 	ColdStarts           []ColdStart `json:"cold_starts,omitempty"`
 	check.Violations
 	Events          uint64             `json:"events"`
-	EventsPerSecond float64            `json:"events_per_s"`  // of real time
-	MemoryKB        float64            `json:"controller_kb"` // heap at the end, over the controllers
+	EventsPerSecond float64            `json:"events_per_s"`  // per second of real time
+	MemoryKB        float64            `json:"controller_kb"` // heap at the end, divided by the number of controllers
 	RealSeconds     float64            `json:"real_s"`
 	ServedByTenant  map[string]float64 `json:"served_by_tenant"`
 	ServedInFlood   map[string]float64 `json:"served_in_flood_by_tenant,omitempty"`
@@ -97,7 +98,7 @@
 	OfferedBySecond []int              `json:"offered_by_second"`
 }
 
-// Late is the worth of a call that stands after its aim.
+// LateValue is the value of a call that is established after the target delay.
 const LateValue = 0.25
 
 const (
@@ -113,7 +114,7 @@
 	share float64
 }{{"slaney-vines", 0.55}, {"barrow-estate", 0.33}, {"suir-growers", 0.12}}
 
-// Tenants are the members with their fractions, as the model's callers call.
+// Tenants are the tenants with their fractions of the calls.
 func Tenants() (all []shares.Tenant) {
 	for _, t := range tenants {
 		all = append(all, shares.Tenant{Name: t.name, Fraction: t.share})
@@ -121,33 +122,34 @@
 	return all
 }
 
+// model is the state of a run.
 type model struct {
 	clock
 	Scenario
 	params               processor.Params
 	ledger               *check.Ledger
-	servers              []*server // all that ever were
-	current              []*server // by cell, as they are now
+	servers              []*server // all that ever ran
+	current              []*server // the present server of each cell
 	controllers          []*controller
-	rng                  *rand.Rand // of the callers
-	callers              map[string]*caller
+	rng                  *rand.Rand         // of the callers and the traffic shares
+	callers              map[string]*caller // by ID of the current try
 	lastID               uint64
 	allCallers           []*caller
 	restarts             int
-	unreachableUntil     []int64 // by cell: nothing passes to and from it before
-	utilization          float64 // part of the processors' time that the planned load takes
-	answerLoss           float64 // part of the answers that get lost now
+	unreachableUntil     []int64 // by cell: nothing reaches or leaves it before
+	utilization          float64 // share of the processors' time that the planned load takes
+	answerLoss           float64 // present probability that an answer is lost
 	logger               *slog.Logger
-	sendsToSilent        []int     // by second since a server went silent: set-ups sent there
-	peerMessages         int64     // messages between controllers, by receiver
-	peerBytes            int64     // in each message once
-	cumulativeTraffic    []float64 // by controller: its part of the calls and those before it, with a skew
+	sendsToSilent        []int     // set-ups sent to silent servers, by second since the server went silent
+	peerMessages         int64     // messages between controllers, counted once for each receiver
+	peerBytes            int64     // of these messages, each message counted once
+	cumulativeTraffic    []float64 // cumulative traffic shares of the controllers; nil: equal shares
 	coldStarts           []*coldStartTracker
 	fallMultiple         float64
 	fallWindow, coldSpan int64
 }
 
-// Run plays a scenario.
+// Run runs a scenario to its end and gives the result.
 func Run(sc Scenario) (*Result, error) {
 	if sc.Planned == 0 {
 		sc.Planned = 22 * float64(sc.Servers)
@@ -203,11 +205,11 @@
 	}
 	m.run(start + int64(sc.Duration))
 	end := m.now
-	m.run(end + deadline) // what is open still has its answer; nothing new comes
+	m.run(end + deadline) // open calls still get their answers; no new ones arrive
 	return m.result(time.Since(wallStart)), nil
 }
 
-// arrivals plans the next caller.
+// scheduleArrival adds a caller and schedules the next one, until the scenario ends.
 func (m *model) scheduleArrival() {
 	at := time.Duration(m.now - start)
 	if at >= m.Duration {
@@ -221,7 +223,7 @@
 	m.scheduleAfter(int64(m.rng.ExpFloat64()/max(rate, 1e-3)*1e9), m.scheduleArrival)
 }
 
-// flood plans the next call of a flood.
+// scheduleFloodCall adds a call of the flood and schedules the next one, until the flood ends.
 func (m *model) scheduleFloodCall() {
 	f := m.Flood
 	if at := time.Duration(m.now - start); at >= f.At+f.Duration || at >= m.Duration {
@@ -231,6 +233,7 @@
 	m.scheduleAfter(int64(m.rng.ExpFloat64()/(f.Load*m.Planned)*1e9), m.scheduleFloodCall)
 }
 
+// reportStatus passes the status of all running controllers to OnStatus, once per simulated second.
 func (m *model) reportStatus() {
 	at := time.Duration(m.now - start)
 	var all []exchange.Status
@@ -245,7 +248,7 @@
 	}
 }
 
-// settings are the platform's, for controller n.
+// settings are the platform's settings for controller n.
 func (m *model) settings(n int) control.Settings {
 	cells := make([]int, m.Servers)
 	for c := range cells {
@@ -257,36 +260,37 @@
 		Classes: []control.Class{{Aim: targetDelay, Deadline: deadline, Worth: 1, LateValue: lateValue, Cells: cells}}}
 }
 
-// office is the list's entry of a server.
+// listEntry is the server's entry in the list.
 func (s *server) listEntry(state control.EntryState) exchange.Office {
 	return exchange.Office{Entry: control.Entry{Cell: s.cell, Share: 1, Server: s.id, ReadyAt: s.readyAt, State: state}, Addr: fmt.Sprint(s.id)}
 }
 
-// tell has every controller hear of a change, each late in its own way.
+// announce has every controller learn of a change, each after a random delay of its own.
 func (m *model) announce(s *server, state control.EntryState) {
 	o := s.listEntry(state)
 	for _, c := range m.controllers {
 		wait := int64(m.ListDelay[0]) + c.rng.Int64N(int64(m.ListDelay[1]-m.ListDelay[0])+1)
-		at := max(m.now+wait, c.lastUpdateAt) // in order
+		at := max(m.now+wait, c.lastUpdateAt) // changes arrive in order
 		c.lastUpdateAt = at
 		m.scheduleAt(at, func() { c.applyUpdate(o) })
 	}
 }
 
-// The list's service notices after these times that a process has gone, or that one is silent (the site file's figures).
+// Ranges of the time after which the list service detects that a server's process has ended or is silent (the figures of
+// the site file).
 var (
 	downDetection    = [2]time.Duration{1200 * time.Millisecond, 3600 * time.Millisecond}
 	silenceDetection = [2]time.Duration{4400 * time.Millisecond, 12 * time.Second}
 )
 
-// noticed has the list tell that a server is away, unless it is back before that shows.
+// announceRemoval has the list announce that a server is gone once that is detected, unless the fault is over before.
 func (m *model) announceRemoval(s *server, fault Fault, within [2]time.Duration, rng *rand.Rand) {
 	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < fault.Duration {
 		m.scheduleAfter(int64(wait), func() { m.announce(s, control.Removed) })
 	}
 }
 
-// trouble plans one trouble.
+// scheduleFault schedules one fault and its end.
 func (m *model) scheduleFault(fault Fault, rng *rand.Rand) {
 	affected := max(int(fault.Share*float64(m.Servers)+0.5), 1)
 	m.scheduleAt(start+int64(fault.At), func() {
@@ -302,7 +306,7 @@
 					m.scheduleAfter(11e9, func() { old.stop(); m.announce(old, control.Removed) })
 				})
 			}
-		case "down": // its process is away for a while, and begins anew
+		case "down": // the process is gone for a while and then restarts, cold
 			for _, cell := range rng.Perm(m.Servers)[:affected] {
 				s := m.current[cell]
 				s.stop()
@@ -313,7 +317,7 @@
 					m.announce(s, control.Serving)
 				})
 			}
-		case "cut": // what is on its way to them and from them comes when it is over
+		case "cut": // messages to and from these servers arrive when the partition is over
 			for _, cell := range rng.Perm(m.Servers)[:affected] {
 				m.unreachableUntil[cell] = m.now + int64(fault.Duration)
 			}
@@ -373,6 +377,7 @@
 	})
 }
 
+// result computes the figures of the run.
 func (m *model) result(wallTime time.Duration) *Result {
 	r := &Result{Seed: m.Seed, Controllers: m.Controllers, Servers: m.Servers, Calls: len(m.allCallers), Events: m.processed, RealSeconds: wallTime.Seconds(),
 		EventsPerSecond: float64(m.processed) / wallTime.Seconds(), RefusalPointMS: float64(m.params.RefusalWait) / 1e6, UtilizationAtPlan: m.utilization, Restarts: m.restarts, SendsToSilentServers: m.sendsToSilent, PeerSent: m.peerMessages, PeerBytes: m.peerBytes, ServedByTenant: map[string]float64{}}
@@ -436,7 +441,7 @@
 	return r
 }
 
-// byName is a deterministic order of a map's keys.
+// sortedKeys gives the keys of a map in sorted order, so that runs of one seed stay equal.
 func sortedKeys[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -16,12 +16,13 @@
 	return join.Chain{recovery.New(recovery.Settings{Control: s, Planned: planned}, seed, now, nil)}
 }
 
-// timeless clears what hangs on the machine.
+// withoutRealTime clears the figures that depend on the machine.
 func withoutRealTime(r *Result) *Result {
 	r.EventsPerSecond, r.RealSeconds, r.MemoryKB = 0, 0, 0
 	return r
 }
 
+// Two runs of a seed with several faults are equal, and another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
 	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 0.95, Duration: 30 * time.Second, Redials: 2, Join: withRecovery, Faults: []Fault{
 		{Kind: "crash", At: 8 * time.Second}, {Kind: "slow", At: 15 * time.Second, Duration: 8 * time.Second, Magnitude: 2.5},
@@ -42,12 +43,12 @@
 	}
 	sc.Seed = 4
 	if c, err := Run(sc); err != nil || c.Events == a.Events {
-		t.Error("another seed, the same run", err)
+		t.Error("another seed gave the same run", err)
 	}
 }
 
-// A flood by one member leaves the other two's service nearly as it was, where shares are on; without them all suffer.
-func TestAFloodByOneMember(t *testing.T) {
+// With the shares module, a flood of one tenant hardly affects the service of the other two; without it, it does.
+func TestFloodOfOneTenant(t *testing.T) {
 	run := func(join func(control.Settings, float64, uint64, int64) join.Chain) map[string]float64 {
 		r, err := Run(Scenario{Seed: 2, Controllers: 7, Servers: 3, Load: 0.8, Duration: 60 * time.Second, Redials: 2, Join: join,
 			Flood: &Flood{Tenant: "barrow-estate", At: 20 * time.Second, Duration: 40 * time.Second, Load: 1.5}})
@@ -68,8 +69,9 @@
 	t.Logf("with shares %v, without %v", fair, plain)
 }
 
-// Under a swing of the load the level changes once a swing at most, and service is no worse.
-func TestLevelsUnderASwing(t *testing.T) {
+// While the load alternates, the level of service changes at most once per swing, and service is no worse than without the
+// module.
+func TestLevelsUnderAlternatingLoad(t *testing.T) {
 	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 1, Duration: 60 * time.Second, Redials: 2, RateFactor: func(at time.Duration) float64 {
 		if at/(4*time.Second)%2 == 1 {
 			return 1.3
@@ -89,7 +91,7 @@
 		t.Errorf("%.4f with levels, %.4f without, %v", on.ServedShare, off.ServedShare, err)
 	}
 	if len(changes) == 0 {
-		t.Error("no level ever changed")
+		t.Error("no controller ever changed its level")
 	}
 	for n, k := range changes {
 		if k > 7 {
@@ -98,8 +100,8 @@
 	}
 }
 
-// A calm day serves all; far beyond the servers' capacity it can't.
-func TestLoadTells(t *testing.T) {
+// Nearly all calls are served at 0.6 of plan, and not at 1.8, beyond the servers' capacity.
+func TestServiceDependsOnLoad(t *testing.T) {
 	calm, err := Run(Scenario{Seed: 1, Controllers: 5, Servers: 2, Load: 0.6, Duration: 20 * time.Second, Redials: 2})
 	if err != nil || calm.ServedShare < 0.995 || calm.Any() || calm.CutCalls > 0 {
 		t.Errorf("%+v, %v", calm, err)
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -9,15 +9,15 @@
 	"masthill/internal/peers"
 )
 
-// peerTick is how often an instance's shell has it do what is due: internal/peers' figure.
+// peerTickInterval is the interval of an instance's ticks, as in internal/peers.
 const peerTickInterval = int64(100e6)
 
-// peerCut tells whether what one controller says does not reach another now.
+// peersPartitioned tells whether messages from one controller to another are lost now.
 func (m *model) peersPartitioned(from, to int) bool {
 	return m.PeersPartitioned != nil && m.PeersPartitioned(time.Duration(m.now-start), from, to)
 }
 
-// talk finds the module that talks with the others, and has it tick.
+// startPeerTicks finds the module that exchanges messages with other controllers and has it tick while the process runs.
 func (c *controller) startPeerTicks(chain join.Chain) {
 	c.peers = nil
 	for _, module := range chain {
@@ -40,7 +40,7 @@
 	c.model.scheduleAfter(c.rng.Int64N(peerTickInterval), tick)
 }
 
-// lie tells that every server is dead.
+// falseReports is a message that reports every server as dead.
 func (c *controller) falseReports() *outlier.Message {
 	m := &outlier.Message{From: c.name(), Machine: c.name()}
 	for _, s := range c.model.current {
@@ -49,7 +49,7 @@
 	return m
 }
 
-// say sends messages on their way.
+// sendToPeers sends messages to their receivers, each after a random delay.
 func (c *controller) sendToPeers(outgoing []shared.Outgoing) {
 	if c.index+1 == c.model.FalseReporter {
 		outgoing = append(outgoing, shared.Outgoing{Message: shared.Message{Health: c.falseReports()}})
--- a/lab/model/scenes.go
+++ b/lab/model/scenes.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Scene is a scenario by name, for any size of a fleet.
+// Scene is a named scenario that can be run with a fleet of any size.
 type Scene struct {
 	Name, Description string
 	configure         func(sc *Scenario)
 }
 
 const (
-	// sceneFrom is when what a scene is about begins, sceneLength how long a scene plays.
+	// sceneStart is when the event of a scene begins, sceneDuration how long a scene runs.
 	sceneStart, sceneDuration = 20 * time.Second, 70 * time.Second
-	swingHalfPeriod           = 4 * time.Second // half a swing
+	swingHalfPeriod           = 4 * time.Second // the load changes after each
 )
 
-// jump is a rate that is so many times the usual for a while.
+// rateJump is a rate factor that is raised for a duration from sceneStart on, and 1 otherwise.
 func rateJump(factor float64, d time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= sceneStart && at < sceneStart+d {
@@ -70,10 +70,10 @@
 	}},
 }
 
-// Scenes are all scenes, in their order.
+// Scenes gives a copy of the list of all scenes.
 func Scenes() []Scene { return append([]Scene{}, scenes...) }
 
-// SceneNamed gives the scene of a name.
+// SceneByName finds a scene by its name.
 func SceneByName(name string) (Scene, error) {
 	var names []string
 	for _, s := range scenes {
@@ -83,10 +83,10 @@
 		names = append(names, s.Name)
 	}
 	sort.Strings(names)
-	return Scene{}, fmt.Errorf("no scene %q: there are %v", name, names)
+	return Scene{}, fmt.Errorf("unknown scene %q; known scenes: %v", name, names)
 }
 
-// Scenario is the scene for a fleet of a size, with the brief's figures.
+// Scenario makes the scene's scenario for a fleet of the given size. The load is 0.93 of plan unless the scene sets another.
 func (s Scene) Scenario(seed uint64, controllers, servers int) Scenario {
 	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, Duration: sceneDuration, Redials: 2}
 	s.configure(&sc)
--- a/lab/model/scenes_test.go
+++ b/lab/model/scenes_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Every scene plays by the rules, and does what it says: service before it is whole, and in it is not.
+// No scene breaks a rule. Service is good before the event of each scene begins and, except in the harmless scenes, is worse
+// during it.
 func TestScenes(t *testing.T) {
 	harmless := map[string]bool{"calm": true, "busy": true, "swing": true, "jump-short": true, "jump-small": true, "overload": true, "slow": true, "roll": true}
 	for _, s := range Scenes() {
@@ -20,29 +21,29 @@
 		for k := range 5 {
 			before, in = before+r.ServedBySecond[2+k]/5, in+r.ServedBySecond[20+k]/5
 		}
-		if before < 0.9 { // some of these calls stand long enough to be cut in the scene
-			t.Errorf("%s: %.3f served before it begins", s.Name, before)
+		if before < 0.9 { // some of these calls last long enough to be cut during the event
+			t.Errorf("%s: %.3f served before the event", s.Name, before)
 		}
 		if !harmless[s.Name] && in > 0.99 {
-			t.Errorf("%s: %.3f served in it", s.Name, in)
+			t.Errorf("%s: %.3f served during the event", s.Name, in)
 		}
 		if want := map[string]int{"herd": 6, "roll": 8}[s.Name]; r.Restarts != want {
 			t.Errorf("%s: %d restarts", s.Name, r.Restarts)
 		}
 	}
 	if _, err := SceneByName("none"); err == nil {
-		t.Error("a scene of no name")
+		t.Error("an unknown scene name was accepted")
 	}
 }
 
-// What is on its way to a cut-off server and from it comes when the cut is over: no call is lost with it for good.
-func TestACutHeals(t *testing.T) {
+// Messages to and from a partitioned server are delayed until the partition ends: no call is cut, and service recovers.
+func TestPartitionHeals(t *testing.T) {
 	sc := Scenario{Seed: 2, Controllers: 5, Servers: 2, Load: 0.5, Duration: 40 * time.Second, Redials: 2, Faults: []Fault{{Kind: "cut", At: 10 * time.Second, Duration: 5 * time.Second, Share: 0.5}}}
 	r, err := Run(sc)
 	if err != nil || r.Any() || r.CutCalls > 0 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if r.ServedBySecond[11] > 0.95 || r.ServedBySecond[30] < 0.99 {
-		t.Errorf("%.3f served in the cut, %.3f after", r.ServedBySecond[11], r.ServedBySecond[30])
+		t.Errorf("%.3f served during the partition, %.3f after it", r.ServedBySecond[11], r.ServedBySecond[30])
 	}
 }
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -9,30 +9,31 @@
 	"masthill/lab/processor"
 )
 
-// server is one session server: a modelled processor and the calls that it has.
+// server is one simulated session server: a modelled processor and its calls.
 type server struct {
 	model        *model
 	id           uint64
 	cell         int
-	readyAt      int64 // start, 0: long ago
-	startedInRun bool  // it started during the run
+	readyAt      int64 // when it started; 0: long ago, so it is warm
+	startedInRun bool  // it started, or came back cold, during the run
 	rng          *rand.Rand
 	processor    *processor.Processor
 	calls        map[string]*serverCall
 	draining     bool
 	stopped      bool
-	silentSince  int64 // since when; 0: it is not silent
-	nextWakeAt   int64 // a look at the processor is planned for then
+	silentSince  int64 // when it went silent; 0: it is not silent
+	nextWakeAt   int64 // when the processor is advanced next; 0: not scheduled
 	loadReport   []float64
 	reportedAt   int64
-	coldStart    *coldStartTracker // of its latest start; nil: none yet
+	coldStart    *coldStartTracker // record of its latest start; nil: none yet
 }
 
+// serverCall is a set-up or an established call at a server.
 type serverCall struct {
 	id           string
 	attemptIndex int
 	controller   *controller
-	generation   int // of the controller's process
+	generation   int // of the controller's process that sent it
 	established  bool
 }
 
@@ -44,9 +45,11 @@
 	return s
 }
 
-// name is the server's in the ledger.
+// name is the server's name in the ledger.
 func (s *server) name() string { return fmt.Sprint(s.id) }
 
+// currentReport gives the load report, refreshed every reportInterval: free circuits, all circuits, utilization and queue
+// length.
 func (s *server) currentReport() []float64 {
 	if s.loadReport == nil || s.model.now-s.reportedAt > reportInterval {
 		s.reportedAt = s.model.now
@@ -55,7 +58,7 @@
 	return s.loadReport
 }
 
-// wake plans the next look at the processor.
+// scheduleAdvance schedules the time when the processor's next work is due.
 func (s *server) scheduleAdvance() {
 	due := s.processor.NextDue()
 	if due == 0 || s.nextWakeAt > s.model.now && s.nextWakeAt <= due {
@@ -64,7 +67,7 @@
 	s.nextWakeAt = due
 	s.model.scheduleAt(due, func() {
 		if s.nextWakeAt != due {
-			return // another look came before
+			return // an earlier time was scheduled since
 		}
 		s.nextWakeAt = 0
 		s.handleCompleted(s.processor.Advance(s.model.now))
@@ -72,7 +75,7 @@
 	})
 }
 
-// setup takes an attempt that has reached the server.
+// onInvite handles an attempt that has reached the server.
 func (s *server) onInvite(c *controller, gen int, a exchange.Attempt) {
 	if s.stopped {
 		c.deliver(gen, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused}) })
@@ -107,6 +110,7 @@
 	c.deliver(gen, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, e) })
 }
 
+// onCancel gives up a set-up that is not established yet.
 func (s *server) onCancel(id string) {
 	if a := s.calls[id]; a != nil && !a.established {
 		delete(s.calls, id)
@@ -116,6 +120,7 @@
 	}
 }
 
+// onBye starts the release of a call that the controller ended.
 func (s *server) onBye(id string) {
 	if a := s.calls[id]; a != nil {
 		delete(s.calls, id)
@@ -124,7 +129,8 @@
 	}
 }
 
-// done takes finished work.
+// handleCompleted carries on with work that the processor has completed: a set-up goes on to its answer, an answer
+// establishes the call and is sent, and a release is reported.
 func (s *server) handleCompleted(finished []processor.Completed) {
 	for _, d := range finished {
 		a := s.calls[d.Call]
@@ -150,7 +156,7 @@
 			delete(s.calls, a.id)
 			report := s.currentReport()
 			c := a.controller
-			s.model.scheduleAfter(c.delay(s.cell), func() { // also to the process after a restart: it passes it on
+			s.model.scheduleAfter(c.delay(s.cell), func() { // also to a later process, which passes the release on
 				if c.exchange == nil {
 					s.model.endCall(a.id, false)
 					return
@@ -162,19 +168,20 @@
 	}
 }
 
-// stop ends the server's process: calls are cut.
+// stop ends the server's process and cuts its calls.
 func (s *server) stop() {
 	s.stopped = true
 	s.cutCalls()
 }
 
-// crash ends it and starts it again at once, cold.
+// crash cuts the calls and restarts the process at once, cold.
 func (s *server) crash() {
 	s.cutCalls()
 	s.readyAt, s.startedInRun = s.model.now, true
 	s.processor = processor.New(s.model.params, s.model.now)
 }
 
+// cutCalls ends all calls. Controllers learn of lost connections after the transit time.
 func (s *server) cutCalls() {
 	informed := map[*controller]bool{}
 	for _, id := range sortedKeys(s.calls) {
@@ -190,7 +197,7 @@
 			c := a.controller
 			c.deliver(a.generation, s.cell, func() { c.exchange.ServerLost(s.id) })
 		}
-		if a.established && (a.controller.exchange == nil || a.generation != a.controller.generation) { // nobody knows of it any more but its caller
+		if a.established && (a.controller.exchange == nil || a.generation != a.controller.generation) { // only its caller is left to tell
 			s.model.endCall(id, true)
 		}
 	}
--- a/lab/model/sim.go
+++ b/lab/model/sim.go
@@ -1,6 +1,6 @@
-// Package model plays session controllers, session servers and callers on a simulated clock, at sizes that sockets do not
-// reach. It runs the program's own core and decision modules unchanged; only the network, the processors and the callers
-// are models. The same seed brings the same run, event for event.
+// Package model simulates session controllers, session servers and callers on a simulated clock, at sizes that real sockets
+// do not reach. It runs the program's own core and decision modules unchanged; only the network, the processors and the
+// callers are models. Runs with the same seed are equal, event for event.
 package model
 
 import (
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// event is one thing that will happen.
+// event is a function to run at a simulated time.
 type event struct {
 	at  int64
-	seq uint64 // in order of planning, where the times are equal
+	seq uint64 // orders events of equal time by when they were scheduled
 	run func()
 }
 
+// events is a heap of events, the earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -32,12 +33,12 @@
 	return last
 }
 
-// clock is the simulated time and all that is planned.
+// clock is the simulated time with the queue of scheduled events.
 type clock struct {
 	now       int64 // Unix nanoseconds
 	seq       uint64
 	queue     events
-	processed uint64 // done so far
+	processed uint64 // events run so far
 }
 
 // start is an arbitrary time at which every run begins.
@@ -45,7 +46,7 @@
 
 func (c *clock) time() time.Time { return time.Unix(0, c.now) }
 
-// at plans something; what is planned for the past happens next.
+// scheduleAt schedules a function. One scheduled for the past runs at the present time.
 func (c *clock) scheduleAt(t int64, do func()) {
 	c.seq++
 	heap.Push(&c.queue, event{max(t, c.now), c.seq, do})
@@ -53,7 +54,7 @@
 
 func (c *clock) scheduleAfter(d int64, do func()) { c.scheduleAt(c.now+d, do) }
 
-// run does everything up to a time.
+// run runs all events up to a time, and sets the clock to it.
 func (c *clock) run(until int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= until {
 		e := heap.Pop(&c.queue).(event)
@@ -64,7 +65,8 @@
 	c.now = until
 }
 
-// The streams of random numbers: each party draws from its own, so that a change to one leaves the others' draws alone.
+// Kinds of random streams. Each party draws from a stream of its own, so that a change to one does not affect the draws of
+// the others.
 const (
 	streamSite = iota
 	streamCallers
--- a/lab/model/traffic.go
+++ b/lab/model/traffic.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// shareTraffic draws the controllers' shares of the traffic anew.
+// drawTrafficShares draws new shares of the traffic for the controllers. Without a skew all have equal shares.
 func (m *model) drawTrafficShares() {
 	if m.Skew == 0 {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// drawController draws the controller that a try comes to.
+// drawController draws the controller that receives a try, by the shares of the traffic.
 func (m *model) drawController(rng *rand.Rand) *controller {
 	if m.cumulativeTraffic == nil {
 		return m.controllers[rng.IntN(len(m.controllers))]
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -1,7 +1,8 @@
-// Package processor models the processor of a session server as the operators describe it: one line, in which answers
-// and releases wait behind new set-ups (other orders can be tried); a refusal, which costs work too, once the wait is too long; a cold start, from
-// which it falls over when far more is sent than it can do. It is told the time (nanoseconds) and does no I/O, so that
-// sockets and a simulated clock drive the same code.
+// Package processor models the processor of a session server as the operators describe it. It has one queue, in which
+// answers and releases wait behind new set-ups (other orders can be tried). It refuses set-ups, which costs work too, once
+// the wait is too long. It starts cold, and while cold falls over, that is stops for good, when it is sent far more than it
+// can do. Callers pass in the time (nanoseconds) and the package does no I/O, so that sockets and a simulated clock drive
+// the same code.
 package processor
 
 import (
@@ -11,33 +12,33 @@
 	"time"
 )
 
-// Params are a processor's figures. Works are times on a warm processor.
+// Params are a processor's figures. Amounts of work are nanoseconds on a warm processor.
 type Params struct {
-	SetUp, Answer, Release int64   // work of each step of a call that stands
-	Reject                 int64   // work of turning a set-up away
-	RefusalWait            int64   // the wait beyond which set-ups are turned away
-	ColdFrom               float64 // part of its capacity at the start
-	ColdSpan               int64   // until it is warm; linear in between
-	FallMultiple           float64 // of the present capacity, over FallWindow: a cold one falls over and stays down
+	SetUp, Answer, Release int64   // work of each step of an established call
+	Reject                 int64   // work of refusing a set-up
+	RefusalWait            int64   // expected wait above which set-ups are refused
+	ColdFrom               float64 // share of the full capacity at the start
+	ColdSpan               int64   // time until it is warm; the capacity grows linearly in between
+	FallMultiple           float64 // a cold processor that gets more than this multiple of its present capacity within FallWindow falls over
 	FallWindow             int64
-	QueueOrder             QueueOrder // in which order the work is done; the zero Line is the operators' description
-	DropAnswers            bool       // a call that is given up takes its pending answer with it, not its set-up alone
+	QueueOrder             QueueOrder // the zero value is the order that the operators describe
+	DropAnswers            bool       // dropping a call removes its queued answer, not only its set-up
 }
 
-// Line is the order in which a processor does its work.
+// QueueOrder is the order in which a processor does its work.
 type QueueOrder int
 
-// The orders.
+// The queue orders.
 const (
-	SetUpsFirst  QueueOrder = iota // answers and releases wait behind all set-ups, also later ones
-	FIFO                           // one line for all: answers and releases wait behind the set-ups that came before
+	SetUpsFirst  QueueOrder = iota // answers and releases wait behind all set-ups, including later ones
+	FIFO                           // all work is done in order of arrival
 	AnswersFirst                   // set-ups wait behind answers and releases
 )
 
-// Lines are the names of the orders, as experiments take them.
+// QueueOrders maps the names of the orders, as used on the command line, to their values.
 var QueueOrders = map[string]QueueOrder{"setups-first": SetUpsFirst, "in-turn": FIFO, "answers-first": AnswersFirst}
 
-// Capacity is the calls a second that a warm processor can take from set-up to release.
+// Capacity is the number of calls per second that a warm processor can handle from set-up to release.
 func (p Params) Capacity() float64 { return 1e9 / float64(p.SetUp+p.Answer+p.Release) }
 
 // Step is a kind of work.
@@ -51,45 +52,46 @@
 	reject
 )
 
-// Done is a piece of work that is finished.
+// Completed is a completed piece of work.
 type Completed struct {
 	Step Step
 	Call string
 	At   int64
 }
 
+// job is a queued or current piece of work.
 type job struct {
 	step      Step
 	call      string
 	remaining float64 // work
-	seq       int     // in order of coming
+	seq       int     // order of arrival
 }
 
 // Processor is one processor's state.
 type Processor struct {
 	params        Params
-	started       int64 // 0: long ago
+	started       int64 // 0: long ago, so it is warm
 	slowdown      float64
 	silent        bool
 	fellOver      bool
 	now           int64
 	current       *job
-	setUps        []*job // a FIFO
-	otherWork     []*job // answers, releases and rejects: behind all set-ups
+	setUps        []*job // in order of arrival
+	otherWork     []*job // answers, releases and refusals, in order of arrival
 	arrivals      []int64
-	busyTime      float64 // time busy, fading
-	maxWait       int64   // the longest wait seen by a set-up that came
+	busyTime      float64 // busy time, decaying over utilizationWindow
+	maxWait       int64   // longest wait expected for any set-up when it was offered
 	setUpsOffered int
 	refused       int
 	seq           int
 }
 
-// New makes a processor that started at a time, cold, or long ago (0).
+// New makes a processor that was started cold at a time, or long ago (0) and is warm.
 func New(p Params, started int64) *Processor {
 	return &Processor{params: p, started: started, slowdown: 1}
 }
 
-// Speed is the work that it does in a unit of time at a moment.
+// Speed is the work done per unit of time at now; 1 is a warm processor that is not slowed down.
 func (p *Processor) Speed(now int64) float64 {
 	if p.silent || p.fellOver {
 		return 0
@@ -97,6 +99,7 @@
 	return p.warmth(now) / p.slowdown
 }
 
+// warmth is the share of the full capacity at now.
 func (p *Processor) warmth(now int64) float64 {
 	if p.started <= 0 || now >= p.started+p.params.ColdSpan {
 		return 1
@@ -104,27 +107,27 @@
 	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.started, 0))/float64(p.params.ColdSpan)
 }
 
-// SetSlow makes it so many times slower from now on; 1: as usual.
+// SetSlowdown makes the processor slower by a factor from now on; 1 is normal speed.
 func (p *Processor) SetSlowdown(now int64, times float64) []Completed {
 	done := p.Advance(now)
 	p.slowdown = max(times, 1e-3)
 	return done
 }
 
-// Silence makes it do nothing from now on, or work on where it stopped, cold.
+// SetSilent stops the processor without a sign to anyone, or has it go on cold from where it stopped.
 func (p *Processor) SetSilent(now int64, silent bool) []Completed {
 	done := p.Advance(now)
 	if p.silent && !silent {
-		p.started, p.arrivals = now, nil // what came before has met no cold processor
+		p.started, p.arrivals = now, nil // earlier arrivals did not reach a cold processor
 	}
 	p.silent = silent
 	return done
 }
 
-// Fallen tells whether it has fallen over.
+// FellOver tells whether the processor has fallen over.
 func (p *Processor) FellOver() bool { return p.fellOver }
 
-// backlog is the work in front of a new set-up.
+// backlog is the work that is done before a set-up that arrives now.
 func (p *Processor) backlog() (work float64) {
 	if p.current != nil {
 		work = p.current.remaining
@@ -140,7 +143,7 @@
 	return work
 }
 
-// Wait is how long a new set-up would wait now. A processor that stands still has no end of it.
+// ExpectedWait is how long a set-up that arrives now would wait. It is math.MaxInt64 for a processor that has stopped.
 func (p *Processor) ExpectedWait(now int64) int64 {
 	speed := p.Speed(now)
 	if speed <= 0 {
@@ -149,27 +152,28 @@
 	return int64(p.backlog() / speed)
 }
 
-// WorstWait is the longest wait that a set-up found when it came.
+// MaxWait is the longest wait expected for any set-up when it was offered.
 func (p *Processor) MaxWait() int64 { return p.maxWait }
 
-// Counts tells the set-ups that came and those turned away.
+// Counts gives the number of set-ups offered, and of those refused.
 func (p *Processor) Counts() (offered, refused int) { return p.setUpsOffered, p.refused }
 
-// Queue is the number of set-ups that wait.
+// QueueLength is the number of set-ups that wait.
 func (p *Processor) QueueLength() int { return len(p.setUps) }
 
-// Util is the part of the last second or so that it was busy.
+// Utilization is the share of about the last second that the processor was busy.
 func (p *Processor) Utilization() float64 { return min(p.busyTime/utilizationWindow, 1) }
 
+// utilizationWindow is the time constant of the decaying busy time.
 const utilizationWindow = 1e9
 
-// Offer brings a set-up. Where it is turned away, wait is how long the caller is told to stay away.
+// Offer adds a set-up. Where it is refused, wait is how long the caller is told to wait.
 func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Completed) {
 	done = p.Advance(now)
 	p.setUpsOffered++
 	p.recordArrival(now)
 	if p.silent || p.fellOver {
-		return true, 0, done // it says nothing, ever
+		return true, 0, done // it never answers
 	}
 	wait = p.ExpectedWait(now)
 	p.maxWait = max(p.maxWait, wait)
@@ -182,14 +186,14 @@
 	return true, 0, done
 }
 
-// wait puts work at the end of a line.
+// enqueue appends work to a queue, and starts it if the processor is idle.
 func (p *Processor) enqueue(queue *[]*job, s Step, call string, work int64) {
 	p.seq++
 	*queue = append(*queue, &job{s, call, float64(work), p.seq})
 	p.startNext()
 }
 
-// fall notes a set-up that came, and lets a cold processor fall over that gets too many.
+// recordArrival counts a set-up, and has a cold processor fall over that gets too many.
 func (p *Processor) recordArrival(now int64) {
 	p.arrivals = append(p.arrivals, now)
 	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.FallWindow {
@@ -200,13 +204,13 @@
 		return
 	}
 	budget := p.params.FallMultiple * w * p.params.Capacity() * float64(p.params.FallWindow) / 1e9
-	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // a little slack for chance
+	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // allows for random variation
 		p.fellOver = true
 		p.current, p.setUps, p.otherWork = nil, nil, nil
 	}
 }
 
-// Add brings work that belongs to a call that stands.
+// Add adds the answer or the release of a call.
 func (p *Processor) Add(now int64, s Step, call string) []Completed {
 	done := p.Advance(now)
 	work := p.params.Answer
@@ -219,7 +223,7 @@
 	return done
 }
 
-// Drop takes a set-up that was given up out of the line.
+// Drop removes the queued set-up of a call that was given up, with DropAnswers also its answer.
 func (p *Processor) Drop(now int64, call string) []Completed {
 	done := p.Advance(now)
 	remove := func(queue []*job, s Step) []*job {
@@ -232,7 +236,7 @@
 	return done
 }
 
-// next begins a piece of work where none is under way.
+// startNext starts the next piece of work if none is in progress.
 func (p *Processor) startNext() {
 	if p.current != nil {
 		return
@@ -248,10 +252,10 @@
 	}
 }
 
-// step bounds how long the speed is taken as constant while it warms up.
+// maxStep bounds how long the speed is taken as constant while the processor warms up.
 const maxStep = int64(50e6)
 
-// Advance works up to a time and gives what was finished, in order.
+// Advance simulates the work up to now and gives what was completed, in order.
 func (p *Processor) Advance(now int64) (done []Completed) {
 	if p.now == 0 {
 		p.now = now
@@ -278,6 +282,7 @@
 	return done
 }
 
+// elapse advances the clock by d and updates the utilization.
 func (p *Processor) elapse(d int64, busy bool) {
 	p.now += d
 	p.busyTime *= math.Exp(-float64(d) / utilizationWindow)
@@ -286,7 +291,8 @@
 	}
 }
 
-// Due is when the next piece of work will be finished, if nothing else comes; 0: there is none.
+// NextDue is when the processor should be advanced next: when the current work completes, or after maxStep if that is
+// sooner. 0: no work is in progress.
 func (p *Processor) NextDue() int64 {
 	speed := p.Speed(p.now)
 	if p.current == nil || speed <= 0 {
@@ -295,11 +301,11 @@
 	return p.now + max(min(int64(math.Ceil(p.current.remaining/speed)), maxStep), 1)
 }
 
-// Draw draws a processor's figures as the brief gives their ranges, for one of so many that are planned for so many calls a
-// second together.
+// DrawParams draws the figures of a processor from the ranges that the platform specifies, for one of a number of servers
+// that together are planned for so many calls per second.
 func DrawParams(planned float64, servers int, rng *rand.Rand) Params {
 	utilization := 0.72 + rng.Float64()*0.15
-	work := utilization * float64(servers) / planned * 1e9 // of a whole call, so that the planned load uses so much
+	work := utilization * float64(servers) / planned * 1e9 // of a whole call, so that the planned load takes this utilization
 	followShare := 0.25 + rng.Float64()*0.25
 	setup := work / (1 + followShare)
 	refusalWait := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
--- a/lab/processor/processor_test.go
+++ b/lab/processor/processor_test.go
@@ -13,7 +13,8 @@
 		FallMultiple: 2, FallWindow: 1000 * ms}
 }
 
-// play offers set-ups at a rate and finishes each call's answer; it gives the calls that stood and were turned away.
+// play offers set-ups at a rate and has each call answered and released. It gives the number of calls that were established
+// and that were refused.
 func play(p *Processor, from, to int64, rate float64) (established, refused int) {
 	process := func(completed []Completed) {
 		for len(completed) > 0 {
@@ -43,33 +44,35 @@
 	return established, refused
 }
 
-func TestCapacityRefusalAndWork(t *testing.T) {
+// Below its capacity a processor refuses nothing; far beyond it, it refuses, and the wait stays near the refusal point.
+func TestCapacityAndRefusal(t *testing.T) {
 	if c := params().Capacity(); math.Abs(c-33.3) > 0.1 {
 		t.Fatal(c)
 	}
 	p := New(params(), 0)
 	if established, refused := play(p, 1, 20_000*ms, 30); refused > 0 || established < 590 {
-		t.Errorf("under its capacity: %d stood, %d refused", established, refused)
+		t.Errorf("below its capacity: %d established, %d refused", established, refused)
 	}
 	p = New(params(), 0)
 	if _, refused := play(p, 1, 20_000*ms, 60); refused == 0 || p.MaxWait() < 200*ms || p.MaxWait() > 250*ms {
-		t.Errorf("far beyond it: %d refused, worst wait %d ms", refused, p.MaxWait()/ms)
+		t.Errorf("far beyond its capacity: %d refused, longest wait %d ms", refused, p.MaxWait()/ms)
 	}
 	if p.Utilization() < 0.95 {
 		t.Error(p.Utilization())
 	}
 }
 
-// Answers wait behind new set-ups: under a flood of set-ups hardly anything stands.
+// Answers wait behind new set-ups, so that under a flood of set-ups hardly any call is established.
 func TestAnswersWaitBehindSetUps(t *testing.T) {
 	p := New(params(), 0)
 	established, _ := play(p, 1, 10_000*ms, 100)
 	if established > 60 { // 333 without the flood
-		t.Errorf("%d stood", established)
+		t.Errorf("%d calls established", established)
 	}
 }
 
-func TestColdWarmAndFall(t *testing.T) {
+// A cold processor warms up linearly, and falls over under five times its present capacity; a warm one never does.
+func TestWarmUpAndFallingOver(t *testing.T) {
 	now := 1000 * ms
 	p := New(params(), now)
 	if p.Speed(now) != 0.25 || math.Abs(p.Speed(now+5000*ms)-0.625) > 1e-9 || p.Speed(now+10_000*ms) != 1 {
@@ -80,15 +83,17 @@
 	}
 	p = New(params(), now)
 	if play(p, now, now+3000*ms, 40); !p.FellOver() || p.Speed(now+9000*ms) != 0 {
-		t.Error("stands at five times its present capacity")
+		t.Error("did not fall over at five times its present capacity")
 	}
 	p = New(params(), 0)
 	if play(p, now, now+3000*ms, 200); p.FellOver() {
-		t.Error("a warm one fell over")
+		t.Error("a warm processor fell over")
 	}
 }
 
-func TestSlowSilentAndDropped(t *testing.T) {
+// A slow processor takes longer, a dropped set-up no longer counts in the wait, and a silent one goes on later where it
+// stopped, cold.
+func TestSlowdownDropAndSilence(t *testing.T) {
 	p := New(params(), 0)
 	p.SetSlowdown(1, 2)
 	p.Offer(1, "a")
@@ -105,19 +110,19 @@
 	}
 	p.SetSilent(10*ms, true)
 	if done := p.Advance(1000 * ms); len(done) > 0 || p.NextDue() != 0 || p.ExpectedWait(1000*ms) != math.MaxInt64 {
-		t.Error("a silent processor works", done)
+		t.Error("a silent processor did work", done)
 	}
 	p.SetSilent(1000*ms, false)
 	if p.Speed(1000*ms) != 0.25/2 {
-		t.Error("it comes back warm", p.Speed(1000*ms))
+		t.Error("it came back warm", p.Speed(1000*ms))
 	}
 	if done := p.Advance(2000 * ms); len(done) != 1 || done[0].Call != "a" {
-		t.Error("what it was at is lost", done)
+		t.Error("its current work was lost", done)
 	}
 }
 
-// However finely the clock is moved, the same work is finished at the same time.
-func TestStepsDoNotMatter(t *testing.T) {
+// The time at which work completes does not depend on how often the processor is advanced.
+func TestStepSizeDoesNotMatter(t *testing.T) {
 	coarse, fine := New(params(), 1000*ms), New(params(), 1000*ms)
 	coarse.Offer(1000*ms, "a")
 	fine.Offer(1000*ms, "a")
@@ -131,8 +136,9 @@
 	}
 }
 
-// The orders of work: an answer waits behind set-ups that come later, behind those before it, or behind none.
-func TestLines(t *testing.T) {
+// By the queue order, an answer waits behind all set-ups, behind those that arrived before it, or behind the current work
+// only.
+func TestQueueOrders(t *testing.T) {
 	for name, want := range map[string]int{"setups-first": 3, "in-turn": 2, "answers-first": 1} {
 		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFrom: 1, FallMultiple: 2, FallWindow: 1e9, QueueOrder: QueueOrders[name]}, 0)
 		p.Offer(1, "a")
@@ -146,12 +152,12 @@
 			}
 		}
 		if at != want {
-			t.Errorf("%s: the answer is number %d, want %d", name, at, want)
+			t.Errorf("%s: the answer completed at index %d, want %d", name, at, want)
 		}
 	}
 }
 
-// A call that is given up takes its set-up along, and its answer only where that is asked for.
+// Dropping a call removes its queued set-up, and its queued answer only with DropAnswers.
 func TestDropAnswers(t *testing.T) {
 	for _, drop := range []bool{false, true} {
 		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFrom: 1, FallMultiple: 2, FallWindow: 1e9, DropAnswers: drop}, 0)
@@ -166,8 +172,8 @@
 	}
 }
 
-// What came to a processor while it was silent has met no cold one.
-func TestASilentOneStartsClean(t *testing.T) {
+// Set-ups that arrived while a processor was silent do not count against it once it is back cold.
+func TestArrivalsDuringSilenceDoNotCount(t *testing.T) {
 	p := New(Params{SetUp: 1e7, Answer: 1e6, Release: 1e6, RefusalWait: 1e10, ColdFrom: 0.3, ColdSpan: 15e9, FallMultiple: 2, FallWindow: 1e9}, 0)
 	p.SetSilent(1e9, true)
 	for k := range 200 {
@@ -175,6 +181,6 @@
 	}
 	p.SetSilent(18e8, false)
 	if p.Offer(18e8+1e6, "y"); p.FellOver() {
-		t.Error("it fell over with what came before its start")
+		t.Error("it fell over from arrivals before its start")
 	}
 }
