--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -45,7 +45,7 @@
 type callRecord struct {
 	offeredAt     time.Time
 	answers       int
-	abandoned     bool   // its caller gave it up, or its instance was killed: no answer is due any more
+	abandoned     bool   // its caller gave it up, or its instance was killed or frozen: no answer is due any more
 	outstandingAt string // server that has its attempt; empty: none
 	attempts      int
 	nextAttemptAt time.Time // when the release wait is over
@@ -85,7 +85,7 @@
 	}
 }
 
-// Abandoned records that a caller gave up its call, or that the instance that had it was killed or stopped.
+// Abandoned records that a caller gave up its call, or that the instance that had it was killed or frozen.
 func (l *Ledger) Abandoned(call string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -16,32 +16,32 @@
 	"masthill/lab/check"
 )
 
-// Demand is what callers want and how they behave.
+// Demand describes the calls that callers make and how callers behave.
 type Demand struct {
-	Rate       float64                                // first tries a second
-	RateFactor func(since time.Duration) float64      // times Rate; nil: 1
-	Class      string                                 // of every call
-	Tenants    map[string]float64                     // share of each
-	Aim        time.Duration                          // wanted to stand within, from the first try
-	Deadline   time.Duration                          // given up after
-	Patience   [2]float64                             // of a try, parts of the deadline
-	Redials    int                                    // at most, beside the first try
-	RedialGap  [2]time.Duration                       // wait before a redial, where the refusal tells none
-	LateValue  float64                                // worth of a call that stands after its aim
-	Cells      int                                    // of first choice, drawn evenly
-	ObeyedWait func(told time.Duration) time.Duration // how long a told wait is kept; nil: as long as told
+	Rate       float64                                // calls per second, redials not counted
+	RateFactor func(since time.Duration) float64      // multiplies Rate; nil: 1
+	Class      string                                 // class of every call
+	Tenants    map[string]float64                     // share of the calls of each tenant
+	Aim        time.Duration                          // target delay until a call is established, from its first try
+	Deadline   time.Duration                          // the caller gives up after this time from its first try
+	Patience   [2]float64                             // range of the patience for one try, as shares of Deadline
+	Redials    int                                    // greatest number of tries after the first
+	RedialGap  [2]time.Duration                       // range of the wait before a redial, if the refusal tells no longer one
+	LateValue  float64                                // value of a call that is established after Aim
+	Cells      int                                    // number of cells among which the destination is drawn evenly
+	ObeyedWait func(told time.Duration) time.Duration // how long a caller waits when told to wait; nil: as long as told
 }
 
-// Outcome is what became of one caller's call, with all its tries.
+// Outcome is the result of one caller's call, with all its tries.
 type Outcome struct {
-	At               time.Duration `json:"at"` // since the start
+	At               time.Duration `json:"at"` // time of the first try since the start
 	Worth            float64       `json:"worth"`
 	Tries            int           `json:"tries"`
-	EstablishedAfter time.Duration `json:"after"` // until it stood; 0: it never did
+	EstablishedAfter time.Duration `json:"after"` // from the first try; 0: it was never established
 	Cut              bool          `json:"cut"`
 }
 
-// Crowd is all callers, behind a front that spreads their calls over the instances in its rotation.
+// CallerPool is all callers, with the front that spreads their calls over the instances in its rotation.
 type CallerPool struct {
 	Demand
 	Ledger *check.Ledger
@@ -50,39 +50,40 @@
 	mu        sync.Mutex
 	rng       *rand.Rand
 	links     map[string]*instanceLink
-	pending   map[string]pendingTry // by call id
-	openCalls map[string]*Outcome
+	pending   map[string]pendingTry // by call ID
+	openCalls map[string]*Outcome   // by call ID
 	results   []*Outcome
 	lastID    uint64
 	readers   sync.WaitGroup
 }
 
-// gate is the way to one instance.
+// instanceLink is the front's connection to one instance.
 type instanceLink struct {
 	name         string
 	conn         *conn
-	inRotation   bool // in the rotation
+	inRotation   bool // the front sends it new calls
 	disconnected bool // its connection has ended
 }
 
+// reply is an answer to a try. A status of 0 means that there was none.
 type reply struct {
 	status     int
 	retryAfter time.Duration
 }
 
-// wait is a try that waits for its answer, and where it went.
+// pendingTry is a try that waits for its answer.
 type pendingTry struct {
 	answer chan reply
 	link   *instanceLink
 }
 
-// NewCrowd makes the callers.
+// NewCallerPool makes a pool with no instances in its rotation.
 func NewCallerPool(d Demand, l *check.Ledger, seed uint64) *CallerPool {
 	return &CallerPool{Demand: d, Ledger: l, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), links: map[string]*instanceLink{},
 		pending: map[string]pendingTry{}, openCalls: map[string]*Outcome{}}
 }
 
-// Enter takes an instance into the rotation, once it passes the test; ctx bounds the wait for that.
+// AddInstance connects to an instance and adds it to the rotation if it answers OPTIONS with 200.
 func (c *CallerPool) AddInstance(ctx context.Context, name, addr string) error {
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -93,7 +94,7 @@
 	r := sip.NewReader(raw)
 	if m, err := r.Next(); err != nil || m.Status != 200 {
 		raw.Close()
-		return fmt.Errorf("%s fails its test: %v", name, err)
+		return fmt.Errorf("%s does not answer OPTIONS with 200: %v", name, err)
 	}
 	link := &instanceLink{name: name, conn: connection, inRotation: true}
 	c.mu.Lock()
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// In tells whether an instance is in the rotation.
+// HasInstance tells whether an instance is in the rotation.
 func (c *CallerPool) HasInstance(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +112,7 @@
 	return link != nil && link.inRotation
 }
 
-// Leave takes an instance out of the rotation. What it has taken goes on.
+// RemoveInstance takes an instance out of the rotation. Calls that it has accepted go on.
 func (c *CallerPool) RemoveInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 }
 
-// Killed tells that an instance's process was killed: nothing is owed for what it had.
+// InstanceKilled records that an instance's process was killed: no answers are due to the calls that it had.
 func (c *CallerPool) InstanceKilled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +138,8 @@
 	}
 }
 
-// Frozen tells that an instance's process stands still: the front sends it nothing, and nothing is owed by it until Thawed.
+// InstanceFrozen records that an instance's process is stopped: the front sends it no new calls, and no answers are due to
+// the calls that it has.
 func (c *CallerPool) InstanceFrozen(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +153,7 @@
 	}
 }
 
-// Thawed takes it into the rotation again, over the connection that it has.
+// InstanceResumed adds an instance that was frozen to the rotation again, over its existing connection.
 func (c *CallerPool) InstanceResumed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// read takes what one instance says.
+// readLink handles the messages of one instance until its connection ends.
 func (c *CallerPool) readLink(link *instanceLink, r *sip.Reader) {
 	defer link.conn.Close()
 	for {
@@ -192,6 +194,7 @@
 	c.mu.Unlock()
 }
 
+// deliver passes an answer to the try that waits for it, if it still does.
 func (c *CallerPool) deliver(id string, r reply) {
 	c.mu.Lock()
 	w := c.pending[id]
@@ -202,7 +205,7 @@
 	}
 }
 
-// Run offers calls for so long, then waits until the last caller has its answer or has given up.
+// Run offers calls for a duration, then waits until the last caller has its answer or has given up.
 func (c *CallerPool) Run(ctx context.Context, duration time.Duration) error {
 	startedAt := time.Now()
 	g, ctx := errgroup.WithContext(ctx)
@@ -228,7 +231,7 @@
 	return g.Wait()
 }
 
-// Close ends all connections.
+// Close closes all connections and waits until their readers have ended.
 func (c *CallerPool) Close() {
 	c.mu.Lock()
 	for _, link := range c.links {
@@ -238,7 +241,7 @@
 	c.readers.Wait()
 }
 
-// Results are the outcomes of all callers, by the time of their first try.
+// Results gives the outcomes of all callers, by the time of their first try. Calls that were cut are worth nothing.
 func (c *CallerPool) Results() (all []Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,9 +256,10 @@
 	return all
 }
 
+// uniform draws a number evenly between lo and hi.
 func uniform(rng *rand.Rand, lo, hi float64) float64 { return lo + rng.Float64()*(hi-lo) }
 
-// tenant draws one by the shares, in a fixed order.
+// drawTenant draws a tenant by the shares. The names are sorted, so that a seed always gives the same tenants.
 func (c *CallerPool) drawTenant(rng *rand.Rand) string {
 	names := make([]string, 0, len(c.Tenants))
 	for name := range c.Tenants {
@@ -274,7 +278,7 @@
 	return names[len(names)-1]
 }
 
-// caller makes one call, and dials again as it likes to.
+// runCaller makes one call, and redials until it is established or the caller gives up.
 func (c *CallerPool) runCaller(ctx context.Context, startedAt time.Time, rng *rand.Rand) {
 	firstTryAt := time.Now()
 	o := &Outcome{At: firstTryAt.Sub(startedAt)}
@@ -316,7 +320,7 @@
 	}
 }
 
-// try sends one set-up to an instance in the rotation and waits for its answer.
+// sendTry sends one set-up to an instance in the rotation and waits for its answer.
 func (c *CallerPool) sendTry(ctx context.Context, o *Outcome, tenant, number string, dest int, isRedial bool, patience time.Duration, rng *rand.Rand) reply {
 	c.mu.Lock()
 	names := make([]string, 0, len(c.links))
@@ -362,10 +366,10 @@
 		delete(c.pending, id)
 		disconnected := link.disconnected
 		c.mu.Unlock()
-		if disconnected { // lost with its connection, unless its instance was killed
+		if disconnected { // a violation, unless the instance was killed
 			c.Ledger.TimedOut(id, "the connection to "+link.name+" ended")
 		} else {
-			c.Ledger.TimedOut(id, "none from "+link.name+" in time")
+			c.Ledger.TimedOut(id, "no answer from "+link.name+" in time")
 			link.conn.write([]byte("CANCEL sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"))
 		}
 	case <-ctx.Done():
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Entry is one server on the list.
+// Entry is one server in the list of servers.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -24,28 +24,31 @@
 	Started int64   `json:"started_ms"`
 }
 
+// serverList is the body of an event: the full list, or the changed entries.
 type serverList struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
+// event is one numbered event of the journal.
 type event struct {
 	Pos   int64      `json:"pos"`
 	Hosts serverList `json:"hosts"`
 }
 
-// List is the service that tells one instance the list of servers. Changes are told late.
+// ListService is the service that sends one instance the list of servers. Changes are announced with a delay.
 type ListService struct {
 	mu          sync.Mutex
 	events      []event
-	due         []time.Time // when each event is told
-	changed     chan struct{}
+	due         []time.Time   // when each event is announced
+	changed     chan struct{} // closed, and replaced, when an event is added
 	listener    net.Listener
 	onAnnounced func(e Entry, at time.Time)
 }
 
-// NewList makes the service with the list of the start. onTold, if any, hears of each entry as it becomes known.
+// NewListService makes the service with the initial list. onAnnounced, if not nil, is called for each change as it is added,
+// with the time when it will be announced.
 func NewListService(initial []Entry, onAnnounced func(e Entry, at time.Time)) (*ListService, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,12 +63,12 @@
 // Addr is the service's address.
 func (s *ListService) Addr() string { return s.listener.Addr().String() }
 
-// Change tells a changed entry after a delay.
+// AnnounceChange announces a changed entry after a delay, but not before earlier changes.
 func (s *ListService) AnnounceChange(e Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := time.Now().Add(delay)
-	if last := s.due[len(s.due)-1]; due.Before(last) { // in order, as they are numbered
+	if last := s.due[len(s.due)-1]; due.Before(last) { // events are announced in the order of their numbers
 		due = last
 	}
 	n := int64(len(s.events) + 1)
@@ -78,7 +81,7 @@
 	}
 }
 
-// Known is the list as told up to now, in the form of the configuration. The numbers go on from there.
+// KnownList gives the events announced so far, in the form that the platform's configuration has them.
 func (s *ListService) KnownList() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,6 +112,8 @@
 	return g.Wait()
 }
 
+// serveJournal sends the events after Last-Event-ID as server-sent events, each when it is due, and a comment every second
+// to keep the connection alive.
 func (s *ListService) serveJournal(w http.ResponseWriter, r *http.Request) {
 	pos, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	response := http.NewResponseController(w)
@@ -146,7 +151,7 @@
 	}
 }
 
-// EntryOf is a server's entry in an instance's list.
+// NewEntry makes a server's entry for an instance's list.
 func NewEntry(s *Server, instance, state string, started time.Time) Entry {
 	e := Entry{ID: s.ID, Addr: s.Addr(instance), Cell: s.Cell, State: state, Weight: 1}
 	if !started.IsZero() {
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin has the parties that an instance talks to, on loopback sockets: session servers with a modelled
-// processor, the service that tells the list of servers, and callers with patience, aims and redials. They speak the
-// platform's published protocol and are the project's own.
+// Package standin has stand-ins for the parties that an instance talks to, on loopback sockets: session servers with a
+// modelled processor, the service that announces the list of servers, and callers with limited patience and redials. They
+// speak the platform's published protocol.
 package standin
 
 import (
@@ -20,20 +20,20 @@
 )
 
 const (
-	// writeFor bounds one write of a stand-in: an instance that does not read must not hold up the others.
+	// writeTimeout bounds one write, so that an instance that does not read cannot block the others.
 	writeTimeout = time.Second
-	// reportEvery is how often a report's figures are refreshed.
+	// reportInterval is how often the figures of a load report are refreshed.
 	reportInterval = 300 * time.Millisecond
-	// circuits is what a server has room for: far more than are usual.
+	// circuitsPerServer is how many calls a server reports room for, far more than it usually has.
 	circuitsPerServer = 1000
 )
 
-// Server is one session server. It listens once for each instance, as its connections are told apart by that.
+// Server is one session server. It has one listener per instance, to know which instance a connection belongs to.
 type Server struct {
 	ID             string
 	Cell           int
 	Ledger         *check.Ledger
-	MeanCallLength time.Duration // mean of a call's length
+	MeanCallLength time.Duration // mean length of a call
 
 	params     processor.Params
 	mu         sync.Mutex
@@ -50,11 +50,13 @@
 	reportedAt time.Time
 }
 
+// conn is a connection with serialized, bounded writes.
 type conn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
+// write sends a message, and closes the connection if that fails.
 func (c *conn) write(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +66,7 @@
 	}
 }
 
-// call is a set-up in the line, or a call that stands.
+// call is a set-up in progress, or an established call. hungUp is set once the server has ended the call.
 type call struct {
 	id, instance        string
 	conn                *conn
@@ -73,8 +75,8 @@
 	timer               *time.Timer
 }
 
-// NewServer makes a server that listens for each of the instances. started is its processor's start, for a cold one;
-// the zero time: long ago.
+// NewServer makes a server that listens for each of the instances. started is when its processor started cold; the zero
+// time means long ago, so that it is warm.
 func NewServer(id string, cell int, p processor.Params, started time.Time, meanCallLength time.Duration, instances []string, seed uint64, l *check.Ledger) (*Server, error) {
 	at := int64(0)
 	if !started.IsZero() {
@@ -94,10 +96,10 @@
 	return s, nil
 }
 
-// Addr is where an instance reaches the server.
+// Addr is the address at which an instance reaches the server.
 func (s *Server) Addr(instance string) string { return s.addrs[instance] }
 
-// Close lets go of the listeners of a server that was never run.
+// Close closes the listeners of a server that was never run.
 func (s *Server) Close() {
 	for _, l := range s.listeners {
 		l.Close()
@@ -134,7 +136,7 @@
 	return g.Wait()
 }
 
-// Stop ends the server's process: connections are reset and calls cut.
+// Stop acts as if the server's process ended: connections are reset and calls are cut.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +160,8 @@
 	s.calls = map[string]*call{}
 }
 
-// Crash ends the server's process and starts it again at once, cold and at the same addresses: connections are reset
-// and calls cut, and nothing but that tells of it until the list does. It gives the time of the new start.
+// Crash acts as if the server's process ended and started again at once, cold and at the same addresses: connections are
+// reset and calls are cut. Instances see nothing else of it until the list announces the start, whose time is returned.
 func (s *Server) Crash() (started time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,14 +188,14 @@
 	return started
 }
 
-// Drain tells a server that it takes nothing new; what stands goes on.
+// Drain has the server refuse new calls from now on. Established calls go on.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Slow makes the processor so many times slower; Silence has it say nothing.
+// SetSlowdown makes the processor slower by a factor; 1 is normal speed.
 func (s *Server) SetSlowdown(times float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +203,7 @@
 	s.wakeWorker()
 }
 
-// Silence has the processor stop, or come back cold.
+// SetSilent stops the processor, or has it come back cold.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +211,8 @@
 	s.wakeWorker()
 }
 
-// Look gives the processor's figures: the longest wait that a set-up found, whether it fell over, and what came.
+// Stats gives the longest wait expected for any set-up, whether the processor fell over, and the number of set-ups offered
+// and refused.
 func (s *Server) Stats() (maxWait time.Duration, fellOver bool, offered, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,13 +220,14 @@
 	return time.Duration(s.processor.MaxWait()), s.processor.FellOver(), offered, refused
 }
 
-// Wait is what a new set-up would wait now.
+// ExpectedWait is how long a new set-up would wait now.
 func (s *Server) ExpectedWait() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.processor.ExpectedWait(time.Now().UnixNano()))
 }
 
+// wakeWorker has runProcessor compute anew when the next work is due.
 func (s *Server) wakeWorker() {
 	select {
 	case s.wake <- struct{}{}:
@@ -231,7 +235,7 @@
 	}
 }
 
-// work finishes what the processor has done, when it is due.
+// runProcessor advances the processor whenever work is due.
 func (s *Server) runProcessor(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -254,7 +258,7 @@
 	}
 }
 
-// state is the report that answers carry, refreshed now and then.
+// currentReport gives the load report that messages carry, refreshed every reportInterval.
 func (s *Server) currentReport() string {
 	if time.Since(s.reportedAt) > reportInterval {
 		s.reportedAt = time.Now()
@@ -263,7 +267,8 @@
 	return s.loadReport
 }
 
-// done takes finished work: a set-up goes on to its answer, an answer is written, a release is told.
+// handleCompleted carries on with work that the processor has completed: a set-up goes on to its answer, an answer is sent,
+// a release is reported to the instance.
 func (s *Server) handleCompleted(finished []processor.Completed) {
 	for _, d := range finished {
 		c := s.calls[d.Call]
@@ -289,7 +294,7 @@
 	}
 }
 
-// hangUp ends a call from the server's side.
+// hangUp starts the release of a call from the server's side.
 func (s *Server) hangUp(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -301,7 +306,7 @@
 	s.wakeWorker()
 }
 
-// tellRelease writes a release on the connection of its set-up, or on any open one of that instance.
+// sendRelease sends a release on the connection of the call's set-up, or else on the newest one of that instance.
 func (s *Server) sendRelease(c *call) {
 	b := sip.AppendRequest(nil, "BYE", c.id)
 	b = sip.AppendHeader(b, "Call-ID", c.id)
@@ -320,6 +325,7 @@
 	}
 }
 
+// serveConn handles a connection of an instance until it ends. Set-ups that are open on it then are given up.
 func (s *Server) serveConn(c *conn, instance string) {
 	defer c.Close()
 	s.mu.Lock()
@@ -351,19 +357,21 @@
 			s.conns[instance] = append(open[:k:k], open[k+1:]...)
 		}
 	}
-	for _, o := range s.calls { // set-ups open on a connection that closes are given up
+	for _, o := range s.calls {
 		if o.conn == c && !o.established {
 			s.abandon(o)
 		}
 	}
 }
 
+// abandon gives up a set-up.
 func (s *Server) abandon(c *call) {
 	delete(s.calls, c.id)
 	s.Ledger.AttemptEnded(c.id, s.ID, true, time.Now())
 	s.handleCompleted(s.processor.Drop(time.Now().UnixNano(), c.id))
 }
 
+// handleMessage handles one message of an instance.
 func (s *Server) handleMessage(c *conn, instance string, m *sip.Message) {
 	id := string(m.Get("Call-ID"))
 	now := time.Now()
