--- a/lab/host/host.go
+++ b/lab/host/host.go
@@ -1,4 +1,4 @@
-// Package host runs real processes of the program, each in a folder of its own, as the platform would.
+// Package host runs real processes of the program as the platform would, each instance in a folder of its own.
 package host
 
 import (
@@ -16,23 +16,24 @@
 	"time"
 )
 
-// Instance is one instance of the program under test, in a folder of its own: one process after another.
+// Instance is one instance of the program under test. It runs one process at a time, and may be restarted.
 type Instance struct {
 	Name, Dir, Program string
-	Settings           string         // the operators' file
-	Config             map[string]any // the platform's file, but for its list
-	Env                []string       // beside what it needs
+	Settings           string         // text of the operators' settings file
+	Config             map[string]any // the platform's configuration, without the list of servers
+	Env                []string       // additional environment variables
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd
-	cpu         time.Duration // of the processes that have ended
+	cpu         time.Duration // processor time of the processes that have ended
 	log         bytes.Buffer
-	partialLine []byte
-	ready       chan string // its address
-	ended       chan struct{}
+	partialLine []byte        // start of a log line whose end has not been written yet
+	ready       chan string   // receives the address where the process listens
+	ended       chan struct{} // closed when the current process has ended
 }
 
-// Start writes the configuration with the list as known now, starts the program and waits until it serves.
+// Start writes the configuration with the known list of servers, starts the program, waits until it serves, and returns the
+// address where it listens.
 func (i *Instance) Start(ctx context.Context, known json.RawMessage) (addr string, err error) {
 	i.Config["known"] = known
 	text, err := json.Marshal(i.Config)
@@ -50,13 +51,13 @@
 	cmd.Stderr = i
 	ready, ended := make(chan string, 1), make(chan struct{})
 	i.mu.Lock()
-	i.ready = ready // its log comes with the start
+	i.ready = ready // set before the start, as the log can arrive at once
 	i.mu.Unlock()
 	if err := cmd.Start(); err != nil {
 		return "", fmt.Errorf("%s does not start: %w", i.Name, err)
 	}
 	i.mu.Lock()
-	i.cmd, i.ended = cmd, ended // only a process that is there can be stopped
+	i.cmd, i.ended = cmd, ended // set after the start, so that Stop and Signal only see a process that exists
 	i.mu.Unlock()
 	go func() {
 		cmd.Wait()
@@ -71,13 +72,13 @@
 	case <-ended:
 		return "", fmt.Errorf("%s ended at its start: %s", i.Name, i.LogTail())
 	case <-time.After(10 * time.Second):
-		return "", fmt.Errorf("%s does not serve", i.Name)
+		return "", fmt.Errorf("%s does not serve after 10 s", i.Name)
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 }
 
-// Signal sends the process a signal; without one it does nothing.
+// Signal sends a signal to the process, if one was started.
 func (i *Instance) Signal(s syscall.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// PID is that of the process that was started last; 0: none was.
+// PID is the ID of the process that was started last; 0: none was.
 func (i *Instance) PID() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -96,24 +97,24 @@
 	return i.cmd.Process.Pid
 }
 
-// CPU is the processor time of the processes that have ended.
+// CPU is the total processor time of the processes that have ended.
 func (i *Instance) CPU() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.cpu
 }
 
-// Log is what the processes have logged, as far as it is kept.
+// Log is the log of all processes, as far as it is kept.
 func (i *Instance) Log() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.log.String()
 }
 
-// logMost bounds what is kept of an instance's log.
+// maxLogSize is the size from which on an instance's log is no longer kept.
 const maxLogSize = 1 << 20
 
-// Write takes the program's log, and from it the address where it listens.
+// Write implements io.Writer for the program's log. It takes the address where the program listens from the log.
 func (i *Instance) Write(b []byte) (int, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// Tail is the end of the log.
+// LogTail is the last 2000 bytes of the log.
 func (i *Instance) LogTail() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -145,7 +146,8 @@
 	return text[max(0, len(text)-2000):]
 }
 
-// Stop ends the program as the platform does; kill is the harder way. Both wait for its end.
+// Stop ends the process with SIGTERM, as the platform does, or with SIGKILL if kill, and waits for its end. A process that
+// takes more than 8 s is killed.
 func (i *Instance) Stop(kill bool) error {
 	i.mu.Lock()
 	cmd, ended := i.cmd, i.ended
@@ -163,21 +165,21 @@
 	case <-time.After(8 * time.Second):
 		cmd.Process.Kill()
 		<-ended
-		return fmt.Errorf("%s did not end on SIGTERM", i.Name)
+		return fmt.Errorf("%s did not end within 8 s of SIGTERM", i.Name)
 	}
 	if code := cmd.ProcessState.ExitCode(); code != 0 && !kill {
-		return fmt.Errorf("%s ended with %d: %s", i.Name, code, i.LogTail())
+		return fmt.Errorf("%s ended with exit code %d: %s", i.Name, code, i.LogTail())
 	}
 	return nil
 }
 
-// Site is what the instances of a run have in common.
+// Site is the size and planned load of a run, the same for all instances.
 type Site struct {
 	Instances, Servers int
-	Planned            float64 // calls a second, all instances together
+	Planned            float64 // calls per second, all instances together
 }
 
-// Platform is the platform's part for instance number k, but for its list.
+// PlatformConfig makes the platform's configuration for the instance with this ordinal, without the list of servers.
 func PlatformConfig(name string, ordinal int, site Site, journal string, seed uint64) map[string]any {
 	nanoseconds := func(d time.Duration) int64 { return int64(d) }
 	cells := make([]int, site.Servers)
--- a/lab/wave/demo.go
+++ b/lab/wave/demo.go
@@ -22,8 +22,8 @@
 	"masthill/lab/standin"
 )
 
-// Demo runs a fleet of three under a supervisor against stand-ins for so long, restarts it meanwhile, and prints what it
-// sees. It is a first look for a new user, and a check that the quick start works.
+// Demo runs a fleet of three instances under a supervisor against stand-ins for the duration d, restarts the fleet
+// meanwhile, and prints the result. It is a demonstration for new users, and a check that the quick start works.
 func Demo(ctx context.Context, program, dir string, d time.Duration, out io.Writer) error {
 	const instances, servers, allInstances = 3, 3, "all"
 	o := Options{Instances: instances, Servers: servers, Planned: 30}
@@ -73,7 +73,7 @@
 		return err
 	}
 	defer func() {
-		supervisor.Process.Signal(syscall.SIGTERM) // ends the fleet in order
+		supervisor.Process.Signal(syscall.SIGTERM) // ends the fleet cleanly
 		supervisor.Wait()
 	}()
 	callers := standin.NewCallerPool(standin.Demand{Rate: 25, Class: "open-log", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
@@ -116,23 +116,24 @@
 	return nil
 }
 
+// demoSettings are the operators' settings of the demo's instances.
 const demoSettings = `[recovery]
 	enabled = true
 	[state]
 	dir = "%DIR%"
 `
 
-// rotation waits until all instances are in it.
+// waitForRotation waits until all instances are in the rotation, for at most 15 s.
 func waitForRotation(ctx context.Context, c *fleet.Client, callers *standin.CallerPool, instances int) error {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if updateRotation(ctx, c, callers) == instances {
 			return nil
 		}
 	}
-	return fmt.Errorf("the fleet does not serve")
+	return fmt.Errorf("the fleet does not serve after 15 s")
 }
 
-// follow is the front: it takes instances in and out as they come and go.
+// followFleet keeps the rotation up to date with the status of the fleet, as a front would.
 func followFleet(ctx context.Context, c *fleet.Client, callers *standin.CallerPool) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
@@ -146,6 +147,8 @@
 	}
 }
 
+// updateRotation adds serving instances to the rotation and removes the others. It gives the number of instances that are
+// in the rotation; 0 if the fleet's status is not available.
 func updateRotation(ctx context.Context, c *fleet.Client, callers *standin.CallerPool) (serving int) {
 	s, err := c.Status(ctx)
 	if err != nil {
--- a/lab/wave/plot.go
+++ b/lab/wave/plot.go
@@ -10,8 +10,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws the wait at each server against its refusal point, and the served share, over time. The file's extension
-// names its form.
+// Plot draws the wait at each server with the refusal point, and the served share, over time. The file's extension selects
+// its format.
 func Plot(r *Result, file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Restart wave, %d instances, %d servers, seed %d", r.Instances, r.Servers, r.Seed)
@@ -39,7 +39,7 @@
 	if err := plotutil.AddLines(p, all...); err != nil {
 		return err
 	}
-	for _, at := range r.RestartTimes { // a tick for each restart
+	for _, at := range r.RestartTimes { // a short mark for each restart
 		tick, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: r.RefusalPointMS / 20}})
 		if err != nil {
 			return err
--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -1,6 +1,6 @@
-// Package wave runs the restart wave on loopback: real instances of the program, stand-in session servers of which one
-// is replaced by a cold one, and callers. Most of the instances restart within half a minute, a part of them at a time,
-// and come back with nothing but their last list.
+// Package wave runs a restart wave on loopback, with real instances of the program, stand-in session servers of which one
+// is replaced by a cold one, and callers. Most of the instances restart within half a minute, in batches, and then know
+// only their last list of servers.
 package wave
 
 import (
@@ -21,27 +21,28 @@
 	"masthill/lab/standin"
 )
 
-// Options is what a wave is made from. Times that are 0 have the defaults of the brief.
+// Options configures a wave. Planned, RestartShare, BatchShare and the times have defaults where they are 0.
 type Options struct {
-	Program       string // of the instances
-	Settings      string // the operators' settings of each, %DIR% standing for its folder
+	Program       string // path of the program under test
+	Settings      string // operators' settings of each instance; %DIR% is replaced by its folder
 	Instances     int
 	Servers       int
 	Seed          uint64
-	Load          float64                        // of the planned load: 0.88 to 0.97 on most days; 0: drawn from that
-	Planned       float64                        // calls a second, all instances together
-	RestartShare  float64                        // of the instances that restart
-	BatchShare    float64                        // of the instances, at a time
-	WarmUp        time.Duration                  // before the wave
-	RestartWindow time.Duration                  // within which all restarts begin
-	After         time.Duration                  // after the wave
-	Kill          bool                           // SIGKILL in place of SIGTERM
-	Crash         bool                           // the cold server is one whose process crashed and started again unseen; else a new one
-	Steady        bool                           // no restarts and no cold server: only what Rate brings, for Warm, Wave and After together
-	RateFactor    func(at time.Duration) float64 // times the load; nil: 1
-	Dir           string                         // for the instances' folders
+	Load          float64                        // share of the planned load; 0: drawn from 0.88 to 0.97
+	Planned       float64                        // calls per second, all instances together
+	RestartShare  float64                        // share of the instances that restart
+	BatchShare    float64                        // share of the instances that restart at a time
+	WarmUp        time.Duration                  // duration before the wave
+	RestartWindow time.Duration                  // span within which all restarts begin
+	After         time.Duration                  // duration after the wave
+	Kill          bool                           // restart with SIGKILL instead of SIGTERM
+	Crash         bool                           // the cold server is one that crashed and restarted; else a new one
+	Steady        bool                           // no restarts and no cold server: only calls, for the three times together
+	RateFactor    func(at time.Duration) float64 // multiplies the load; nil: 1
+	Dir           string                         // parent of the instances' folders
 }
 
+// defaults sets the options that are 0 to their defaults.
 func (o *Options) defaults() {
 	setFloat := func(x *float64, d float64) {
 		if *x == 0 {
@@ -61,17 +62,17 @@
 	setDuration(&o.After, 12*time.Second)
 }
 
-// Result is what a wave showed.
+// Result is the outcome of a wave.
 type Result struct {
 	Seed           uint64  `json:"seed"`
 	Instances      int     `json:"instances"`
 	Servers        int     `json:"servers"`
 	Load           float64 `json:"load"`
-	MaxColdWaitMS  float64 `json:"cold_wait_max_ms"` // the longest that a set-up found at the cold server
-	RefusalPointMS float64 `json:"refusal_point_ms"` // the wait beyond which it turns set-ups away
+	MaxColdWaitMS  float64 `json:"cold_wait_max_ms"` // longest wait expected for a set-up at the cold server
+	RefusalPointMS float64 `json:"refusal_point_ms"` // wait above which servers refuse set-ups
 	FellOver       bool    `json:"fell_over"`
 	ColdRefused    int     `json:"cold_refused"`
-	Calls          int     `json:"calls"` // callers' calls; with redials, tries
+	Calls          int     `json:"calls"` // calls of callers, redials not counted
 	Tries          int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	check.Violations
@@ -81,24 +82,24 @@
 	CutCalls        int                `json:"cut"`
 	Restarts        int                `json:"restarts"`
 	Errors          []string           `json:"errors,omitempty"`
-	MaxDelayMS      float64            `json:"ran_late_ms"` // how late this rig itself ran at worst
+	MaxDelayMS      float64            `json:"ran_late_ms"` // longest delay of this process's own sampling timer
 	Samples         []Sample           `json:"samples"`
 	RestartTimes    []float64          `json:"restart_at_s"`
 	Outcomes        []standin.Outcome  `json:"-"`
-	MaxWaitMS       map[string]float64 `json:"wait_by_server_ms"` // worst of each
+	MaxWaitMS       map[string]float64 `json:"wait_by_server_ms"` // longest wait expected at each server
 	WallSeconds     float64            `json:"wall_s"`
 }
 
-// Sample is one look at the servers.
+// Sample is the state of the servers at one moment.
 type Sample struct {
 	AtS     float64   `json:"at_s"`
-	WaitMS  []float64 `json:"wait_ms"` // of each server, the cold one last
-	Served  float64   `json:"served"`  // of the calls first tried in the second before
-	Serving int       `json:"serving"` // instances in the rotation
+	WaitMS  []float64 `json:"wait_ms"` // expected wait at each server, a new cold one last
+	Served  float64   `json:"served"`  // served share of the calls first tried in the same second
+	Serving int       `json:"serving"` // number of instances in the rotation
 }
 
-// Run plays one wave. An error is a fault of the rig or of an instance's start; what the program did wrong is in the
-// result.
+// Run runs one wave. An error means that the setup or the first start of an instance failed; rule violations and failed
+// restarts are in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	o.defaults()
 	rng := rand.New(rand.NewPCG(o.Seed, 0x77617665))
@@ -130,7 +131,7 @@
 	return r, nil
 }
 
-// run is a wave under way.
+// waveRun is the state of a running wave.
 type waveRun struct {
 	Options
 	ctx       context.Context
@@ -143,16 +144,17 @@
 	names     []string
 	instances []*host.Instance
 	lists     map[string]*standin.ListService
-	servers   []*standin.Server // the cold one last, once it is there
+	servers   []*standin.Server // a new cold one is appended when it starts
 	callers   *standin.CallerPool
 
 	mu      sync.Mutex
-	serving int
+	serving int // number of instances in the rotation
 }
 
+// meanCallLength is the mean length of calls at the servers.
 const meanCallLength = 9 * time.Second
 
-// server starts a session server and gives its entry for an instance.
+// startServer starts a session server in a cell. started is the zero time for a warm one.
 func (w *waveRun) startServer(id string, cell int, started time.Time) (*standin.Server, error) {
 	s, err := standin.NewServer(id, cell, w.params, started, meanCallLength, w.names, w.rng.Uint64(), w.ledger)
 	if err != nil {
@@ -162,6 +164,7 @@
 	return s, nil
 }
 
+// execute starts servers, list services and instances, and runs the callers and the wave to their end.
 func (w *waveRun) execute() error {
 	for k := range w.Instances {
 		w.names = append(w.names, fmt.Sprintf("n%d", k))
@@ -214,6 +217,7 @@
 	return w.callers.Run(w.ctx, total)
 }
 
+// startInstance starts the process of an instance and adds the instance to the rotation.
 func (w *waveRun) startInstance(i *host.Instance) error {
 	addr, err := i.Start(w.ctx, w.lists[i.Name].KnownList())
 	if err != nil {
@@ -228,7 +232,8 @@
 	return nil
 }
 
-// trouble replaces one server by a cold one just before the wave, and restarts instances batch by batch.
+// injectFaults replaces one server by a cold one, or crashes it, just before the wave, and then restarts instances in
+// batches.
 func (w *waveRun) injectFaults(calmFrom time.Time) error {
 	rng := rand.New(rand.NewPCG(w.Seed, 0x74726f75))
 	if !w.sleepUntil(calmFrom.Add(w.WarmUp - 2*time.Second)) {
@@ -236,9 +241,9 @@
 	}
 	old := w.servers[w.Servers-1]
 	if w.Crash {
-		w.sleepUntil(calmFrom.Add(w.WarmUp - 300*time.Millisecond)) // while the first batch is being restarted
+		w.sleepUntil(calmFrom.Add(w.WarmUp - 300*time.Millisecond)) // just before the first batch restarts
 		started := old.Crash()
-		for _, name := range w.names { // the list tells of it late: who starts meanwhile takes it for warm
+		for _, name := range w.names { // announced late: an instance that starts meanwhile takes the server for warm
 			w.lists[name].AnnounceChange(standin.NewEntry(old, name, "SERVING", started), 4*time.Second+time.Duration(rng.Int64N(int64(3*time.Second))))
 		}
 		w.restartInBatches(calmFrom, rng)
@@ -253,7 +258,7 @@
 	w.mu.Lock()
 	w.servers = append(w.servers, cold)
 	w.mu.Unlock()
-	for _, name := range w.names { // the list is seconds late, for each instance in its own way
+	for _, name := range w.names { // announced 0.5 to 3 s late, with a different delay for each instance
 		late := 500*time.Millisecond + time.Duration(rng.Int64N(int64(2500*time.Millisecond)))
 		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DRAINING", time.Time{}), late)
 		w.lists[name].AnnounceChange(standin.NewEntry(cold, name, "SERVING", started), late)
@@ -269,7 +274,7 @@
 	return nil
 }
 
-// wave restarts instances batch by batch.
+// restartInBatches restarts instances in batches, spread evenly over RestartWindow.
 func (w *waveRun) restartInBatches(calmFrom time.Time, rng *rand.Rand) {
 	order := rng.Perm(w.Instances)[:int(w.RestartShare*float64(w.Instances)+0.5)]
 	batch := max(int(w.BatchShare*float64(w.Instances)), 1)
@@ -285,6 +290,7 @@
 	}
 }
 
+// sleepUntil waits until a time, and tells whether the run goes on.
 func (w *waveRun) sleepUntil(t time.Time) bool {
 	select {
 	case <-w.ctx.Done():
@@ -294,6 +300,7 @@
 	}
 }
 
+// restart stops an instance and starts it again after down. A failure is added to the errors of the result.
 func (w *waveRun) restart(i *host.Instance, down time.Duration) {
 	w.mu.Lock()
 	w.result.Restarts++
@@ -302,7 +309,7 @@
 	w.mu.Unlock()
 	if w.Kill {
 		w.callers.InstanceKilled(i.Name)
-	} else { // the front notices that the test fails
+	} else { // the front's health check fails 200 ms later
 		time.AfterFunc(200*time.Millisecond, func() { w.callers.RemoveInstance(i.Name) })
 	}
 	err := i.Stop(w.Kill)
@@ -317,7 +324,7 @@
 	}
 }
 
-// sample looks at the servers ten times a second, and notes how late this rig runs itself.
+// sample records the state of the servers ten times per second, and the longest delay of its own timer.
 func (w *waveRun) sample(calmFrom time.Time, total time.Duration) {
 	const interval = 100 * time.Millisecond
 	for n := 1; time.Duration(n)*interval <= total; n++ {
@@ -336,7 +343,7 @@
 	}
 }
 
-// sum makes the figures of the result.
+// summarize computes the figures of the result.
 func (w *waveRun) summarize() {
 	r := w.result
 	r.Violations, r.Tries, r.Attempts = w.ledger.Result()
--- a/lab/wave/wave_test.go
+++ b/lab/wave/wave_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// program is the program under test, built once.
+// program is the path of the program under test, built once.
 var program string
 
 func TestMain(m *testing.M) {
@@ -29,8 +29,9 @@
 	os.Exit(code)
 }
 
-// A small wave: six instances, three servers, one of them cold; every promise is kept and the cold one stands.
-func TestASmallWave(t *testing.T) {
+// In a small wave, with six instances, three servers and a cold one in place of the last, no rule is broken and the cold
+// server neither falls over nor reaches its refusal point.
+func TestSmallWave(t *testing.T) {
 	r, err := Run(t.Context(), Options{Program: program, Settings: "[recovery]\nenabled = true\n[state]\ndir = \"%DIR%\"\nevery = \"200ms\"\n", Instances: 6,
 		Servers: 3, Seed: 1, WarmUp: 4 * time.Second, RestartWindow: 4 * time.Second, After: 3 * time.Second, Dir: t.TempDir()})
 	if err != nil {
@@ -51,8 +52,8 @@
 	}
 }
 
-// The rig itself catches an instance that does not serve.
-func TestAnInstanceThatFails(t *testing.T) {
+// An instance that ends during startup is an error of the run.
+func TestInstanceThatFailsToStart(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad")
 	os.WriteFile(bad, []byte("#!/bin/sh\necho no >&2\nexit 2\n"), 0o700)
 	if _, err := Run(t.Context(), Options{Program: bad, Instances: 1, Servers: 1, Dir: t.TempDir()}); err == nil || !strings.Contains(err.Error(), "ended at its start") {
@@ -60,8 +61,9 @@
 	}
 }
 
-func TestTheQuickStart(t *testing.T) {
-	dir, err := os.MkdirTemp("", "d") // short: a socket's path is bounded
+// The demo of the quick start runs without a violation and shows all instances.
+func TestQuickStart(t *testing.T) {
+	dir, err := os.MkdirTemp("", "d") // a short path, as the length of a socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +74,9 @@
 	}
 }
 
-// A program that is not there is an error that says so, as is one that can't be started; neither is a panic at the end.
-func TestAProgramThatIsMissing(t *testing.T) {
+// A program that is missing or not executable is an error that names the instance. Stopping an instance that never started
+// must not panic.
+func TestMissingProgram(t *testing.T) {
 	plain := filepath.Join(t.TempDir(), "plain")
 	os.WriteFile(plain, []byte("no program"), 0o600)
 	for _, program := range []string{filepath.Join(t.TempDir(), "none"), plain} {
@@ -83,8 +86,8 @@
 	}
 }
 
-// A steady run has no restart and no cold server; the jump of its rate shows in what is offered.
-func TestASteadyRun(t *testing.T) {
+// A steady run has no restarts and no cold server, and the number of calls follows the rate factor.
+func TestSteadyRun(t *testing.T) {
 	r, err := Run(t.Context(), Options{Program: program, Instances: 3, Servers: 2, Seed: 1, Steady: true, WarmUp: 2 * time.Second, RestartWindow: 2 * time.Second, After: time.Second,
 		RateFactor: func(at time.Duration) float64 {
 			if at >= 2*time.Second {
