--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -37,8 +37,8 @@
 }
 
 // Any tells whether there was any violation.
-func (b Violations) Any() bool {
-	return b.MissingAnswers+b.DuplicateAnswers+b.OverlappingAttempts+b.TooSoon+b.SendsAfterDrain+b.UnknownCalls > 0
+func (v Violations) Any() bool {
+	return v.MissingAnswers+v.DuplicateAnswers+v.OverlappingAttempts+v.TooSoon+v.SendsAfterDrain+v.UnknownCalls > 0
 }
 
 // callRecord is what was observed of one call.
@@ -46,7 +46,7 @@
 	offeredAt     time.Time
 	answers       int
 	abandoned     bool   // its caller gave it up, or its instance was killed or frozen: no answer is due any more
-	outstandingAt string // server that has its attempt; empty: none
+	attemptServer string // server that has its attempt; empty: none
 	attempts      int
 	nextAttemptAt time.Time // when the release wait is over
 }
@@ -127,8 +127,8 @@
 		l.addViolation(&l.UnknownCalls, "attempt of unknown call %s", call)
 		return
 	}
-	if e.outstandingAt != "" {
-		l.addViolation(&l.OverlappingAttempts, "call %s sent to %s while an attempt is outstanding at %s", call, server, e.outstandingAt)
+	if e.attemptServer != "" {
+		l.addViolation(&l.OverlappingAttempts, "call %s sent to %s while an attempt is outstanding at %s", call, server, e.attemptServer)
 	}
 	if at.Before(e.nextAttemptAt.Add(-l.rules.Slack)) {
 		l.addViolation(&l.TooSoon, "call %s sent again %v too soon after a given-up attempt", call, e.nextAttemptAt.Sub(at))
@@ -136,7 +136,7 @@
 	if told, ok := l.drainAnnounced[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
 		l.addViolation(&l.SendsAfterDrain, "call %s sent to draining server %s, %v after %s was told", call, server, at.Sub(told), instance)
 	}
-	e.outstandingAt = server
+	e.attemptServer = server
 	e.attempts++
 }
 
@@ -145,10 +145,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[call]
-	if e == nil || e.outstandingAt != server {
+	if e == nil || e.attemptServer != server {
 		return
 	}
-	e.outstandingAt = ""
+	e.attemptServer = ""
 	if givenUp {
 		e.nextAttemptAt = at.Add(l.rules.ReleaseWait)
 	}
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -70,7 +70,7 @@
 	open[0].runDue()
 	m.scheduleAfter(patience+50e6, func() {
 		if c.id == id && c.establishedAt == 0 {
-			m.ledger.TimedOut(id, "no answer within its patience")
+			m.ledger.TimedOut(id, "patience exceeded")
 		}
 	})
 }
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -60,13 +60,13 @@
 	}
 	warmth := m.params.ColdFrom + (1-m.params.ColdFrom)*float64(age)/float64(m.coldSpan)
 	budget := m.fallMultiple * warmth * m.params.Capacity() * float64(m.fallWindow) / 1e9
-	informed := 0
+	informedCount := 0
 	for _, send := range tracker.sends {
 		if send.informed {
-			informed++
+			informedCount++
 		}
 	}
-	informedShare, load := float64(informed)/float64(len(tracker.sends)), float64(len(tracker.sends))/overloadBound(budget)
+	informedShare, load := float64(informedCount)/float64(len(tracker.sends)), float64(len(tracker.sends))/overloadBound(budget)
 	tracker.TotalSent++
 	if load > tracker.PeakLoad {
 		tracker.PeakLoad, tracker.Sent, tracker.Budget = load, len(tracker.sends), budget
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -30,12 +30,12 @@
 // startProcess starts a process that knows only the last list of servers.
 func (c *controller) startProcess() error {
 	c.generation++
-	set := c.model.settings(c.index)
+	settings := c.model.settings(c.index)
 	seed := c.rng.Uint64()
-	o := exchange.Options{Settings: set, Seed: seed, Now: c.model.time, Log: c.model.logger, MemoryBytes: 32 << 20,
+	o := exchange.Options{Settings: settings, Seed: seed, Now: c.model.time, Log: c.model.logger, MemoryBytes: 32 << 20,
 		OnUnknownRelease: func(id string, cut bool) { c.model.endCall(id, cut) }}
 	if c.model.Join != nil {
-		o.Join = c.model.Join(set, c.model.Planned, seed, c.model.now)
+		o.Join = c.model.Join(settings, c.model.Planned, seed, c.model.now)
 	}
 	x, err := exchange.New(o)
 	if err != nil {
@@ -137,9 +137,9 @@
 		return
 	}
 	c.wakeAt = at
-	gen := c.generation
+	generation := c.generation
 	c.model.scheduleAt(at, func() {
-		if c.wakeAt == at && c.generation == gen {
+		if c.wakeAt == at && c.generation == generation {
 			c.wakeAt = 0
 			c.runDue()
 		}
@@ -152,9 +152,9 @@
 }
 
 // deliver runs f after the transit time from the cell, if the process of this generation still runs then.
-func (c *controller) deliver(gen, cell int, f func()) {
+func (c *controller) deliver(generation, cell int, f func()) {
 	c.model.scheduleAfter(c.delay(cell), func() {
-		if c.exchange != nil && c.generation == gen {
+		if c.exchange != nil && c.generation == generation {
 			f()
 			c.runDue()
 		}
@@ -172,8 +172,8 @@
 
 // Invite implements exchange.Offices.
 func (c *controller) Invite(a exchange.Attempt) {
-	gen := c.generation
-	c.sendToServer(a.Server, func(s *server) { s.onInvite(c, gen, a) })
+	generation := c.generation
+	c.sendToServer(a.Server, func(s *server) { s.onInvite(c, generation, a) })
 }
 
 // Cancel implements exchange.Offices.
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -101,6 +101,7 @@
 // LateValue is the value of a call that is established after the target delay.
 const LateValue = 0.25
 
+// Times in nanoseconds, and figures that all calls and servers have in common.
 const (
 	targetDelay, deadline = int64(1200e6), int64(9e9)
 	lateValue             = LateValue
@@ -109,6 +110,7 @@
 	circuitsPerServer     = 1000
 )
 
+// tenants are the tenants with their shares of the calls. Callers draw in this order.
 var tenants = []struct {
 	name  string
 	share float64
@@ -128,7 +130,7 @@
 	Scenario
 	params               processor.Params
 	ledger               *check.Ledger
-	servers              []*server // all that ever ran
+	servers              []*server // all that ever ran, by ID from 0x1000
 	current              []*server // the present server of each cell
 	controllers          []*controller
 	rng                  *rand.Rand         // of the callers and the traffic shares
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -13,7 +13,7 @@
 const peerTickInterval = int64(100e6)
 
 // peersPartitioned tells whether messages from one controller to another are lost now.
-func (m *model) peersPartitioned(from, to int) bool {
+func (m *model) arePartitioned(from, to int) bool {
 	return m.PeersPartitioned != nil && m.PeersPartitioned(time.Duration(m.now-start), from, to)
 }
 
@@ -28,10 +28,10 @@
 	if c.peers == nil {
 		return
 	}
-	gen := c.generation
+	generation := c.generation
 	var tick func()
 	tick = func() {
-		if c.generation != gen || c.exchange == nil {
+		if c.generation != generation || c.exchange == nil {
 			return
 		}
 		c.sendToPeers(c.peers.Tick(c.model.now, len(c.model.controllers)))
@@ -60,7 +60,7 @@
 			c.model.peerBytes += int64(len(b))
 		}
 		for k, to := range c.model.controllers {
-			if to == c || o.To != "" && o.To != to.name() || c.model.peersPartitioned(c.index, k) {
+			if to == c || o.To != "" && o.To != to.name() || c.model.arePartitioned(c.index, k) {
 				continue
 			}
 			c.model.peerMessages++
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -14,7 +14,7 @@
 	model        *model
 	id           uint64
 	cell         int
-	readyAt      int64 // when it started; 0: long ago, so it is warm
+	readyAt      int64 // when it started; 0: long ago, so that it is warm
 	startedInRun bool  // it started, or came back cold, during the run
 	rng          *rand.Rand
 	processor    *processor.Processor
@@ -37,10 +37,10 @@
 	established  bool
 }
 
-func (m *model) newServer(cell int, ready int64) *server {
+func (m *model) newServer(cell int, readyAt int64) *server {
 	id := uint64(0x1000 + len(m.servers))
-	s := &server{model: m, id: id, cell: cell, readyAt: ready, startedInRun: ready > 0, rng: randomStream(m.Seed, streamServer, len(m.servers)),
-		processor: processor.New(m.params, ready), calls: map[string]*serverCall{}}
+	s := &server{model: m, id: id, cell: cell, readyAt: readyAt, startedInRun: readyAt > 0, rng: randomStream(m.Seed, streamServer, len(m.servers)),
+		processor: processor.New(m.params, readyAt), calls: map[string]*serverCall{}}
 	m.servers = append(m.servers, s)
 	return s
 }
@@ -76,9 +76,9 @@
 }
 
 // onInvite handles an attempt that has reached the server.
-func (s *server) onInvite(c *controller, gen int, a exchange.Attempt) {
+func (s *server) onInvite(c *controller, generation int, a exchange.Attempt) {
 	if s.stopped {
-		c.deliver(gen, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused}) })
+		c.deliver(generation, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused}) })
 		return
 	}
 	s.model.ledger.AttemptSent(a.ID, c.name(), s.name(), s.model.time())
@@ -94,20 +94,20 @@
 	}
 	if s.draining {
 		s.model.ledger.AttemptEnded(a.ID, s.name(), false, s.model.time())
-		c.deliver(gen, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.Unavailable}) })
+		c.deliver(generation, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.Unavailable}) })
 		return
 	}
 	taken, wait, done := s.processor.Offer(s.model.now, a.ID)
 	s.handleCompleted(done)
 	if taken {
-		s.calls[a.ID] = &serverCall{id: a.ID, attemptIndex: a.Index, controller: c, generation: gen}
+		s.calls[a.ID] = &serverCall{id: a.ID, attemptIndex: a.Index, controller: c, generation: generation}
 		s.scheduleAdvance()
 		return
 	}
 	s.scheduleAdvance()
 	s.model.ledger.AttemptEnded(a.ID, s.name(), false, s.model.time())
 	e := exchange.Result{Outcome: control.Saturated, Note: 3, WaitMS: min(wait, 10e9) / 1e6, Report: s.currentReport()}
-	c.deliver(gen, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, e) })
+	c.deliver(generation, s.cell, func() { c.exchange.Ended(s.id, a.ID, a.Index, e) })
 }
 
 // onCancel gives up a set-up that is not established yet.
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -70,7 +70,7 @@
 // Processor is one processor's state.
 type Processor struct {
 	params        Params
-	started       int64 // 0: long ago, so it is warm
+	startedAt     int64 // 0: long ago, so that it is warm
 	slowdown      float64
 	silent        bool
 	fellOver      bool
@@ -86,9 +86,9 @@
 	seq           int
 }
 
-// New makes a processor that was started cold at a time, or long ago (0) and is warm.
-func New(p Params, started int64) *Processor {
-	return &Processor{params: p, started: started, slowdown: 1}
+// New makes a processor that starts cold at startedAt, or that is warm if startedAt is 0.
+func New(params Params, startedAt int64) *Processor {
+	return &Processor{params: params, startedAt: startedAt, slowdown: 1}
 }
 
 // Speed is the work done per unit of time at now; 1 is a warm processor that is not slowed down.
@@ -101,24 +101,24 @@
 
 // warmth is the share of the full capacity at now.
 func (p *Processor) warmth(now int64) float64 {
-	if p.started <= 0 || now >= p.started+p.params.ColdSpan {
+	if p.startedAt <= 0 || now >= p.startedAt+p.params.ColdSpan {
 		return 1
 	}
-	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.started, 0))/float64(p.params.ColdSpan)
+	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.startedAt, 0))/float64(p.params.ColdSpan)
 }
 
 // SetSlowdown makes the processor slower by a factor from now on; 1 is normal speed.
-func (p *Processor) SetSlowdown(now int64, times float64) []Completed {
+func (p *Processor) SetSlowdown(now int64, factor float64) []Completed {
 	done := p.Advance(now)
-	p.slowdown = max(times, 1e-3)
+	p.slowdown = max(factor, 1e-3)
 	return done
 }
 
-// SetSilent stops the processor without a sign to anyone, or has it go on cold from where it stopped.
+// SetSilent stops the processor, so that nothing is answered or refused, or has it go on cold from where it stopped.
 func (p *Processor) SetSilent(now int64, silent bool) []Completed {
 	done := p.Advance(now)
 	if p.silent && !silent {
-		p.started, p.arrivals = now, nil // earlier arrivals did not reach a cold processor
+		p.startedAt, p.arrivals = now, nil // earlier arrivals did not reach a cold processor
 	}
 	p.silent = silent
 	return done
@@ -307,9 +307,9 @@
 	utilization := 0.72 + rng.Float64()*0.15
 	work := utilization * float64(servers) / planned * 1e9 // of a whole call, so that the planned load takes this utilization
 	followShare := 0.25 + rng.Float64()*0.25
-	setup := work / (1 + followShare)
+	setUpWork := work / (1 + followShare)
 	refusalWait := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
-	return Params{SetUp: int64(setup), Answer: int64(setup * followShare / 2), Release: int64(setup * followShare / 2),
-		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
+	return Params{SetUp: int64(setUpWork), Answer: int64(setUpWork * followShare / 2), Release: int64(setUpWork * followShare / 2),
+		Reject: int64(setUpWork * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
 		FallMultiple: 2, FallWindow: int64(time.Second)}
 }
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -369,7 +369,7 @@
 		if disconnected { // a violation, unless the instance was killed
 			c.Ledger.TimedOut(id, "the connection to "+link.name+" ended")
 		} else {
-			c.Ledger.TimedOut(id, "no answer from "+link.name+" in time")
+			c.Ledger.TimedOut(id, "patience for "+link.name+" exceeded")
 			link.conn.write([]byte("CANCEL sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"))
 		}
 	case <-ctx.Done():
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -152,10 +152,10 @@
 }
 
 // NewEntry makes a server's entry for an instance's list.
-func NewEntry(s *Server, instance, state string, started time.Time) Entry {
+func NewEntry(s *Server, instance, state string, startedAt time.Time) Entry {
 	e := Entry{ID: s.ID, Addr: s.Addr(instance), Cell: s.Cell, State: state, Weight: 1}
-	if !started.IsZero() {
-		e.Started = started.UnixMilli()
+	if !startedAt.IsZero() {
+		e.Started = startedAt.UnixMilli()
 	}
 	return e
 }
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -75,12 +75,12 @@
 	timer               *time.Timer
 }
 
-// NewServer makes a server that listens for each of the instances. started is when its processor started cold; the zero
+// NewServer makes a server that listens for each of the instances. startedAt is when its processor started cold; the zero
 // time means long ago, so that it is warm.
-func NewServer(id string, cell int, p processor.Params, started time.Time, meanCallLength time.Duration, instances []string, seed uint64, l *check.Ledger) (*Server, error) {
+func NewServer(id string, cell int, p processor.Params, startedAt time.Time, meanCallLength time.Duration, instances []string, seed uint64, l *check.Ledger) (*Server, error) {
 	at := int64(0)
-	if !started.IsZero() {
-		at = started.UnixNano()
+	if !startedAt.IsZero() {
+		at = startedAt.UnixNano()
 	}
 	s := &Server{ID: id, Cell: cell, Ledger: l, MeanCallLength: meanCallLength, params: p, processor: processor.New(p, at), rng: rand.New(rand.NewPCG(seed, 0x736572)),
 		wake: make(chan struct{}, 1), addrs: map[string]string{}, conns: map[string][]*conn{}, calls: map[string]*call{}}
@@ -162,16 +162,16 @@
 
 // Crash acts as if the server's process ended and started again at once, cold and at the same addresses: connections are
 // reset and calls are cut. Instances see nothing else of it until the list announces the start, whose time is returned.
-func (s *Server) Crash() (started time.Time) {
+func (s *Server) Crash() (startedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	started = time.Now()
+	startedAt = time.Now()
 	for _, c := range s.calls {
 		if c.timer != nil {
 			c.timer.Stop()
 		}
 		if !c.established {
-			s.Ledger.AttemptEnded(c.id, s.ID, true, started)
+			s.Ledger.AttemptEnded(c.id, s.ID, true, startedAt)
 		}
 	}
 	s.calls = map[string]*call{}
@@ -183,9 +183,9 @@
 			c.Conn.Close()
 		}
 	}
-	s.processor = processor.New(s.params, started.UnixNano())
+	s.processor = processor.New(s.params, startedAt.UnixNano())
 	s.wakeWorker()
-	return started
+	return startedAt
 }
 
 // Drain has the server refuse new calls from now on. Established calls go on.
@@ -196,10 +196,10 @@
 }
 
 // SetSlowdown makes the processor slower by a factor; 1 is normal speed.
-func (s *Server) SetSlowdown(times float64) {
+func (s *Server) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handleCompleted(s.processor.SetSlowdown(time.Now().UnixNano(), times))
+	s.handleCompleted(s.processor.SetSlowdown(time.Now().UnixNano(), factor))
 	s.wakeWorker()
 }
 
--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -154,9 +154,9 @@
 // meanCallLength is the mean length of calls at the servers.
 const meanCallLength = 9 * time.Second
 
-// startServer starts a session server in a cell. started is the zero time for a warm one.
-func (w *waveRun) startServer(id string, cell int, started time.Time) (*standin.Server, error) {
-	s, err := standin.NewServer(id, cell, w.params, started, meanCallLength, w.names, w.rng.Uint64(), w.ledger)
+// startServer starts a session server in a cell. startedAt is the zero time for a warm one.
+func (w *waveRun) startServer(id string, cell int, startedAt time.Time) (*standin.Server, error) {
+	s, err := standin.NewServer(id, cell, w.params, startedAt, meanCallLength, w.names, w.rng.Uint64(), w.ledger)
 	if err != nil {
 		return nil, err
 	}
