--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -19,7 +19,7 @@
 	RefusalWait            int64   // expected wait above which set-ups are refused
 	ColdFrom               float64 // share of the full capacity at the start
 	ColdSpan               int64   // time until it is warm; the capacity grows linearly in between
-	FallMultiple           float64 // a cold processor falls over above this multiple of its capacity
+	FallMultiple           float64 // a cold processor falls over above this multiple of its present capacity over FallWindow
 	FallWindow             int64
 	QueueOrder             QueueOrder // the zero value is the order that the operators describe
 	DropAnswers            bool       // dropping a call removes its queued answer, not only its set-up
