--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -14,12 +14,12 @@
 // coldFleet is many controllers that have borne calls for a minute and are all told of one server's start. No call is
 // played: what is asked of the cold server is up to the test.
 type coldFleet struct {
-	set      Settings
-	rng      *rand.Rand
-	all      []*Controller
-	rates    []float64 // of each controller's calls to one server, a second
-	capacity float64   // of a warm server, calls a second
-	told     int64     // when the server started
+	settings    Settings
+	rng         *rand.Rand
+	controllers []*Controller
+	rates       []float64 // of each controller's calls to one server, a second
+	capacity    float64   // of a warm server, calls a second
+	restartedAt int64     // when the server started
 }
 
 // coldCase is a fleet and what is asked of the cold server.
@@ -28,13 +28,13 @@
 	budget               float64 // N at the start
 	skew                 float64 // standard deviation of the logarithms of the controllers' shares of the traffic
 	pause                int64   // from the start until the first calls
-	times                float64 // the calls to the cold server, in fair parts of its traffic; 0: calls never lack
+	demand               float64 // the calls to the cold server, in fair parts of its traffic; 0: calls never lack
 }
 
 func (c coldCase) String() string {
 	calls := "endless"
-	if c.times > 0 {
-		calls = fmt.Sprint(c.times, " times the usual")
+	if c.demand > 0 {
+		calls = fmt.Sprint(c.demand, " times the usual")
 	}
 	return fmt.Sprintf("%d controllers, N %v, skew %v, %d s without calls, then %s", c.controllers, c.budget, c.skew, c.pause/second, calls)
 }
@@ -42,9 +42,9 @@
 // newColdFleet has controllers bear 0.95 of the servers' capacity; each knows its traffic as well as its few calls tell.
 func newColdFleet(t *testing.T, c coldCase, seed uint64) *coldFleet {
 	t.Helper()
-	set := settings()
+	set := testSettings()
 	set.GroupSize, set.FallMultiple, set.ColdFrom = c.controllers, 2, 0.31
-	f := &coldFleet{set: set, rng: rand.New(rand.NewPCG(seed, 5)), capacity: c.budget / (set.FallMultiple * set.ColdFrom), told: 200 * second}
+	f := &coldFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 5)), capacity: c.budget / (set.FallMultiple * set.ColdFrom), restartedAt: 200 * second}
 	total := 0.0
 	for range c.controllers {
 		f.rates = append(f.rates, math.Exp(c.skew*f.rng.NormFloat64()))
@@ -60,44 +60,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		began := f.told - 60*second
+		began := f.restartedAt - 60*second
 		one.Handle(began, Event{Kind: ListUpdate, FullList: true, Entries: entries})
 		for at := float64(began); ; {
 			at += f.rng.ExpFloat64() / (f.rates[k] * float64(c.servers)) * float64(second)
-			if int64(at) >= f.told {
+			if int64(at) >= f.restartedAt {
 				break
 			}
 			one.now = int64(at)
-			one.borne.n = one.borne.now(one.now, bornSpan) + 1
-			one.offered.n = one.offered.now(one.now, bornSpan) + 1
-			one.refresh()
+			one.carried.n = one.carried.decayed(one.now, loadAveraging) + 1
+			one.offered.n = one.offered.decayed(one.now, loadAveraging) + 1
+			one.refreshTotals()
 		}
-		one.Handle(f.told, Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: f.told, Share: 1}}})
-		f.all = append(f.all, one)
+		one.Handle(f.restartedAt, Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: f.restartedAt, Share: 1}}})
+		f.controllers = append(f.controllers, one)
 	}
 	return f
 }
 
 // most gives the most that all controllers together send in a window within 3 s after the pause, over N + 2 √N + 2.
-func (f *coldFleet) most(c coldCase) (worst float64) {
+func (f *coldFleet) worstWindow(c coldCase) (worst float64) {
 	const step = 20 * ms
 	var sends []int64
-	for now := f.told + c.pause; now < f.told+c.pause+3*second; now += step {
-		for k, one := range f.all {
+	for now := f.restartedAt + c.pause; now < f.restartedAt+c.pause+3*second; now += step {
+		for k, one := range f.controllers {
 			one.now = now
 			s := one.server(10)
-			wanted := c.times == 0 || f.rng.Float64() < c.times*f.rates[k]*float64(step)/float64(second)
-			for wanted && one.coldRoom(s) {
+			wanted := c.demand == 0 || f.rng.Float64() < c.demand*f.rates[k]*float64(step)/float64(second)
+			for wanted && one.hasColdCredit(s) {
 				s.credit--
 				sends = append(sends, now)
-				wanted = c.times == 0
+				wanted = c.demand == 0
 			}
 		}
-		for len(sends) > 0 && sends[0] <= now-f.set.FallWindow {
+		for len(sends) > 0 && sends[0] <= now-f.settings.FallWindow {
 			sends = sends[1:]
 		}
-		warmth := f.set.ColdFrom + (1-f.set.ColdFrom)*float64(now-f.told)/float64(f.set.ColdSpan)
-		n := f.set.FallMultiple * warmth * f.capacity * float64(f.set.FallWindow) / float64(second)
+		warmth := f.settings.ColdFrom + (1-f.settings.ColdFrom)*float64(now-f.restartedAt)/float64(f.settings.ColdSpan)
+		n := f.settings.FallMultiple * warmth * f.capacity * float64(f.settings.FallWindow) / float64(second)
 		worst = max(worst, float64(len(sends))/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -121,7 +121,7 @@
 			}
 			mean, worst, broken := 0.0, 0.0, 0
 			for seed := range starts {
-				m := newColdFleet(t, c, uint64(seed)).most(c)
+				m := newColdFleet(t, c, uint64(seed)).worstWindow(c)
 				mean, worst = mean+m/float64(starts), max(worst, m)
 				if m > 1 {
 					broken++
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -55,20 +55,20 @@
 	RateAt            int64         `json:"rate_at_ns"`
 }
 
-func (f fading) count() DecayingCount  { return DecayingCount{f.n, f.at} }
-func (n DecayingCount) fading() fading { return fading{n.N, n.At} }
+func (f decayingCount) exported() DecayingCount { return DecayingCount{f.n, f.at} }
+func (n DecayingCount) restored() decayingCount { return decayingCount{n.N, n.At} }
 
 // Learnt gives what has been learnt up to the last event.
 func (c *Controller) Learnt() Learnt {
-	l := Learnt{At: c.now, StartedAt: c.began, Spacing: c.x, Established: c.stood, Carried: c.borne.count(), Offered: c.offered.count(),
-		LoadPerUnit: c.unit, PeakLoad: c.top, RefreshedAt: c.freshAt}
+	l := Learnt{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established, Carried: c.carried.exported(), Offered: c.offered.exported(),
+		LoadPerUnit: c.loadPerUnit, PeakLoad: c.peakLoad, RefreshedAt: c.refreshedAt}
 	for _, s := range c.servers {
-		o := LearnedServer{ID: s.id, ReadyAt: s.readyAt, Down: s.down, DownAt: s.downAt, BackoffUntil: s.markEnd, NoLineAt: s.lineAt,
-			SentAt: s.sentAt, EstablishedSentAt: s.provenAt, Delay: s.delay, ExcessDelay: s.press, DelayAt: s.newsAt,
-			ExcessDelayAt: s.pressAt, Lost: s.lost.count(), Answered: s.came.count(), EarlyCuts: s.cut.count(), Faults: s.fault.count(),
-			Weight: s.weight, WeightAt: s.weightAt, Rate: s.rate, PeakRate: s.well, RateAt: s.rateAt}
-		if s.least < math.MaxFloat64 {
-			o.MinDelay = s.least
+		o := LearnedServer{ID: s.id, ReadyAt: s.readyAt, Down: s.down, DownAt: s.downAt, BackoffUntil: s.backoffUntil, NoLineAt: s.noLineAt,
+			SentAt: s.sentAt, EstablishedSentAt: s.establishedSentAt, Delay: s.delay, ExcessDelay: s.excessDelay, DelayAt: s.delayAt,
+			ExcessDelayAt: s.excessDelayAt, Lost: s.lost.exported(), Answered: s.answered.exported(), EarlyCuts: s.earlyCuts.exported(), Faults: s.faults.exported(),
+			Weight: s.weight, WeightAt: s.weightAt, Rate: s.rate, PeakRate: s.peakRate, RateAt: s.rateAt}
+		if s.minDelay < math.MaxFloat64 {
+			o.MinDelay = s.minDelay
 		}
 		l.Servers = append(l.Servers, o)
 	}
@@ -86,7 +86,7 @@
 		}
 		numbers = append(numbers, s.Delay, s.ExcessDelay, s.MinDelay, s.Lost.N, s.Answered.N, s.EarlyCuts.N, s.Faults.N, s.Weight, s.Rate, s.PeakRate)
 		times = append(times, s.DownAt, s.NoLineAt, s.SentAt, s.EstablishedSentAt, s.DelayAt, s.ExcessDelayAt, s.Lost.At, s.Answered.At, s.EarlyCuts.At,
-			s.Faults.At, s.WeightAt, s.RateAt, s.BackoffUntil-trialMax)
+			s.Faults.At, s.WeightAt, s.RateAt, s.BackoffUntil-maxTrialInterval)
 	}
 	for _, x := range numbers {
 		if !(x >= 0) || math.IsInf(x, 0) {
@@ -108,24 +108,24 @@
 		return err
 	}
 	if l.StartedAt > 0 {
-		c.began = l.StartedAt
+		c.startedAt = l.StartedAt
 	}
 	if l.Spacing > 0 {
-		c.x = l.Spacing
+		c.spacing = l.Spacing
 	}
-	c.stood, c.borne, c.offered, c.unit, c.top, c.freshAt = l.Established, l.Carried.fading(), l.Offered.fading(), l.LoadPerUnit, l.PeakLoad, l.RefreshedAt
+	c.established, c.carried, c.offered, c.loadPerUnit, c.peakLoad, c.refreshedAt = l.Established, l.Carried.restored(), l.Offered.restored(), l.LoadPerUnit, l.PeakLoad, l.RefreshedAt
 	for _, o := range l.Servers {
 		k, ok := slices.BinarySearchFunc(c.servers, o.ID, byID)
 		if !ok || c.servers[k].readyAt != o.ReadyAt {
 			continue
 		}
 		s := c.servers[k]
-		s.down, s.downAt, s.markEnd, s.lineAt, s.sentAt, s.provenAt = o.Down, o.DownAt, o.BackoffUntil, o.NoLineAt, o.SentAt, o.EstablishedSentAt
-		s.delay, s.press, s.newsAt, s.pressAt = o.Delay, o.ExcessDelay, o.DelayAt, o.ExcessDelayAt
-		s.lost, s.came, s.cut, s.fault = o.Lost.fading(), o.Answered.fading(), o.EarlyCuts.fading(), o.Faults.fading()
-		s.weight, s.weightAt, s.rate, s.well, s.rateAt = o.Weight, o.WeightAt, o.Rate, o.PeakRate, o.RateAt
+		s.down, s.downAt, s.backoffUntil, s.noLineAt, s.sentAt, s.establishedSentAt = o.Down, o.DownAt, o.BackoffUntil, o.NoLineAt, o.SentAt, o.EstablishedSentAt
+		s.delay, s.excessDelay, s.delayAt, s.excessDelayAt = o.Delay, o.ExcessDelay, o.DelayAt, o.ExcessDelayAt
+		s.lost, s.answered, s.earlyCuts, s.faults = o.Lost.restored(), o.Answered.restored(), o.EarlyCuts.restored(), o.Faults.restored()
+		s.weight, s.weightAt, s.rate, s.peakRate, s.rateAt = o.Weight, o.WeightAt, o.Rate, o.PeakRate, o.RateAt
 		if o.MinDelay > 0 {
-			s.least = o.MinDelay
+			s.minDelay = o.MinDelay
 		}
 	}
 	return nil
@@ -155,9 +155,9 @@
 	}
 	all := make([]ServerStatus, 0, len(d.servers))
 	for _, s := range d.servers {
-		delay := d.delayAt(s)
-		all = append(all, ServerStatus{Server: s.id, Available: s.in, Cold: d.warmth(s) < 1, Warmth: d.warmth(s), Down: s.down,
-			Marked: d.now < s.markEnd, Pressed: delay > pressFull*d.ref, Out: s.pending(), Standing: max(s.calls, 0),
+		delay := d.expectedDelay(s)
+		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: d.capacityFraction(s) < 1, Warmth: d.capacityFraction(s), Down: s.down,
+			Marked: d.now < s.backoffUntil, Pressed: delay > rampEnd*d.refDelay, Out: s.pending(), Standing: max(s.calls, 0),
 			ExpectedDelay: int64(min(delay, float64(math.MaxInt64/2)))})
 	}
 	return all
--- a/control/learnt_test.go
+++ b/control/learnt_test.go
@@ -8,9 +8,9 @@
 )
 
 // warmedLearnt plays a script and gives the controller.
-func warmedLearnt(t *testing.T) (*Controller, int64) {
+func trainedController(t *testing.T) (*Controller, int64) {
 	t.Helper()
-	c, err := New(settings(), 9)
+	c, err := New(testSettings(), 9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 }
 
 func TestLearntComesBackAndFades(t *testing.T) {
-	c, now := warmedLearnt(t)
+	c, now := trainedController(t)
 	text, err := json.Marshal(c.Learnt())
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	after := func(wait int64, entries ...Entry) *Controller {
-		d, err := New(settings(), 10)
+		d, err := New(testSettings(), 10)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,27 +52,27 @@
 		return d
 	}
 	soon := after(second, Entry{Server: 1, Share: 1}, Entry{Server: 2, Cell: 1, Share: 1})
-	if !reflect.DeepEqual(soon.Learnt().Servers, l.Servers) || soon.fair(soon.servers[0]) < 0.8*c.fair(c.servers[0]) {
+	if !reflect.DeepEqual(soon.Learnt().Servers, l.Servers) || soon.fairRate(soon.servers[0]) < 0.8*c.fairRate(c.servers[0]) {
 		t.Errorf("%+v", soon.Learnt())
 	}
-	if len(soon.calls) != 0 || len(soon.servers[0].out)+len(soon.servers[1].out) != 0 {
+	if len(soon.calls) != 0 || len(soon.servers[0].unanswered)+len(soon.servers[1].unanswered) != 0 {
 		t.Error("calls or attempts came back")
 	}
 	late := after(120*second, Entry{Server: 1, Share: 1}, Entry{Server: 2, Cell: 1, Share: 1})
-	if late.fair(late.servers[0]) > 0.2*c.fair(c.servers[0]) || late.delayAt(late.servers[0]) > 1e3 {
-		t.Errorf("after two minutes: %v of %v, %v", late.fair(late.servers[0]), c.fair(c.servers[0]), late.delayAt(late.servers[0]))
+	if late.fairRate(late.servers[0]) > 0.2*c.fairRate(c.servers[0]) || late.expectedDelay(late.servers[0]) > 1e3 {
+		t.Errorf("after two minutes: %v of %v, %v", late.fairRate(late.servers[0]), c.fairRate(c.servers[0]), late.expectedDelay(late.servers[0]))
 	}
 	other := after(second, Entry{Server: 1, Share: 1, ReadyAt: now}, Entry{Server: 3, Cell: 1, Share: 1})
-	if s := other.server(1); s.delay != 0 || s.newsAt != 0 || other.server(2) != nil {
+	if s := other.server(1); s.delay != 0 || s.delayAt != 0 || other.server(2) != nil {
 		t.Error("what was known of another processor counts for this one")
 	}
 }
 
 func TestUnfitLearntChangesNothing(t *testing.T) {
-	c, now := warmedLearnt(t)
+	c, now := trainedController(t)
 	l := c.Learnt()
 	l.Servers[0].Weight = math.NaN()
-	d, _ := New(settings(), 10)
+	d, _ := New(testSettings(), 10)
 	d.Handle(now, Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Server: 1, Share: 1}}})
 	before := d.Learnt()
 	if err := d.Restore(now, l); err == nil || !reflect.DeepEqual(before, d.Learnt()) {
@@ -82,7 +82,7 @@
 
 // A look changes no decision: the state is the same to the last bit afterwards.
 func TestBeliefsChangeNothing(t *testing.T) {
-	c, now := warmedLearnt(t)
+	c, now := trainedController(t)
 	before := c.Learnt()
 	if b := c.ServerStatuses(now + second/2); len(b) != 2 || b[0].Out+b[1].Out != 1 || b[0].Cold || !b[0].Available {
 		t.Errorf("%+v", b)
--- a/control/trials.go
+++ b/control/trials.go
@@ -11,39 +11,39 @@
 // a later one is answered (then it was lost: a processor takes set-ups in turn) or it is too old to tell
 // anything.
 type attempt struct {
-	call  string
-	at    int64
-	off   bool  // called off, cut or timed out
-	cutAt int64 // when it was cut: it was not silent; 0: not
+	call      string
+	sentAt    int64
+	abandoned bool  // called off, cut or timed out
+	cutAt     int64 // when it was cut: it was not silent; 0: not
 }
 
 // silent counts the set-ups on which a server is silent, and tells when the first and the last were sent.
 // One sent before another that stood is lost, as a processor takes set-ups in turn; one that was cut with its
 // connection says nothing of the processor behind it. Taken for silence, a single lost answer shut a well
 // server, and nothing was sent any more that could have proved it lost.
-func (s *server) silent() (n int, first, last int64) {
-	for _, a := range s.out {
-		if a.cutAt > 0 || a.at < s.provenAt {
+func (s *server) silentSetUps() (n int, first, last int64) {
+	for _, a := range s.unanswered {
+		if a.cutAt > 0 || a.sentAt < s.establishedSentAt {
 			continue
 		}
 		if n++; n == 1 {
-			first = a.at
+			first = a.sentAt
 		}
-		last = a.at
+		last = a.sentAt
 	}
 	return n, first, last
 }
 
 // misses counts the unanswered set-ups in a row, since the last one that stood; what is cut together with one
 // connection counts once.
-func (s *server) misses() (n int, first int64) {
+func (s *server) missedInARow() (n int, first int64) {
 	cutAt := int64(0)
-	for _, a := range s.out {
-		if !a.off || a.at < s.provenAt || a.cutAt > 0 && a.cutAt == cutAt {
+	for _, a := range s.unanswered {
+		if !a.abandoned || a.sentAt < s.establishedSentAt || a.cutAt > 0 && a.cutAt == cutAt {
 			continue
 		}
 		if n++; n == 1 {
-			first = a.at
+			first = a.sentAt
 		}
 		cutAt = a.cutAt
 	}
@@ -53,26 +53,26 @@
 // overtaken finds set-ups lost before one that was sent at a time and answered now, and calls them off, so
 // that the call has its later try in time. It guards against lost set-ups and answers of any cause; it could
 // do harm where a server takes set-ups out of turn by more than the margin.
-func (c *Controller) overtaken(s *server, sent int64) {
-	for len(s.out) > 0 && s.out[0].at+overtakeMargin <= sent {
-		s.lost.n = s.lost.now(c.now, lossFade) + 1
-		c.callOff(s, &s.out[0])
-		s.out = s.out[1:]
+func (c *Controller) cancelOvertaken(s *server, sent int64) {
+	for len(s.unanswered) > 0 && s.unanswered[0].sentAt+reorderMargin <= sent {
+		s.lost.n = s.lost.decayed(c.now, lossDecay) + 1
+		c.cancel(s, &s.unanswered[0])
+		s.unanswered = s.unanswered[1:]
 	}
 }
 
 // lossAt is the share of a server's set-ups whose answer gets lost: its own, weighed by their count, beside
 // that of all servers together.
-func (c *Controller) lossAt(s *server) float64 {
-	c.refresh()
-	lost := s.lost.now(c.now, lossFade)
-	return (lost + lossPrior*c.loss) / (lost + s.came.now(c.now, lossFade) + lossPrior)
+func (c *Controller) lossShare(s *server) float64 {
+	c.refreshTotals()
+	lost := s.lost.decayed(c.now, lossDecay)
+	return (lost + lossPrior*c.loss) / (lost + s.answered.decayed(c.now, lossDecay) + lossPrior)
 }
 
 // pending counts the set-ups that are still waited for.
 func (s *server) pending() (n int) {
-	for _, a := range s.out {
-		if !a.off {
+	for _, a := range s.unanswered {
+		if !a.abandoned {
 			n++
 		}
 	}
@@ -80,11 +80,11 @@
 }
 
 // callOff cancels an attempt; it stays among the unanswered ones.
-func (c *Controller) callOff(s *server, a *attempt) {
+func (c *Controller) cancel(s *server, a *attempt) {
 	cl := c.calls[a.call]
-	if !a.off && cl != nil && cl.at == s && c.set.MayCancel && cl.attempts < c.set.MaxAttempts {
-		c.acts = append(c.acts, Action{Kind: Cancel, Call: cl.id, Attempt: cl.attempts - 1})
-		a.off = true
+	if !a.abandoned && cl != nil && cl.server == s && c.cfg.MayCancel && cl.attempts < c.cfg.MaxAttempts {
+		c.actions = append(c.actions, Action{Kind: Cancel, Call: cl.id, Attempt: cl.attempts - 1})
+		a.abandoned = true
 	}
 }
 
@@ -92,58 +92,58 @@
 // than a slow one, by the share of losses and the usual delay, while its later try can still be in time. It
 // covers lost answers and set-ups of any cause, and without losses never acts; when delays grow right after
 // losses it may call off set-ups that would have stood.
-func (c *Controller) beat() {
-	c.beatDue = 0
+func (c *Controller) checkUnanswered() {
+	c.checkDue = 0
 	for _, s := range c.servers {
-		for len(s.out) > 0 && s.out[0].off && c.now-s.out[0].at > missMost {
-			s.out = s.out[1:]
+		for len(s.unanswered) > 0 && s.unanswered[0].abandoned && c.now-s.unanswered[0].sentAt > maxUnansweredAge {
+			s.unanswered = s.unanswered[1:]
 		}
-		for k := range s.out {
-			a := &s.out[k]
-			cl, age := c.calls[a.call], float64(c.now-a.at)
-			if cl == nil || cl.deferred || age < 2*float64(overtakeMargin) {
+		for k := range s.unanswered {
+			a := &s.unanswered[k]
+			cl, age := c.calls[a.call], float64(c.now-a.sentAt)
+			if cl == nil || cl.deferred || age < 2*float64(reorderMargin) {
 				continue
 			}
-			usual := max(c.x, s.delay*math.Exp(-float64(c.now-s.newsAt)/c.span(newsFade)))
-			inTime := float64(c.now+c.set.ClearWait-cl.first)+usual < float64(c.set.Classes[cl.class].Aim)
-			loss := c.lossAt(s)
-			if a.at < s.provenAt { // more likely lost than late, whatever the share of losses
-				loss = max(loss, lossDoubt)
+			usual := max(c.spacing, s.delay*math.Exp(-float64(c.now-s.delayAt)/c.scaled(delayDecay)))
+			inTime := float64(c.now+c.cfg.ClearWait-cl.firstAt)+usual < float64(c.cfg.Classes[cl.class].Aim)
+			loss := c.lossShare(s)
+			if a.sentAt < s.establishedSentAt { // more likely lost than late, whatever the share of losses
+				loss = max(loss, silentPrior)
 			}
 			if inTime && math.Exp(-age/usual) < loss {
-				c.callOff(s, a)
+				c.cancel(s, a)
 			}
 		}
 	}
-	c.pulse()
+	c.scheduleCheck()
 }
 
 // woke takes a beat that comes late: this front itself stood still. No server is at fault for the silence in
 // between, and answers that waited here tell nothing of a queue. It covers stalls of any cause; a real jam
 // that began meanwhile is seen that much later.
-func (c *Controller) woke(late int64) {
-	c.beatDue = c.now + beatEvery
+func (c *Controller) compensateStall(late int64) {
+	c.checkDue = c.now + checkInterval
 	for _, s := range c.servers {
-		s.newsAt, s.pressAt = s.newsAt+late, s.pressAt+late
-		for k := range s.out {
-			s.out[k].at += late
+		s.delayAt, s.excessDelayAt = s.delayAt+late, s.excessDelayAt+late
+		for k := range s.unanswered {
+			s.unanswered[k].sentAt += late
 		}
 	}
 }
 
 // pulse keeps the beat going while any set-up is unanswered.
-func (c *Controller) pulse() {
-	if c.beatDue == 0 && slices.ContainsFunc(c.servers, func(s *server) bool { return len(s.out) > 0 }) {
-		c.beatDue = c.now + beatEvery
-		c.acts = append(c.acts, Action{Kind: StartTimer, Wait: beatEvery})
+func (c *Controller) scheduleCheck() {
+	if c.checkDue == 0 && slices.ContainsFunc(c.servers, func(s *server) bool { return len(s.unanswered) > 0 }) {
+		c.checkDue = c.now + checkInterval
+		c.actions = append(c.actions, Action{Kind: StartTimer, Wait: checkInterval})
 	}
 }
 
 // take takes a call's latest attempt off the unanswered ones.
-func (s *server) take(id string) (a attempt, ok bool) {
-	for k := len(s.out) - 1; k >= 0; k-- {
-		if a = s.out[k]; a.call == id {
-			s.out = slices.Delete(s.out, k, k+1)
+func (s *server) removeAttempt(id string) (a attempt, ok bool) {
+	for k := len(s.unanswered) - 1; k >= 0; k-- {
+		if a = s.unanswered[k]; a.call == id {
+			s.unanswered = slices.Delete(s.unanswered, k, k+1)
 			return a, true
 		}
 	}
@@ -153,20 +153,20 @@
 // missed takes the end of an attempt that no answer came to; it stays among the unanswered ones. One may be
 // the way's fault, and the server rests for a moment. Chance losses explain a few in a row by the share seen
 // on all servers; what they do not explain is a server that is down.
-func (c *Controller) missed(s *server, id string, cut bool) {
-	for k := range s.out {
-		if a := &s.out[k]; a.call == id {
-			if cut && !a.off {
+func (c *Controller) recordMiss(s *server, id string, cut bool) {
+	for k := range s.unanswered {
+		if a := &s.unanswered[k]; a.call == id {
+			if cut && !a.abandoned {
 				a.cutAt = c.now
 			}
-			a.off = true
+			a.abandoned = true
 		}
 	}
-	s.weight *= lossWeight
-	s.markEnd = max(s.markEnd, c.now+markMin)
-	n, first := s.misses()
-	chance := math.Pow(max(c.lossAt(s), lossLeast), float64(n))
-	if chance < downDoubt && c.now-first > trialFirst {
-		c.fell(s)
+	s.weight *= faultWeightFactor
+	s.backoffUntil = max(s.backoffUntil, c.now+minBackoff)
+	n, first := s.missedInARow()
+	chance := math.Pow(max(c.lossShare(s), minLoss), float64(n))
+	if chance < downThreshold && c.now-first > minTrialInterval {
+		c.markDown(s)
 	}
 }
--- a/control/types.go
+++ b/control/types.go
@@ -190,4 +190,4 @@
 
 // Cap has the module take a server for one without room while f says so. It is asked again before each set-up, so f
 // must not change anything.
-func (c *Controller) ExcludeServers(f func(server uint64) bool) { c.capped = f }
+func (c *Controller) ExcludeServers(f func(server uint64) bool) { c.excluded = f }
