--- a/control/calls.go
+++ b/control/calls.go
@@ -1,24 +1,25 @@
 package control
 
-// The life of a call: route, held try, the guards of every set-up, final answers.
+// The life of a call: routing, the held attempt, the checks before every set-up, final answers.
 
-// call is a call in hand: waiting for a set-up, held, or standing.
+// call is a call in progress: waiting for a set-up, held or established.
 type call struct {
 	id, key                   string
 	class, firstChoice        int
 	inTransit                 bool
-	firstAt, notAfter         int64 // when its caller first came, as far as known, and when this try is given up
+	firstAt, notAfter         int64 // when its caller first called, as far as known; when this call is given up
 	attempts                  int
-	server                    *server // attempt out
-	releasedAt, establishedAt int64   // end of the release wait, and when it stood
+	server                    *server // of the attempt in progress
+	releasedAt, establishedAt int64   // end of the release wait, and when it was established
 	mayHaveRun                bool    // an attempt might have run
-	held, deferred            bool    // waits for its one later try, and had it
+	held, deferred            bool    // waits for its held attempt, and has used it
 	established               bool
-	threshold                 float64 // its draw against pressure, one for its whole life
-	// faults are the servers that answered it with a fault; whose that is shows elsewhere.
+	threshold                 float64 // random, fixed: where between rampStart and rampEnd a delay blocks a server
+	// faultyServers answered it with a fault. Whether that was their fault shows when another server takes it.
 	faultyServers []*server
 }
 
+// onArrival takes a new call. A number that is known to be busy is refused.
 func (c *Controller) onArrival(ev Event) {
 	if c.calls[ev.Call] != nil {
 		return
@@ -26,8 +27,8 @@
 	cl := &call{id: ev.Call, class: min(max(ev.Class, 0), len(c.cfg.Classes)-1), key: ev.Key, firstChoice: ev.FarEnd,
 		inTransit: ev.InTransit, firstAt: c.now - ev.Waited, notAfter: ev.NotAfter, threshold: c.rng.Float64()}
 	c.calls[cl.id] = cl
-	// A number turned away a moment ago gives a redial away, and tells when the caller first came. It covers
-	// redial storms of any cause; a second caller to that number within the span counts as a redial too.
+	// A call to a number that was refused recently is a redial, and its caller first called then. This handles redial
+	// storms of any cause; another caller to that number within refusalMemory counts as a redial too.
 	if at, ok := c.refusedNumbers[cl.key]; ok && cl.key != "" && c.now-at < refusalMemory {
 		cl.firstAt = min(cl.firstAt, at)
 	} else if ev.Redialed {
@@ -42,8 +43,8 @@
 	c.route(cl)
 }
 
-// route sends a call at once: first choice while unmarked, else a draw over the other unmarked ones; a call
-// that meets no room is held.
+// route sends a call at once: to its first-choice cell, or else to one of the other servers that are open to it. A call
+// that finds none is held.
 func (c *Controller) route(cl *call) {
 	for _, s := range c.servers {
 		if s.cell == cl.firstChoice && c.allowed(s, cl) && !c.blocked(s, cl) && c.send(cl, s) {
@@ -55,17 +56,17 @@
 	}
 }
 
-// hold gives a call its one later try, x after the latest scheduled one (x from now if none is held), while
-// fewer than D = ⌊T̂/x⌋ are held; else it is refused.
+// hold schedules the one held attempt of a call, a spacing after the latest scheduled one or after now if there is
+// none. The call is refused if as many calls are held as spacings fit into the longest hold.
 func (c *Controller) hold(cl *call) {
-	hat := holdFraction * float64(c.cfg.Classes[cl.class].Aim)
-	x := min(c.spacing, hat)
+	maxHold := holdFraction * float64(c.cfg.Classes[cl.class].Aim)
+	spacing := min(c.spacing, maxHold)
 	at := c.now
 	if c.held > 0 {
 		at = max(c.lastTryAt, at)
 	}
-	at = max(at+int64(x), cl.releasedAt)
-	if cl.deferred || c.held >= int(hat/x) || at+c.guardTime() >= cl.notAfter {
+	at = max(at+int64(spacing), cl.releasedAt)
+	if cl.deferred || c.held >= int(maxHold/spacing) || at+c.guardTime() >= cl.notAfter {
 		c.finish(cl, true)
 		return
 	}
@@ -75,12 +76,11 @@
 	c.startTimer(cl.id, at-c.now)
 }
 
-// guard is the time kept between anything planned for a call and its caller's end.
+// guardTime is kept between anything planned for a call and the time when it is given up.
 func (c *Controller) guardTime() int64 { return 2*c.cfg.Resolution + second/500 }
 
-// try is the held call's one later try: one server, drawn over all allowed. Servers are not alike here nor
-// full at once, so the draw falls on unmarked ones while there are any; if all are marked, the call is
-// refused.
+// tryHeld makes the held attempt of a call, at one server picked from all that are open to it: servers differ and are
+// not all full at once. If there is none, the call is refused.
 func (c *Controller) tryHeld(cl *call) {
 	cl.held = false
 	c.held--
@@ -89,9 +89,9 @@
 	}
 }
 
-// send is the one place that issues a set-up. It refuses whatever would break a rule: a second attempt out,
-// attempts spent, a call over or out of time, the release wait, a drain that was told, a cold budget spent, a
-// repeat of a call whose effect may have happened.
+// send is the only place that starts a set-up. It refuses whatever would break a rule: a second attempt in progress,
+// too many attempts, a call that is over or out of time, the release wait, a draining server, a spent cold budget, or a
+// repeat of a call that may have had its effect.
 func (c *Controller) send(cl *call, s *server) bool {
 	left := cl.notAfter - c.now - c.guardTime()
 	switch {
@@ -103,20 +103,20 @@
 	cl.attempts++
 	cl.server, s.sentAt = s, c.now
 	s.unanswered = append(s.unanswered, attempt{call: cl.id, sentAt: c.now})
-	s.credit-- // counts while it is cold only
+	s.credit-- // matters only while the server is cold
 	c.actions = append(c.actions, Action{Kind: Send, Call: cl.id, Server: s.id, Wait: left})
 	c.scheduleCheck()
 	return true
 }
 
-// final is the one place that gives final answers.
+// finish is the only place that gives final answers.
 func (c *Controller) finish(cl *call, refuse bool) {
 	if c.calls[cl.id] != cl || cl.established || cl.server != nil {
 		return
 	}
 	c.forget(cl)
 	if len(c.refusedNumbers) >= maxNumbers {
-		clear(c.refusedNumbers) // all at once, so that map order decides nothing
+		clear(c.refusedNumbers) // all at once, so that the result does not depend on map order
 	}
 	c.refusedNumbers[cl.key] = cl.firstAt
 	if !refuse || cl.mayHaveRun && c.cfg.Classes[cl.class].Effect != Idempotent {
@@ -125,8 +125,8 @@
 	}
 	a := Action{Kind: Refuse, Call: cl.id}
 	if c.cfg.RetryAfter {
-		// A caller that can still be served in time is asked back soon: its redial is one more deferral. Any
-		// other stays away as long as it may.
+		// A caller that can still be served in time is asked back soon: its redial is one more deferral. Others are
+		// asked to wait as long as allowed.
 		a.Wait = c.cfg.MaxRetryAfter
 		if left := cl.firstAt + c.cfg.Classes[cl.class].Aim - c.now; left > minRetryTime {
 			a.Wait = min(a.Wait, shortRetryAfter)
@@ -135,7 +135,7 @@
 	c.actions = append(c.actions, a)
 }
 
-// over forgets a call that has its answer or whose caller left.
+// forget removes a call that has its final answer or whose caller left.
 func (c *Controller) forget(cl *call) {
 	if cl == nil {
 		return
@@ -147,18 +147,19 @@
 	delete(c.calls, cl.id)
 }
 
+// startTimer sets a timer for a held call, or for another subscription to the list if id is empty.
 func (c *Controller) startTimer(id string, wait int64) {
 	c.nextTag++
 	c.timers[c.nextTag] = id
 	c.actions = append(c.actions, Action{Kind: StartTimer, Tag: c.nextTag, Wait: max(wait, 1)})
 }
 
-// standing takes a set-up that stood: it ends marks and feeds the load borne.
+// onEstablished takes the success of a set-up: it ends the server's backoff and counts as carried load.
 func (c *Controller) onEstablished(ev Event) {
 	s, cl := c.server(ev.Server), c.calls[ev.Call]
 	if s != nil {
 		c.established++
-		c.carried.n = c.carried.decayed(c.now, loadAveraging) + 1 // first, as the most borne is taken with the answer
+		c.carried.n = c.carried.decayed(c.now, loadAveraging) + 1 // first, as recordAnswer updates the peak
 		c.recordAnswer(s, ev.Call, 0)
 		s.backoffUntil, s.down = 0, false
 		s.faults.n = s.faults.decayed(c.now, badShareDecay) * (1 - badShareSmoothing)
@@ -177,7 +178,7 @@
 	}
 }
 
-// returned takes an attempt's end.
+// onAttemptEnded takes the end of an attempt, or of an established call.
 func (c *Controller) onAttemptEnded(ev Event) {
 	cl, s := c.calls[ev.Call], c.server(ev.Server)
 	if s != nil {
@@ -205,11 +206,11 @@
 	case Saturated:
 		c.hold(cl)
 	case ConnectionRefused:
-		c.route(cl) // it never ran, and this is no fullness: another unmarked server at once
+		c.route(cl) // it never ran, and the server is not full: another open server at once
 	case Errored:
 		cl.mayHaveRun = true
 		if ev.Note != noteNumberBusy && len(cl.faultyServers) < 2 {
-			c.route(cl) // perhaps a fault of that server: another unmarked one at once
+			c.route(cl) // it may be the server's fault: another open one at once
 			return
 		}
 		if cl.key != "" && ev.Note == noteNumberBusy {
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,7 @@
-// Package control decides for one front at the edge of the network which signalling server sets a call up,
-// when a call is held for a later try and when it is refused. The mechanism is deferral with deterministic spacing
-// (DSRT), see docs/design.md. Figures and state are here, the interface in types.go, one concern in each other file.
+// Package control decides for one instance which signalling server sets up a call, when a call is held for a later
+// attempt and when it is refused, by deferral with deterministic spacing (DSRT), see docs/design.md. It is pure:
+// callers pass in events with their time and carry out the actions it returns. Constants and state are in control.go,
+// the interface in types.go, and each other file has one concern.
 package control
 
 import (
@@ -10,140 +11,137 @@
 	"slices"
 )
 
-// Tuned constants. Each is a ratio or a time of its own; none belongs to one deployment.
+// Constants of the method. None is specific to a deployment. "Reference" is Controller.refDelay.
 const (
 	second = int64(1e9)
-	// usualAim is the aim for which the times of queues and trials below are meant: with shorter aims, queues
-	// fill and drain faster, and a second's silence costs more. Such times go by Controller.span.
+	// baseTarget is the target delay that the durations of queues and trials below are meant for: with shorter targets,
+	// queues fill and drain faster, and a second of silence costs more. Controller.scaled converts such durations.
 	baseTarget = 1.2 * float64(second)
-	// wayPart is the part of the reference that a server's least delay may take before the rest counts as its
-	// way: a way that is long by itself is no pressure, however short the aim.
+	// pathDelayPart is the part of the reference that a server's least delay may take before the rest counts as path
+	// delay: a long path alone is no sign of overload, however short the target.
 	pathDelayPart = 0.1
-	// markMin is the shortest mark after "full" (the design's figure). holdShare is the part of a class's aim
-	// that a call may be held (T̂); the rest is for the set-up.
+	// minBackoff is the shortest backoff after "full"; a call may be held for holdFraction of its class's target.
 	minBackoff, holdFraction = second / 5, 0.5
-	// rateGain weighs a newly reported rate, a noisy one; rateFresh is how long one counts: reports of an
-	// unused server end, and late ones tell of another time.
+	// rateSmoothing is the weight of a newly reported rate, which is noisy. rateMaxAge is how long a rate is valid: an
+	// unused server sends no reports, and a late one describes another time.
 	rateSmoothing, rateMaxAge = 0.3, 3 * second
-	// spacingGain weighs a new delay in x, about ten calls, lest one straggler stretch it; delayGain one at a
-	// server, where a queue moves within a few calls. newsFade: without news, a server's known delay is worth
-	// 1/e after this; the queue drains unseen.
+	// spacingSmoothing is the weight of a new delay in the spacing, about ten calls, so that one straggler doesn't
+	// stretch it; delaySmoothing that in a server's delay, as a queue moves within a few calls. Without answers, a
+	// server's known delay falls to 1/e within delayDecay, as its queue drains unobserved.
 	spacingSmoothing, delaySmoothing, delayDecay = 0.1, 0.6, 1.2 * float64(second)
-	// pressFrom and pressFull bound the delays, in units of the reference, over which a server turns from
-	// free to pressed for a call of the least worth. Repeats start at t1, so full pressure comes before it.
+	// rampStart and rampEnd are the delays, in references, between which a server goes from open to blocked for a call
+	// of the least value. Set-ups are repeated from t1 on, so rampEnd lies before it.
 	rampStart, rampEnd = 0.35, 0.8
-	// The integral adds pressGain times the delay beyond pressAim references a second, up to pressMost; one
-	// delay speaks for pressSpan at most. pressFade outlasts the seconds between two samples of many fronts.
-	excessGain, excessFrom, maxExcess = 0.5, 0.4, 2.5
-	// leastSpan is how slowly the least delay seen is forgotten.
+	// The integral grows by excessGain times the delay beyond excessFrom references each second, up to maxExcess; one
+	// delay counts for maxExcessGap at most. excessDecay is longer than the seconds between two samples of a server
+	// when there are many instances. minDelayDecay is how slowly the least delay is forgotten.
+	excessGain, excessFrom, maxExcess        = 0.5, 0.4, 2.5
 	maxExcessGap, excessDecay, minDelayDecay = 3 * float64(second), 15 * float64(second), 20 * float64(second)
-	// worthMin and worthMax bound how far worth moves that span: the least call still gets a chance on an
-	// idle server, the dearest must stand within its aim. Beyond aimShare of its aim, a delay is no use.
+	// minValueScale and maxValueScale bound how far a call's value moves that range: the least call still gets an idle
+	// server, the most valuable one must be established in time. A delay beyond targetFraction of the target is no use.
 	minValueScale, maxValueScale, targetFraction = 0.3, 2.0, 0.65
-	// A server without a free line is marked for markMin over the square of the call's worth, between these
-	// bounds: what is worth little waits until lines have long been free, what is dear takes the next one.
+	// A server without a free line is avoided for minBackoff over the square of the call's value, between these bounds:
+	// calls of little value wait until lines have been free for long, valuable ones take the next.
 	minLineFactor, maxLineFactor = 0.1, 16
-	// backNeed is the time that must be left of a call's aim to ask its caller back after backSoon.
+	// minRetryTime is the time that must be left of a call's target to ask its caller back after shortRetryAfter.
 	minRetryTime, shortRetryAfter = 2 * second / 5, second / 5
-	// turnedSpan is how long a number that was turned away is remembered, to know its caller's redial.
+	// refusalMemory is how long a refused number is remembered, to recognize its caller's redial.
 	refusalMemory, maxNumbers = 8 * second, 4096
-	// The delay guessed from unanswered set-ups needs a load to go by: littleFrom calls stood; and it never
-	// takes a rate under littleLeast a second.
+	// The delay estimated from unanswered set-ups needs a known load, from minEstablished established calls on, and
+	// assumes a rate of minFairRate a second at least.
 	minEstablished, minFairRate = 10, 0.1
-	// fullDelay is the least delay, in units of the reference, that "full" stands for: a processor says
-	// "full" only when its wait is far beyond any aim.
+	// saturatedDelay is the delay, in references, that "full" stands for: it is answered only far beyond any target.
 	saturatedDelay = 2.5
-	// A call cut under cutYoung after it stood counts as cut young; over cutMost of the last few (cutGain)
-	// being so shuts the server between trials, until cutFade has passed.
+	// A call cut within earlyCutAge of its start is an early cut. If more than maxBadShare of the last few
+	// (badShareSmoothing) are, the server gets trials only, until badShareDecay has passed.
 	earlyCutAge, maxBadShare, badShareSmoothing, badShareDecay = 2 * second, 0.5, 0.2, 8 * float64(second)
-	// weightReturn is the part of the way that a lowered weight climbs back in a second; lossWeight is what
-	// each fault leaves of it.
+	// A server regains weightRecovery of its lost weight in a second; a fault leaves faultWeightFactor of the weight.
 	weightRecovery, faultWeightFactor = 0.3, 0.7
-	// trialFirst and trialMax bound the time between trials of a server that does not answer (doubling); no
-	// more than one in trialParts calls of the fair part is a trial, lest many fronts' trials be a jam.
+	// minTrialInterval and maxTrialInterval bound the time between trials of a silent server (doubling). At most one in
+	// callsPerTrial calls of the fair share is a trial, so that the trials of many instances do not overload it.
 	minTrialInterval, maxTrialInterval, callsPerTrial = second, 2 * second, 4.0
-	// overtakeMargin is by how much later a set-up must have been sent to prove an unanswered one lost: more
-	// than the jitter of the way.
+	// An unanswered set-up counts as lost when one sent reorderMargin later is answered; it is longer than path jitter.
 	reorderMargin = second / 10
-	// A server's share of lost answers is weighed against that of all as lossPrior set-ups, and forgotten
-	// over lossFade. lossLeast of them is chance; as many in a row as chance explains by under downDoubt mean
-	// that a server is down. lossDoubt is how likely a silent server is so before any evidence.
+	// A server's share of lost answers is combined with that of all servers, which weighs as lossPrior set-ups, and is
+	// forgotten over lossDecay. A share of minLoss is chance; a server is down when so many misses in a row are less
+	// likely by chance than downThreshold. silentPrior is the prior probability that a silent server is down.
 	lossPrior, lossDecay                = 2.0, 8 * float64(second)
 	minLoss, downThreshold, silentPrior = 0.1, 0.02, 0.03
-	// beatEvery is how often unanswered set-ups are looked at; missMost is how long one tells anything.
-	// stillLeast is how late a beat shows that this front itself stood still.
+	// checkInterval is the time between checks of unanswered set-ups; one older than maxUnansweredAge tells nothing. A
+	// check that is late by more than minStall shows that this instance itself was stalled.
 	checkInterval, maxUnansweredAge, minStall = second / 10, 8 * second, second / 20
-	// coldPace and coldPart bound sends to a cold server: a multiple of its present fair part, and the part of the
-	// fall budget used at most, as repeats and rejected work count there too. coldLeast is the part of the offered
-	// calls by which a front goes before it has borne any; coldBurst, as a divisor, the part of a window's budget that
-	// unused credit may save up; coldKept, what more it earns until one lapses, where over coldSparse are due a window.
+	// coldPace limits sends to a cold server, as a multiple of its present fair share; coldBudgetPart is the part of
+	// the crash budget used at most, as repeats and rejected work count there too. coldOfferedPart is the part of the
+	// offered calls that an instance goes by before it has carried any. Unused credit is capped at a window's sends
+	// over coldBurst. Where over coldSparse sends are due in a window, whole credits beyond 1 + coldCreditMargin of
+	// those sends lapse instead.
 	coldPace, coldBudgetPart, coldOfferedPart, coldBurst, coldCreditMargin, coldSparse = 1.4, 0.6, 0.8, 4, 0.3, 0.1
-	// bornSpan is the averaging time of the load borne by warm servers, from which capacity is guessed.
-	// unitSpan is how slowly the most of it is forgotten: longer than a server is slow, drains or warms.
+	// loadAveraging is the averaging time of the load carried by warm servers, from which capacity is estimated.
+	// peakDecay is how slowly its peak is forgotten: longer than a server is slow, drains or warms up.
 	loadAveraging, peakDecay = 8 * float64(second), 60 * float64(second)
-	// hotFirst and hotMax bound how long a number whose lines are all busy is left alone (doubling).
+	// minBusyWait and maxBusyWait bound how long a number whose lines are all busy gets no calls (doubling).
 	minBusyWait, maxBusyWait = second, 4 * second
-	// Notes of an answer: no free line at the server; every line of the number dialled is busy.
+	// Values of Event.Note: no free line at the server; every line of the dialled number is busy.
 	noteNoLine, noteNumberBusy = 1, 4
 )
 
-// server is what this front knows of one signalling server.
+// server is what this instance knows of one signalling server.
 type server struct {
 	id                     uint64
 	cell                   int
 	share                  float64
-	removed                bool      // off the list for good
-	available              bool      // listed and not draining; false: told LAME, OUT or dropped from a full list
-	readyAt, downAt        int64     // its processor's last start (0: long ago), and when it was last seen down
-	down                   bool      // seen down since the last standing call: one trial at a time goes there
-	backoffUntil           int64     // end of its mark
-	noLineAt               int64     // when its lines were last found all taken, or nearly so
-	unanswered             []attempt // set-ups that no answer came to, by the time they were sent
+	removed                bool      // from the list, for good
+	available              bool      // listed and not draining
+	readyAt, downAt        int64     // its processor's last start (0: long ago), and when it was last found down
+	down                   bool      // found down since the last established call: gets one trial at a time
+	backoffUntil           int64     // it gets no calls before
+	noLineAt               int64     // when it last had no free line, or less than one by its report
+	unanswered             []attempt // set-ups without an answer, by the time they were sent
 	sentAt                 int64
-	establishedSentAt      int64         // when the last of the set-ups that stood was sent
-	calls                  int           // calls of this front that stand there
-	delay, excessDelay     float64       // set-up delay, and what delays beyond the aimed-at one have added up to
-	minDelay               float64       // the least delay, slowly forgotten
-	delayAt, excessDelayAt int64         // when these two were last fed
-	lost, answered         decayingCount // set-ups whose answer got lost, and those answered
-	earlyCuts              decayingCount // share of ended calls that were cut right after they stood
-	faults                 decayingCount // share of set-ups answered with a fault, of these and those that stood
+	establishedSentAt      int64         // when the latest set-up that was established had been sent
+	calls                  int           // established calls of this instance
+	delay, excessDelay     float64       // set-up delay, and the integral of delays beyond the threshold
+	minDelay               float64       // slowly forgotten
+	delayAt, excessDelayAt int64         // when delay and excessDelay were last updated
+	lost, answered         decayingCount // set-ups whose answer was lost, and those answered
+	earlyCuts              decayingCount // share of ended calls that were cut right after they were established
+	faults                 decayingCount // share of faults among set-ups that faulted or were established
 	weight                 float64
 	weightAt               int64
-	credit                 float64 // sends that its cold budget has left for this front; it grows with time
+	credit                 float64 // sends left to this instance of its cold budget; grows with time
 	creditAt, rateAt       int64
-	rate, peakRate         float64 // set-ups a second that it reports it can take from all, and the most of it
+	rate, peakRate         float64 // reported set-ups a second that it can take from all, and its peak
 }
 
-// Controller is the state machine of one front.
+// Controller is the state machine of one instance.
 type Controller struct {
 	cfg                   Settings
 	rng                   *rand.Rand
-	now, startedAt        int64     // began: the first event
+	now, startedAt        int64     // startedAt: the first event
 	servers               []*server // by id
 	calls                 map[string]*call
 	timers                map[uint64]string
 	nextTag               uint64
 	actions               []Action
-	spacing               float64 // spacing: recent mean delay of set-ups that stood
+	spacing               float64 // of held calls: the recent mean delay of established set-ups
 	held                  int
 	lastTryAt             int64
 	minValue              float64
-	timeScale, refDelay   float64               // of its times; the delay at which a server is pressed for the least call
-	established           int                   // calls that stood so far
-	carried, offered      decayingCount         // calls that stood, all servers together, and first tries offered
-	loadPerUnit, peakLoad float64               // the most borne lately on a unit of listed size, and by all
-	loss                  float64               // share of set-ups whose answer got lost, all servers together
-	available             float64               // servers listed and not draining
-	refreshedAt           int64                 // when these four were last refreshed
-	busyNumbers           map[string]busyNumber // numbers found busy
-	refusedNumbers        map[string]int64      // numbers turned away, and when their callers first came
-	checkDue              int64                 // when the next look at unanswered set-ups is due, 0: none
-	excluded              func(uint64) bool     // tells the servers that a module beside this one keeps calls from
-	spareField, rateField int                   // places in a report of free lines and of set-ups a second, -1: none
+	timeScale, refDelay   float64               // see scaled; the unit of delays, half the shortest target or t1
+	established           int                   // calls so far
+	carried, offered      decayingCount         // calls established on all servers, and new calls offered
+	loadPerUnit, peakLoad float64               // recent peak of carried load, for a unit of capacity and in total
+	loss                  float64               // share of set-ups on all servers whose answer was lost
+	available             float64               // number of available servers
+	refreshedAt           int64                 // when loadPerUnit, peakLoad, loss and available were
+	busyNumbers           map[string]busyNumber // by dialled number
+	refusedNumbers        map[string]int64      // refused numbers, and when their callers first called
+	checkDue              int64                 // when unanswered set-ups are next checked, 0: never
+	excluded              func(uint64) bool     // servers that another module keeps calls from
+	spareField, rateField int                   // indexes of free lines and of the rate in a load report, -1: none
 }
 
-// New makes a controller from a front's settings and its seed.
+// New makes a controller from an instance's settings and the seed of its random draws.
 func New(s Settings, seed uint64) (*Controller, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -151,23 +149,23 @@
 	c := &Controller{cfg: s, rng: rand.New(rand.NewPCG(seed, 0x6f78626f77)), calls: map[string]*call{},
 		timers: map[uint64]string{}, busyNumbers: map[string]busyNumber{}, refusedNumbers: map[string]int64{},
 		excluded: func(uint64) bool { return false }, minValue: math.Inf(1)}
-	aim := int64(math.MaxInt64)
-	for _, g := range s.Classes {
-		if aim = min(aim, g.Aim); g.Worth > 0 {
-			c.minValue = min(c.minValue, g.Worth)
+	target := int64(math.MaxInt64)
+	for _, class := range s.Classes {
+		if target = min(target, class.Aim); class.Worth > 0 {
+			c.minValue = min(c.minValue, class.Worth)
 		}
 	}
-	c.timeScale = min(float64(aim)/baseTarget, 1)
-	c.refDelay = float64(aim) / 2
+	c.timeScale = min(float64(target)/baseTarget, 1)
+	c.refDelay = float64(target) / 2
 	if s.T1 > 0 {
 		c.refDelay = min(c.refDelay, float64(s.T1))
 	}
-	c.spacing = float64(aim) * holdFraction
+	c.spacing = float64(target) * holdFraction
 	c.spareField, c.rateField = slices.Index(s.Fields, "spare"), slices.Index(s.Fields, "allowed")
 	return c, nil
 }
 
-// Handle takes one event at time now and gives the actions that follow from it.
+// Handle takes an event that happens at now and returns the actions that follow from it.
 func (c *Controller) Handle(now int64, ev Event) []Action {
 	c.now, c.actions = now, nil
 	if late := now - c.checkDue; c.checkDue > 0 && late > minStall {
@@ -220,8 +218,8 @@
 
 func byID(s *server, id uint64) int { return cmp.Compare(s.id, id) }
 
-// members takes the list. A server that leaves or drains is shut at once: the grace is never used, which also
-// guards a front that restarts with an old list and hears the change late.
+// onListUpdate applies changes of the server list. A server that is removed or drains gets no more calls at once; the
+// drain grace is never used, which also protects an instance that restarts with an old list and hears of changes late.
 func (c *Controller) onListUpdate(ev Event) {
 	if ev.FullList {
 		for _, s := range c.servers {
@@ -238,15 +236,17 @@
 				noLineAt: -second << 8, minDelay: math.MaxFloat64})
 		}
 		s := c.servers[k]
-		if !ok || e.ReadyAt != s.readyAt { // a new processor: what was known of the old one is void
-			s.delay, s.down, s.backoffUntil, s.weight, s.rate, s.unanswered, s.excessDelay, s.establishedSentAt = 0, false, 0, 1, 0, nil, 0, 0
+		if !ok || e.ReadyAt != s.readyAt { // a new processor: what was known of the old one no longer holds
+			s.delay, s.down, s.backoffUntil, s.weight, s.rate, s.unanswered, s.excessDelay,
+				s.establishedSentAt = 0, false, 0, 1, 0, nil, 0, 0
 			s.credit, s.creditAt, s.downAt = c.rng.Float64(), c.now, 0
 		}
-		s.cell, s.available, s.removed, s.readyAt, s.share = e.Cell, e.State == Serving, e.State == Removed, e.ReadyAt, max(e.Share, 1e-6)
+		s.cell, s.available, s.removed, s.readyAt, s.share = e.Cell, e.State == Serving, e.State == Removed,
+			e.ReadyAt, max(e.Share, 1e-6)
 	}
-	// Replacements have new ids: kept, the servers that have gone would grow without end.
+	// Replacements have new ids, so that removed servers would accumulate if kept.
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool { return s.removed })
 }
 
-// span is a time of queues and trials, for this front's aims.
+// scaled converts a duration of queues and trials, meant for baseTarget, to this instance's shortest target.
 func (c *Controller) scaled(t float64) float64 { return t * c.timeScale }
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Learnt is what a front has learnt, for the process after it. It holds no calls and no attempts: those end with the
-// process. Times are Unix nanoseconds, spans nanoseconds, rates calls a second. Importing it adds no decision: every
-// figure carries the time at which it was fed, so that the time away fades it by the module's own spans, as seconds
-// without a call would.
+// Learnt is the state that an instance has learnt, for the process that replaces it. It holds no calls and no attempts,
+// as those end with the process. Times are Unix nanoseconds, durations nanoseconds, rates calls a second. Restoring it
+// makes no decisions of its own: every value carries the time of its last update, so that the time between the
+// processes makes it decay as the same time without a call would.
 type Learnt struct {
 	At          int64           `json:"at_ns"`
 	StartedAt   int64           `json:"began_ns"`
-	Spacing     float64         `json:"x_ns"` // spacing of held calls
+	Spacing     float64         `json:"x_ns"` // of held calls
 	Established int             `json:"stood"`
 	Carried     DecayingCount   `json:"borne"`
 	Offered     DecayingCount   `json:"offered"`
@@ -23,13 +23,13 @@
 	Servers     []LearnedServer `json:"servers"`
 }
 
-// Count is a count that is forgotten with time.
+// DecayingCount is a count that decays exponentially, and when it was last updated.
 type DecayingCount struct {
 	N  float64 `json:"n"`
 	At int64   `json:"at_ns"`
 }
 
-// LearntServer is what has been learnt of one server's processor, told apart by its start.
+// LearnedServer is what has been learnt of one server's processor, which its start identifies.
 type LearnedServer struct {
 	ID                uint64        `json:"id"`
 	ReadyAt           int64         `json:"ready_at_ns"`
@@ -38,7 +38,7 @@
 	BackoffUntil      int64         `json:"mark_end_ns"`
 	NoLineAt          int64         `json:"line_at_ns"`
 	SentAt            int64         `json:"sent_at_ns"`
-	EstablishedSentAt int64         `json:"proven_at_ns"` // when the last set-up that stood was sent
+	EstablishedSentAt int64         `json:"proven_at_ns"` // when the latest set-up that was established had been sent
 	Delay             float64       `json:"delay_ns"`
 	ExcessDelay       float64       `json:"press_ns"`
 	MinDelay          float64       `json:"least_ns"` // 0: none seen
@@ -58,14 +58,15 @@
 func (f decayingCount) exported() DecayingCount { return DecayingCount{f.n, f.at} }
 func (n DecayingCount) restored() decayingCount { return decayingCount{n.N, n.At} }
 
-// Learnt gives what has been learnt up to the last event.
+// Learnt returns what has been learnt up to the last event.
 func (c *Controller) Learnt() Learnt {
-	l := Learnt{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established, Carried: c.carried.exported(), Offered: c.offered.exported(),
-		LoadPerUnit: c.loadPerUnit, PeakLoad: c.peakLoad, RefreshedAt: c.refreshedAt}
+	l := Learnt{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established,
+		Carried: c.carried.exported(), Offered: c.offered.exported(), LoadPerUnit: c.loadPerUnit, PeakLoad: c.peakLoad, RefreshedAt: c.refreshedAt}
 	for _, s := range c.servers {
-		o := LearnedServer{ID: s.id, ReadyAt: s.readyAt, Down: s.down, DownAt: s.downAt, BackoffUntil: s.backoffUntil, NoLineAt: s.noLineAt,
-			SentAt: s.sentAt, EstablishedSentAt: s.establishedSentAt, Delay: s.delay, ExcessDelay: s.excessDelay, DelayAt: s.delayAt,
-			ExcessDelayAt: s.excessDelayAt, Lost: s.lost.exported(), Answered: s.answered.exported(), EarlyCuts: s.earlyCuts.exported(), Faults: s.faults.exported(),
+		o := LearnedServer{ID: s.id, ReadyAt: s.readyAt, Down: s.down, DownAt: s.downAt, BackoffUntil: s.backoffUntil,
+			NoLineAt: s.noLineAt, SentAt: s.sentAt, EstablishedSentAt: s.establishedSentAt, Delay: s.delay,
+			ExcessDelay: s.excessDelay, DelayAt: s.delayAt, ExcessDelayAt: s.excessDelayAt, Lost: s.lost.exported(),
+			Answered: s.answered.exported(), EarlyCuts: s.earlyCuts.exported(), Faults: s.faults.exported(),
 			Weight: s.weight, WeightAt: s.weightAt, Rate: s.rate, PeakRate: s.peakRate, RateAt: s.rateAt}
 		if s.minDelay < math.MaxFloat64 {
 			o.MinDelay = s.minDelay
@@ -75,34 +76,35 @@
 	return l
 }
 
-// Check tells what makes no sense in something learnt by now: figures that are no numbers or negative, and times that
-// are still to come. Only a mark may end later, and no later than the longest mark.
+// Check reports values that cannot be right at now: not a number, infinite or negative, and times in the future. Only a
+// backoff may end later, by the longest backoff at most.
 func (l Learnt) Check(now int64) error {
 	numbers := []float64{l.Spacing, l.Carried.N, l.Offered.N, l.LoadPerUnit, l.PeakLoad}
 	times := []int64{l.At, l.StartedAt, l.Carried.At, l.Offered.At, l.RefreshedAt}
 	for k, s := range l.Servers {
 		if k > 0 && s.ID <= l.Servers[k-1].ID {
-			return errors.New("servers out of order")
+			return errors.New("servers are not in order of their ids")
 		}
-		numbers = append(numbers, s.Delay, s.ExcessDelay, s.MinDelay, s.Lost.N, s.Answered.N, s.EarlyCuts.N, s.Faults.N, s.Weight, s.Rate, s.PeakRate)
-		times = append(times, s.DownAt, s.NoLineAt, s.SentAt, s.EstablishedSentAt, s.DelayAt, s.ExcessDelayAt, s.Lost.At, s.Answered.At, s.EarlyCuts.At,
-			s.Faults.At, s.WeightAt, s.RateAt, s.BackoffUntil-maxTrialInterval)
+		numbers = append(numbers, s.Delay, s.ExcessDelay, s.MinDelay, s.Lost.N, s.Answered.N, s.EarlyCuts.N, s.Faults.N,
+			s.Weight, s.Rate, s.PeakRate)
+		times = append(times, s.DownAt, s.NoLineAt, s.SentAt, s.EstablishedSentAt, s.DelayAt, s.ExcessDelayAt,
+			s.Lost.At, s.Answered.At, s.EarlyCuts.At, s.Faults.At, s.WeightAt, s.RateAt, s.BackoffUntil-maxTrialInterval)
 	}
 	for _, x := range numbers {
 		if !(x >= 0) || math.IsInf(x, 0) {
-			return errors.New("a figure is no number, or negative")
+			return errors.New("a value is not a finite number, or is negative")
 		}
 	}
 	for _, at := range times {
 		if at > now {
-			return errors.New("a time is still to come")
+			return errors.New("a time is in the future")
 		}
 	}
 	return nil
 }
 
-// Restore takes up what the process before had learnt. It is to follow the first list: what is told of a server that is
-// not listed, or whose processor has started since, is left out. An unfit Learnt changes nothing.
+// Restore takes over what the process before had learnt. It must follow the first server list: servers that are not
+// listed, or whose processor has started since, are left out. If l is invalid, nothing changes.
 func (c *Controller) Restore(now int64, l Learnt) error {
 	if err := l.Check(now); err != nil {
 		return err
@@ -113,16 +115,19 @@
 	if l.Spacing > 0 {
 		c.spacing = l.Spacing
 	}
-	c.established, c.carried, c.offered, c.loadPerUnit, c.peakLoad, c.refreshedAt = l.Established, l.Carried.restored(), l.Offered.restored(), l.LoadPerUnit, l.PeakLoad, l.RefreshedAt
+	c.established, c.carried, c.offered, c.loadPerUnit, c.peakLoad, c.refreshedAt = l.Established,
+		l.Carried.restored(), l.Offered.restored(), l.LoadPerUnit, l.PeakLoad, l.RefreshedAt
 	for _, o := range l.Servers {
 		k, ok := slices.BinarySearchFunc(c.servers, o.ID, byID)
 		if !ok || c.servers[k].readyAt != o.ReadyAt {
 			continue
 		}
 		s := c.servers[k]
-		s.down, s.downAt, s.backoffUntil, s.noLineAt, s.sentAt, s.establishedSentAt = o.Down, o.DownAt, o.BackoffUntil, o.NoLineAt, o.SentAt, o.EstablishedSentAt
+		s.down, s.downAt, s.backoffUntil, s.noLineAt, s.sentAt, s.establishedSentAt = o.Down, o.DownAt, o.BackoffUntil,
+			o.NoLineAt, o.SentAt, o.EstablishedSentAt
 		s.delay, s.excessDelay, s.delayAt, s.excessDelayAt = o.Delay, o.ExcessDelay, o.DelayAt, o.ExcessDelayAt
-		s.lost, s.answered, s.earlyCuts, s.faults = o.Lost.restored(), o.Answered.restored(), o.EarlyCuts.restored(), o.Faults.restored()
+		s.lost, s.answered, s.earlyCuts, s.faults = o.Lost.restored(), o.Answered.restored(),
+			o.EarlyCuts.restored(), o.Faults.restored()
 		s.weight, s.weightAt, s.rate, s.peakRate, s.rateAt = o.Weight, o.WeightAt, o.Rate, o.PeakRate, o.RateAt
 		if o.MinDelay > 0 {
 			s.minDelay = o.MinDelay
@@ -131,21 +136,21 @@
 	return nil
 }
 
-// Belief is what a front believes of a server, for operators.
+// ServerStatus is what an instance assumes about a server, for operators.
 type ServerStatus struct {
 	Server        uint64
 	Available     bool    // listed and not draining
-	Cold          bool    // by the list, or since it was seen down
-	Warmth        float64 // part of its capacity that it is taken to have
-	Down          bool    // single trials only
-	Marked        bool    // by an answer, for now
-	Pressed       bool    // its expected delay is beyond the reference
-	Out           int     // set-ups without an answer that are waited for
-	Standing      int     // calls of this front
-	ExpectedDelay int64   // to be expected, nanoseconds
+	Cold          bool    // started recently by the list, or was found down
+	Warmth        float64 // part of its capacity that it is assumed to have
+	Down          bool    // gets single trials only
+	Marked        bool    // by an earlier answer
+	Pressed       bool    // its expected delay blocks calls of the least value
+	Out           int     // set-ups whose answer is awaited
+	Standing      int     // established calls of this instance
+	ExpectedDelay int64   // nanoseconds
 }
 
-// Beliefs tells what the front believes at a time. It works on copies: nobody's look changes a decision.
+// ServerStatuses returns the state of all servers at now. It works on copies, so that it changes no decision.
 func (c *Controller) ServerStatuses(now int64) []ServerStatus {
 	d := *c
 	d.now, d.servers = max(now, c.now), make([]*server, len(c.servers))
@@ -156,12 +161,13 @@
 	all := make([]ServerStatus, 0, len(d.servers))
 	for _, s := range d.servers {
 		delay := d.expectedDelay(s)
-		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: d.capacityFraction(s) < 1, Warmth: d.capacityFraction(s), Down: s.down,
-			Marked: d.now < s.backoffUntil, Pressed: delay > rampEnd*d.refDelay, Out: s.pending(), Standing: max(s.calls, 0),
+		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: d.capacityFraction(s) < 1,
+			Warmth: d.capacityFraction(s), Down: s.down, Marked: d.now < s.backoffUntil,
+			Pressed: delay > rampEnd*d.refDelay, Out: s.pending(), Standing: max(s.calls, 0),
 			ExpectedDelay: int64(min(delay, float64(math.MaxInt64/2)))})
 	}
 	return all
 }
 
-// Held tells how many calls wait for their one later try.
+// Held returns the number of held calls.
 func (c *Controller) Held() int { return c.held }
--- a/control/trials.go
+++ b/control/trials.go
@@ -5,22 +5,21 @@
 	"slices"
 )
 
-// Unanswered set-ups: what silence tells, when one is called off, and what a server that fell silent gets.
+// Unanswered set-ups: what silence means, when one is canceled, and the trials of a silent server.
 
-// attempt is a set-up that no answer has come to. It stays after its call was called off or timed out, until
-// a later one is answered (then it was lost: a processor takes set-ups in turn) or it is too old to tell
-// anything.
+// attempt is a set-up without an answer. It stays after it was canceled or timed out, until a later one is answered
+// (then it was lost, as a processor handles set-ups in order) or until it is too old to tell anything.
 type attempt struct {
 	call      string
 	sentAt    int64
-	abandoned bool  // called off, cut or timed out
-	cutAt     int64 // when it was cut: it was not silent; 0: not
+	abandoned bool  // canceled, timed out, or its connection was lost
+	cutAt     int64 // when its connection was lost, which is not silence; 0: not
 }
 
-// silent counts the set-ups on which a server is silent, and tells when the first and the last were sent.
-// One sent before another that stood is lost, as a processor takes set-ups in turn; one that was cut with its
-// connection says nothing of the processor behind it. Taken for silence, a single lost answer shut a well
-// server, and nothing was sent any more that could have proved it lost.
+// silentSetUps counts the set-ups on which a server is silent, and tells when the first and the last were sent. One
+// sent before another that was established is lost, as a processor handles set-ups in order; one whose connection was
+// lost says nothing about the processor. Counted as silence, a single lost answer would close a healthy server, and
+// nothing more would be sent that could prove it lost.
 func (s *server) silentSetUps() (n int, first, last int64) {
 	for _, a := range s.unanswered {
 		if a.cutAt > 0 || a.sentAt < s.establishedSentAt {
@@ -34,8 +33,7 @@
 	return n, first, last
 }
 
-// misses counts the unanswered set-ups in a row, since the last one that stood; what is cut together with one
-// connection counts once.
+// missedInARow counts the misses since the last established set-up; those lost with one connection count once.
 func (s *server) missedInARow() (n int, first int64) {
 	cutAt := int64(0)
 	for _, a := range s.unanswered {
@@ -50,26 +48,25 @@
 	return n, first
 }
 
-// overtaken finds set-ups lost before one that was sent at a time and answered now, and calls them off, so
-// that the call has its later try in time. It guards against lost set-ups and answers of any cause; it could
-// do harm where a server takes set-ups out of turn by more than the margin.
-func (c *Controller) cancelOvertaken(s *server, sent int64) {
-	for len(s.unanswered) > 0 && s.unanswered[0].sentAt+reorderMargin <= sent {
+// cancelOvertaken takes set-ups for lost that were sent reorderMargin before one that is answered now, and cancels
+// them, so that the call gets its held attempt in time. It covers lost set-ups and answers of any cause; it would do
+// harm where a server handles set-ups out of order by more than the margin.
+func (c *Controller) cancelOvertaken(s *server, answeredSentAt int64) {
+	for len(s.unanswered) > 0 && s.unanswered[0].sentAt+reorderMargin <= answeredSentAt {
 		s.lost.n = s.lost.decayed(c.now, lossDecay) + 1
 		c.cancel(s, &s.unanswered[0])
 		s.unanswered = s.unanswered[1:]
 	}
 }
 
-// lossAt is the share of a server's set-ups whose answer gets lost: its own, weighed by their count, beside
-// that of all servers together.
+// lossShare is the share of a server's set-ups whose answer is lost, combined by their number with that of all servers.
 func (c *Controller) lossShare(s *server) float64 {
 	c.refreshTotals()
 	lost := s.lost.decayed(c.now, lossDecay)
 	return (lost + lossPrior*c.loss) / (lost + s.answered.decayed(c.now, lossDecay) + lossPrior)
 }
 
-// pending counts the set-ups that are still waited for.
+// pending counts the set-ups whose answer is still awaited.
 func (s *server) pending() (n int) {
 	for _, a := range s.unanswered {
 		if !a.abandoned {
@@ -79,7 +76,7 @@
 	return n
 }
 
-// callOff cancels an attempt; it stays among the unanswered ones.
+// cancel cancels an attempt, which stays among the unanswered ones.
 func (c *Controller) cancel(s *server, a *attempt) {
 	cl := c.calls[a.call]
 	if !a.abandoned && cl != nil && cl.server == s && c.cfg.MayCancel && cl.attempts < c.cfg.MaxAttempts {
@@ -88,10 +85,9 @@
 	}
 }
 
-// beat looks at the unanswered set-ups. One is called off as soon as its silence is more likely a lost answer
-// than a slow one, by the share of losses and the usual delay, while its later try can still be in time. It
-// covers lost answers and set-ups of any cause, and without losses never acts; when delays grow right after
-// losses it may call off set-ups that would have stood.
+// checkUnanswered cancels a set-up as soon as its answer is more likely lost than late, by the share of losses and the
+// usual delay, while the held attempt can still be in time. It covers lost set-ups and answers of any cause and does
+// nothing without losses; when delays grow right after losses it may cancel set-ups that would have succeeded.
 func (c *Controller) checkUnanswered() {
 	c.checkDue = 0
 	for _, s := range c.servers {
@@ -118,9 +114,10 @@
 	c.scheduleCheck()
 }
 
-// woke takes a beat that comes late: this front itself stood still. No server is at fault for the silence in
-// between, and answers that waited here tell nothing of a queue. It covers stalls of any cause; a real jam
-// that began meanwhile is seen that much later.
+// compensateStall is called when a check comes late because this instance itself was stalled. The servers are not to
+// blame for the silence, and answers that waited here tell nothing about a queue: the times of delays and unanswered
+// set-ups are moved on. This covers stalls of any cause; a real overload that began meanwhile is noticed that much
+// later.
 func (c *Controller) compensateStall(late int64) {
 	c.checkDue = c.now + checkInterval
 	for _, s := range c.servers {
@@ -131,7 +128,7 @@
 	}
 }
 
-// pulse keeps the beat going while any set-up is unanswered.
+// scheduleCheck sets the timer of the next check while any set-up is unanswered.
 func (c *Controller) scheduleCheck() {
 	if c.checkDue == 0 && slices.ContainsFunc(c.servers, func(s *server) bool { return len(s.unanswered) > 0 }) {
 		c.checkDue = c.now + checkInterval
@@ -139,7 +136,7 @@
 	}
 }
 
-// take takes a call's latest attempt off the unanswered ones.
+// removeAttempt removes and returns the latest unanswered set-up of a call.
 func (s *server) removeAttempt(id string) (a attempt, ok bool) {
 	for k := len(s.unanswered) - 1; k >= 0; k-- {
 		if a = s.unanswered[k]; a.call == id {
@@ -150,13 +147,13 @@
 	return a, false
 }
 
-// missed takes the end of an attempt that no answer came to; it stays among the unanswered ones. One may be
-// the way's fault, and the server rests for a moment. Chance losses explain a few in a row by the share seen
-// on all servers; what they do not explain is a server that is down.
-func (c *Controller) recordMiss(s *server, id string, cut bool) {
+// recordMiss takes the end of an attempt without an answer, which stays among the unanswered ones. One may be the
+// network's fault, and the server gets a short backoff. Chance explains a few in a row, by the share of losses at all
+// servers; a server with more is down.
+func (c *Controller) recordMiss(s *server, id string, connectionLost bool) {
 	for k := range s.unanswered {
 		if a := &s.unanswered[k]; a.call == id {
-			if cut && !a.abandoned {
+			if connectionLost && !a.abandoned {
 				a.cutAt = c.now
 			}
 			a.abandoned = true
--- a/control/types.go
+++ b/control/types.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// Settings is what a front is told once, at its start. Times are nanoseconds.
+// Settings is what an instance is told once, when it starts. Times are in nanoseconds.
 type Settings struct {
-	GroupSize     int // fronts in this tier
-	Ordinal       int // this front's number among them, from 0
+	GroupSize     int // instances in the group
+	Ordinal       int // number of this instance among them, from 0
 	Classes       []Class
-	Meshed        bool // exchanges with trunk groups; otherwise pools shared by all fronts
-	ThisNode      int  // own exchange number, -1 with pools
-	ListOnRequest bool // discovery speaks only after Listen
+	Meshed        bool // cells are exchanges with trunk groups; otherwise pools shared by all instances
+	ThisNode      int  // own exchange, -1 with pools
+	ListOnRequest bool // the server list is sent only after Subscribe
 	MaxAttempts   int
 	MayCancel     bool
 	SecondCopies  bool
-	RetryAfter    bool // a refusal may name a wait
+	RetryAfter    bool // a refusal may tell the caller when to call again
 	MaxRetryAfter int64
 	Fields        []string // names of the values of a load report
-	Resolution    int64    // shortest gap between two batches
-	T1            int64    // a waiting set-up is repeated after this; 0: never
-	ClearWait     int64    // release wait after a time-out, reset or cancel
+	Resolution    int64    // least time between two batches of events
+	T1            int64    // a set-up without an answer is repeated after this; 0: never
+	ClearWait     int64    // wait before another attempt after a time-out, lost connection or cancel
 	DrainGrace    int64
-	FallMultiple  float64
+	FallMultiple  float64 // sends within FallWindow, in multiples of its capacity, at which a cold server crashes
 	FallWindow    int64
-	ColdFrom      float64
-	ColdSpan      int64
+	ColdFrom      float64 // part of its capacity that a server has when it starts
+	ColdSpan      int64   // time until it has all of it
 }
 
-// Check names every setting that makes no sense, one a line; nil where all do.
+// Check reports every setting that is missing or out of range, one a line, or nil.
 func (s Settings) Check() error {
 	var wrong []error
 	if len(s.Classes) == 0 {
@@ -42,8 +42,8 @@
 		}{
 			{g.Aim > 0, fmt.Sprintf("aim_ns: %d is not positive", g.Aim)},
 			{g.Deadline > 0, fmt.Sprintf("deadline_ns: %d is not positive", g.Deadline)},
-			{g.Worth >= 0, fmt.Sprintf("worth: %v is no worth", g.Worth)},
-			{g.LateValue >= 0, fmt.Sprintf("late_value: %v is no share", g.LateValue)},
+			{g.Worth >= 0, fmt.Sprintf("worth: %v is negative or not a number", g.Worth)},
+			{g.LateValue >= 0, fmt.Sprintf("late_value: %v is negative or not a number", g.LateValue)},
 		} {
 			if !f.ok {
 				wrong = append(wrong, fmt.Errorf("grades[%d].%s", k, f.text))
@@ -68,44 +68,44 @@
 		{"rules.cold_ns", s.ColdSpan > 0},
 	} {
 		if !f.ok {
-			wrong = append(wrong, fmt.Errorf("%s: missing or out of its bounds", f.name))
+			wrong = append(wrong, fmt.Errorf("%s: missing or out of range", f.name))
 		}
 	}
 	return errors.Join(wrong...)
 }
 
-// Class is one class of call.
+// Class describes a class of calls.
 type Class struct {
-	Aim, Deadline int64
-	Worth         float64
-	LateValue     float64
+	Aim, Deadline int64   // time from a call's arrival within which it should, and must, be established
+	Worth         float64 // of a call established within its target time Aim
+	LateValue     float64 // factor of Worth after that
 	Effect        Effect
-	Cells         []int // pools that may take it; empty: any
+	Cells         []int // that may take it; empty: any
 }
 
-// Effect tells what may be repeated once an attempt might have run.
+// Effect tells whether an attempt that might have run may be followed by another.
 type Effect int
 
-// The kinds of effect.
+// The effects. Only Idempotent allows another attempt.
 const (
 	Idempotent Effect = iota
 	Guarded
 	SingleShot
 )
 
-// EventKind names what happened.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of event.
+// The kinds of events.
 const (
-	ListUpdate   EventKind = iota // Entries; Full replaces the list, else changes apply
-	ListError                     // a list request failed; the old list holds
-	Arrival                       // a call was handed over
-	Aborted                       // the caller left
-	Stands                        // the call stands
-	AttemptEnded                  // an attempt ended
-	LoadReport                    // a probe's answer, or free lines told unasked
-	TimerFired                    // a timer came due
+	ListUpdate   EventKind = iota // changes of the server list in Entries, or all of it with FullList
+	ListError                     // a request for the list failed; the old list stays in use
+	Arrival                       // a new call
+	Aborted                       // the caller ended the call
+	Stands                        // an attempt was answered: the call is established
+	AttemptEnded                  // an attempt or an established call ended
+	LoadReport                    // a server answered a probe, or reported free lines unasked
+	TimerFired                    // the timer Tag of a StartTimer action
 )
 
 // Outcome is how an attempt ended.
@@ -113,72 +113,72 @@
 
 // The outcomes.
 const (
-	Completed Outcome = iota
-	Errored
-	Saturated
-	TimedOut
-	ConnectionRefused
-	ConnectionLost
-	Canceled
-	Unavailable
+	Completed         Outcome = iota
+	Errored                   // answered with a fault, see Event.Note
+	Saturated                 // answered "full", or with noteNoLine: no free line
+	TimedOut                  // no answer in time
+	ConnectionRefused         // never sent
+	ConnectionLost            // the connection was lost before an answer, or under an established call
+	Canceled                  // by the controller or the caller
+	Unavailable               // the server takes no calls, or the set-up was kept back
 )
 
-// Event is one thing told to a front; which fields count depends on Kind.
+// Event is something that an instance is told. Which fields have a meaning depends on Kind.
 type Event struct {
 	Kind      EventKind
 	Call      string
 	Class     int
-	Key       string
-	NotAfter  int64
-	Waited    int64 // an arrival: since the call was taken, where another module held it first
-	FarEnd    int
-	Redialed  bool
-	InTransit bool
+	Key       string // dialled number
+	NotAfter  int64  // when the call is given up
+	Waited    int64  // time since the call was accepted, if another module held it first
+	FarEnd    int    // cell of the first choice
+	Redialed  bool   // the caller calls again
+	InTransit bool   // only servers of cell FarEnd may take the call
 	Server    uint64
-	Elapsed   int64 // since the attempt or probe went out
+	Elapsed   int64 // since the attempt or probe was sent
 	Outcome   Outcome
-	CallEnded bool
-	Note      int
-	WaitMS    int64
-	Report    []float64 // in the order of Settings.Fields; nil: none
+	CallEnded bool      // the call is over, with no further attempt
+	Note      int       // detail of the outcome: 1 no free line, 4 number busy
+	WaitMS    int64     // wait that the server asked for, in milliseconds
+	Report    []float64 // load report, in the order of Settings.Fields; nil: none
 	Tag       uint64
 	FullList  bool
 	Entries   []Entry
 }
 
-// Readiness is a list entry's state.
+// EntryState is the state of a server on the list.
 type EntryState int
 
-// The states of a list entry.
+// The states of an entry.
 const (
-	Serving EntryState = iota
-	Draining
-	Removed
+	Serving  EntryState = iota
+	Draining            // takes no new calls
+	Removed             // from the list
 )
 
 // Entry is one signalling server on the list.
 type Entry struct {
-	Cell    int
-	Share   float64
+	Cell    int     // pool or exchange that it belongs to
+	Share   float64 // of the capacity, in any unit
 	Server  uint64
-	ReadyAt int64
+	ReadyAt int64 // last start of its processor; 0: long ago
 	State   EntryState
 }
 
-// ActionKind names what a front wants done.
+// ActionKind is the kind of an action.
 type ActionKind int
 
-// The kinds of action.
+// The kinds of actions.
 const (
-	Send       ActionKind = iota // start a set-up: Call, Server, Wait (time-out)
-	Refuse                       // final answer: turned away; Wait is the advice
-	Fail                         // final answer: given up
-	Cancel                       // stop waiting for attempt Attempt of Call
-	StartTimer                   // ring Tag after Wait
-	Subscribe                    // subscribe to the list
+	Send       ActionKind = iota // a set-up of Call at Server, with time-out Wait
+	Refuse                       // final answer: the call is refused; after Wait, if not 0, the caller may call again
+	Fail                         // final answer: the call is given up
+	Cancel                       // of attempt Attempt of Call
+	StartTimer                   // TimerFired with Tag is due after Wait
+	Subscribe                    // to the server list
 )
 
-// Action is one thing a front wants done.
+// Action is something that the controller asks its caller to do.
 type Action struct {
 	Kind    ActionKind
 	Call    string
@@ -188,6 +188,6 @@
 	Wait    int64
 }
 
-// Cap has the module take a server for one without room while f says so. It is asked again before each set-up, so f
-// must not change anything.
+// ExcludeServers keeps calls from a server while f reports true for it. f is called before each set-up and must not
+// change anything.
 func (c *Controller) ExcludeServers(f func(server uint64) bool) { c.excluded = f }
