--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// coldStarts is raised for the figures in docs/design/cold.md.
+// coldStarts may be raised for more precise figures, such as those in docs/design/cold.md.
 var coldStarts = flag.Int("cold-starts", 24, "starts that TestFleetKeepsTheColdBudget plays of each case")
 
-// coldFleet is many controllers that have borne calls for a minute and are all told of one server's start. No call is
-// played: what is asked of the cold server is up to the test.
+// coldFleet is a set of controllers that have carried calls for a minute and then learn of one server's start. It plays
+// no calls; the demand on the cold server is up to the test.
 type coldFleet struct {
 	settings    Settings
 	rng         *rand.Rand
@@ -22,13 +22,13 @@
 	restartedAt int64     // when the server started
 }
 
-// coldCase is a fleet and what is asked of the cold server.
+// coldCase is a fleet and the demand on the cold server.
 type coldCase struct {
 	controllers, servers int
-	budget               float64 // N at the start
+	budget               float64 // N at the start: FallMultiple times what the cold server can take in a window
 	skew                 float64 // standard deviation of the logarithms of the controllers' shares of the traffic
 	pause                int64   // from the start until the first calls
-	demand               float64 // the calls to the cold server, in fair parts of its traffic; 0: calls never lack
+	demand               float64 // calls to the cold server, in multiples of its usual traffic; 0: always one
 }
 
 func (c coldCase) String() string {
@@ -39,7 +39,8 @@
 	return fmt.Sprintf("%d controllers, N %v, skew %v, %d s without calls, then %s", c.controllers, c.budget, c.skew, c.pause/second, calls)
 }
 
-// newColdFleet has controllers bear 0.95 of the servers' capacity; each knows its traffic as well as its few calls tell.
+// newColdFleet has the controllers carry 0.95 of the servers' capacity. Each knows its load only as well as its few
+// calls show.
 func newColdFleet(t *testing.T, c coldCase, seed uint64) *coldFleet {
 	t.Helper()
 	set := testSettings()
@@ -78,7 +79,7 @@
 	return f
 }
 
-// most gives the most that all controllers together send in a window within 3 s after the pause, over N + 2 √N + 2.
+// worstWindow is the most that all controllers send in a window within 3 s after the pause, relative to N + 2 √N + 2.
 func (f *coldFleet) worstWindow(c coldCase) (worst float64) {
 	const step = 20 * ms
 	var sends []int64
@@ -103,8 +104,8 @@
 	return worst
 }
 
-// A cold server falls when all controllers together send it more than N + 2 √N + 2 in a window. That must not happen
-// with more controllers than N either, nor when none had a call for seconds and all have some at once.
+// A cold server crashes when all controllers together send it more than N + 2 √N + 2 calls in a window. That must not
+// happen with more controllers than N either, nor when none had a call for seconds and then all have some at once.
 func TestFleetKeepsTheColdBudget(t *testing.T) {
 	for _, c := range []coldCase{
 		{10, 3, 17, 0, 0, 0}, {10, 3, 9, 0.8, 2 * second, 0},
@@ -119,17 +120,17 @@
 			if c.controllers > 30 {
 				starts = max(starts/12, 1)
 			}
-			mean, worst, broken := 0.0, 0.0, 0
+			mean, worst, exceeded := 0.0, 0.0, 0
 			for seed := range starts {
-				m := newColdFleet(t, c, uint64(seed)).worstWindow(c)
-				mean, worst = mean+m/float64(starts), max(worst, m)
-				if m > 1 {
-					broken++
+				window := newColdFleet(t, c, uint64(seed)).worstWindow(c)
+				mean, worst = mean+window/float64(starts), max(worst, window)
+				if window > 1 {
+					exceeded++
 				}
 			}
-			t.Logf("%d of %d starts broken; the most in a window over the bound: mean %.2f, worst %.2f", broken, starts, mean, worst)
-			if broken > 0 {
-				t.Errorf("the cold server falls in %d of %d starts, worst %.2f of the bound", broken, starts, worst)
+			t.Logf("%d of %d starts exceed the bound; most in a window, relative to it: mean %.2f, worst %.2f", exceeded, starts, mean, worst)
+			if exceeded > 0 {
+				t.Errorf("the cold server crashes in %d of %d starts, at worst at %.2f of the bound", exceeded, starts, worst)
 			}
 		})
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -28,13 +28,13 @@
 		}}
 }
 
-// bed drives one controller and keeps what it did.
+// fixture drives one controller. It keeps the time and carries out the timers of its checks.
 type fixture struct {
 	t         *testing.T
 	c         *Controller
 	now       int64
 	callCount int
-	// beat is when the controller's beat is due; still keeps it back, as when the front stands still.
+	// checkDue is when the controller's next check is due; stalled keeps it back, as if the instance were stalled.
 	checkDue int64
 	stalled  bool
 }
@@ -54,7 +54,7 @@
 	return b
 }
 
-// do hands over an event, after the beats that came due before it, and gives the actions apart from the beat's.
+// handle passes on an event, after the checks that were due before it, and returns the actions other than check timers.
 func (b *fixture) handle(ev Event) []Action {
 	for b.checkDue > 0 && b.checkDue <= b.now && !b.stalled {
 		at := b.checkDue
@@ -80,7 +80,7 @@
 	return id, b.handle(Event{Kind: Arrival, Call: id, Class: class, NotAfter: b.now + 3*second, FarEnd: far})
 }
 
-// coldSends counts the sends that fit the first fall window of a cold server when calls never lack.
+// coldSends counts the sends that a cold server gets in its first crash window when there is always a call.
 func (b *fixture) coldSends(server uint64) (n int) {
 	s := b.c.server(server)
 	for range 1000 {
@@ -92,7 +92,7 @@
 	return n
 }
 
-// cold makes server 10 a cold one with some credit.
+// makeCold makes server 10 a cold one with the given credit.
 func (b *fixture) makeCold(credit float64) {
 	s := b.c.server(10)
 	s.readyAt, s.creditAt, s.credit = b.now, b.now, credit
@@ -115,7 +115,7 @@
 	return acts[0]
 }
 
-// warm has the first server stand enough calls, each after so long, for its delay to count.
+// establishMany has the first server establish enough calls, each after d, for its delay to count.
 func (b *fixture) establishMany(d int64) {
 	for range minEstablished + 5 {
 		id, _ := b.call(0, 0)
@@ -124,7 +124,7 @@
 	}
 }
 
-// markAll makes both servers answer "full", with told waits long enough for the test.
+// saturateBoth makes both servers answer "full", with told waits long enough for the test.
 func (b *fixture) saturateBoth() {
 	for far := range 2 {
 		id, acts := b.call(far, 0)
@@ -163,8 +163,8 @@
 	}
 }
 
-func TestFirstChoiceThenDraw(t *testing.T) {
-	b := newFixture(t, testSettings(), 3) // server 12 has no skill for the classes
+func TestFirstChoiceThenRandom(t *testing.T) {
+	b := newFixture(t, testSettings(), 3) // the classes do not allow the cell of server 12
 	for far := range 2 {
 		id, acts := b.call(far, 0)
 		if wantOnly(t, acts, Send).Server != uint64(10+far) {
@@ -177,26 +177,26 @@
 	for range 20 {
 		id, acts := b.call(0, 0)
 		if wantOnly(t, acts, Send).Server != 11 {
-			t.Fatalf("marked or unskilled server drawn: %+v", acts)
+			t.Fatalf("picked a server in backoff or of a cell that is not allowed: %+v", acts)
 		}
 		b.c.server(10).backoffUntil = b.now + second
 		b.establish(id, 11, ms)
 	}
 }
 
-func TestMarkEndsAndClears(t *testing.T) {
+func TestBackoffEnds(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		wait  int64 // told, ms
+		wait  int64 // that the server asked for, ms
 		after int64
 		stand bool
 		want  uint64
 	}{
-		{"inside the least mark", 0, minBackoff - 1, false, 11},
-		{"inside a told wait", 1500, 1500*ms - 1, false, 11},
+		{"within the shortest backoff", 0, minBackoff - 1, false, 11},
+		{"within a told wait", 1500, 1500*ms - 1, false, 11},
 		{"after a told wait", 1500, 1500 * ms, false, 10},
 		{"a long told wait ends by a trial", 5000, maxTrialInterval, false, 10},
-		{"cleared by a standing call", 1500, 10 * ms, true, 10},
+		{"ended by an established call", 1500, 10 * ms, true, 10},
 	} {
 		b := newFixture(t, testSettings(), 2)
 		b.c.spacing = float64(ms)
@@ -211,7 +211,7 @@
 			wantOnly(t, b.endAttempt(early, 10, Errored, 0), Send)
 			b.establish(early, 11, 0)
 		}
-		b.c.server(10).delay, b.c.server(10).excessDelay = 0, 0 // the mark alone is in question
+		b.c.server(10).delay, b.c.server(10).excessDelay = 0, 0 // only the backoff is tested
 		b.now = at + tc.after
 		if _, acts := b.call(0, 0); wantOnly(t, acts, Send).Server != tc.want {
 			t.Errorf("%s: sent to %d", tc.name, acts[0].Server)
@@ -219,21 +219,21 @@
 	}
 }
 
-func TestSpacingAndCap(t *testing.T) {
+func TestSpacingAndLimitOfHeldCalls(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.saturateBoth()
-	for len(b.c.calls) > 0 { // empty the hold
+	for len(b.c.calls) > 0 { // end all held calls
 		for id := range b.c.calls {
 			b.handle(Event{Kind: Aborted, Call: id})
 		}
 	}
 	b.c.spacing = float64(200 * ms)
-	hat := holdFraction * float64(testSettings().Classes[0].Aim)
-	capD := int(hat / b.c.spacing)
-	for k := range capD {
+	maxHold := holdFraction * float64(testSettings().Classes[0].Aim)
+	maxHeld := int(maxHold / b.c.spacing)
+	for k := range maxHeld {
 		_, acts := b.call(0, 0)
 		if got, want := wantOnly(t, acts, StartTimer).Wait, int64(k+1)*200*ms; got != want {
-			t.Errorf("held call %d: try after %d, want %d", k, got, want)
+			t.Errorf("held call %d: attempt after %d, want %d", k, got, want)
 		}
 	}
 	_, acts := b.call(0, 0)
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestOneLaterTry(t *testing.T) {
+func TestOneHeldAttempt(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, acts := b.call(0, 0)
 	a := wantOnly(t, b.endAttempt(id, wantOnly(t, acts, Send).Server, Saturated, 3), StartTimer)
@@ -258,7 +258,7 @@
 	wantOnly(t, b.handle(Event{Kind: TimerFired, Tag: a.Tag}), Refuse)
 }
 
-func TestWeightFallsAndReturns(t *testing.T) {
+func TestWeightDropsAndRecovers(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	b.establish(id, 10, 900*ms)
@@ -271,11 +271,11 @@
 	b.c.now += 20 * second
 	b.c.pick(&call{class: 0})
 	if s.weight < 0.9 || s.weight <= low {
-		t.Fatalf("weight %v did not return", s.weight)
+		t.Fatalf("weight %v did not recover", s.weight)
 	}
 }
 
-func TestPressedByDelayAndByWorth(t *testing.T) {
+func TestBlockedByDelayAndValue(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	for _, id := range []uint64{10, 11} {
 		b.c.server(id).delay, b.c.server(id).delayAt = float64(430*ms), b.now
@@ -283,26 +283,26 @@
 	_, acts := b.call(0, 0)
 	wantOnly(t, acts, StartTimer)
 	low := &call{class: 0, threshold: 0.4, firstAt: b.now}
-	dear := &call{class: 1, threshold: 0.4, firstAt: b.now}
-	if s := b.c.server(10); !b.c.blocked(s, low) || b.c.blocked(s, dear) {
-		t.Error("at this delay only the call of low worth should find the server pressed")
+	valuable := &call{class: 1, threshold: 0.4, firstAt: b.now}
+	if s := b.c.server(10); !b.c.blocked(s, low) || b.c.blocked(s, valuable) {
+		t.Error("at this delay only the call of low value should be blocked")
 	}
 }
 
-func TestQuickFullIsNoQuickSetUp(t *testing.T) {
+func TestFastFullIsNotAFastSetUp(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	b.now += 5 * ms
 	b.handle(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: Saturated, Note: 3, Elapsed: 5 * ms})
 	if d := b.c.expectedDelay(b.c.server(10)); d < 2*b.c.refDelay {
-		t.Errorf("a full answer after 5 ms left an expected delay of %v", d)
+		t.Errorf("after \"full\" within 5 ms the expected delay is %v", d)
 	}
 	if w := b.c.server(10).weight; w > 0.5 {
-		t.Errorf("a full answer left the weight at %v", w)
+		t.Errorf("after \"full\" the weight is %v", w)
 	}
 }
 
-func TestNoLineTellsNothingOfTheProcessor(t *testing.T) {
+func TestNoFreeLineIsNotADelay(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	b.endAttempt(id, 10, Saturated, noteNoLine)
@@ -311,26 +311,26 @@
 		t.Errorf("expected delay %v", d)
 	}
 	for _, tc := range []struct {
-		class  int
-		resent bool
-		after  int64
-		want   bool
+		class    int
+		redialed bool
+		after    int64
+		want     bool
 	}{
 		{0, false, minBackoff - 1, true}, {0, false, minBackoff, false}, {1, false, minBackoff / 4, false},
 		{0, true, minBackoff * 8, true}, {0, true, minBackoff * 16, false},
 	} {
 		b.c.now = b.now + tc.after
 		cl := &call{class: tc.class, firstAt: b.c.now, threshold: 0.5}
-		if tc.resent {
+		if tc.redialed {
 			cl.firstAt -= 5 * second
 		}
 		if got := b.c.blocked(s, cl); got != tc.want {
-			t.Errorf("class %d resent %v after %d: marked %v", tc.class, tc.resent, tc.after, got)
+			t.Errorf("class %d, redialed %v, after %d: blocked %v", tc.class, tc.redialed, tc.after, got)
 		}
 	}
 }
 
-func TestNoFreeLineToldMarksForAMoment(t *testing.T) {
+func TestReportWithoutFreeLineBlocksBriefly(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	b.handle(Event{Kind: LoadReport, Server: 10, Report: []float64{0, 90}})
 	_, acts := b.call(0, 0)
@@ -340,20 +340,20 @@
 	wantOnly(t, acts, Send)
 }
 
-func TestRedialIsKnownByItsNumber(t *testing.T) {
+func TestRedialIsRecognizedByNumber(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	b.c.server(10).backoffUntil = b.now + 60*second
 	first := Event{Kind: Arrival, Call: "a", Key: "n", NotAfter: b.now + 20*ms}
 	wantOnly(t, b.handle(first), Refuse)
 	b.handle(Event{Kind: Arrival, Call: "b", Key: "n", NotAfter: b.now + 3*second})
 	if cl := b.c.calls["b"]; cl == nil || cl.firstAt != b.now {
-		t.Fatal("the redial was taken for a first try")
+		t.Fatal("the redial counted as a new call")
 	}
 	b.now += 2 * second
 	b.handle(Event{Kind: Aborted, Call: "b"})
 	b.handle(Event{Kind: Arrival, Call: "c", Key: "n", NotAfter: b.now + 3*second})
 	if cl := b.c.calls["c"]; cl == nil || b.c.value(cl) >= 1 {
-		t.Error("a redial after the aim is worth less")
+		t.Error("a redial after the target time has its full value")
 	}
 }
 
@@ -361,7 +361,7 @@
 	b := newFixture(t, testSettings(), 2)
 	b.c.server(10).share, b.c.server(11).share = 90, 10
 	b.c.established, b.c.startedAt = minEstablished, 1
-	b.c.carried = decayingCount{10 * loadAveraging / float64(second), b.now} // fair parts: 9 and 1 a second
+	b.c.carried = decayingCount{10 * loadAveraging / float64(second), b.now} // fair shares: 9 and 1 a second
 	b.c.server(10).backoffUntil = b.now + second
 	sent := 0
 	for range 20 {
@@ -374,47 +374,47 @@
 	}
 }
 
-func TestNewProcessorIsUsedWhenLittleIsBorne(t *testing.T) {
+func TestNewProcessorIsUsedUnderLowLoad(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.c.startedAt, b.c.carried = 1, decayingCount{20 * loadAveraging / float64(second), b.now}
 	b.c.refreshedAt = 0
 	b.c.fairRate(b.c.server(10))
-	b.now += 20 * second // a slump: nearly nothing is borne
+	b.now += 20 * second // hardly any load is carried
 	b.handle(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 1, Server: 11, ReadyAt: b.now, Share: 1}}})
 	n := b.coldSends(11)
 	if n < 2 || float64(n) > coldBudgetPart*3*0.3*10 {
-		t.Errorf("%d sends fit the first window of a cold processor", n)
+		t.Errorf("%d sends to a cold processor in its first window", n)
 	}
 }
 
-func TestLostSetUpIsCalledOffAndTriedAgain(t *testing.T) {
+func TestLostSetUpIsCanceledAndRetried(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	lost, _ := b.call(0, 0)
 	b.now += reorderMargin - 1
 	id, _ := b.call(0, 0)
 	b.now += 10 * ms
 	if acts := b.handle(Event{Kind: Stands, Call: id, Server: 10, Elapsed: 10 * ms}); len(acts) != 0 {
-		t.Fatalf("jitter was taken for a loss: %+v", acts)
+		t.Fatalf("jitter counted as a loss: %+v", acts)
 	}
 	id, _ = b.call(0, 0)
 	b.now += 10 * ms
 	a := wantOnly(t, b.handle(Event{Kind: Stands, Call: id, Server: 10, Elapsed: 10 * ms}), Cancel)
 	if a.Call != lost || a.Attempt != 0 {
-		t.Fatalf("called off %+v", a)
+		t.Fatalf("canceled %+v", a)
 	}
-	b.now += 400 * ms // a loss is no silence: the server stays open
+	b.now += 400 * ms // a loss is not silence: the server stays open
 	_, acts := b.call(0, 0)
 	wantOnly(t, acts, Send)
 	held := wantOnly(t, b.endAttempt(lost, 10, Canceled, 0), StartTimer)
 	if held.Wait < testSettings().ClearWait {
-		t.Fatalf("later try after %d", held.Wait)
+		t.Fatalf("held attempt after %d", held.Wait)
 	}
 	b.now += held.Wait
 	b.c.server(10).unanswered = nil
 	wantOnly(t, b.handle(Event{Kind: TimerFired, Tag: held.Tag}), Send)
 }
 
-func TestSilenceIsEndedByRareTrials(t *testing.T) {
+func TestSilentServerGetsRareTrials(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	b.call(0, 0)
 	sends := 0
@@ -429,7 +429,7 @@
 	}
 }
 
-func TestReportedRateIsSizeWhileFresh(t *testing.T) {
+func TestReportedRateIsCapacityWhileValid(t *testing.T) {
 	set := testSettings()
 	set.Fields = []string{"spare", "total", "allowed"}
 	b := newFixture(t, set, 2)
@@ -444,43 +444,43 @@
 		age     int64
 		want    float64
 	}{
-		{s, true, 0, 40}, {o, true, 0, 80}, // the other goes by its share, in the same measure
+		{s, true, 0, 40}, {o, true, 0, 80}, // without reports, by its share in the same measure
 	} {
 		b.c.now = b.now + tc.age
 		if got := b.c.capacity(tc.s, tc.present); got < 0.95*tc.want || got > 1.05*tc.want {
-			t.Errorf("server %d: size %v, want %v", tc.s.id, got, tc.want)
+			t.Errorf("server %d: capacity %v, want %v", tc.s.id, got, tc.want)
 		}
 	}
-	for range 20 { // slow now: at once at present, but known to do better when well
+	for range 20 { // slower now: the present capacity follows at once, the peak stays
 		b.handle(Event{Kind: LoadReport, Server: 10, Report: []float64{50, 100, 10}})
 	}
-	if now, well := b.c.capacity(s, true), b.c.capacity(s, false); now > 11 || well < 35 {
-		t.Errorf("present size %v, when well %v", now, well)
+	if present, peak := b.c.capacity(s, true), b.c.capacity(s, false); present > 11 || peak < 35 {
+		t.Errorf("present capacity %v, peak %v", present, peak)
 	}
 	b.c.now += rateMaxAge
 	if got := b.c.capacity(s, true); got < 35 {
-		t.Errorf("an old report still counts: size %v", got)
+		t.Errorf("an old report still counts: capacity %v", got)
 	}
 }
 
-func TestRefusalAsksBackSoonWhileInTime(t *testing.T) {
+func TestRefusalTellsShortWaitWhileInTime(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	b.c.server(10).backoffUntil = b.now + 60*second
 	b.c.held, b.c.lastTryAt = 9, b.now
-	ask := func(call string) int64 {
+	refusalWait := func(call string) int64 {
 		return wantOnly(t, b.handle(Event{Kind: Arrival, Call: call, Key: "n", NotAfter: b.now + 3*second}),
 			Refuse).Wait
 	}
-	if w := ask("a"); w <= 0 || w > 600*ms {
+	if w := refusalWait("a"); w <= 0 || w > 600*ms {
 		t.Errorf("a caller in time was told to wait %d", w)
 	}
 	b.now += 900 * ms
-	if w := ask("b"); w != testSettings().MaxRetryAfter {
+	if w := refusalWait("b"); w != testSettings().MaxRetryAfter {
 		t.Errorf("a caller out of time was told to wait %d", w)
 	}
 }
 
-func TestLongToldWaitLetsOneTrialThrough(t *testing.T) {
+func TestLongToldWaitEndsByOneTrial(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	b.handle(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: Saturated, Note: 3, WaitMS: 5000, Elapsed: 9 * ms})
@@ -488,19 +488,19 @@
 	b.c.server(10).delay, b.c.server(10).excessDelay = 0, 0
 	for k, want := range []uint64{10, 11} {
 		if _, acts := b.call(0, 0); wantOnly(t, acts, Send).Server != want {
-			t.Errorf("call %d after the mark: %+v", k, acts)
+			t.Errorf("call %d after the backoff: %+v", k, acts)
 		}
 	}
 }
 
-func TestServerThatCutsYoungCallsIsShutBetweenTrials(t *testing.T) {
+func TestServerThatCutsCallsEarlyGetsTrialsOnly(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		age  int64
 		want uint64
-	}{{"young", earlyCutAge / 4, 11}, {"old, as in a crash", 3 * earlyCutAge, 10}} {
+	}{{"early", earlyCutAge / 4, 11}, {"late, as in a crash", 3 * earlyCutAge, 10}} {
 		b := newFixture(t, testSettings(), 2)
-		kept, _ := b.call(0, 1) // not all are cut: the processor still runs
+		kept, _ := b.call(0, 1) // not all calls are cut: the processor is still running
 		b.establish(kept, 10, ms)
 		var ids []string
 		for range 6 {
@@ -522,7 +522,7 @@
 	}
 }
 
-func TestNoServerLeftStillAnswers(t *testing.T) {
+func TestCallIsAnsweredWithoutServers(t *testing.T) {
 	b := newFixture(t, testSettings(), 1)
 	id, acts := b.call(0, 0)
 	wantOnly(t, acts, Send)
@@ -537,7 +537,7 @@
 	wantOnly(t, b.handle(Event{Kind: TimerFired, Tag: held.Tag}), Refuse)
 }
 
-func TestWildReportDoesNotWidenTheColdBudget(t *testing.T) {
+func TestWrongReportDoesNotRaiseColdBudget(t *testing.T) {
 	set := testSettings()
 	set.Fields = []string{"spare", "total", "allowed"}
 	b := newFixture(t, set, 2)
@@ -548,30 +548,30 @@
 	b.handle(Event{Kind: LoadReport, Server: 11, Report: []float64{50, 100, 1e9}})
 	n := b.coldSends(11)
 	if limit := coldBudgetPart*3*0.35*20*(1+1.0/coldBurst) + 1; float64(n) > limit {
-		t.Errorf("%d sends fit one window, limit %v", n, limit)
+		t.Errorf("%d sends in one window, limit %v", n, limit)
 	}
 }
 
-func TestFaultySetUpGoesElsewhereAndShutsTheServer(t *testing.T) {
+func TestFaultIsRetriedElsewhereAndBlocksServer(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	for range 5 {
 		id, acts := b.call(0, 1)
 		if a := wantOnly(t, acts, Send); a.Server == 10 {
 			if got := wantOnly(t, b.endAttempt(id, 10, Errored, 0), Send); got.Server != 11 {
-				t.Fatalf("tried the faulty server again: %+v", got)
+				t.Fatalf("the faulty server got the call again: %+v", got)
 			}
 		}
 		b.establish(id, 11, ms)
 		b.now += minBackoff
 	}
 	if _, acts := b.call(0, 1); wantOnly(t, acts, Send).Server != 11 {
-		t.Error("a server that answers with faults alone stays open")
+		t.Error("a server that only answers with faults stays open")
 	}
 }
 
-// Callers that send what no office can use get a fault from every office. Taken for the offices' own, those faults
-// shut both to all other callers: a quarter of good calls was refused before any attempt.
-func TestACallThatNobodyCanUseShutsNoServer(t *testing.T) {
+// Calls that no office can use get a fault from every office. When those counted as faults of the offices, both were
+// closed to all other callers, and a quarter of good calls was refused before any attempt.
+func TestUnusableCallBlocksNoServer(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	for far := range 2 {
 		id, _ := b.call(far, 0)
@@ -583,17 +583,17 @@
 		second := wantOnly(t, b.endAttempt(id, first, Errored, 0), Send).Server
 		wantOnly(t, b.endAttempt(id, second, Errored, 0), Refuse)
 		if first == second {
-			t.Fatal("tried the same server again")
+			t.Fatal("the same server got the call again")
 		}
 	}
 	for far := range 2 {
 		id, acts := b.call(far, 0)
 		if a := wantOnly(t, acts, Send); a.Server != uint64(10+far) {
-			t.Errorf("first choice %d is shut", far)
+			t.Errorf("first choice %d is closed", far)
 		}
 		b.establish(id, uint64(10+far), ms)
 	}
-	// A server that turns all away with faults is shut soon all the same, also while the other has no room.
+	// A server that answers every call with a fault is still closed soon, even while the other is in backoff.
 	for range 6 {
 		id, _ := b.call(1, 0)
 		b.establish(id, 11, ms)
@@ -609,25 +609,25 @@
 		b.now += 10 * ms
 	}
 	if sent > 6 {
-		t.Errorf("%d of 20 calls were sent to a server that has nothing but faults", sent)
+		t.Errorf("%d of 20 calls were sent to a server that only answers with faults", sent)
 	}
 }
 
-// A set-up that is cut with its connection is no silence: the server rests for a moment and is open again.
-func TestACutSetUpIsNoSilence(t *testing.T) {
+// A set-up lost with its connection is not silence: the server gets a short backoff and is open again.
+func TestLostConnectionIsNotSilence(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.establishMany(20 * ms)
 	id, _ := b.call(0, 0)
 	b.endAttempt(id, 10, ConnectionLost, 0)
 	b.now += second / 2
 	if _, acts := b.call(0, 0); wantOnly(t, acts, Send).Server != 10 {
-		t.Errorf("shut half a second after a cut: expected delay %v ms", b.c.expectedDelay(b.c.server(10))/1e6)
+		t.Errorf("closed half a second after a lost connection: expected delay %v ms", b.c.expectedDelay(b.c.server(10))/1e6)
 	}
 }
 
-// A set-up that gets no answer while later ones stand is lost, and no silence; nor are it and what is cut together
-// with one connection several misses in a row. Both held a well server for down and cold.
-func TestALostAnswerIsNoSilence(t *testing.T) {
+// A set-up without an answer is lost, and not silence, if later ones are established. It and the set-ups lost with one
+// connection are not several misses in a row either. Both once made a healthy server count as down and cold.
+func TestLostAnswerIsNotSilence(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.establishMany(20 * ms)
 	lost, _ := b.call(0, 0)
@@ -638,7 +638,7 @@
 	b.now += second / 2
 	id, acts := b.call(0, 0)
 	if wantOnly(t, acts, Send).Server != 10 {
-		t.Fatalf("shut by one lost answer: expected delay %v ms", b.c.expectedDelay(b.c.server(10))/1e6)
+		t.Fatalf("closed by one lost answer: expected delay %v ms", b.c.expectedDelay(b.c.server(10))/1e6)
 	}
 	b.now += 700 * ms
 	b.endAttempt(lost, 10, TimedOut, 0)
@@ -647,12 +647,13 @@
 		b.endAttempt(cut, 10, ConnectionLost, 0)
 	}
 	if s := b.c.server(10); s.down || b.c.capacityFraction(s) < 1 {
-		t.Errorf("one lost and one cut in a row pass for a server that is down: %+v", s)
+		t.Errorf("one lost answer and one lost connection count as a server that is down: %+v", s)
 	}
 }
 
-// With an aim of 0.4 s a way of 60 ms and its usual jitter looked like pressure, and an idle server was shut.
-func TestALongWayIsNoPressure(t *testing.T) {
+// With a target of 0.4 s, a path delay of 60 ms with its usual jitter counted as overload, and an idle server was
+// closed.
+func TestLongPathIsNotOverload(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Aim = 400 * ms
 	b := newFixture(t, s, 2)
@@ -660,38 +661,38 @@
 	id, _ := b.call(0, 0)
 	b.now += 95 * ms
 	b.establish(id, 10, 0)
-	shut := 0
+	avoided := 0
 	for range 20 {
 		id, acts := b.call(0, 0)
 		if wantOnly(t, acts, Send).Server != 10 {
-			shut++
+			avoided++
 		}
 		b.endAttempt(id, acts[0].Server, ConnectionRefused, 0)
 		b.c.server(10).backoffUntil, b.c.server(11).backoffUntil = 0, 0
 		b.c.server(10).down, b.c.server(11).down = false, false
 		b.c.server(10).downAt, b.c.server(11).downAt = 0, 0
 	}
-	if shut > 0 {
-		t.Errorf("%d of 20 calls went elsewhere from an idle server with a long way", shut)
+	if avoided > 0 {
+		t.Errorf("%d of 20 calls avoided an idle server with a long path", avoided)
 	}
 }
 
-// Through a long day servers are replaced by others with new ids.
-func TestServersThatHaveGoneAreForgotten(t *testing.T) {
+// Servers that are replaced all day by others with new ids must not accumulate.
+func TestRemovedServersAreForgotten(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	for k := range 100 {
 		b.handle(Event{Kind: ListUpdate, Entries: []Entry{{Server: uint64(10 + k), State: Removed}, {Server: uint64(12 + k), Share: 1}}})
 	}
-	b.endAttempt(id, 10, ConnectionLost, 0) // of one that has gone
+	b.endAttempt(id, 10, ConnectionLost, 0) // of a removed server
 	if n := len(b.c.servers); n != 2 {
 		t.Errorf("%d servers kept", n)
 	}
 }
 
-// Set-ups lost on one connection are waited for until their time is up. Little's law over them must not keep away the
-// trial that would show the server well.
-func TestATrialThoughManyAreOut(t *testing.T) {
+// Set-ups lost with one connection stay unanswered until they time out. The delay estimated from them by Little's law
+// must not prevent the trial that would show the server healthy.
+func TestTrialDespiteUnansweredSetUps(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.establishMany(300 * ms)
 	s := b.c.server(10)
@@ -706,23 +707,23 @@
 	}
 }
 
-func TestOneCutSetUpRestsTheServerForAMoment(t *testing.T) {
+func TestLostConnectionCausesShortBackoff(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
 	b.endAttempt(id, 10, ConnectionLost, 0)
 	s := b.c.server(10)
 	if s.backoffUntil != b.now+minBackoff || b.c.expectedDelay(s) != 0 {
-		t.Errorf("after one: mark %d, expected delay %v", s.backoffUntil-b.now, b.c.expectedDelay(s))
+		t.Errorf("after one: backoff %d, expected delay %v", s.backoffUntil-b.now, b.c.expectedDelay(s))
 	}
 	b.now += minTrialInterval + 1
 	id, acts := b.call(0, 0)
 	b.endAttempt(id, wantOnly(t, acts, Send).Server, ConnectionLost, 0)
 	if !s.down || s.downAt != b.now || b.c.capacityFraction(s) >= 1 {
-		t.Errorf("after two: not taken for down: %+v", s)
+		t.Errorf("after two: not down: %+v", s)
 	}
 }
 
-func TestDrawGoesByListedShare(t *testing.T) {
+func TestPickFollowsListedShare(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.c.server(10).share, b.c.server(11).share = 90, 10
 	small := 0
@@ -732,11 +733,11 @@
 		}
 	}
 	if small < 60 || small > 150 {
-		t.Errorf("the server with a tenth of the share was drawn %d times of 1000", small)
+		t.Errorf("the server with a tenth of the share was picked %d times of 1000", small)
 	}
 }
 
-func TestHeldTryDrawsUnmarked(t *testing.T) {
+func TestHeldAttemptAvoidsBackoff(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.c.server(10).share = 1e6
 	id, acts := b.call(0, 0)
@@ -744,30 +745,30 @@
 	b.c.server(10).backoffUntil = b.now + 9*second
 	b.now += a.Wait
 	if got := wantOnly(t, b.handle(Event{Kind: TimerFired, Tag: a.Tag}), Send); got.Server != 11 {
-		t.Errorf("tried marked server %d", got.Server)
+		t.Errorf("the attempt went to server %d, which is in backoff", got.Server)
 	}
 }
 
-func TestSilenceMarks(t *testing.T) {
+func TestSilenceBlocksServer(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.call(0, 0)
-	b.now += 600 * ms // no answer: older than the least call bears
+	b.now += 600 * ms // longer than a call of the least value allows
 	if _, acts := b.call(0, 0); wantOnly(t, acts, Send).Server != 11 {
 		t.Errorf("a silent server got another set-up: %+v", acts)
 	}
 }
 
-func TestFailureMarkEndsByOneTrial(t *testing.T) {
+func TestRefusedConnectionEndsByOneTrial(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	id, _ := b.call(0, 0)
-	wantOnly(t, b.endAttempt(id, 10, ConnectionRefused, 0), Send) // at once to the other
+	wantOnly(t, b.endAttempt(id, 10, ConnectionRefused, 0), Send) // at once to the other server
 	b.now += minTrialInterval + ms
-	b.c.server(10).delay, b.c.server(10).credit, b.c.server(10).creditAt = 0, 1, b.now // the mark alone is in question
+	b.c.server(10).delay, b.c.server(10).credit, b.c.server(10).creditAt = 0, 1, b.now // only the backoff is tested
 	if _, acts := b.call(0, 1); wantOnly(t, acts, Send).Server != 10 {
 		t.Fatalf("no trial: %+v", acts)
 	}
 	if _, acts := b.call(0, 1); wantOnly(t, acts, Send).Server != 11 {
-		t.Fatalf("a second call joined the trial: %+v", acts)
+		t.Fatalf("a second call during the trial: %+v", acts)
 	}
 }
 
@@ -778,18 +779,18 @@
 		id, _ := b.call(0, 0)
 		a := wantOnly(t, b.endAttempt(id, 10, o, 0), StartTimer)
 		if a.Wait < testSettings().ClearWait {
-			t.Errorf("outcome %d: later try after %d", o, a.Wait)
+			t.Errorf("outcome %d: held attempt after %d", o, a.Wait)
 		}
 		cl := b.c.calls[id]
 		cl.held = false
 		b.now = cl.releasedAt - 1
 		b.c.now = b.now
 		if b.c.send(cl, b.c.server(11)) {
-			t.Errorf("outcome %d: sent one step before the release wait ended", o)
+			t.Errorf("outcome %d: sent 1 ns before the end of the release wait", o)
 		}
 		b.c.now++
 		if !b.c.send(cl, b.c.server(11)) {
-			t.Errorf("outcome %d: not sent when the release wait had ended", o)
+			t.Errorf("outcome %d: not sent at the end of the release wait", o)
 		}
 	}
 }
@@ -800,28 +801,28 @@
 		spoil func(*fixture, *call)
 		want  bool
 	}{
-		{"nothing wrong", func(*fixture, *call) {}, true},
-		{"attempt out", func(b *fixture, cl *call) { cl.server = b.c.server(11) }, false},
+		{"no obstacle", func(*fixture, *call) {}, true},
+		{"attempt in progress", func(b *fixture, cl *call) { cl.server = b.c.server(11) }, false},
 		{"last attempt", func(_ *fixture, cl *call) { cl.attempts = 2 }, true},
-		{"attempts spent", func(_ *fixture, cl *call) { cl.attempts = 3 }, false},
+		{"no attempt left", func(_ *fixture, cl *call) { cl.attempts = 3 }, false},
 		{"call over", func(b *fixture, cl *call) { b.c.forget(cl) }, false},
-		{"stands", func(_ *fixture, cl *call) { cl.established = true }, false},
+		{"established", func(_ *fixture, cl *call) { cl.established = true }, false},
 		{"just in time", func(b *fixture, cl *call) { b.now = cl.notAfter - b.c.guardTime() - 1 }, true},
 		{"out of time", func(b *fixture, cl *call) { b.now = cl.notAfter - b.c.guardTime() }, false},
 		{"draining", func(b *fixture, _ *call) {
 			b.handle(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, State: Draining}}})
 		}, false},
-		{"gone from a full list", func(b *fixture, _ *call) {
+		{"missing from a full list", func(b *fixture, _ *call) {
 			b.handle(Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Cell: 1, Server: 11}}})
 		}, false},
-		{"cold, a whole credit", func(b *fixture, _ *call) { b.makeCold(1) }, true},
-		{"cold, credit spent", func(b *fixture, _ *call) { b.makeCold(0.99) }, false},
-		{"may have run, guarded", func(b *fixture, cl *call) { cl.mayHaveRun, b.c.cfg.Classes[0].Effect = true, Guarded }, false},
+		{"cold, one credit", func(b *fixture, _ *call) { b.makeCold(1) }, true},
+		{"cold, less than one credit", func(b *fixture, _ *call) { b.makeCold(0.99) }, false},
+		{"may have run, not idempotent", func(b *fixture, cl *call) { cl.mayHaveRun, b.c.cfg.Classes[0].Effect = true, Guarded }, false},
 	} {
 		b := newFixture(t, testSettings(), 2)
 		cl := &call{id: "x", notAfter: b.now + 3*second, firstAt: b.now}
 		b.c.calls["x"] = cl
-		s := b.c.server(10) // before it may be forgotten
+		s := b.c.server(10) // before it may be removed
 		tc.spoil(b, cl)
 		b.c.now = b.now
 		if got := b.c.send(cl, s); got != tc.want {
@@ -831,45 +832,45 @@
 }
 
 func TestStaleListAfterRestart(t *testing.T) {
-	b := newFixture(t, testSettings(), 2) // the list from disk: 10 has been replaced meanwhile
+	b := newFixture(t, testSettings(), 2) // an old list: server 10 has been replaced meanwhile
 	id, acts := b.call(0, 0)
 	if wantOnly(t, acts, Send).Server != 10 {
-		t.Fatal("the stale list is all there is to go by")
+		t.Fatal("the stale list is not used")
 	}
 	if wantOnly(t, b.endAttempt(id, 10, ConnectionRefused, 0), Send).Server != 11 {
-		t.Fatal("a failed connect should go on at once")
+		t.Fatal("a refused connection should lead to another server at once")
 	}
 	b.handle(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, State: Removed},
 		{Cell: 0, Server: 20, ReadyAt: b.now}}})
-	b.c.server(20).credit = 1 // its first credit is drawn at random
+	b.c.server(20).credit = 1 // its first credit is random
 	for k, want := range []uint64{20, 11} {
 		if _, acts := b.call(0, 0); wantOnly(t, acts, Send).Server != want {
-			t.Fatalf("call %d to a cold processor by a front that knows no load: %+v", k, acts)
+			t.Fatalf("call %d to a cold processor, by an instance that knows no load: %+v", k, acts)
 		}
 	}
 }
 
-func TestBusyNumberIsLeftAlone(t *testing.T) {
+func TestBusyNumberGetsNoCalls(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
-	hotCall := func() (string, []Action) {
+	callNumber := func() (string, []Action) {
 		b.callCount++
 		id := fmt.Sprintf("h%d", b.callCount)
 		return id, b.handle(Event{Kind: Arrival, Call: id, Key: "k", NotAfter: b.now + 3*second})
 	}
-	id, acts := hotCall()
+	id, acts := callNumber()
 	wantOnly(t, b.endAttempt(id, wantOnly(t, acts, Send).Server, Errored, 4), Refuse)
-	_, acts = hotCall()
+	_, acts = callNumber()
 	wantOnly(t, acts, Refuse)
 	b.now += minBusyWait
-	id, acts = hotCall()
+	id, acts = callNumber()
 	wantOnly(t, b.endAttempt(id, wantOnly(t, acts, Send).Server, Errored, 4), Refuse)
 	b.now += 2*minBusyWait - 1
-	_, acts = hotCall()
-	wantOnly(t, acts, Refuse) // twice as long
+	_, acts = callNumber()
+	wantOnly(t, acts, Refuse) // the wait has doubled
 	b.now++
-	id, acts = hotCall()
+	id, acts = callNumber()
 	b.establish(id, wantOnly(t, acts, Send).Server, 50*ms)
-	_, acts = hotCall()
+	_, acts = callNumber()
 	wantOnly(t, acts, Send)
 }
 
@@ -879,13 +880,13 @@
 		{Kind: AttemptEnded, Call: "no", Server: 5}, {Kind: LoadReport, Server: 5}, {Kind: ListError}} {
 		for _, a := range b.handle(ev) {
 			if a.Kind != StartTimer {
-				t.Errorf("%+v gave %+v", ev, a)
+				t.Errorf("%+v led to %+v", ev, a)
 			}
 		}
 	}
 }
 
-// script plays random events against one controller and checks the rules on its actions.
+// playScript plays random events against one controller and checks the rules on its actions.
 func playScript(t *testing.T, seed uint64) []Action {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -896,26 +897,26 @@
 		t.Fatal(err)
 	}
 	type state struct {
-		out, over, stands bool
-		server            uint64
-		attempts          int
-		clearAt, notAfter int64
-		sentAt            int64
+		inProgress, over, established bool
+		server                        uint64
+		attempts                      int
+		clearAt, notAfter             int64
+		sentAt                        int64
 	}
 	type timer struct {
 		at  int64
 		tag uint64
 	}
 	var (
-		all     []Action
-		calls   = map[string]*state{}
-		ids     []string
-		timers  []timer
-		shut    = map[uint64]bool{10: true, 11: true, 12: true}
-		ready   = map[uint64]int64{}
-		coldLog = map[uint64][]int64{}
-		now     = 50 * second
-		hasRing = map[string]bool{}
+		all      []Action
+		calls    = map[string]*state{}
+		ids      []string
+		timers   []timer
+		closed   = map[uint64]bool{10: true, 11: true, 12: true}
+		ready    = map[uint64]int64{}
+		coldLog  = map[uint64][]int64{}
+		now      = 50 * second
+		hasTimer = map[string]bool{}
 	)
 	run := func(ev Event) {
 		for _, a := range c.Handle(now, ev) {
@@ -924,41 +925,41 @@
 			switch a.Kind {
 			case Send:
 				switch {
-				case st == nil || st.over || st.stands:
-					t.Fatalf("seed %d: send for a call that is over: %+v", seed, a)
-				case st.out:
-					t.Fatalf("seed %d: second copy: %+v", seed, a)
+				case st == nil || st.over || st.established:
+					t.Fatalf("seed %d: send for a call that has ended: %+v", seed, a)
+				case st.inProgress:
+					t.Fatalf("seed %d: second attempt in progress: %+v", seed, a)
 				case now < st.clearAt:
-					t.Fatalf("seed %d: release wait broken: %+v", seed, a)
-				case shut[a.Server]:
-					t.Fatalf("seed %d: sent to a drained server: %+v", seed, a)
+					t.Fatalf("seed %d: sent within the release wait: %+v", seed, a)
+				case closed[a.Server]:
+					t.Fatalf("seed %d: sent to a server that drains or is removed: %+v", seed, a)
 				case st.attempts >= set.MaxAttempts:
-					t.Fatalf("seed %d: attempts passed: %+v", seed, a)
+					t.Fatalf("seed %d: too many attempts: %+v", seed, a)
 				case a.Wait <= 0 || now+a.Wait >= st.notAfter:
-					t.Fatalf("seed %d: time-out leaves no time for the answer: %+v", seed, a)
+					t.Fatalf("seed %d: the time-out leaves no time for the answer: %+v", seed, a)
 				}
-				st.out, st.server, st.sentAt = true, a.Server, now
+				st.inProgress, st.server, st.sentAt = true, a.Server, now
 				st.attempts++
 				if now-ready[a.Server] < set.ColdSpan && ready[a.Server] > 0 {
 					coldLog[a.Server] = append(coldLog[a.Server], now)
 				}
 			case Refuse, Fail:
-				if st == nil || st.over || st.out || st.stands {
-					t.Fatalf("seed %d: stray final answer: %+v", seed, a)
+				if st == nil || st.over || st.inProgress || st.established {
+					t.Fatalf("seed %d: unexpected final answer: %+v", seed, a)
 				}
 				st.over = true
 			case StartTimer:
 				timers = append(timers, timer{now + a.Wait, a.Tag})
 				if ev.Call != "" {
-					hasRing[ev.Call] = true
+					hasTimer[ev.Call] = true
 				}
 			}
 		}
 		for id, st := range calls {
-			if !st.over && !st.stands && !st.out && now > st.notAfter-set.Resolution {
+			if !st.over && !st.established && !st.inProgress && now > st.notAfter-set.Resolution {
 				t.Fatalf("seed %d: call %s was lost", seed, id)
 			}
-			if !st.over && !st.stands && !st.out && !hasRing[id] {
+			if !st.over && !st.established && !st.inProgress && !hasTimer[id] {
 				t.Fatalf("seed %d: call %s is held without a timer", seed, id)
 			}
 		}
@@ -973,9 +974,9 @@
 				run(Event{Kind: TimerFired, Tag: tag})
 			}
 		}
-		for _, id := range ids { // a time-out comes by itself
-			if st := calls[id]; st.out && now >= st.notAfter-2*set.Resolution {
-				st.out, st.clearAt = false, now+set.ClearWait
+		for _, id := range ids { // the attempts that time out
+			if st := calls[id]; st.inProgress && now >= st.notAfter-2*set.Resolution {
+				st.inProgress, st.clearAt = false, now+set.ClearWait
 				run(Event{Kind: AttemptEnded, Call: id, Server: st.server, Outcome: TimedOut, Elapsed: now - st.sentAt})
 			}
 		}
@@ -992,7 +993,7 @@
 		case roll < 38:
 			var open []string
 			for _, id := range ids {
-				if calls[id].out {
+				if calls[id].inProgress {
 					open = append(open, id)
 				}
 			}
@@ -1001,11 +1002,11 @@
 			}
 			id := open[rng.IntN(len(open))]
 			st := calls[id]
-			st.out = false
+			st.inProgress = false
 			ev := Event{Kind: AttemptEnded, Call: id, Server: st.server, Elapsed: now - st.sentAt}
 			switch rng.IntN(12) {
 			default:
-				st.stands = true
+				st.established = true
 				ev.Kind = Stands
 			case 2:
 				ev.Outcome, ev.Note, ev.WaitMS = Saturated, 3, int64(rng.IntN(500))
@@ -1025,7 +1026,7 @@
 			if e.State == Serving && rng.IntN(12) == 0 {
 				e.ReadyAt = now
 			}
-			ready[id], shut[id] = e.ReadyAt, e.State != Serving
+			ready[id], closed[id] = e.ReadyAt, e.State != Serving
 			run(Event{Kind: ListUpdate, Entries: []Entry{e}})
 		}
 	}
@@ -1037,7 +1038,7 @@
 					n++
 				}
 			}
-			// 100 calls a second, at most 3/4 of capacity-seconds borne on one warm server, present share 1
+			// 100 calls a second, of which at most 3/4 were carried by one warm server of the same capacity
 			if limit := int(coldBudgetPart*set.FallMultiple*100) + 1; n > limit {
 				t.Fatalf("seed %d: %d sends in one window to cold server %d", seed, n, id)
 			}
@@ -1056,7 +1057,7 @@
 		}
 	}
 	if sends < 2000 {
-		t.Fatalf("only %d sends: the scripts test too little", sends)
+		t.Fatalf("only %d sends: the scripts cover too little", sends)
 	}
 }
 
@@ -1066,7 +1067,8 @@
 	}
 }
 
-// The files that deploy/balancer.toml names as policy stay within 950 lines together, and name every file of decisions.
+// The files that deploy/balancer.toml names as policy have at most 950 non-blank lines together and include every file
+// with decision logic.
 func TestModuleLimits(t *testing.T) {
 	var deploy struct{ Policy []string }
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
@@ -1079,7 +1081,7 @@
 	for _, f := range files {
 		other := f == "types.go" || f == "learnt.go" || strings.HasSuffix(f, "_test.go")
 		if slices.Contains(deploy.Policy, "control/"+f) == other {
-			t.Errorf("%s: part of the policy: %v", f, !other)
+			t.Errorf("%s: expected in the policy: %v", f, !other)
 		}
 	}
 	n := 0
@@ -1102,43 +1104,43 @@
 	}
 }
 
-// All fronts together must keep a cold processor's budget, by settings and own sight alone: a third of the
-// servers back at once, one new processor, and every front restarted with an old list.
-func TestManyFrontsKeepOneColdBudget(t *testing.T) {
+// All instances together must keep the budget of a cold processor, by their settings and what they see themselves,
+// whether the list shows the restart or only refused connections do.
+func TestManyInstancesKeepOneColdBudget(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		fronts int
-		told   bool // the list tells of the restart
+		name      string
+		instances int
+		listed    bool // the list shows the restart
 	}{
-		{"60, told", 60, true}, {"250, told", 250, true},
-		{"250, failed connects only", 250, false},
-		{"6, told", 6, true},
+		{"60, listed", 60, true}, {"250, listed", 250, true},
+		{"250, refused connections only", 250, false},
+		{"6, listed", 6, true},
 	} {
 		const servers, capacity = 6, 100.0
 		s := testSettings()
-		s.GroupSize, s.Classes[0].Cells, s.Classes[1].Cells = tc.fronts, nil, nil
+		s.GroupSize, s.Classes[0].Cells, s.Classes[1].Cells = tc.instances, nil, nil
 		rng := rand.New(rand.NewPCG(3, 4))
-		beds := make([]*fixture, tc.fronts)
-		for k := range beds {
-			beds[k] = newFixture(t, s, servers)
-			beds[k].c.rng = rand.New(rand.NewPCG(uint64(k), 9))
+		fixtures := make([]*fixture, tc.instances)
+		for k := range fixtures {
+			fixtures[k] = newFixture(t, s, servers)
+			fixtures[k].c.rng = rand.New(rand.NewPCG(uint64(k), 9))
 		}
-		start, end, began := 100*second, 130*second, 120*second
+		start, end, restart := 100*second, 130*second, 120*second
 		var sends []int64
 		for now := start; now < end; now += 20 * ms {
-			down := now >= began-2*second && now < began
-			for _, b := range beds {
+			down := now >= restart-2*second && now < restart
+			for _, b := range fixtures {
 				b.now = now
-				if tc.told && now == began {
+				if tc.listed && now == restart {
 					b.handle(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: now, Share: 1}}})
 				}
-				if rng.Float64() > capacity*servers/float64(tc.fronts)*0.02 {
+				if rng.Float64() > capacity*servers/float64(tc.instances)*0.02 {
 					continue
 				}
 				id, acts := b.call(rng.IntN(servers), 0)
 				for len(acts) > 0 && acts[0].Kind == Send {
 					a := acts[0]
-					if a.Server == 10 && now >= began {
+					if a.Server == 10 && now >= restart {
 						sends = append(sends, now)
 					}
 					if acts = nil; a.Server == 10 && down {
@@ -1150,13 +1152,13 @@
 				}
 			}
 		}
-		worst, from := 0.0, 0
+		worst, first := 0.0, 0
 		for k, at := range sends {
-			for sends[from] <= at-s.FallWindow {
-				from++
+			for sends[first] <= at-s.FallWindow {
+				first++
 			}
-			w := s.ColdFrom + (1-s.ColdFrom)*float64(at-s.FallWindow-began)/float64(s.ColdSpan)
-			worst = max(worst, float64(k-from+1)/(capacity*max(w, s.ColdFrom)))
+			fraction := s.ColdFrom + (1-s.ColdFrom)*float64(at-s.FallWindow-restart)/float64(s.ColdSpan)
+			worst = max(worst, float64(k-first+1)/(capacity*max(fraction, s.ColdFrom)))
 		}
 		t.Logf("%s: %d sends, at most %.2f times the present capacity in a window", tc.name, len(sends), worst)
 		if worst > 0.8*s.FallMultiple {
@@ -1168,16 +1170,17 @@
 	}
 }
 
-// known makes a controller that has borne rate calls a second on all its servers together.
+// setCarried makes the controller one that has carried rate calls a second on all its servers together.
 func (b *fixture) setCarried(rate float64) {
-	b.handle(Event{Kind: TimerFired, Tag: 99}) // brings the controller's clock here
+	b.handle(Event{Kind: TimerFired, Tag: 99}) // sets the controller's time
 	b.c.startedAt, b.c.established = 1, minEstablished
 	b.c.carried, b.c.refreshedAt = decayingCount{rate * loadAveraging / float64(second), b.now}, 0
 	b.c.refreshTotals()
 }
 
-// A few late answers must press a server at a front that looks seldom, and hardly at one that looks often.
-func TestIntegralPressesWhereNewsIsRare(t *testing.T) {
+// A few late answers must close a server to an instance that samples it seldom, and hardly to one that samples it
+// often.
+func TestExcessDelayCountsWhereSamplesAreRare(t *testing.T) {
 	for _, tc := range []struct {
 		rate float64
 		want bool
@@ -1191,16 +1194,16 @@
 			s.unanswered = []attempt{{call: id, sentAt: b.now}}
 			b.establish(id, 10, 900*ms)
 		}
-		b.now += 4 * second // the tracked delay is forgotten
+		b.now += 4 * second // the tracked delay has decayed
 		b.handle(Event{Kind: TimerFired, Tag: 99})
 		if got := b.c.expectedDelay(s) > rampEnd*b.c.refDelay; got != tc.want {
-			t.Errorf("%v calls a second: expected delay %v, pressed %v", tc.rate, b.c.expectedDelay(s), got)
+			t.Errorf("%v calls a second: expected delay %v, overloaded %v", tc.rate, b.c.expectedDelay(s), got)
 		}
 	}
 }
 
-// Answers without a line push the integral where news is rare: fronts that each try again are a herd.
-func TestLinesShortPushTheIntegral(t *testing.T) {
+// Answers for lack of a line raise the excess delay where samples are rare, as the retries of many instances add up.
+func TestLackOfLinesRaisesExcessDelay(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
 	b.setCarried(0.8)
 	for range 3 {
@@ -1212,13 +1215,13 @@
 		}
 	}
 	if s := b.c.server(10); s.excessDelay < 0.6*b.c.refDelay || s.delay != 0 {
-		t.Errorf("press %v, delay %v: want the integral pushed, the delay untouched", s.excessDelay, s.delay)
+		t.Errorf("excess delay %v, delay %v: only the excess delay should rise", s.excessDelay, s.delay)
 	}
 }
 
-// Where some answers come at once and some never, an unanswered set-up is called off while its later try can
-// still be in time, the server is not taken for down, and silence counts for less.
-func TestLostAnswersAreToldFromSlowServers(t *testing.T) {
+// Where some answers come at once and others never, an unanswered set-up is canceled while its held attempt can still
+// be in time, the server does not count as down, and silence counts for less.
+func TestLostAnswersDifferFromSlowServers(t *testing.T) {
 	for _, lossy := range []bool{true, false} {
 		b := newFixture(t, testSettings(), 1)
 		b.c.spacing = float64(50 * ms)
@@ -1228,16 +1231,16 @@
 		}
 		id, acts := b.call(0, 0)
 		wantOnly(t, acts, Send)
-		cancelled := int64(0)
-		for at := b.now + checkInterval; cancelled == 0 && at < b.now+800*ms; at += checkInterval {
+		canceledAfter := int64(0)
+		for at := b.now + checkInterval; canceledAfter == 0 && at < b.now+800*ms; at += checkInterval {
 			for _, a := range b.c.Handle(at, Event{Kind: TimerFired}) {
 				if a.Kind == Cancel && a.Call == id {
-					cancelled = at - b.now
+					canceledAfter = at - b.now
 				}
 			}
 		}
-		if lossy && (cancelled == 0 || cancelled > 400*ms) || !lossy && cancelled != 0 {
-			t.Errorf("losses %v: called off after %d ms", lossy, cancelled/ms)
+		if lossy && (canceledAfter == 0 || canceledAfter > 400*ms) || !lossy && canceledAfter != 0 {
+			t.Errorf("losses %v: canceled after %d ms", lossy, canceledAfter/ms)
 		}
 		if s.down || lossy && b.c.expectedDelay(s) > 100e6 || !lossy && b.c.expectedDelay(s) < 500e6 {
 			t.Errorf("losses %v: down %v, expected delay %v", lossy, s.down, b.c.expectedDelay(s))
@@ -1245,27 +1248,27 @@
 	}
 }
 
-// A front that stood still finds answers that waited here: they are no news of a slow server.
-func TestOwnStillnessIsNoServersFault(t *testing.T) {
-	for _, still := range []bool{true, false} {
+// Answers that waited while this instance was stalled do not make a server slow.
+func TestOwnStallIsNotBlamedOnServers(t *testing.T) {
+	for _, stalled := range []bool{true, false} {
 		b := newFixture(t, testSettings(), 2)
 		answered, _ := b.call(0, 1)
 		b.call(1, 1)
-		b.stalled = still
+		b.stalled = stalled
 		b.now += 1500 * ms
 		b.handle(Event{Kind: Stands, Call: answered, Server: 10, Elapsed: 1500 * ms})
 		quick := b.c.server(10).delay < float64(200*ms) && b.c.expectedDelay(b.c.server(11)) < float64(200*ms)
-		if quick != still {
-			t.Errorf("stood still %v: delay %v, silence %v", still, b.c.server(10).delay, b.c.expectedDelay(b.c.server(11)))
+		if quick != stalled {
+			t.Errorf("stalled %v: delay %v, silence %v", stalled, b.c.server(10).delay, b.c.expectedDelay(b.c.server(11)))
 		}
 	}
 }
 
-// Trials into silence keep to a part of the fair part, lest the trials of many fronts be a jam of their own.
-func TestTrialsOfManyFrontsAreRare(t *testing.T) {
+// Trials of a silent server are limited to a part of the fair share, or those of many instances would overload it.
+func TestTrialsOfManyInstancesAreRare(t *testing.T) {
 	for _, tc := range []struct {
 		rate float64
-		open bool // to a trial, three seconds after the one set-up that timed out
+		open bool // to a trial, three seconds after the only set-up, which timed out
 	}{{1, false}, {40, true}} {
 		b := newFixture(t, testSettings(), 2)
 		b.setCarried(tc.rate)
@@ -1278,8 +1281,8 @@
 	}
 }
 
-// When all calls at a server are cut at once its processor died, also before any send fails or the list tells.
-func TestAllCallsCutMeansDown(t *testing.T) {
+// A server that cuts all its calls at once is down, even before a send fails or the list shows it.
+func TestServerIsDownWhenAllCallsAreCut(t *testing.T) {
 	for _, cut := range []int{3, 2} {
 		b := newFixture(t, testSettings(), 2)
 		var ids []string
--- a/control/learnt_test.go
+++ b/control/learnt_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// warmedLearnt plays a script and gives the controller.
+// trainedController returns a controller that has handled 200 calls and has one attempt in progress, and its time.
 func trainedController(t *testing.T) (*Controller, int64) {
 	t.Helper()
 	c, err := New(testSettings(), 9)
@@ -30,7 +30,7 @@
 	return c, now + 45e6
 }
 
-func TestLearntComesBackAndFades(t *testing.T) {
+func TestLearntStateIsRestoredAndDecays(t *testing.T) {
 	c, now := trainedController(t)
 	text, err := json.Marshal(c.Learnt())
 	if err != nil {
@@ -56,7 +56,7 @@
 		t.Errorf("%+v", soon.Learnt())
 	}
 	if len(soon.calls) != 0 || len(soon.servers[0].unanswered)+len(soon.servers[1].unanswered) != 0 {
-		t.Error("calls or attempts came back")
+		t.Error("calls or attempts were restored")
 	}
 	late := after(120*second, Entry{Server: 1, Share: 1}, Entry{Server: 2, Cell: 1, Share: 1})
 	if late.fairRate(late.servers[0]) > 0.2*c.fairRate(c.servers[0]) || late.expectedDelay(late.servers[0]) > 1e3 {
@@ -64,11 +64,11 @@
 	}
 	other := after(second, Entry{Server: 1, Share: 1, ReadyAt: now}, Entry{Server: 3, Cell: 1, Share: 1})
 	if s := other.server(1); s.delay != 0 || s.delayAt != 0 || other.server(2) != nil {
-		t.Error("what was known of another processor counts for this one")
+		t.Error("what was learnt of another processor counts for this one")
 	}
 }
 
-func TestUnfitLearntChangesNothing(t *testing.T) {
+func TestInvalidLearntStateChangesNothing(t *testing.T) {
 	c, now := trainedController(t)
 	l := c.Learnt()
 	l.Servers[0].Weight = math.NaN()
@@ -76,18 +76,18 @@
 	d.Handle(now, Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Server: 1, Share: 1}}})
 	before := d.Learnt()
 	if err := d.Restore(now, l); err == nil || !reflect.DeepEqual(before, d.Learnt()) {
-		t.Error("it was taken")
+		t.Error("the invalid state was restored, or without an error")
 	}
 }
 
-// A look changes no decision: the state is the same to the last bit afterwards.
-func TestBeliefsChangeNothing(t *testing.T) {
+// ServerStatuses must leave the learnt state unchanged to the last bit.
+func TestServerStatusesChangeNothing(t *testing.T) {
 	c, now := trainedController(t)
 	before := c.Learnt()
 	if b := c.ServerStatuses(now + second/2); len(b) != 2 || b[0].Out+b[1].Out != 1 || b[0].Cold || !b[0].Available {
 		t.Errorf("%+v", b)
 	}
 	if !reflect.DeepEqual(before, c.Learnt()) {
-		t.Error("a look changed something")
+		t.Error("ServerStatuses changed the state")
 	}
 }
