--- a/control/calls.go
+++ b/control/calls.go
@@ -43,8 +43,7 @@
 	c.route(cl)
 }
 
-// route sends a call at once: to its first-choice cell, or else to one of the other servers that are open to it. A call
-// that finds none is held.
+// route sends a call at once to its first-choice cell or to another open server; if there is none, the call is held.
 func (c *Controller) route(cl *call) {
 	for _, s := range c.servers {
 		if s.cell == cl.firstChoice && c.allowed(s, cl) && !c.blocked(s, cl) && c.send(cl, s) {
@@ -57,7 +56,8 @@
 }
 
 // hold schedules the one held attempt of a call, a spacing after the latest scheduled one or after now if there is
-// none. The call is refused if as many calls are held as spacings fit into the longest hold.
+// none. It refuses the call if it was held before or would be given up first, or if as many calls are held as spacings
+// fit into the longest hold.
 func (c *Controller) hold(cl *call) {
 	maxHold := holdFraction * float64(c.cfg.Classes[cl.class].Aim)
 	spacing := min(c.spacing, maxHold)
--- a/control/control.go
+++ b/control/control.go
@@ -73,8 +73,8 @@
 	// coldPace limits sends to a cold server, as a multiple of its present fair share; coldBudgetPart is the part of
 	// the crash budget used at most, as repeats and rejected work count there too. coldOfferedPart is the part of the
 	// offered calls that an instance goes by before it has carried any. Unused credit is capped at a window's sends
-	// over coldBurst. Where over coldSparse sends are due in a window, whole credits beyond 1 + coldCreditMargin of
-	// those sends lapse instead.
+	// over coldBurst. Where over coldSparse sends are due in a window, whole credits lapse beyond 1 plus a margin
+	// instead, if that is below 1: coldCreditMargin times those sends and the capacity fraction.
 	coldPace, coldBudgetPart, coldOfferedPart, coldBurst, coldCreditMargin, coldSparse = 1.4, 0.6, 0.8, 4, 0.3, 0.1
 	// loadAveraging is the averaging time of the load carried by warm servers, from which capacity is estimated.
 	// peakDecay is how slowly its peak is forgotten: longer than a server is slow, drains or warms up.
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -55,8 +55,8 @@
 	RateAt            int64         `json:"rate_at_ns"`
 }
 
-func (f decayingCount) exported() DecayingCount { return DecayingCount{f.n, f.at} }
-func (n DecayingCount) restored() decayingCount { return decayingCount{n.N, n.At} }
+func (d decayingCount) exported() DecayingCount { return DecayingCount{d.n, d.at} }
+func (d DecayingCount) restored() decayingCount { return decayingCount{d.N, d.At} }
 
 // Learnt returns what has been learnt up to the last event.
 func (c *Controller) Learnt() Learnt {
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -40,16 +40,16 @@
 	at int64
 }
 
-func (f *decayingCount) decayed(now int64, span float64) float64 {
-	f.n *= math.Exp(-float64(now-f.at) / span)
-	f.at = now
-	return f.n
+func (d *decayingCount) decayed(now int64, decay float64) float64 {
+	d.n *= math.Exp(-float64(now-d.at) / decay)
+	d.at = now
+	return d.n
 }
 
 // perSecond turns a count over loadAveraging into a rate a second, allowing for the shorter time since a start.
-func (c *Controller) perSecond(f *decayingCount) float64 {
+func (c *Controller) perSecond(d *decayingCount) float64 {
 	seen := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
-	return f.decayed(c.now, loadAveraging) * float64(second) / seen
+	return d.decayed(c.now, loadAveraging) * float64(second) / seen
 }
 
 // refreshTotals updates, once an event, what concerns all servers: the share of lost answers, and the recent peaks of
