--- a/control/join/join.go
+++ b/control/join/join.go
@@ -1,8 +1,8 @@
-// Package join is the seam by which further decision modules take part beside control: recovery after a start, levels
-// of reduced service, shares, gaps. Each sees every event and every action, may admit, hold or refuse a new call
-// before control sees it, and may cap what goes to a server. Which server, whether to try again and when to give up
-// stay control's decisions; the core's promises stay the core's. Modules are pure: they are told the time and do no
-// I/O, and the same events bring the same decisions.
+// Package join defines the interface of decision modules that extend control: recovery after a start, levels of reduced
+// service, shares of tenants and others. Each module observes every event and every action, may admit, hold or refuse a
+// new call before control sees it, and may stop set-ups to a server. Which server takes a call, whether it is tried
+// again and when it is given up remain decisions of control, and modules do not weaken its guarantees. Modules are
+// pure: they are told the time and do no I/O, and the same events lead to the same decisions.
 package join
 
 import (
@@ -11,56 +11,57 @@
 	"masthill/control"
 )
 
-// Verdict is what a module wants done with a new call.
+// Verdict is what a module decides to do with a new call.
 type Verdict int
 
-// The verdicts.
+// The verdicts on a call.
 const (
 	Admit  Verdict = iota // control decides
-	Hold                  // ask again after Wait
-	Refuse                // final answer, with Wait as the told wait
+	Hold                  // the module is asked again after Wait
+	Refuse                // the call is answered finally; Wait is the Retry-After of the answer
 )
 
 func (v Verdict) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
-// Ruling is a module's decision on one call. Wait is in nanoseconds; for a refusal 0 means no advice.
+// Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer names no wait.
 type Decision struct {
 	Verdict Verdict
 	Wait    int64
-	Reason  string // a code of the module, for logs and operators; never empty but with Admit
+	Reason  string // a code of the module, for logs and operators; empty only with Admit
 }
 
-// Call is a new call as modules see it. Times are Unix nanoseconds.
+// Call is a new call as modules see it. Times are in Unix nanoseconds.
 type Call struct {
 	ID, Key, Tenant string
 	Class, Dest     int
-	Retry           bool // its caller dials again
+	Retry           bool // a redial: the caller repeats a call that was not served
 	Taken, NotAfter int64
-	TimesHeld       int // how often it has been held
+	TimesHeld       int // how often the call has been held so far
 }
 
-// Module is one decision module beside control.
+// Module is one decision module that extends control.
 type Module interface {
 	Name() string
-	// See takes an event in the order in which control gets it, before control does.
+	// OnEvent receives each event, in order, before control does.
 	OnEvent(now int64, ev control.Event)
-	// Did takes an action that the core has carried out.
+	// OnAction receives each action that the core has carried out.
 	OnAction(now int64, a control.Action)
-	// Admit decides on a call that no module has refused yet.
+	// Admit decides on a call that no earlier module has refused.
 	Admit(now int64, c Call) Decision
-	// Room tells whether one more set-up may go to a server now. It changes nothing, as it is asked often.
+	// HasRoom tells whether one more set-up may go to a server now. It must not change any state, as it is called
+	// often.
 	HasRoom(now int64, server uint64) (ok bool, reason string)
-	// Status tells what the module does now and why, in words for operators.
+	// Status describes the state of the module and its reason to operators.
 	Status(now int64) Status
 }
 
-// Gauged is a module that wants readings of the instance itself, which no event tells: the part of a resource that is
-// used, or what the module says of a name.
+// GaugeReceiver is implemented by modules that use measurements of the instance itself, which no event carries. used is
+// the part of a resource that is used, or whatever the module defines for that name.
 type GaugeReceiver interface {
 	Gauge(now int64, name string, used float64)
 }
 
-// Gauge passes a reading on to those who want it.
+// Gauge passes a measurement on to the modules that receive them.
 func (c Chain) Gauge(now int64, name string, used float64) {
 	for _, m := range c {
 		if g, ok := m.(GaugeReceiver); ok {
@@ -72,41 +73,41 @@
 // Status is a module's state for operators.
 type Status struct {
 	Module       string         `json:"module"`
-	State        string         `json:"state"`          // the module's own name of it
+	State        string         `json:"state"`          // as the module names it
 	Reason       string         `json:"reason"`         // a code
 	Since        int64          `json:"since_ns"`       // Unix nanoseconds
-	Out          string         `json:"out,omitempty"`  // what would lead out of it
-	Held         int64          `json:"held_total"`     // calls that it held, since the start
-	RefusedTotal int64          `json:"refused_total"`  // calls that it refused
-	Capped       int64          `json:"capped_offices"` // servers without room at this moment
+	Out          string         `json:"out,omitempty"`  // the condition for leaving the state
+	Held         int64          `json:"held_total"`     // calls held since the start
+	RefusedTotal int64          `json:"refused_total"`  // calls refused since the start
+	Capped       int64          `json:"capped_offices"` // servers without room now
 	Servers      []ServerStatus `json:"parts,omitempty"`
 }
 
-// Part is one server in a module's status.
+// ServerStatus is the state of one server in a module's status.
 type ServerStatus struct {
 	Server uint64 `json:"server"`
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// Chain asks several modules in turn. The zero Chain admits everything.
+// Chain is a list of modules that are asked in turn. The zero Chain admits every call.
 type Chain []Module
 
-// See passes an event on to all.
+// OnEvent passes an event on to all modules.
 func (c Chain) OnEvent(now int64, ev control.Event) {
 	for _, m := range c {
 		m.OnEvent(now, ev)
 	}
 }
 
-// Did passes an action on to all.
+// OnAction passes an action on to all modules.
 func (c Chain) OnAction(now int64, a control.Action) {
 	for _, m := range c {
 		m.OnAction(now, a)
 	}
 }
 
-// Admit gives the first ruling that does not admit the call, and the module it came from.
+// Admit returns the first decision that does not admit the call, and the name of the module that made it.
 func (c Chain) Admit(now int64, call Call) (Decision, string) {
 	for _, m := range c {
 		if r := m.Admit(now, call); r.Verdict != Admit {
@@ -116,7 +117,8 @@
 	return Decision{}, ""
 }
 
-// Room tells whether all modules leave room at a server, and else who does not and why.
+// HasRoom tells whether all modules have room at a server; if not, it returns the name and the reason of the first that
+// has none.
 func (c Chain) HasRoom(now int64, server uint64) (ok bool, module, reason string) {
 	for _, m := range c {
 		if ok, reason := m.HasRoom(now, server); !ok {
@@ -126,7 +128,7 @@
 	return true, "", ""
 }
 
-// Status collects what all modules tell.
+// Status returns the status of every module.
 func (c Chain) Status(now int64) []Status {
 	all := make([]Status, 0, len(c))
 	for _, m := range c {
@@ -135,7 +137,7 @@
 	return all
 }
 
-// Names lists the modules in order; a name that stands twice is a fault of the assembly.
+// Names lists the modules in order. twice tells that a name occurs more than once, which is a configuration error.
 func (c Chain) Names() (names []string, twice bool) {
 	for _, m := range c {
 		twice = twice || slices.Contains(names, m.Name())
