--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -1,11 +1,12 @@
-// Package recovery decides about the seconds after a start. A new instance has nothing but its last list: it does not
-// know which servers are well, which have just started cold, or how many other instances started in the same seconds,
-// and it can't ask any of them. Until its own evidence stands, this module paces what the instance sends to each
-// server: by a window of set-ups out, which opens with every answer in time (slow start, as in RFC 5681, section 3.1),
-// and, where the list says that a server is cold, by this instance's planned part of what the server bears by then.
-// It holds calls briefly while no server has room, refuses redials beyond that, and says when it is done.
+// Package recovery paces what an instance sends in the first seconds after its start. A new instance has only its last
+// list of servers: it does not know which servers work well, which have just started and are cold, or how many other
+// instances started in the same seconds, and it cannot ask any of them. Until it has evidence of its own, this module
+// limits what the instance sends to each server: by a window of outstanding set-ups that grows with every answer in
+// time (slow start, as in RFC 5681, section 3.1) and, where the list says that a server is cold, by this instance's
+// planned part of the load that the server can bear at that time. Calls are held briefly while no server has room,
+// redials beyond that are refused, and the module reports when recovery is over.
 //
-// The module is pure: it is told the time and joins the core through package join.
+// The module is pure: it is told the time and takes part in decisions through package join.
 package recovery
 
 import (
@@ -18,100 +19,105 @@
 	"masthill/control/join"
 )
 
-// The codes of rulings, caps and states.
+// The codes of decisions, limits and states.
 const (
-	Done       = "done"        // every listed server is proven, or the span is over
-	Unproven   = "unproven"    // a server's window of set-ups without an answer is full
-	Cold       = "cold"        // a cold server's budget is spent for now
-	NoEvidence = "no-evidence" // some server has not yet proven itself
+	Done       = "done"        // every listed server is proven, or the time limit is reached
+	Unproven   = "unproven"    // the window of outstanding set-ups to a server is full
+	Cold       = "cold"        // the budget of a cold server is used up for now
+	NoEvidence = "no-evidence" // some server is not yet proven
 	NoList     = "no-list"     // no server is listed
 	NoRoom     = "no-room"     // no server has room for a new call
-	Redial     = "redial"      // a caller's retry while calls are held already
+	Redial     = "redial"      // a redial, while as many calls are held as can be served soon
 )
 
 const (
 	millisecond = int64(1e6)
-	// windowFirst is how many set-ups may be out at a server that has proven nothing: one can get lost. windowProven
-	// is the window at which it has: with four instances of each window, a server at its planned load has less queued
-	// than an aim's worth.
-	windowFirst, windowProven = 2.0, 8.0
-	// inTime is the part of the shortest aim within which a set-up has to stand to count as evidence.
-	inTime = 0.5
-	// openGain is what a set-up that stood in time adds to the window, closeTo what a late, lost or refused one leaves.
-	openGain, closeTo = 1.0, 0.5
-	// coldPart times a cold server's planned load, in its present capacity, is what all instances together may send:
-	// processors are planned at 72 to 87% of what they bear, so that this is 1.4 times that at most, and stays well under
-	// the rules' multiple. At 1.0 and 1.2 cold servers stood part idle in an overload (0.0005 to 0.001 of service, over 24
-	// paired seeds of the model); without any bound the longest wait at them was a tenth longer.
-	coldPart = 1.6
-	// creditWindow is the part of the rules' fall window that unused credit may save up; creditLeast lets a
-	// server with a part under one call in that time have one at all.
-	creditWindow, creditLeast = 0.25, 1.0
-	// holdPart is the part of the shortest aim that a call may be held here, holdStep how often it is asked about.
-	holdPart, holdStep = 0.25, 20 * millisecond
-	// heldMost bounds the calls held at once for each listed server.
-	heldMost = 4
-	// provenFor is how old another process's evidence about a server may be to count as this one's own.
-	provenFor = 5_000 * millisecond
-	// outMost bounds the set-ups followed at once; beyond it the oldest knowledge is worth nothing anyway.
-	outMost = 4096
+	// initialWindow is how many set-ups may be outstanding to an unproven server: two, as one may get lost. A server
+	// is proven once its window reaches provenWindow: when each of four instances has that many set-ups outstanding to
+	// a server at its planned load, less than one aim's worth is queued there.
+	initialWindow, provenWindow = 2.0, 8.0
+	// evidenceDelayPart is the part of the shortest aim within which a set-up must succeed to count as evidence.
+	evidenceDelayPart = 0.5
+	// windowIncrease is added to the window for a set-up that succeeded in time; the window is multiplied by
+	// windowDecrease for one that was late, lost or refused.
+	windowIncrease, windowDecrease = 1.0, 0.5
+	// coldLoadFactor times a cold server's planned load, scaled by its present capacity, is what all instances together
+	// may send to it. Servers are planned at 72 to 87% of what they can bear, so this is at most 1.4 times their
+	// capacity and stays well under the multiple that the rules allow. At 1.0 and 1.2, cold servers were partly idle in
+	// an overload (a loss of 0.0005 to 0.001 of service, over 24 paired seeds of the model); without any limit the
+	// longest wait at them was a tenth longer.
+	coldLoadFactor = 1.6
+	// creditWindowPart is the part of the rules' fall window for which unused credit is kept. minCreditLimit lets a
+	// server whose part is under one call in that time have one at all.
+	creditWindowPart, minCreditLimit = 0.25, 1.0
+	// maxHoldPart is the part of the shortest aim for which a call may be held; the module is asked about it again
+	// every holdInterval.
+	maxHoldPart, holdInterval = 0.25, 20 * millisecond
+	// maxHeldPerServer limits the calls held at once, for each listed server.
+	maxHeldPerServer = 4
+	// maxEvidenceAge is the greatest age at which evidence that another process gathered about a server counts as this
+	// one's own.
+	maxEvidenceAge = 5_000 * millisecond
+	// maxOutstanding limits the set-ups that are followed at once. What is known of the oldest is of no use by then.
+	maxOutstanding = 4096
 )
 
-// Settings is what the module is told once.
+// Settings are fixed at the start.
 type Settings struct {
 	Control control.Settings
-	// Planned is the load planned for all instances together, in calls a second; 0: not known. Then cold servers
-	// are left to control's own budget and the window.
+	// Planned is the load planned for all instances together, in calls per second; 0: not known. Then cold servers are
+	// limited only by control's own budget and the window.
 	Planned float64
 }
 
-// Evidence is what a snapshot of the process before brings about one server.
+// Evidence is what a snapshot of the previous process contains about one server.
 type Evidence struct {
 	Server      uint64
-	ReadyAt     int64 // of the processor that it speaks of
-	SucceededAt int64 // when a set-up last stood there in time, Unix nanoseconds
-	Delay       int64 // its set-up delay then
+	ReadyAt     int64 // start of the server process that the evidence is about
+	SucceededAt int64 // when a set-up last succeeded there in time, in Unix nanoseconds
+	Delay       int64 // the delay of that set-up
 }
 
-// server is what is known of one server since the start.
+// server is the state of one server since the start of this process.
 type server struct {
-	id      uint64
-	in      bool
-	readyAt int64
-	out     int     // set-ups without an answer
-	window  float64 // of those
-	proven  bool
-	credit  float64 // of a cold one, in set-ups
-	at      int64   // when credit was last counted
+	id          uint64
+	isListed    bool
+	readyAt     int64
+	outstanding int     // set-ups without an answer
+	window      float64 // limit on outstanding
+	proven      bool
+	credit      float64 // set-ups that may be sent now, if the server is cold
+	creditAt    int64   // when credit was last computed
 }
 
-// Recovery is the state of the module.
+// Recovery is the module's state.
 type Recovery struct {
-	set     Settings
-	rng     *rand.Rand
-	began   int64
-	aim     int64
-	servers []*server         // by id
-	out     map[string]uint64 // the server where a call's set-up is out
-	brought map[uint64]Evidence
-	held    map[string]bool
-	listed  int
-	done    bool
-	doneAt  int64
-	why     string // of the end
-	holds   int64
-	turned  int64
+	settings     Settings
+	rng          *rand.Rand
+	startedAt    int64
+	aim          int64
+	servers      []*server         // sorted by id
+	outstanding  map[string]uint64 // the server of each call whose set-up is outstanding
+	restored     map[uint64]Evidence
+	held         map[string]bool
+	listedCount  int
+	done         bool
+	doneAt       int64
+	reason       string // why recovery ended
+	heldTotal    int64
+	refusedTotal int64
 }
 
-// New makes the module for a start at a time, in Unix nanoseconds; what a snapshot brought may be empty.
-func New(s Settings, seed uint64, now int64, brought []Evidence) *Recovery {
-	r := &Recovery{set: s, began: now, rng: rand.New(rand.NewPCG(seed, 0x7265636f76)), out: map[string]uint64{},
-		brought: map[uint64]Evidence{}, held: map[string]bool{}, aim: s.Control.Classes[0].Aim}
+// New creates the module for a process that starts at now, in Unix nanoseconds. restored is the evidence from a
+// snapshot, if any.
+func New(s Settings, seed uint64, now int64, restored []Evidence) *Recovery {
+	r := &Recovery{settings: s, startedAt: now, rng: rand.New(rand.NewPCG(seed, 0x7265636f76)), outstanding: map[string]uint64{},
+		restored: map[uint64]Evidence{}, held: map[string]bool{}, aim: s.Control.Classes[0].Aim}
 	for _, g := range s.Control.Classes {
 		r.aim = min(r.aim, g.Aim)
 	}
-	for _, e := range brought {
-		r.brought[e.Server] = e
+	for _, e := range restored {
+		r.restored[e.Server] = e
 	}
 	return r
 }
@@ -127,33 +133,33 @@
 	return r.servers[k]
 }
 
-// See implements join.Module.
+// OnEvent implements join.Module.
 func (r *Recovery) OnEvent(now int64, ev control.Event) {
 	if r.done {
 		return
 	}
 	switch ev.Kind {
 	case control.ListUpdate:
-		r.members(now, ev)
+		r.onListUpdate(now, ev)
 	case control.Arrival, control.Aborted:
 		delete(r.held, ev.Call)
 	case control.Stands:
-		if s := r.back(ev.Call); s != nil {
-			r.stood(s, ev.Elapsed)
+		if s := r.removeOutstanding(ev.Call); s != nil {
+			r.onSuccess(s, ev.Elapsed)
 		}
 	case control.AttemptEnded:
-		if s := r.back(ev.Call); s != nil {
-			r.ended(s, ev)
+		if s := r.removeOutstanding(ev.Call); s != nil {
+			r.onFailure(s, ev)
 		}
 	}
-	r.look(now)
+	r.checkDone(now)
 }
 
-// members takes the list. A server with another start than before has proven nothing.
-func (r *Recovery) members(now int64, ev control.Event) {
+// onListUpdate applies a change of the list of servers. A server that has restarted since is unproven again.
+func (r *Recovery) onListUpdate(now int64, ev control.Event) {
 	if ev.FullList {
 		for _, s := range r.servers {
-			s.in = false
+			s.isListed = false
 		}
 	}
 	for _, e := range ev.Entries {
@@ -164,61 +170,63 @@
 				r.servers = append(r.servers, s)
 				slices.SortFunc(r.servers, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 			}
-			// Credit starts at random, so that many instances that start together send spread out.
-			s.readyAt, s.window, s.proven, s.credit, s.at = e.ReadyAt, windowFirst, false, r.rng.Float64(), now
-			if b, ok := r.brought[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.SucceededAt <= now &&
-				now-b.SucceededAt < provenFor && float64(b.Delay) <= inTime*float64(r.aim) {
-				s.window, s.proven = windowProven, true
+			// The initial credit is random, so that many instances that start together spread out what they send.
+			s.readyAt, s.window, s.proven, s.credit, s.creditAt = e.ReadyAt, initialWindow, false, r.rng.Float64(), now
+			if b, ok := r.restored[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.SucceededAt <= now &&
+				now-b.SucceededAt < maxEvidenceAge && float64(b.Delay) <= evidenceDelayPart*float64(r.aim) {
+				s.window, s.proven = provenWindow, true
 			}
 		}
-		s.in = e.State == control.Serving
+		s.isListed = e.State == control.Serving
 	}
-	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool { return !s.in && s.out == 0 })
-	r.listed = 0
+	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool { return !s.isListed && s.outstanding == 0 })
+	r.listedCount = 0
 	for _, s := range r.servers {
-		if s.in {
-			r.listed++
+		if s.isListed {
+			r.listedCount++
 		}
 	}
 }
 
-// back takes a call's set-up off those that are out, and gives its server.
-func (r *Recovery) back(call string) *server {
-	id, ok := r.out[call]
+// removeOutstanding removes a call's set-up from the outstanding ones and returns its server.
+func (r *Recovery) removeOutstanding(call string) *server {
+	id, ok := r.outstanding[call]
 	if !ok {
 		return nil
 	}
-	delete(r.out, call)
+	delete(r.outstanding, call)
 	s := r.find(id)
 	if s != nil {
-		s.out--
+		s.outstanding--
 	}
 	return s
 }
 
-// stood takes a set-up that stood: in time it is evidence, late it is a queue.
-func (r *Recovery) stood(s *server, delay int64) {
-	if float64(delay) > inTime*float64(r.aim) {
-		s.window = max(s.window*closeTo, 1)
+// onSuccess handles a set-up that succeeded: in time it is evidence that the server works, late it is a sign of a
+// queue.
+func (r *Recovery) onSuccess(s *server, delay int64) {
+	if float64(delay) > evidenceDelayPart*float64(r.aim) {
+		s.window = max(s.window*windowDecrease, 1)
 		return
 	}
-	if s.window += openGain; s.window >= windowProven {
-		s.proven, s.window = true, windowProven
+	if s.window += windowIncrease; s.window >= provenWindow {
+		s.proven, s.window = true, provenWindow
 	}
 }
 
-// ended takes a set-up that did not stand. What was called off here, or never left, says nothing of the server.
-func (r *Recovery) ended(s *server, ev control.Event) {
+// onFailure handles a set-up that did not succeed. One that was cancelled here, or was never sent, says nothing about
+// the server.
+func (r *Recovery) onFailure(s *server, ev control.Event) {
 	switch ev.Outcome {
 	case control.Saturated, control.TimedOut, control.ConnectionLost, control.ConnectionRefused:
-		s.window, s.proven = max(s.window*closeTo, 1), false
+		s.window, s.proven = max(s.window*windowDecrease, 1), false
 	}
 }
 
-// warmth is the part of its capacity that a server has by the list: linear from ColdFrom over ColdSpan, as the rules
-// put it. 1: warm, or its start is not known.
-func (r *Recovery) warmth(now int64, s *server) float64 {
-	c := r.set.Control
+// warmUpFraction is the part of its capacity that a server has reached according to the list: it grows linearly from
+// ColdFrom to 1 over ColdSpan, as the rules define it. It is 1 for a server that is warm or whose start is not known.
+func (r *Recovery) warmUpFraction(now int64, s *server) float64 {
+	c := r.settings.Control
 	age := now - s.readyAt
 	if s.readyAt <= 0 || age >= c.ColdSpan {
 		return 1
@@ -226,128 +234,134 @@
 	return c.ColdFrom + (1-c.ColdFrom)*float64(max(age, 0))/float64(c.ColdSpan)
 }
 
-// pace is what this instance may send to a cold server, in set-ups a second.
-func (r *Recovery) pace(now int64, s *server) float64 {
-	return coldPart * r.warmth(now, s) * r.set.Planned / float64(max(r.listed, 1)) / float64(max(r.set.Control.GroupSize, 1))
+// coldRate is what this instance may send to a cold server, in set-ups per second.
+func (r *Recovery) coldRate(now int64, s *server) float64 {
+	return coldLoadFactor * r.warmUpFraction(now, s) * r.settings.Planned / float64(max(r.listedCount, 1)) / float64(max(r.settings.Control.GroupSize, 1))
 }
 
-// credits is the credit of a cold server by now. It is no more than a part of a window's budget, lest a quiet spell
-// end in a burst.
-func (r *Recovery) credits(now int64, s *server) float64 {
-	pace := r.pace(now, s)
-	most := max(pace*creditWindow*float64(r.set.Control.FallWindow)/1e9, creditLeast)
-	return min(s.credit+pace*float64(now-s.at)/1e9, most)
+// currentCredit is the credit of a cold server at now. It is capped at a part of one fall window's budget, so that an
+// idle period does not end in a burst.
+func (r *Recovery) currentCredit(now int64, s *server) float64 {
+	coldRate := r.coldRate(now, s)
+	limit := max(coldRate*creditWindowPart*float64(r.settings.Control.FallWindow)/1e9, minCreditLimit)
+	return min(s.credit+coldRate*float64(now-s.creditAt)/1e9, limit)
 }
 
-// cold tells whether a server goes by its budget.
-func (r *Recovery) cold(now int64, s *server) bool { return r.set.Planned > 0 && r.warmth(now, s) < 1 }
+// isCold tells whether a server is limited by the budget of a cold server.
+func (r *Recovery) isCold(now int64, s *server) bool {
+	return r.settings.Planned > 0 && r.warmUpFraction(now, s) < 1
+}
 
-// Room implements join.Module.
+// HasRoom implements join.Module.
 func (r *Recovery) HasRoom(now int64, id uint64) (ok bool, reason string) {
 	s := r.find(id)
 	switch {
-	case r.done || s == nil || r.over(now):
+	case r.done || s == nil || r.timeLimitReached(now):
 		return true, ""
-	case !s.proven && float64(s.out) >= s.window:
+	case !s.proven && float64(s.outstanding) >= s.window:
 		return false, Unproven
-	case r.cold(now, s) && r.credits(now, s) < 1:
+	case r.isCold(now, s) && r.currentCredit(now, s) < 1:
 		return false, Cold
 	}
 	return true, ""
 }
 
-// Did implements join.Module.
+// OnAction implements join.Module.
 func (r *Recovery) OnAction(now int64, a control.Action) {
-	if r.done || a.Kind != control.Send || len(r.out) >= outMost {
+	if r.done || a.Kind != control.Send || len(r.outstanding) >= maxOutstanding {
 		return
 	}
 	if s := r.find(a.Server); s != nil {
-		r.out[a.Call] = a.Server
-		s.out++
-		s.credit, s.at = r.credits(now, s)-1, now
+		r.outstanding[a.Call] = a.Server
+		s.outstanding++
+		s.credit, s.creditAt = r.currentCredit(now, s)-1, now
 	}
 }
 
-// Admit implements join.Module. A call is held while no server has room, for a part of its aim at most; then, and
-// where as many are held as can have room soon, control decides. A redial is refused there: its caller was turned
-// away before, and callers with a first try come first.
+// Admit implements join.Module. A call is held while no server has room, at most for a part of its aim; after that, and
+// where as many calls are held as can have room soon, control decides. A redial is refused at that point: its caller
+// has been refused before, and first calls take precedence.
 func (r *Recovery) Admit(now int64, c join.Call) join.Decision {
 	if r.done {
 		return join.Decision{}
 	}
-	if r.look(now); r.done || r.listed == 0 || r.anyRoom(now) {
+	if r.checkDone(now); r.done || r.listedCount == 0 || r.anyServerHasRoom(now) {
 		delete(r.held, c.ID)
 		return join.Decision{}
 	}
-	left := c.Taken + int64(holdPart*float64(r.aim)) - now
+	remaining := c.Taken + int64(maxHoldPart*float64(r.aim)) - now
 	switch {
-	case left < holdStep || c.NotAfter-now < 2*holdStep:
+	case remaining < holdInterval || c.NotAfter-now < 2*holdInterval:
 	case r.held[c.ID]:
-		return join.Decision{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
-	case len(r.held) < heldMost*r.listed:
+		return join.Decision{Verdict: join.Hold, Wait: holdInterval, Reason: NoRoom}
+	case len(r.held) < maxHeldPerServer*r.listedCount:
 		r.held[c.ID] = true
-		r.holds++
-		return join.Decision{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
+		r.heldTotal++
+		return join.Decision{Verdict: join.Hold, Wait: holdInterval, Reason: NoRoom}
 	case c.Retry:
-		r.turned++
-		return join.Decision{Verdict: join.Refuse, Wait: r.spread(), Reason: Redial}
+		r.refusedTotal++
+		return join.Decision{Verdict: join.Refuse, Wait: r.randomWait(), Reason: Redial}
 	}
 	delete(r.held, c.ID)
 	return join.Decision{}
 }
 
-// spread is a told wait, drawn over the upper half of what may be told, lest the refused return together.
-func (r *Recovery) spread() int64 {
-	most := r.set.Control.MaxRetryAfter
-	if !r.set.Control.RetryAfter || most <= 0 {
+// randomWait draws a Retry-After from the upper half of the allowed range, so that refused callers do not return
+// together.
+func (r *Recovery) randomWait() int64 {
+	limit := r.settings.Control.MaxRetryAfter
+	if !r.settings.Control.RetryAfter || limit <= 0 {
 		return 0
 	}
-	return most/2 + r.rng.Int64N(most/2+1)
+	return limit/2 + r.rng.Int64N(limit/2+1)
 }
 
-func (r *Recovery) anyRoom(now int64) bool {
+func (r *Recovery) anyServerHasRoom(now int64) bool {
 	return slices.ContainsFunc(r.servers, func(s *server) bool {
 		ok, _ := r.HasRoom(now, s.id)
-		return s.in && ok
+		return s.isListed && ok
 	})
 }
 
-// over tells whether the span has passed: whatever had started unseen before this process is warm by then.
-func (r *Recovery) over(now int64) bool { return now-r.began >= r.set.Control.ColdSpan }
+// timeLimitReached tells whether ColdSpan has passed since the start: every server that had started unnoticed before
+// this process is warm by then.
+func (r *Recovery) timeLimitReached(now int64) bool {
+	return now-r.startedAt >= r.settings.Control.ColdSpan
+}
 
-// look ends the recovery when every listed server is proven and warm, or its span is over.
-func (r *Recovery) look(now int64) {
-	ready := r.listed > 0
+// checkDone ends the recovery when every listed server is proven and warm, or when the time limit is reached.
+func (r *Recovery) checkDone(now int64) {
+	ready := r.listedCount > 0
 	for _, s := range r.servers {
-		ready = ready && (!s.in || s.proven && !r.cold(now, s))
+		ready = ready && (!s.isListed || s.proven && !r.isCold(now, s))
 	}
-	if !ready && !r.over(now) {
+	if !ready && !r.timeLimitReached(now) {
 		return
 	}
-	r.done, r.doneAt, r.why = true, now, "evidence"
+	r.done, r.doneAt, r.reason = true, now, "evidence"
 	if !ready {
-		r.why = "span"
+		r.reason = "span"
 	}
-	r.servers, r.out, r.held, r.brought = nil, nil, nil, nil // nothing of it is needed any more
+	r.servers, r.outstanding, r.held, r.restored = nil, nil, nil, nil // not needed after the end
 }
 
-// Recovering tells whether the module still paces.
-func (r *Recovery) Recovering(now int64) bool { return !r.done && !r.over(now) }
+// Recovering tells whether the module still limits what is sent.
+func (r *Recovery) Recovering(now int64) bool { return !r.done && !r.timeLimitReached(now) }
 
 // Status implements join.Module.
 func (r *Recovery) Status(now int64) join.Status {
-	st := join.Status{Module: r.Name(), Held: r.holds, RefusedTotal: r.turned}
+	st := join.Status{Module: r.Name(), Held: r.heldTotal, RefusedTotal: r.refusedTotal}
 	if !r.Recovering(now) {
-		st.State, st.Reason, st.Since = "done", r.why, r.doneAt
+		st.State, st.Reason, st.Since = "done", r.reason, r.doneAt
 		if !r.done {
-			st.Reason, st.Since = "span", r.began+r.set.Control.ColdSpan
+			st.Reason, st.Since = "span", r.startedAt+r.settings.Control.ColdSpan
 		}
 		return st
 	}
-	st.State, st.Reason, st.Since = "recovering", NoEvidence, r.began
-	left := float64(max(r.began+r.set.Control.ColdSpan-now, 0)) / 1e9
-	st.Out = fmt.Sprintf("every listed office proven and warm, or %.1f s more", left)
-	if r.listed == 0 {
+	st.State, st.Reason, st.Since = "recovering", NoEvidence, r.startedAt
+	remaining := float64(max(r.startedAt+r.settings.Control.ColdSpan-now, 0)) / 1e9
+	st.Out = fmt.Sprintf("every listed office proven and warm, or %.1f s more", remaining)
+	if r.listedCount == 0 {
 		st.Reason = NoList
 	}
 	for _, s := range r.servers {
@@ -355,8 +369,8 @@
 		if s.proven {
 			p.State = "proven"
 		}
-		if ok, why := r.HasRoom(now, s.id); !ok {
-			p.Reason = why
+		if ok, reason := r.HasRoom(now, s.id); !ok {
+			p.Reason = reason
 			st.Capped++
 		}
 		st.Servers = append(st.Servers, p)
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -20,28 +20,30 @@
 		Classes: []control.Class{{Aim: 1200 * millisecond, Deadline: 9 * second, Worth: 1}}}}
 }
 
-func list(full bool, entries ...control.Entry) control.Event {
+func listUpdate(full bool, entries ...control.Entry) control.Event {
 	return control.Event{Kind: control.ListUpdate, FullList: full, Entries: entries}
 }
 
-func in(id uint64, ready int64) control.Entry { return control.Entry{Server: id, ReadyAt: ready} }
+func entry(id uint64, readyAt int64) control.Entry {
+	return control.Entry{Server: id, ReadyAt: readyAt}
+}
 
-func send(r *Recovery, now int64, call string, server uint64) {
+func sendSetUp(r *Recovery, now int64, call string, server uint64) {
 	r.OnAction(now, control.Action{Kind: control.Send, Call: call, Server: server})
 }
 
-// A window opens with evidence and closes without it; when every server is proven the recovery is over.
-func TestEvidenceEndsIt(t *testing.T) {
+// The window grows with evidence and is full without it; recovery ends when every server is proven.
+func TestEvidenceEndsRecovery(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.OnEvent(now, list(true, in(1, 0)))
+	r.OnEvent(now, listUpdate(true, entry(1, 0)))
 	for n := range 2 {
 		if ok, why := r.HasRoom(now, 1); !ok {
 			t.Fatal(n, why)
 		}
-		send(r, now, fmt.Sprint(n), 1)
+		sendSetUp(r, now, fmt.Sprint(n), 1)
 	}
 	if ok, why := r.HasRoom(now, 1); ok || why != Unproven {
-		t.Fatal("a third set-up with no answer to any", ok, why)
+		t.Fatal("a third set-up has room with two unanswered", ok, why)
 	}
 	if got := r.Admit(now, join.Call{ID: "x", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Hold || got.Reason != NoRoom {
 		t.Fatal(got)
@@ -49,7 +51,7 @@
 	for n := range 6 {
 		call := fmt.Sprint(n)
 		r.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Server: 1, Elapsed: 50 * millisecond})
-		send(r, now, fmt.Sprint(n+2), 1)
+		sendSetUp(r, now, fmt.Sprint(n+2), 1)
 	}
 	if st := r.Status(now); st.State != "done" || st.Reason != "evidence" {
 		t.Fatalf("%+v", st)
@@ -59,27 +61,27 @@
 	}
 }
 
-// Late and refused set-ups close the window instead.
-func TestAQueueClosesTheWindow(t *testing.T) {
+// Late and refused set-ups shrink the window.
+func TestLateSetUpsShrinkTheWindow(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.OnEvent(now, list(true, in(1, 0)))
-	send(r, now, "a", 1)
+	r.OnEvent(now, listUpdate(true, entry(1, 0)))
+	sendSetUp(r, now, "a", 1)
 	r.OnEvent(now, control.Event{Kind: control.Stands, Call: "a", Server: 1, Elapsed: 900 * millisecond})
-	send(r, now, "b", 1)
+	sendSetUp(r, now, "b", 1)
 	if ok, _ := r.HasRoom(now, 1); ok {
-		t.Fatal("a late set-up left the window open")
+		t.Fatal("a late set-up did not shrink the window")
 	}
 	r.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: "b", Server: 1, Outcome: control.Saturated})
 	if ok, _ := r.HasRoom(now, 1); !ok {
-		t.Fatal("no window at all")
+		t.Fatal("no room with nothing outstanding")
 	}
 	if r.Recovering(now+15*second) || !r.Recovering(now+14*second) {
-		t.Fatal("the span bounds it")
+		t.Fatal("recovery does not end at the time limit")
 	}
 }
 
-// What a snapshot tells counts while it is fresh and speaks of the same processor.
-func TestBroughtEvidence(t *testing.T) {
+// Evidence from a snapshot counts while it is recent and is about the same start of the server.
+func TestEvidenceFromASnapshot(t *testing.T) {
 	now := 100 * second
 	for _, tc := range []struct {
 		name string
@@ -88,43 +90,45 @@
 	}{
 		{"fresh", Evidence{1, 7, now - second, 50 * millisecond}, true},
 		{"old", Evidence{1, 7, now - 6*second, 50 * millisecond}, false},
-		{"another processor", Evidence{1, 8, now - second, 50 * millisecond}, false},
+		{"another start", Evidence{1, 8, now - second, 50 * millisecond}, false},
 		{"slow", Evidence{1, 7, now - second, 900 * millisecond}, false},
 		{"from the future", Evidence{1, 7, now + second, 50 * millisecond}, false},
 	} {
 		r := New(settings(), 1, 100*second, []Evidence{tc.e})
-		r.OnEvent(now, list(true, in(1, 7)))
+		r.OnEvent(now, listUpdate(true, entry(1, 7)))
 		if r.Recovering(now) == tc.done {
 			t.Errorf("%s: %+v", tc.name, r.Status(now))
 		}
 	}
 }
 
-// A redial is refused only once as many calls are held as can have room soon, with a wait from the upper half.
-func TestRedialsAreTurnedAway(t *testing.T) {
+// A redial is refused only when as many calls are held as can have room soon, with a wait from the upper half of the
+// range.
+func TestRedialsAreRefused(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.OnEvent(now, list(true, in(1, 0)))
-	send(r, now, "a", 1)
-	send(r, now, "b", 1)
-	for n := range heldMost {
+	r.OnEvent(now, listUpdate(true, entry(1, 0)))
+	sendSetUp(r, now, "a", 1)
+	sendSetUp(r, now, "b", 1)
+	for n := range maxHeldPerServer {
 		if got := r.Admit(now, join.Call{ID: fmt.Sprint(n), Retry: true, Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Hold {
 			t.Fatal(n, got)
 		}
 	}
 	if got := r.Admit(now, join.Call{ID: "first", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
-		t.Fatal("a first try beyond the held ones is control's", got)
+		t.Fatal("a first call beyond those held is not left to control", got)
 	}
 	got := r.Admit(now, join.Call{ID: "redial", Retry: true, Taken: now, NotAfter: now + 3*second})
 	if got.Verdict != join.Refuse || got.Reason != Redial || got.Wait < second || got.Wait > 2*second {
 		t.Fatal(got)
 	}
 	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", Taken: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
-		t.Fatal("a call held for a quarter of its aim is control's", got)
+		t.Fatal("a call held for a quarter of its aim is not left to control", got)
 	}
 }
 
-// Whatever happens: never over a cold server's budget, never over a window, no call held beyond its part of the aim,
-// an end after the span, nothing kept then, and the same events bring the same decisions.
+// In random sequences of events, neither a cold server's budget nor a window is exceeded, no call is held beyond its
+// part of the aim, recovery ends at the time limit and keeps no state then, and the same events lead to the same
+// decisions.
 func TestRandomHistories(t *testing.T) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", "2000")
@@ -143,14 +147,14 @@
 		}), 1, 300).Draw(t, "steps")
 		play := func() (log []string) {
 			r, now := New(settings(), 7, 100*second, nil), 100*second
-			began, n := now, 0
-			sent := map[uint64][]int64{} // to cold servers
-			open := map[string]uint64{}
-			ready := map[uint64]int64{}
+			startedAt, n := now, 0
+			sent := map[uint64][]int64{} // when set-ups were sent to cold servers
+			unanswered := map[string]uint64{}
+			readyAt := map[uint64]int64{}
 			for id := uint64(1); id <= 3; id++ {
-				ready[id] = now - 5*second*int64(id)
+				readyAt[id] = now - 5*second*int64(id)
 			}
-			r.OnEvent(now, list(true, in(1, ready[1]), in(2, ready[2]), in(3, ready[3])))
+			r.OnEvent(now, listUpdate(true, entry(1, readyAt[1]), entry(2, readyAt[2]), entry(3, readyAt[3])))
 			for _, s := range steps {
 				now += s.After
 				n++
@@ -169,19 +173,19 @@
 					if ok, _ := r.HasRoom(now, s.Server); !ok {
 						break
 					}
-					send(r, now, call, s.Server)
-					open[call] = s.Server
-					if r.Recovering(now) && now-ready[s.Server] < 15*second {
+					sendSetUp(r, now, call, s.Server)
+					unanswered[call] = s.Server
+					if r.Recovering(now) && now-readyAt[s.Server] < 15*second {
 						sent[s.Server] = append(sent[s.Server], now)
 					}
 				case s.Kind == 9:
-					ready[s.Server] = now - s.Ready*second
+					readyAt[s.Server] = now - s.Ready*second
 					sent[s.Server] = nil
-					r.OnEvent(now, list(false, in(s.Server, ready[s.Server])))
+					r.OnEvent(now, listUpdate(false, entry(s.Server, readyAt[s.Server])))
 				default:
-					for c, at := range open {
+					for c, at := range unanswered {
 						if at == s.Server && c == fmt.Sprint(n-1) {
-							delete(open, c)
+							delete(unanswered, c)
 							kind := control.Stands
 							if s.Kind == 8 {
 								kind = control.AttemptEnded
@@ -192,27 +196,27 @@
 				}
 				st := r.Status(now)
 				log = append(log, fmt.Sprintf("%+v", st))
-				if now-began >= 15*second && st.State != "done" {
-					t.Fatalf("no end: %+v", st)
+				if now-startedAt >= 15*second && st.State != "done" {
+					t.Fatalf("recovery does not end: %+v", st)
 				}
 			}
-			for id, times := range sent { // in any window: the pace at its end, the saved credit, and one
+			for id, times := range sent { // in any period: the rate at its end times its length, the saved credit, and one
 				for k := range times {
 					for j := k; j < len(times); j++ {
-						span := float64(times[j]-times[k]) / 1e9
-						if most := coldPart*120.0/3/20*span + 2 + 1; float64(j-k+1) > most {
-							t.Fatalf("server %d: %d set-ups in %.2f s, most %.1f", id, j-k+1, span, most)
+						seconds := float64(times[j]-times[k]) / 1e9
+						if limit := coldLoadFactor*120.0/3/20*seconds + 2 + 1; float64(j-k+1) > limit {
+							t.Fatalf("server %d: %d set-ups in %.2f s, limit %.1f", id, j-k+1, seconds, limit)
 						}
 					}
 				}
 			}
-			if r.done && (len(r.servers)+len(r.out)+len(r.held)+len(r.brought) > 0) {
-				t.Fatal("something is kept after the end")
+			if r.done && (len(r.servers)+len(r.outstanding)+len(r.held)+len(r.restored) > 0) {
+				t.Fatal("state is kept after the end")
 			}
 			return log
 		}
 		if !reflect.DeepEqual(play(), play()) {
-			t.Fatal("the same events brought other decisions")
+			t.Fatal("the same events led to different decisions")
 		}
 	})
 }
