--- a/control/levels/levels_test.go
+++ b/control/levels/levels_test.go
@@ -18,8 +18,8 @@
 	return control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{Aim: 1200e6, Deadline: 9 * second, Worth: 1}}}
 }
 
-// play offers 20 calls a second for so long, of which a part is turned away by control.
-func play(l *Levels, from, seconds int64, turned float64) int64 {
+// play offers 20 calls per second for some seconds; control turns away the given part of them.
+func play(l *Levels, from, seconds int64, turnedAway float64) int64 {
 	now := from
 	debt := 0.0
 	for n := int64(0); n < 20*seconds; n++ {
@@ -28,7 +28,7 @@
 		if l.Admit(now, join.Call{ID: call}).Verdict != join.Admit {
 			continue
 		}
-		if debt += turned; debt >= 1 {
+		if debt += turnedAway; debt >= 1 {
 			debt--
 			l.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 		} else {
@@ -38,11 +38,11 @@
 	return now
 }
 
-func TestAShortageAndItsEnd(t *testing.T) {
-	var told []Change
-	l := New(settings(), 1, 100*second, nil, func(c Change) { told = append(told, c) })
+func TestLevelFollowsAShortage(t *testing.T) {
+	var changes []Change
+	l := New(settings(), 1, 100*second, nil, func(c Change) { changes = append(changes, c) })
 	now := play(l, 100*second, 20, 0)
-	if l.Level() != Normal || len(told) > 0 {
+	if l.Level() != Normal || len(changes) > 0 {
 		t.Fatal(l.Status(now))
 	}
 	now = play(l, now, 20, 0.2)
@@ -54,32 +54,33 @@
 		t.Error(r)
 	}
 	if r := l.Admit(now, join.Call{ID: "f"}); r.Verdict != join.Admit {
-		t.Error("a first try is taken", r)
+		t.Error("a first call is not admitted", r)
 	}
 	play(l, now, 40, 0)
-	if l.Level() != Normal || len(told) != 4 || told[3].Reason != Calm {
-		t.Errorf("%+v", told)
+	if l.Level() != Normal || len(changes) != 4 || changes[3].Reason != Calm {
+		t.Errorf("%+v", changes)
 	}
 }
 
-// A jump of three seconds goes up once at most and comes back once; a swing every few seconds does not flip the level.
-func TestJumpAndSwing(t *testing.T) {
+// A peak of three seconds raises the level once at most and lowers it once; an oscillation every few seconds does not
+// make the level flap.
+func TestPeakAndOscillation(t *testing.T) {
 	l := New(settings(), 1, 100*second, nil, nil)
 	now := play(l, 100*second, 20, 0)
 	now = play(l, now, 3, 0.3)
 	play(l, now, 60, 0)
 	if n := len(l.History()); n > 4 || l.Level() != Normal {
-		t.Errorf("%d changes for one jump: %+v", n, l.History())
+		t.Errorf("%d changes for one peak: %+v", n, l.History())
 	}
 	l = New(settings(), 1, 100*second, nil, nil)
 	now = 100 * second
-	const swings = 20
-	for range swings {
+	const oscillations = 20
+	for range oscillations {
 		now = play(l, now, 4, 0)
 		now = play(l, now, 4, 0.25)
 	}
-	if n := len(l.History()); n > swings || n > 3 {
-		t.Errorf("%d changes in %d swings: %+v", n, swings, l.History())
+	if n := len(l.History()); n > oscillations || n > 3 {
+		t.Errorf("%d changes in %d oscillations: %+v", n, oscillations, l.History())
 	}
 }
 
@@ -111,8 +112,8 @@
 	}
 }
 
-// The history goes on over a restart, as JSON; what makes no sense in it is left out. The level begins anew.
-func TestHistoryOverARestart(t *testing.T) {
+// The history survives a restart, as JSON, without the changes that are invalid. The level starts afresh.
+func TestHistorySurvivesARestart(t *testing.T) {
 	l := New(settings(), 1, 100*second, nil, nil)
 	now := play(l, 100*second, 20, 0.3)
 	text, err := json.Marshal(l.History())
@@ -123,26 +124,27 @@
 	if err := json.Unmarshal(text, &history); err != nil || !reflect.DeepEqual(history, l.History()) {
 		t.Fatal(history, err)
 	}
-	again := New(settings(), 2, now, nil, nil)
-	again.Restore(now, history)
-	if !reflect.DeepEqual(again.History(), history) || again.Level() != Normal || again.Status(now).Reason != Calm {
-		t.Errorf("%+v", again.Status(now))
+	restarted := New(settings(), 2, now, nil, nil)
+	restarted.Restore(now, history)
+	if !reflect.DeepEqual(restarted.History(), history) || restarted.Level() != Normal || restarted.Status(now).Reason != Calm {
+		t.Errorf("%+v", restarted.Status(now))
 	}
 	history[0].At = now + second
-	again = New(settings(), 2, now, nil, nil)
-	if again.Restore(now, history); len(again.History()) != len(history)-1 {
-		t.Errorf("%+v", again.History())
+	restarted = New(settings(), 2, now, nil, nil)
+	if restarted.Restore(now, history); len(restarted.History()) != len(history)-1 {
+		t.Errorf("%+v", restarted.History())
 	}
-	many := make([]Change, 2*historyMost)
-	if again.Restore(now, many); len(again.History()) > 2*historyMost {
-		t.Error("unbounded")
+	many := make([]Change, 2*maxHistory)
+	if restarted.Restore(now, many); len(restarted.History()) > 2*maxHistory {
+		t.Error("the kept state is not limited")
 	}
 	if err := new(Level).UnmarshalText([]byte("odd")); err == nil {
-		t.Error("an unknown level")
+		t.Error("an unknown level is accepted")
 	}
 }
 
-// A missing reading is no good news: without calls and gauges the level stays where it is. A recovery is no shortage.
+// A missing reading is no good news: without calls and gauges the level stays as it is. Calls turned away during
+// recovery are no shortage.
 func TestMissingReadingsAndRecovery(t *testing.T) {
 	l := New(settings(), 1, 100*second, nil, nil)
 	now := play(l, 100*second, 20, 0.2)
@@ -151,16 +153,17 @@
 		l.OnEvent(now, control.Event{Kind: control.TimerFired})
 	}
 	if l.Level() != Reduced {
-		t.Errorf("silence counted as calm: %v", l.Level())
+		t.Errorf("the level changed without readings: %v", l.Level())
 	}
 	l = New(settings(), 1, 100*second, func(int64) bool { return true }, nil)
 	if play(l, 100*second, 30, 0.9); l.Level() != Busy {
-		t.Errorf("a recovery led to %v", l.Level())
+		t.Errorf("calls turned away during recovery led to %v", l.Level())
 	}
 }
 
-// Over random histories: what is kept is bounded, no two changes within the least stay, each is one step (but for the
-// instance's own shortage) and explained by its own reason, and the same events bring the same decisions.
+// In random sequences of events, the kept state is limited, two changes are at least the minimum stay apart, each
+// change is by one step (except into Emergency) and explained by its reason, and the same events lead to the same
+// decisions.
 func TestRandomHistories(t *testing.T) {
 	flag.Set("rapid.seed", "11")
 	flag.Set("rapid.checks", "2000")
@@ -176,9 +179,9 @@
 			return step{rapid.Int64Range(0, 2*second).Draw(t, "after"), rapid.IntRange(0, 7).Draw(t, "kind"), rapid.Float64Range(0, 1.2).Draw(t, "x"), rapid.IntRange(1, 60).Draw(t, "n")}
 		}), 1, 120).Draw(t, "steps")
 		run := func() ([]Change, []join.Decision) {
-			var told []Change
-			var log []join.Decision
-			l, now := New(settings(), 3, 100*second, nil, func(c Change) { told = append(told, c) }), 100*second
+			var changes []Change
+			var decisions []join.Decision
+			l, now := New(settings(), 3, 100*second, nil, func(c Change) { changes = append(changes, c) }), 100*second
 			for k, s := range steps {
 				for n := range s.N {
 					now += s.After / int64(s.N)
@@ -189,7 +192,7 @@
 						continue
 					}
 					r := l.Admit(now, join.Call{ID: call, Retry: s.Kind == 2})
-					log = append(log, r)
+					decisions = append(decisions, r)
 					switch {
 					case r.Verdict != join.Admit:
 					case s.Kind < 5:
@@ -201,33 +204,33 @@
 					}
 				}
 			}
-			if len(l.history) > historyMost || len(l.gauges) > 2 {
-				t.Fatal("unbounded")
+			if len(l.history) > maxHistory || len(l.gauges) > 2 {
+				t.Fatal("the kept state is not limited")
 			}
-			return told, log
+			return changes, decisions
 		}
-		told, log := run()
-		for k, c := range told {
-			if k > 0 && c.At-told[k-1].At < leastStay {
-				t.Fatalf("two changes within %d ms", (c.At-told[k-1].At)/1e6)
+		changes, decisions := run()
+		for k, c := range changes {
+			if k > 0 && c.At-changes[k-1].At < minStay {
+				t.Fatalf("two changes within %d ms", (c.At-changes[k-1].At)/1e6)
 			}
-			if c.To > c.From && c.To != Emergency && (c.To != c.From+1 || c.Readings[c.Reason] < enter[c.To]) {
-				t.Fatalf("not explained: %+v", c)
+			if c.To > c.From && c.To != Emergency && (c.To != c.From+1 || c.Readings[c.Reason] < entryScores[c.To]) {
+				t.Fatalf("change not explained by its reason: %+v", c)
 			}
 			if c.To == Emergency && c.Readings[c.Reason] < 1 {
-				t.Fatalf("not explained: %+v", c)
+				t.Fatalf("change not explained by its reason: %+v", c)
 			}
 			if c.To < c.From {
 				for name, x := range c.Readings {
-					if c.From != Emergency && x >= leavePart*enter[c.From] || c.To != c.From-1 {
-						t.Fatalf("left with %s at %v: %+v", name, x, c)
+					if c.From != Emergency && x >= leaveFactor*entryScores[c.From] || c.To != c.From-1 {
+						t.Fatalf("level left with reading %s at %v: %+v", name, x, c)
 					}
 				}
 			}
 		}
-		told2, log2 := run()
-		if !reflect.DeepEqual(told, told2) || !reflect.DeepEqual(log, log2) {
-			t.Fatal("the same events brought other decisions")
+		changes2, decisions2 := run()
+		if !reflect.DeepEqual(changes, changes2) || !reflect.DeepEqual(decisions, decisions2) {
+			t.Fatal("the same events led to different decisions")
 		}
 	})
 }
