--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -1,16 +1,17 @@
-// Package goodput bounds the set-ups that an instance has out without an answer, all servers together, by what came back
-// in time of late. It is there for one case: a jam that the fleet would not leave by itself. There every server is busy
-// with set-ups, answers come after their callers have left, the callers' redials keep the load up, and no server ever
-// answers full. An instance that sees a call or two a second learns too little from any one server to shut it; of all its
-// set-ups together it knows at once that they come to nothing.
+// Package goodput limits the set-ups that an instance has outstanding at all servers together, according to how many
+// have recently been answered in time. It guards against a congestion collapse that the fleet would not leave by
+// itself: every server is busy with set-ups, answers come after their callers have left, redials of the callers keep
+// the load up, and no server ever answers that it is full. An instance that sees a call or two per second learns too
+// little from any single server to stop sending to it, but all of its set-ups together show at once that they are
+// wasted.
 //
-// The bound follows two readings, which fade over some seconds. The first is the share of set-ups that came to nothing in
-// time: while it is small the bound is far beyond what is ever out. The second is the rate of those that did come back in
-// time: by Little's law (L = rate x delay), that rate times the wanted delay is what may be out for the delay to be kept.
-// While the bound is reached the servers pass for servers without room, and what becomes of a call then is control's
-// decision, as ever.
+// The limit follows two readings, which decay over some seconds. The first is the share of set-ups that were not
+// answered in time: while it is small, the limit is far above what is ever outstanding. The second is the rate of those
+// that were answered in time: by Little's law (L = rate x delay), that rate times the target delay is what may be
+// outstanding for the delay to be kept. While the limit is reached, every server counts as having no room, and control
+// decides what becomes of a call.
 //
-// The module is pure: it is told the time and joins the core through package join.
+// The module is pure: it is told the time and takes part in decisions through package join.
 package goodput
 
 import (
@@ -22,113 +23,117 @@
 	"masthill/control/join"
 )
 
-// The states, and their reasons.
+// The states, and the reasons of states and decisions.
 const (
-	Open        = "open"    // nothing has been kept back of late
-	Bounded     = "bounded" // calls have met the bound of late
-	InTime      = "in-time" // set-ups come back in time
-	TooManyLate = "in-vain" // too many set-ups come to nothing in time
-	Redial      = "redial"  // ruling: a caller's retry, while first tries meet the bound
+	Open        = "open"    // no call has met the limit recently
+	Bounded     = "bounded" // calls have met the limit recently
+	InTime      = "in-time" // set-ups are answered in time
+	TooManyLate = "in-vain" // too many set-ups are not answered in time
+	Redial      = "redial"  // decision: a redial is refused while first calls meet the limit
 )
 
 const (
 	second = int64(1e9)
-	// outMost bounds the set-ups that are followed at once, far beyond what one instance can have out; beyond it the
-	// module stands aside.
-	outMost = 1 << 16
-	// standstill is how late news comes when the instance itself stood still: control has a beat every tenth of a second
-	// while a set-up is out, and no server is at fault for a silence in between.
-	standstill = second / 5
-	// prior is how many set-ups in time are taken for seen before any are: so that one late set-up of a new or idle
-	// instance is no jam, and two are a hint.
-	prior = 2.0
-	// slack times the least delay of late is in time whatever the aim says, up to inTimeMost of the aim: servers that are
-	// slow by themselves, with a call or two a second each, are in no jam. leastSpan is how slowly the least delay is
-	// forgotten.
-	slack, inTimeMost = 4.0, 0.9
-	leastSpan         = 60 * float64(second)
-	// leaveAfter is how long nothing may have met the bound for the state to be open again: longer than a round of redials.
-	leaveAfter = 10 * second
+	// maxFollowed limits the set-ups that are followed at once, far above what one instance can have outstanding.
+	// Beyond it further set-ups are not counted.
+	maxFollowed = 1 << 16
+	// maxGap is the longest gap between events while the instance runs: control sets a timer that comes due every tenth
+	// of a second while a set-up is outstanding. A longer gap means that the instance itself was paused, and no server
+	// is to blame for the silence.
+	maxGap = second / 5
+	// priorInTime is how many set-ups in time are assumed before any have been seen, so that one late set-up of a new
+	// or idle instance does not count as congestion, and two are a hint of it.
+	priorInTime = 2.0
+	// A set-up within minDelayMultiple times the lowest recent delay is in time, even if it exceeds the limit set by
+	// the aim, up to maxInTimePart of the aim: servers that are slow by nature, with a call or two per second each, are
+	// not congested. minDelayFadeTime is how slowly the lowest delay is forgotten.
+	minDelayMultiple, maxInTimePart = 4.0, 0.9
+	minDelayFadeTime                = 60 * float64(second)
+	// openAfter is how long no call may have met the limit before the state is open again; it is longer than a round of
+	// redials.
+	openAfter = 10 * second
 )
 
-// Settings are the module's figures. Zero ones have the defaults.
+// Settings are the module's parameters. Those that are 0 get default values.
 type Settings struct {
 	Control     control.Settings
-	InTime      float64 // part of the shortest aim within which a set-up has to come back
-	FadeTime    float64 // time over which the readings fade, in nanoseconds
-	MinLimit    float64 // set-ups that may be out whatever was seen: with none nothing would ever be learnt again
-	Headroom    float64 // how far the bound gives way where most set-ups come back in time
-	TargetDelay float64 // the wanted delay, as a part of the shortest aim
-	RedialPause float64 // seconds for which redials stand back after a first try has met the bound
+	InTime      float64 // part of the shortest aim within which a set-up must be answered
+	FadeTime    float64 // time over which the readings decay, in nanoseconds
+	MinLimit    float64 // set-ups that may always be outstanding: with none, the module would never learn anything again
+	Headroom    float64 // how far the limit is raised while most set-ups are answered in time
+	TargetDelay float64 // the delay to keep, as a part of the shortest aim
+	RedialPause float64 // seconds for which redials are refused after a first call has met the limit
 }
 
-// defaults were chosen on the model, 300 controllers and 24 servers: docs/design/goodput.md has the figures.
-func (s *Settings) defaults() {
+// setDefaults sets each parameter that is 0 to its default. docs/design/goodput.md has the figures behind them, from a
+// model with 300 controllers and 24 servers.
+func (s *Settings) setDefaults() {
 	for _, d := range []struct {
-		at    *float64
+		field *float64
 		value float64
 	}{{&s.InTime, 0.42}, {&s.FadeTime, 5 * float64(second)}, {&s.MinLimit, 1}, {&s.Headroom, 2}, {&s.TargetDelay, 0.5}, {&s.RedialPause, 10}} {
-		if *d.at <= 0 {
-			*d.at = d.value
+		if *d.field <= 0 {
+			*d.field = d.value
 		}
 	}
 }
 
-// Change is one change of state, for the log.
+// Change is one change of state, for the log. Limit and Outstanding are numbers of set-ups, LateShare the share of
+// set-ups that were not answered in time.
 type Change struct {
 	State, Reason                 string
 	Limit, Outstanding, LateShare float64
 }
 
-// attempt is a set-up without an answer.
+// attempt is one set-up that is followed.
 type attempt struct {
-	at   int64
-	late bool // counted as one that came to nothing
-	over bool
+	sentAt int64 // moved on by pauses of the instance
+	late   bool  // not answered in time, and counted as such
+	done   bool
 }
 
-// fading is a count that is forgotten over a span.
-type fading struct {
+// fadingCount is a count that decays exponentially over a span.
+type fadingCount struct {
 	n  float64
 	at int64
 }
 
-// read is what is left of the count; it changes nothing.
-func (f *fading) read(now int64, span float64) float64 {
+// value returns the decayed count without changing it.
+func (f *fadingCount) value(now int64, span float64) float64 {
 	return f.n * math.Exp(-float64(max(now-f.at, 0))/span)
 }
 
-func (f *fading) add(now int64, span, n float64) {
-	f.n, f.at = f.read(now, span)+n, max(now, f.at)
+func (f *fadingCount) add(now int64, span, n float64) {
+	f.n, f.at = f.value(now, span)+n, max(now, f.at)
 }
 
-// Goodput is the state of the module.
+// Goodput is the module's state.
 type Goodput struct {
-	set        Settings
-	rng        *rand.Rand
-	aim        float64
-	out        map[string]*attempt
-	line       []*attempt // the same by time, up to the late ones
-	late       int        // of those out
-	good, vain fading
-	heardAt    int64
-	least      float64 // delay of a set-up that stood, of late
-	leastAt    int64
-	state      string
-	since      int64
-	metAt      int64 // when a call last met the bound
-	met        int64 // how many did
-	turned     int64 // redials refused
-	onChange   func(Change)
+	settings                    Settings
+	rng                         *rand.Rand
+	aim                         float64
+	outstanding                 map[string]*attempt
+	queue                       []*attempt // the outstanding attempts in order of time, without those that are late
+	late                        int        // how many outstanding attempts are late
+	inTimeCount, notInTimeCount fadingCount
+	updatedAt                   int64
+	minDelay                    float64 // lowest recent delay of a successful set-up
+	minDelayAt                  int64
+	state                       string
+	since                       int64
+	limitReachedAt              int64 // when a call last met the limit
+	limitReachedCount           int64 // how many calls met the limit
+	redialsRefused              int64
+	onChange                    func(Change)
 }
 
-// New makes the module at a time, in Unix nanoseconds. onChange, if any, hears of each change of state at once.
+// New creates the module at now, in Unix nanoseconds. onChange, if not nil, is called at once for each change of state.
 func New(s Settings, seed uint64, now int64, onChange func(Change)) *Goodput {
-	s.defaults()
+	s.setDefaults()
 	if onChange == nil {
 		onChange = func(Change) {}
 	}
-	g := &Goodput{set: s, rng: rand.New(rand.NewPCG(seed, 0x676f6f64)), aim: math.Inf(1), out: map[string]*attempt{}, heardAt: now, least: math.Inf(1), leastAt: now, state: Open, since: now, onChange: onChange}
+	g := &Goodput{settings: s, rng: rand.New(rand.NewPCG(seed, 0x676f6f64)), aim: math.Inf(1), outstanding: map[string]*attempt{}, updatedAt: now, minDelay: math.Inf(1), minDelayAt: now, state: Open, since: now, onChange: onChange}
 	for _, c := range s.Control.Classes {
 		g.aim = min(g.aim, float64(c.Aim))
 	}
@@ -138,153 +143,154 @@
 // Name implements join.Module.
 func (g *Goodput) Name() string { return "goodput" }
 
-// See implements join.Module.
+// OnEvent implements join.Module.
 func (g *Goodput) OnEvent(now int64, ev control.Event) {
-	g.look(now)
+	g.update(now)
 	switch ev.Kind {
 	case control.Stands:
-		if a := g.take(ev.Call); a != nil {
+		if a := g.remove(ev.Call); a != nil {
 			if !a.late {
-				g.good.add(now, g.set.FadeTime, 1)
+				g.inTimeCount.add(now, g.settings.FadeTime, 1)
 			}
-			g.least = min(float64(now-a.at), g.least*(1+float64(now-g.leastAt)/leastSpan))
-			g.leastAt = now
+			g.minDelay = min(float64(now-a.sentAt), g.minDelay*(1+float64(now-g.minDelayAt)/minDelayFadeTime))
+			g.minDelayAt = now
 		}
 	case control.AttemptEnded:
-		// An answer of another kind tells that a server answers, not that set-ups get through; one that was called off
-		// before it was late tells neither.
-		g.take(ev.Call)
+		// Another answer shows that a server responds, not that set-ups succeed; an attempt that was cancelled before
+		// it was late shows neither.
+		g.remove(ev.Call)
 	case control.Arrival:
 		if ok, _ := g.HasRoom(now, 0); !ok {
-			g.met++
-			g.metAt = now
-			g.turn(now, Bounded, TooManyLate)
+			g.limitReachedCount++
+			g.limitReachedAt = now
+			g.setState(now, Bounded, TooManyLate)
 		}
 	}
-	if g.state == Bounded && now-g.metAt >= leaveAfter {
-		g.turn(now, Open, InTime)
+	if g.state == Bounded && now-g.limitReachedAt >= openAfter {
+		g.setState(now, Open, InTime)
 	}
 }
 
-// Did implements join.Module.
+// OnAction implements join.Module.
 func (g *Goodput) OnAction(now int64, a control.Action) {
-	if a.Kind != control.Send || len(g.out) >= outMost {
+	if a.Kind != control.Send || len(g.outstanding) >= maxFollowed {
 		return
 	}
-	g.look(now)
-	g.take(a.Call)
-	one := &attempt{at: now}
-	g.out[a.Call] = one
-	g.line = append(g.line, one)
+	g.update(now)
+	g.remove(a.Call)
+	added := &attempt{sentAt: now}
+	g.outstanding[a.Call] = added
+	g.queue = append(g.queue, added)
 }
 
-// take takes a call's set-up off those that are out.
-func (g *Goodput) take(call string) *attempt {
-	a := g.out[call]
+// remove removes a call's set-up from the outstanding ones and returns it.
+func (g *Goodput) remove(call string) *attempt {
+	a := g.outstanding[call]
 	if a == nil {
 		return nil
 	}
-	delete(g.out, call)
-	if a.over = true; a.late {
+	delete(g.outstanding, call)
+	if a.done = true; a.late {
 		g.late--
 	}
 	return a
 }
 
-// inTime is the delay within which a set-up has to come back.
+// inTime returns the delay within which a set-up must be answered.
 func (g *Goodput) inTime() float64 {
-	t := g.set.InTime * g.aim
-	if !math.IsInf(g.least, 1) {
-		t = min(max(t, slack*g.least), max(t, inTimeMost*g.aim))
+	t := g.settings.InTime * g.aim
+	if !math.IsInf(g.minDelay, 1) {
+		t = min(max(t, minDelayMultiple*g.minDelay), max(t, maxInTimePart*g.aim))
 	}
 	return t
 }
 
-// look finds the set-ups that have become late.
-func (g *Goodput) look(now int64) {
-	if gap := now - g.heardAt; gap > standstill {
-		for _, a := range g.line {
-			a.at += gap
+// update finds the set-ups that have become late.
+func (g *Goodput) update(now int64) {
+	if gap := now - g.updatedAt; gap > maxGap {
+		for _, a := range g.queue {
+			a.sentAt += gap
 		}
 	}
-	g.heardAt = max(now, g.heardAt)
+	g.updatedAt = max(now, g.updatedAt)
 	inTime := g.inTime()
-	for len(g.line) > 0 {
-		a := g.line[0]
-		if !a.over && float64(now-a.at) < inTime {
+	for len(g.queue) > 0 {
+		a := g.queue[0]
+		if !a.done && float64(now-a.sentAt) < inTime {
 			return
 		}
-		if !a.over {
+		if !a.done {
 			a.late = true
 			g.late++
-			g.vain.add(now, g.set.FadeTime, 1)
+			g.notInTimeCount.add(now, g.settings.FadeTime, 1)
 		}
-		g.line = g.line[1:]
+		g.queue = g.queue[1:]
 	}
-	g.line = nil // its memory
+	g.queue = nil // releases its memory
 }
 
-// limit is what may be out now, and the share of set-ups that came to nothing.
-func (g *Goodput) limit(now int64) (limit, vain float64) {
-	good, lost := g.good.read(now, g.set.FadeTime), g.vain.read(now, g.set.FadeTime)
-	vain = lost / (good + lost + prior)
-	limit = g.set.MinLimit + good/g.set.FadeTime*g.set.TargetDelay*g.aim // Little's law
-	if vain < 0.5 {
-		limit += g.set.Headroom * (1 - 2*vain) / max(vain, 1e-3) // nothing at a half, and far beyond what is out at a tenth
+// limit returns how many set-ups may be outstanding now, and the share of those that were not answered in time.
+func (g *Goodput) limit(now int64) (limit, lateShare float64) {
+	inTimeCount, notInTime := g.inTimeCount.value(now, g.settings.FadeTime), g.notInTimeCount.value(now, g.settings.FadeTime)
+	lateShare = notInTime / (inTimeCount + notInTime + priorInTime)
+	limit = g.settings.MinLimit + inTimeCount/g.settings.FadeTime*g.settings.TargetDelay*g.aim // Little's law
+	if lateShare < 0.5 {
+		limit += g.settings.Headroom * (1 - 2*lateShare) / max(lateShare, 1e-3) // 0 at a half, far more than is ever outstanding at a tenth
 	}
-	return limit, vain
+	return limit, lateShare
 }
 
-// used is what counts as out. Late set-ups are on their way or at a server that says nothing: they count by the share in
-// vain, so that a few silent servers do not take the well ones' calls, and in a jam they count in full.
-func (g *Goodput) used(vain float64) float64 {
-	return float64(len(g.out)-g.late) + float64(g.late)*min(vain/0.5, 1)
+// countedOutstanding returns how many set-ups count as outstanding. Late ones are on their way or at a server that does
+// not respond. They count in proportion to the late share, so that a few silent servers do not use up the limit for the
+// healthy ones; from a share of a half on they count in full.
+func (g *Goodput) countedOutstanding(lateShare float64) float64 {
+	return float64(len(g.outstanding)-g.late) + float64(g.late)*min(lateShare/0.5, 1)
 }
 
-// Admit implements join.Module. What becomes of a first try without room is control's decision. A redial is late already
-// or nearly so, and earns a part at most; while first tries meet the bound it has a part of it only, and is asked back
-// after a wait that is drawn, so that those refused together do not return together.
+// Admit implements join.Module. Control decides on a first call without room. A redial is late or nearly so, and is
+// worth only a part of a call at most; while first calls meet the limit, it is refused with a randomly drawn wait,
+// so that callers refused together do not return together.
 func (g *Goodput) Admit(now int64, c join.Call) join.Decision {
 	if g.state != Bounded || !c.Retry {
 		return join.Decision{}
 	}
-	g.look(now)
-	if float64(now-g.metAt) >= g.set.RedialPause*float64(second) {
+	g.update(now)
+	if float64(now-g.limitReachedAt) >= g.settings.RedialPause*float64(second) {
 		return join.Decision{}
 	}
-	g.turned++
+	g.redialsRefused++
 	r := join.Decision{Verdict: join.Refuse, Reason: Redial}
-	if most := g.set.Control.MaxRetryAfter; most > 0 {
-		r.Wait = most/2 + g.rng.Int64N(most/2+1)
+	if maxWait := g.settings.Control.MaxRetryAfter; maxWait > 0 {
+		r.Wait = maxWait/2 + g.rng.Int64N(maxWait/2+1)
 	}
 	return r
 }
 
-// Room implements join.Module.
+// HasRoom implements join.Module.
 func (g *Goodput) HasRoom(now int64, _ uint64) (bool, string) {
-	limit, vain := g.limit(now)
-	if g.used(vain)+1 > limit {
+	limit, lateShare := g.limit(now)
+	if g.countedOutstanding(lateShare)+1 > limit {
 		return false, TooManyLate
 	}
 	return true, ""
 }
 
-func (g *Goodput) turn(now int64, state, reason string) {
+func (g *Goodput) setState(now int64, state, reason string) {
 	if g.state == state {
 		return
 	}
 	g.state, g.since = state, now
-	limit, vain := g.limit(now)
-	g.onChange(Change{State: state, Reason: reason, Limit: limit, Outstanding: g.used(vain), LateShare: vain})
+	limit, lateShare := g.limit(now)
+	g.onChange(Change{State: state, Reason: reason, Limit: limit, Outstanding: g.countedOutstanding(lateShare), LateShare: lateShare})
 }
 
-// Status implements join.Module. Held counts the calls that met the bound; control decided on them.
+// Status implements join.Module. Held counts the calls that met the limit; control decided on them.
 func (g *Goodput) Status(now int64) join.Status {
-	limit, vain := g.limit(now)
-	s := join.Status{Module: g.Name(), State: g.state, Reason: InTime, Since: g.since, Held: g.met, RefusedTotal: g.turned}
+	limit, lateShare := g.limit(now)
+	s := join.Status{Module: g.Name(), State: g.state, Reason: InTime, Since: g.since, Held: g.limitReachedCount, RefusedTotal: g.redialsRefused}
 	if g.state == Bounded {
 		s.Reason = TooManyLate
-		s.Out = fmt.Sprintf("no call at the bound for %d s; now %.1f of %.1f out, %.0f in a hundred in vain", leaveAfter/second, g.used(vain), limit, 100*vain)
+		s.Out = fmt.Sprintf("no call at the limit for %d s; now %.1f of %.1f set-ups outstanding, %.0f%% not answered in time", openAfter/second, g.countedOutstanding(lateShare), limit, 100*lateShare)
 	}
 	return s
 }
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -18,151 +18,153 @@
 	return Settings{Control: control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{Aim: 1200 * ms, Deadline: 9 * second, Worth: 1}}}}
 }
 
-// fleet plays an instance's set-ups: each is sent where there is room, and comes back after a delay, or is given up.
-type fleet struct {
-	g    *Goodput
-	now  int64
-	n    int
-	most int // out at once
-	out  []string
-	due  map[string]int64
-	gone map[string]bool // given up then, in place of standing
-	sent int
-	kept int // back
+// simulator plays the set-ups of an instance: each is sent if there is room, and is answered after a delay or given up.
+type simulator struct {
+	g              *Goodput
+	now            int64
+	n              int
+	maxOutstanding int // the most that were outstanding at once
+	outstanding    []string
+	due            map[string]int64
+	givenUp        map[string]bool // given up when due, instead of answered
+	sent           int
+	blocked        int // not sent because the limit was reached
 }
 
-func newFleet(s Settings) *fleet {
-	return &fleet{g: New(s, 1, 100*second, nil), now: 100 * second, due: map[string]int64{}, gone: map[string]bool{}}
+func newSimulator(s Settings) *simulator {
+	return &simulator{g: New(s, 1, 100*second, nil), now: 100 * second, due: map[string]int64{}, givenUp: map[string]bool{}}
 }
 
-// play offers calls every so often, each of which takes a delay to stand; 0: it never does, and is given up after 3 s.
-func (f *fleet) play(d, every, delay int64) {
-	end := f.now + d
-	next := f.now + every
-	for f.now < end {
-		f.now += 10 * ms
-		f.g.OnEvent(f.now, control.Event{Kind: control.TimerFired})
-		rest := f.out[:0]
-		for _, id := range f.out {
+// play offers a call at each interval for some time. Each set-up succeeds after the delay; with 0 it never does and is
+// given up after 3 s.
+func (sim *simulator) play(duration, interval, delay int64) {
+	end := sim.now + duration
+	next := sim.now + interval
+	for sim.now < end {
+		sim.now += 10 * ms
+		sim.g.OnEvent(sim.now, control.Event{Kind: control.TimerFired})
+		remaining := sim.outstanding[:0]
+		for _, id := range sim.outstanding {
 			switch {
-			case f.due[id] > f.now:
-				rest = append(rest, id)
-			case f.gone[id]:
-				f.g.OnEvent(f.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
+			case sim.due[id] > sim.now:
+				remaining = append(remaining, id)
+			case sim.givenUp[id]:
+				sim.g.OnEvent(sim.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
 			default:
-				f.g.OnEvent(f.now, control.Event{Kind: control.Stands, Call: id})
+				sim.g.OnEvent(sim.now, control.Event{Kind: control.Stands, Call: id})
 			}
 		}
-		f.out = rest
-		if f.now < next {
+		sim.outstanding = remaining
+		if sim.now < next {
 			continue
 		}
-		next += every
-		f.n++
-		id := fmt.Sprint(f.n)
-		f.g.OnEvent(f.now, control.Event{Kind: control.Arrival, Call: id})
-		if ok, _ := f.g.HasRoom(f.now, 1); !ok {
-			f.kept++
+		next += interval
+		sim.n++
+		id := fmt.Sprint(sim.n)
+		sim.g.OnEvent(sim.now, control.Event{Kind: control.Arrival, Call: id})
+		if ok, _ := sim.g.HasRoom(sim.now, 1); !ok {
+			sim.blocked++
 			continue
 		}
-		f.sent++
-		f.g.OnAction(f.now, control.Action{Kind: control.Send, Call: id})
-		f.out = append(f.out, id)
-		if f.due[id] = f.now + delay; delay == 0 {
-			f.due[id], f.gone[id] = f.now+3*second, true
+		sim.sent++
+		sim.g.OnAction(sim.now, control.Action{Kind: control.Send, Call: id})
+		sim.outstanding = append(sim.outstanding, id)
+		if sim.due[id] = sim.now + delay; delay == 0 {
+			sim.due[id], sim.givenUp[id] = sim.now+3*second, true
 		}
-		f.most = max(f.most, len(f.out))
+		sim.maxOutstanding = max(sim.maxOutstanding, len(sim.outstanding))
 	}
 }
 
-func TestAHealthyFleetIsLeftAlone(t *testing.T) {
-	for _, every := range []int64{10 * ms, 100 * ms, 600 * ms} {
-		f := newFleet(settings())
-		f.play(20*second, every, 150*ms)
-		f.play(10*second, every/2, 300*ms) // twice the calls, twice as slow
-		if f.kept > 0 || f.g.Status(f.now).State != Open {
-			t.Errorf("a call every %d ms: %d kept back, %+v", every/ms, f.kept, f.g.Status(f.now))
+func TestNoLimitWithoutCongestion(t *testing.T) {
+	for _, interval := range []int64{10 * ms, 100 * ms, 600 * ms} {
+		sim := newSimulator(settings())
+		sim.play(20*second, interval, 150*ms)
+		sim.play(10*second, interval/2, 300*ms) // twice the calls, with twice the delay
+		if sim.blocked > 0 || sim.g.Status(sim.now).State != Open {
+			t.Errorf("a call every %d ms: %d blocked, %+v", interval/ms, sim.blocked, sim.g.Status(sim.now))
 		}
 	}
 }
 
-// An instance that sees two calls a second is soon down to one set-up out, and is open again once set-ups stand in time.
-func TestAJamAndItsEnd(t *testing.T) {
-	f := newFleet(settings())
-	var told []Change
-	f.g.onChange = func(c Change) { told = append(told, c) }
-	f.play(10*second, 500*ms, 150*ms)
-	f.play(5*second, 500*ms, 0)
-	f.most = 0
-	f.play(20*second, 500*ms, 0)
-	if f.most > 3 { // six without a bound
-		t.Errorf("%d out at once in the jam", f.most)
+// An instance that sees two calls per second is soon limited to about one outstanding set-up, and is open again once
+// set-ups succeed in time.
+func TestCongestionAndItsEnd(t *testing.T) {
+	sim := newSimulator(settings())
+	var changes []Change
+	sim.g.onChange = func(c Change) { changes = append(changes, c) }
+	sim.play(10*second, 500*ms, 150*ms)
+	sim.play(5*second, 500*ms, 0)
+	sim.maxOutstanding = 0
+	sim.play(20*second, 500*ms, 0)
+	if sim.maxOutstanding > 3 { // six without a limit
+		t.Errorf("%d outstanding at once in the congestion", sim.maxOutstanding)
 	}
-	if st := f.g.Status(f.now); st.State != Bounded || st.Reason != TooManyLate || st.Out == "" || st.Held == 0 {
+	if st := sim.g.Status(sim.now); st.State != Bounded || st.Reason != TooManyLate || st.Out == "" || st.Held == 0 {
 		t.Errorf("%+v", st)
 	}
-	if f.sent == 0 {
-		t.Error("nothing is tried any more")
+	if sim.sent == 0 {
+		t.Error("no set-up is sent any more")
 	}
-	f.play(10*second, 500*ms, 150*ms)
-	f.kept = 0
-	f.play(20*second, 500*ms, 150*ms)
-	if f.kept > 0 || f.g.Status(f.now).State != Open {
-		t.Errorf("%d kept back after the jam, %+v", f.kept, f.g.Status(f.now))
+	sim.play(10*second, 500*ms, 150*ms)
+	sim.blocked = 0
+	sim.play(20*second, 500*ms, 150*ms)
+	if sim.blocked > 0 || sim.g.Status(sim.now).State != Open {
+		t.Errorf("%d blocked after the congestion, %+v", sim.blocked, sim.g.Status(sim.now))
 	}
-	if len(told) != 2 || told[0].State != Bounded || told[1].State != Open {
-		t.Errorf("%+v", told)
+	if len(changes) != 2 || changes[0].State != Bounded || changes[1].State != Open {
+		t.Errorf("%+v", changes)
 	}
 }
 
-// Where the servers are all equally slow, what is out follows the rate that comes back and the wanted delay.
+// When all servers are equally slow, the limit follows the rate of set-ups answered in time and the target delay.
 func TestLittlesLaw(t *testing.T) {
-	f := newFleet(settings())
-	f.play(60*second, 20*ms, 1500*ms) // 50 calls a second, each late
-	f.most = 0
-	f.play(20*second, 20*ms, 1500*ms)
-	if f.most > 3 { // nothing comes back in time, and little is out
-		t.Errorf("%d out", f.most)
+	sim := newSimulator(settings())
+	sim.play(60*second, 20*ms, 1500*ms) // 50 calls per second, each of them late
+	sim.maxOutstanding = 0
+	sim.play(20*second, 20*ms, 1500*ms)
+	if sim.maxOutstanding > 3 { // nothing is answered in time, so little may be outstanding
+		t.Errorf("%d outstanding", sim.maxOutstanding)
 	}
-	f.play(20*second, 20*ms, 400*ms) // in time now: it opens by the rate
-	if limit, _ := f.g.limit(f.now); limit < 50*0.4 {
-		t.Errorf("limit %.1f at 50 calls a second and 400 ms", limit)
+	sim.play(20*second, 20*ms, 400*ms) // in time now: the limit rises with the rate
+	if limit, _ := sim.g.limit(sim.now); limit < 50*0.4 {
+		t.Errorf("limit %.1f at 50 calls per second and 400 ms", limit)
 	}
 }
 
-// One silent server of ten takes no call from the others.
+// One silent server of ten does not cost the others any call.
 func TestASilentServerAmongMany(t *testing.T) {
-	f := newFleet(settings())
-	f.play(10*second, 100*ms, 150*ms)
+	sim := newSimulator(settings())
+	sim.play(10*second, 100*ms, 150*ms)
 	for range 200 {
-		f.play(900*ms, 100*ms, 150*ms)
-		f.play(100*ms, 100*ms, 0)
+		sim.play(900*ms, 100*ms, 150*ms)
+		sim.play(100*ms, 100*ms, 0)
 	}
-	if f.kept > 0 {
-		t.Errorf("%d kept back", f.kept)
+	if sim.blocked > 0 {
+		t.Errorf("%d blocked", sim.blocked)
 	}
 }
 
-// An instance that stood still for a while blames no server for it.
-func TestAStandstillIsNoJam(t *testing.T) {
-	f := newFleet(settings())
-	f.play(10*second, 50*ms, 200*ms)
-	f.now += 30 * second
-	f.play(second, 50*ms, 200*ms)
-	if _, vain := f.g.limit(f.now); vain > 0 || f.kept > 0 {
-		t.Errorf("%.2f in vain, %d kept back", vain, f.kept)
+// An instance that was paused for a while does not count that time against any server.
+func TestAPauseIsNoCongestion(t *testing.T) {
+	sim := newSimulator(settings())
+	sim.play(10*second, 50*ms, 200*ms)
+	sim.now += 30 * second
+	sim.play(second, 50*ms, 200*ms)
+	if _, lateShare := sim.g.limit(sim.now); lateShare > 0 || sim.blocked > 0 {
+		t.Errorf("late share %.2f, %d blocked", lateShare, sim.blocked)
 	}
 }
 
-// While first tries meet the bound redials are refused with a drawn wait, and else they are control's.
-func TestRedialsStandBack(t *testing.T) {
-	f := newFleet(settings())
-	redial := func() join.Decision { return f.g.Admit(f.now, join.Call{ID: "r", Retry: true}) }
-	f.play(10*second, 500*ms, 150*ms)
+// While first calls meet the limit, redials are refused with random waits; otherwise control decides on them.
+func TestRedialsAreRefusedWhileBounded(t *testing.T) {
+	sim := newSimulator(settings())
+	redial := func() join.Decision { return sim.g.Admit(sim.now, join.Call{ID: "r", Retry: true}) }
+	sim.play(10*second, 500*ms, 150*ms)
 	if r := redial(); r.Verdict != join.Admit {
 		t.Error("in a healthy fleet", r)
 	}
-	f.play(20*second, 300*ms, 0)
+	sim.play(20*second, 300*ms, 0)
 	waits := map[int64]bool{}
 	for range 20 {
 		r := redial()
@@ -172,24 +174,24 @@
 		waits[r.Wait] = true
 	}
 	if len(waits) < 15 {
-		t.Error("the told waits are alike", waits)
+		t.Error("the waits are alike", waits)
 	}
-	if r := f.g.Admit(f.now, join.Call{ID: "f"}); r.Verdict != join.Admit {
-		t.Error("a first try", r)
+	if r := sim.g.Admit(sim.now, join.Call{ID: "f"}); r.Verdict != join.Admit {
+		t.Error("a first call", r)
 	}
-	f.play(40*second, 500*ms, 150*ms)
+	sim.play(40*second, 500*ms, 150*ms)
 	if r := redial(); r.Verdict != join.Admit {
-		t.Error("after the jam", r)
+		t.Error("after the congestion", r)
 	}
 }
 
-// Whatever comes in whatever order: what is followed is what is out, the limit is a number of one at least, Room changes
-// nothing, and the same events bring the same state.
+// With random events in any order, exactly the outstanding set-ups are followed, the limit is a finite number of at
+// least one, HasRoom changes nothing, and the same events lead to the same state.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(settings(), 7, 0, nil), New(settings(), 7, 0, nil)
 		now := int64(0)
-		out := map[string]bool{}
+		outstanding := map[string]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += rapid.SampledFrom([]int64{0, ms, 50 * ms, 700 * ms, 5 * second, -second}).Draw(t, "pass")
 			id := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "call"))
@@ -210,19 +212,19 @@
 				}
 				if g == a {
 					for range 3 {
-						g.HasRoom(now, 1) // asked often
+						g.HasRoom(now, 1) // called often
 					}
 				}
 			}
 			switch kind {
 			case 0:
-				out[id] = true
+				outstanding[id] = true
 			case 1, 2:
-				delete(out, id)
+				delete(outstanding, id)
 			}
-			limit, vain := a.limit(now)
-			if len(a.out) != len(out) || a.late < 0 || a.late > len(out) || !(limit >= 1) || math.IsInf(limit, 0) || vain < 0 || vain >= 1 {
-				t.Fatalf("%d out of %d, %d late, limit %v, vain %v", len(a.out), len(out), a.late, limit, vain)
+			limit, lateShare := a.limit(now)
+			if len(a.outstanding) != len(outstanding) || a.late < 0 || a.late > len(outstanding) || !(limit >= 1) || math.IsInf(limit, 0) || lateShare < 0 || lateShare >= 1 {
+				t.Fatalf("%d followed, %d outstanding, %d late, limit %v, late share %v", len(a.outstanding), len(outstanding), a.late, limit, lateShare)
 			}
 			if !reflect.DeepEqual(a.Status(now), b.Status(now)) {
 				t.Fatalf("%+v %+v", a.Status(now), b.Status(now))
@@ -231,17 +233,18 @@
 	})
 }
 
-// Servers that are slow by themselves are in no jam: what is late is told by the least delay of late too.
-func TestServersThatAreSlowByThemselves(t *testing.T) {
-	f := newFleet(settings())
-	f.play(30*second, 500*ms, 700*ms)
-	if f.kept > 0 {
-		t.Errorf("%d kept back of %d", f.kept, f.n)
+// Servers that are slow by nature are not congested: whether a set-up is late depends on the lowest recent delay too.
+func TestServersThatAreAlwaysSlow(t *testing.T) {
+	sim := newSimulator(settings())
+	sim.play(30*second, 500*ms, 700*ms)
+	if sim.blocked > 0 {
+		t.Errorf("%d blocked of %d", sim.blocked, sim.n)
 	}
 }
 
-// Late set-ups count as out by the share in vain: a fifth of their number at a tenth, in full from a half on.
-func TestWhatIsLateCountsByTheShareInVain(t *testing.T) {
+// Late set-ups count as outstanding in proportion to the late share: a fifth of them at a tenth, all of them from a
+// half on.
+func TestLateSetUpsCountByTheLateShare(t *testing.T) {
 	g := New(settings(), 1, 0, nil)
 	for k := range 10 {
 		g.OnAction(0, control.Action{Kind: control.Send, Call: fmt.Sprint(k)})
@@ -250,9 +253,9 @@
 		g.OnEvent(now, control.Event{Kind: control.TimerFired})
 	}
 	g.OnAction(600*ms, control.Action{Kind: control.Send, Call: "young"})
-	for vain, want := range map[float64]float64{0: 1, 0.1: 3, 0.5: 11, 0.9: 11} {
-		if got := g.used(vain); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%.1f in vain: %.2f of 11 count, want %.2f", vain, got, want)
+	for lateShare, want := range map[float64]float64{0: 1, 0.1: 3, 0.5: 11, 0.9: 11} {
+		if got := g.countedOutstanding(lateShare); math.Abs(got-want) > 1e-9 {
+			t.Errorf("late share %.1f: %.2f of 11 count, want %.2f", lateShare, got, want)
 		}
 	}
 }
