--- a/control/rollout/rollout.go
+++ b/control/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout decides how a fleet's instances are replaced one batch after another: which goes next, how many may be
-// away at once, when to wait, when to halt, and how to turn back when a new version fails. It is pure: it is told what is
-// seen and the time, and says what to do; the same sights bring the same decisions. Its whole state is Rollout, which can
-// be written down, so that a supervisor that is killed goes on where it was.
+// Package rollout decides how the instances of a fleet are replaced in batches: which are next, how many may be away at
+// once, when to pause, when to halt, and how to roll back when a new version fails. It is pure: it is told the time and
+// the state of the instances and returns what to do, and the same input leads to the same decisions. Its whole state is
+// Rollout, which can be stored, so that a supervisor that is killed continues where it was.
 package rollout
 
 import (
@@ -10,51 +10,51 @@
 	"sort"
 )
 
-// Phase is what is seen of an instance.
+// Phase is the state of an instance as the supervisor sees it.
 type Phase string
 
-// The phases.
+// The phases of an instance.
 const (
-	Down       Phase = "down" // no process
+	Down       Phase = "down" // no process runs
 	Starting   Phase = "starting"
-	Recovering Phase = "recovering" // serves, and paces what it sends
+	Recovering Phase = "recovering" // it serves, but limits what it sends
 	Serving    Phase = "serving"
 	Draining   Phase = "draining"
-	Failed     Phase = "failed" // given up: a bad configuration, or a crash loop
+	Failed     Phase = "failed" // given up, because of a bad configuration or a crash loop
 )
 
-// Seen is one instance as it is now.
+// InstanceStatus is the present state of one instance.
 type InstanceStatus struct {
 	Name       string `json:"name"`
 	Generation string `json:"generation"` // what its process runs, or what it is to be started as
 	Phase      Phase  `json:"phase"`
-	Since      int64  `json:"since_ns"` // of the phase
-	Crashes    int    `json:"crashes"`  // of this generation, since it was first started as that
+	Since      int64  `json:"since_ns"` // start of the phase
+	Crashes    int    `json:"crashes"`  // number of crashes since it was first started as this generation
 }
 
-// Limits are the operators' figures. Times are nanoseconds.
+// Limits are set by the operators. Times are in nanoseconds.
 type Limits struct {
 	MostAway    float64 // part of the fleet that may be away at once; one instance always may
 	HealthyFor  int64   // how long the first instance of a generation is watched before others follow
-	StartWithin int64   // an instance of the new generation that does not serve by then has failed
-	ColdMost    int64   // longest pause for a cold office: a list may be wrong for good
-	Back        bool    // turn back to the generation before when the new one fails
+	StartWithin int64   // an instance of the new generation that does not serve after this time has failed
+	ColdMost    int64   // longest pause for a cold office, as a list may be wrong for good
+	Back        bool    // roll back to the previous generation when the new one fails
 }
 
 // State is what a rollout is doing.
 type State string
 
-// The states.
+// The states of a rollout.
 const (
 	Running     State = "running"
 	Paused      State = "paused"
-	Halted      State = "halted"  // the new generation failed; nothing more is replaced
-	RollingBack State = "turning" // back to the generation before
+	Halted      State = "halted"  // the new generation failed; no more instances are replaced
+	RollingBack State = "turning" // replacing instances by the previous generation
 	RolledBack  State = "turned-back"
 	Done        State = "done"
 )
 
-// The reasons of a pause or halt.
+// The reasons for a pause or halt.
 const (
 	ColdOffice         = "cold-office"
 	TooManyAway        = "too-many-away"
@@ -64,53 +64,54 @@
 	Crashed            = "crashed"
 )
 
-// Rollout is one change of a fleet from one generation to another. A restart is a change to a generation of the same
-// program.
+// Rollout is the change of a fleet from one generation to another. A restart is a change to another generation of the
+// same program.
 type Rollout struct {
 	From      string `json:"from"`
 	To        string `json:"to"`
 	StartedAt int64  `json:"began_ns"`
-	Cause     string `json:"why"` // restart, upgrade
+	Cause     string `json:"why"` // restart or upgrade
 	Halted    string `json:"halted,omitempty"`
 	Detail    string `json:"detail,omitempty"`
-	Back      bool   `json:"back"`    // it is turned back
+	Back      bool   `json:"back"`    // it is rolled back
 	ColdSince int64  `json:"cold_ns"` // since when it pauses for a cold office; 0: it does not
 }
 
-// Step is what is to be done now.
+// Step is what to do now.
 type Step struct {
 	State     State    `json:"state"`
 	Reason    string   `json:"reason,omitempty"`
 	Detail    string   `json:"detail,omitempty"`
-	Replace   []string `json:"replace,omitempty"` // instances to stop and start anew
+	Replace   []string `json:"replace,omitempty"` // instances to stop and start again
 	StartAs   string   `json:"as"`                // generation to start them as
 	Remaining int      `json:"left"`              // instances still to be replaced
 }
 
-// Next decides on what is seen. cold is the number of offices that any instance believes to be cold.
-func (r *Rollout) Next(now int64, l Limits, seen []InstanceStatus, cold int) Step {
-	seen = append([]InstanceStatus{}, seen...)
-	sort.Slice(seen, func(i, j int) bool { return seen[i].Name < seen[j].Name })
+// Next decides what to do, given the state of the instances. coldOffices is the number of offices that any instance
+// considers cold.
+func (r *Rollout) Next(now int64, l Limits, instances []InstanceStatus, coldOffices int) Step {
+	instances = append([]InstanceStatus{}, instances...)
+	sort.Slice(instances, func(i, j int) bool { return instances[i].Name < instances[j].Name })
 	if r.Halted == "" {
-		r.judge(now, l, seen)
+		r.checkFailures(now, l, instances)
 	}
 	target := r.To
 	if r.Halted != "" {
 		if !r.Back {
-			return Step{State: Halted, Reason: r.Halted, Detail: r.Detail, Remaining: r.left(seen, target)}
+			return Step{State: Halted, Reason: r.Halted, Detail: r.Detail, Remaining: r.remaining(instances, target)}
 		}
 		target = r.From
 	}
-	step := Step{State: Running, StartAs: target, Detail: r.Detail, Remaining: r.left(seen, target)}
+	step := Step{State: Running, StartAs: target, Detail: r.Detail, Remaining: r.remaining(instances, target)}
 	if r.Halted != "" {
 		step.State, step.Reason = RollingBack, r.Halted
 	}
-	away, settled := 0, true
-	for _, s := range seen {
+	away, allSettled := 0, true
+	for _, s := range instances {
 		switch s.Phase {
 		case Serving:
 		case Recovering:
-			settled = false
+			allSettled = false
 		default:
 			away++
 		}
@@ -121,38 +122,39 @@
 		}
 		return step
 	}
-	// What does not serve is replaced first, and at no cost: it is away already.
-	for _, s := range seen {
+	// Instances that are down or have failed are replaced first. This takes nothing from the fleet, as they are away
+	// already.
+	for _, s := range instances {
 		if s.Generation != target && (s.Phase == Failed || s.Phase == Down) {
 			step.Replace = append(step.Replace, s.Name)
 		}
 	}
-	if r.Halted != "" { // and so is what of the failed generation has crashed or never served
-		for _, s := range seen {
+	if r.Halted != "" { // so are instances of the failed generation that have crashed or never served
+		for _, s := range instances {
 			if s.Generation == r.To && (s.Phase == Starting || s.Crashes > 0 && s.Phase != Draining && s.Phase != Failed && s.Phase != Down) {
 				step.Replace = append(step.Replace, s.Name)
 			}
 		}
 	}
-	room := max(int(math.Floor(l.MostAway*float64(len(seen)))), 1) - away
-	if reason := r.pause(now, l, seen, cold, room, settled); reason != "" {
+	allowance := max(int(math.Floor(l.MostAway*float64(len(instances)))), 1) - away
+	if reason := r.pause(now, l, instances, coldOffices, allowance, allSettled); reason != "" {
 		if step.State == Running {
 			step.State, step.Reason = Paused, reason
 		} else {
-			step.Detail += "; waits: " + reason
+			step.Detail += "; waiting: " + reason
 		}
 		return step
 	}
-	if r.Halted == "" && !r.proven(now, l, seen) { // the first goes alone
-		room = min(room, 1)
+	if r.Halted == "" && !r.isProven(now, l, instances) { // the first instance is replaced alone
+		allowance = min(allowance, 1)
 	}
-	for _, s := range seen {
-		if room <= 0 {
+	for _, s := range instances {
+		if allowance <= 0 {
 			break
 		}
 		if s.Generation != target && (s.Phase == Serving || s.Phase == Recovering) && !contains(step.Replace, s.Name) {
 			step.Replace = append(step.Replace, s.Name)
-			room--
+			allowance--
 		}
 	}
 	return step
@@ -167,8 +169,8 @@
 	return false
 }
 
-func (r *Rollout) left(seen []InstanceStatus, target string) (n int) {
-	for _, s := range seen {
+func (r *Rollout) remaining(instances []InstanceStatus, target string) (n int) {
+	for _, s := range instances {
 		if s.Generation != target {
 			n++
 		}
@@ -176,18 +178,18 @@
 	return n
 }
 
-// judge halts the rollout when an instance of the new generation fails. One is enough: what fails on the first would
-// fail on all.
-func (r *Rollout) judge(now int64, l Limits, seen []InstanceStatus) {
-	for _, s := range seen {
+// checkFailures halts the rollout when an instance of the new generation fails. One is enough: what fails on the first
+// instance would fail on all.
+func (r *Rollout) checkFailures(now int64, l Limits, instances []InstanceStatus) {
+	for _, s := range instances {
 		if s.Generation != r.To {
 			continue
 		}
 		switch {
 		case s.Crashes > 0 || s.Phase == Failed:
-			r.Halted, r.Detail = Crashed, fmt.Sprintf("%s crashed as %s", s.Name, r.To)
+			r.Halted, r.Detail = Crashed, fmt.Sprintf("%s crashed as generation %s", s.Name, r.To)
 		case (s.Phase == Starting || s.Phase == Down) && now-s.Since > l.StartWithin:
-			r.Halted, r.Detail = StartFailed, fmt.Sprintf("%s does not serve as %s after %.1f s", s.Name, r.To, float64(now-s.Since)/1e9)
+			r.Halted, r.Detail = StartFailed, fmt.Sprintf("%s does not serve as generation %s after %.1f s", s.Name, r.To, float64(now-s.Since)/1e9)
 		}
 		if r.Halted != "" {
 			r.Back = l.Back && r.From != "" && r.From != r.To
@@ -196,9 +198,9 @@
 	}
 }
 
-// proven tells whether one instance of the new generation has served for long enough.
-func (r *Rollout) proven(now int64, l Limits, seen []InstanceStatus) bool {
-	for _, s := range seen {
+// isProven tells whether one instance of the new generation has served for long enough.
+func (r *Rollout) isProven(now int64, l Limits, instances []InstanceStatus) bool {
+	for _, s := range instances {
 		if s.Generation == r.To && s.Phase == Serving && now-s.Since >= l.HealthyFor {
 			return true
 		}
@@ -206,9 +208,9 @@
 	return false
 }
 
-// pause tells why nothing more may go away now; empty: something may.
-func (r *Rollout) pause(now int64, l Limits, seen []InstanceStatus, cold, room int, settled bool) string {
-	if cold == 0 {
+// pause returns the reason why no more instances may be replaced now; it is empty if some may.
+func (r *Rollout) pause(now int64, l Limits, instances []InstanceStatus, coldOffices, allowance int, allSettled bool) string {
+	if coldOffices == 0 {
 		r.ColdSince = 0
 	} else if r.ColdSince == 0 {
 		r.ColdSince = now
@@ -216,13 +218,13 @@
 	switch {
 	case r.ColdSince > 0 && now-r.ColdSince < l.ColdMost:
 		return ColdOffice
-	case !settled:
+	case !allSettled:
 		return InstanceRecovering
-	case room <= 0:
+	case allowance <= 0:
 		return TooManyAway
 	}
-	if r.Halted == "" && !r.proven(now, l, seen) {
-		for _, s := range seen {
+	if r.Halted == "" && !r.isProven(now, l, instances) {
+		for _, s := range instances {
 			if s.Generation == r.To {
 				return WatchingFirst
 			}
@@ -231,43 +233,43 @@
 	return ""
 }
 
-// Exit is the end of an instance's process that nobody asked for.
+// Exit is the unexpected end of an instance's process.
 type Exit struct {
-	Code   int   // -1: killed by a signal, or not known
+	Code   int   // -1: killed by a signal, or unknown
 	Uptime int64 // nanoseconds
 }
 
-// Verdict is what is to be done about it.
+// ExitAction is what to do after an unexpected exit.
 type ExitAction int
 
-// The verdicts.
+// The actions after an exit.
 const (
 	Restart   ExitAction = iota // start it again, after the backoff
-	BadConfig                   // a file or the command line is wrong: no use before that changes
-	CrashLoop                   // it crashes each time, soon after its start
+	BadConfig                   // a file or the command line is wrong: do not start it again before that changes
+	CrashLoop                   // it exits shortly after each start: give it up
 )
 
-// loopMost young ends in a row are a crash loop: by then the backoff has tried for about half a minute. exitUsage is the
-// program's exit code for a fault in its files.
+// crashLoopExits consecutive exits before MinUptime count as a crash loop; by then the backoff has retried for about
+// half a minute. usageExitCode is the program's exit code for an error in its files or command line.
 const (
-	loopMost  = 6
-	exitUsage = 2
+	crashLoopExits = 6
+	usageExitCode  = 2
 )
 
-// Judge decides about an end that nobody asked for. young is how many ends in a row came within YoungFor before this
-// one; the new count comes back.
-func DecideRestart(e Exit, young int) (ExitAction, int) {
-	if e.Code == exitUsage {
-		return BadConfig, young
+// DecideRestart decides what to do after an unexpected exit. earlyExits is how many consecutive exits before this one
+// came before MinUptime; the updated count is returned.
+func DecideRestart(e Exit, earlyExits int) (ExitAction, int) {
+	if e.Code == usageExitCode {
+		return BadConfig, earlyExits
 	}
 	if e.Uptime >= MinUptime {
 		return Restart, 0
 	}
-	if young++; young >= loopMost {
-		return CrashLoop, young
+	if earlyExits++; earlyExits >= crashLoopExits {
+		return CrashLoop, earlyExits
 	}
-	return Restart, young
+	return Restart, earlyExits
 }
 
-// YoungFor is how long a process has to live for its end not to count towards a crash loop.
+// MinUptime is how long a process has to run for its exit not to count towards a crash loop.
 const MinUptime = int64(20e9)
--- a/control/rollout/rollout_test.go
+++ b/control/rollout/rollout_test.go
@@ -13,56 +13,56 @@
 
 var limits = Limits{MostAway: 0.28, HealthyFor: 5 * second, StartWithin: 10 * second, ColdMost: 30 * second, Back: true}
 
-func fleet(n int, phase Phase) (all []InstanceStatus) {
+func newFleet(n int, phase Phase) (all []InstanceStatus) {
 	for k := range n {
 		all = append(all, InstanceStatus{Name: fmt.Sprintf("n%02d", k), Generation: "1", Phase: phase})
 	}
 	return all
 }
 
-func TestTheFirstGoesAloneThenBatches(t *testing.T) {
-	r, seen := &Rollout{From: "1", To: "2"}, fleet(10, Serving)
-	step := r.Next(0, limits, seen, 0)
+func TestFirstInstanceAloneThenBatches(t *testing.T) {
+	r, instances := &Rollout{From: "1", To: "2"}, newFleet(10, Serving)
+	step := r.Next(0, limits, instances, 0)
 	if !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.Remaining != 10 || step.StartAs != "2" {
 		t.Fatalf("%+v", step)
 	}
-	seen[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
-	if step = r.Next(second, limits, seen, 0); step.State != Paused || step.Reason != WatchingFirst || len(step.Replace) > 0 {
+	instances[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
+	if step = r.Next(second, limits, instances, 0); step.State != Paused || step.Reason != WatchingFirst || len(step.Replace) > 0 {
 		t.Fatalf("%+v", step)
 	}
-	seen[0].Phase, seen[0].Since = Recovering, 2*second
-	if step = r.Next(3*second, limits, seen, 0); step.Reason != InstanceRecovering {
+	instances[0].Phase, instances[0].Since = Recovering, 2*second
+	if step = r.Next(3*second, limits, instances, 0); step.Reason != InstanceRecovering {
 		t.Fatalf("%+v", step)
 	}
-	seen[0].Phase, seen[0].Since = Serving, 4*second
-	if step = r.Next(5*second, limits, seen, 0); step.Reason != WatchingFirst {
+	instances[0].Phase, instances[0].Since = Serving, 4*second
+	if step = r.Next(5*second, limits, instances, 0); step.Reason != WatchingFirst {
 		t.Fatalf("%+v", step)
 	}
-	if step = r.Next(9*second, limits, seen, 1); step.Reason != ColdOffice {
+	if step = r.Next(9*second, limits, instances, 1); step.Reason != ColdOffice {
 		t.Fatalf("%+v", step)
 	}
-	if step = r.Next(10*second, limits, seen, 0); !reflect.DeepEqual(step.Replace, []string{"n01", "n02"}) {
+	if step = r.Next(10*second, limits, instances, 0); !reflect.DeepEqual(step.Replace, []string{"n01", "n02"}) {
 		t.Fatalf("%+v", step)
 	}
-	seen[1].Phase, seen[2].Phase = Draining, Down
-	if step = r.Next(11*second, limits, seen, 0); step.Reason != TooManyAway {
+	instances[1].Phase, instances[2].Phase = Draining, Down
+	if step = r.Next(11*second, limits, instances, 0); step.Reason != TooManyAway {
 		t.Fatalf("%+v", step)
 	}
 	r.ColdSince = 0
-	seen[1].Phase, seen[2].Phase = Serving, Serving
-	r.Next(20*second, limits, seen, 1)
-	if step = r.Next(51*second, limits, seen, 1); len(step.Replace) != 2 {
-		t.Fatalf("a list that calls an office cold for good stops it for good: %+v", step)
+	instances[1].Phase, instances[2].Phase = Serving, Serving
+	r.Next(20*second, limits, instances, 1)
+	if step = r.Next(51*second, limits, instances, 1); len(step.Replace) != 2 {
+		t.Fatalf("a list that always shows a cold office stops the rollout for good: %+v", step)
 	}
 }
 
-func TestABadVersionHaltsAndTurnsBack(t *testing.T) {
+func TestBadVersionHaltsAndRollsBack(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		l := limits
 		l.Back = back
-		r, seen := &Rollout{From: "1", To: "2"}, fleet(5, Serving)
-		seen[0] = InstanceStatus{"n00", "2", Down, second, 1}
-		step := r.Next(2*second, l, seen, 0)
+		r, instances := &Rollout{From: "1", To: "2"}, newFleet(5, Serving)
+		instances[0] = InstanceStatus{"n00", "2", Down, second, 1}
+		step := r.Next(2*second, l, instances, 0)
 		if !back {
 			if step.State != Halted || step.Reason != Crashed || len(step.Replace) > 0 {
 				t.Fatalf("%+v", step)
@@ -72,23 +72,23 @@
 		if step.State != RollingBack || !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.StartAs != "1" {
 			t.Fatalf("%+v", step)
 		}
-		seen[0] = InstanceStatus{"n00", "1", Serving, 3 * second, 0}
-		if step = r.Next(4*second, l, seen, 0); step.State != RolledBack || step.Remaining != 0 {
+		instances[0] = InstanceStatus{"n00", "1", Serving, 3 * second, 0}
+		if step = r.Next(4*second, l, instances, 0); step.State != RolledBack || step.Remaining != 0 {
 			t.Fatalf("%+v", step)
 		}
 	}
-	r, seen := &Rollout{From: "1", To: "2"}, fleet(5, Serving)
-	seen[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
-	if step := r.Next(11*second, limits, seen, 0); step.Reason != StartFailed {
+	r, instances := &Rollout{From: "1", To: "2"}, newFleet(5, Serving)
+	instances[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
+	if step := r.Next(11*second, limits, instances, 0); step.Reason != StartFailed {
 		t.Fatalf("%+v", step)
 	}
 }
 
-func TestCrashLoopsAndBadSettings(t *testing.T) {
-	young := 0
-	for n := range loopMost {
+func TestCrashLoopsAndBadConfig(t *testing.T) {
+	earlyExits := 0
+	for n := range crashLoopExits {
 		var v ExitAction
-		if v, young = DecideRestart(Exit{1, second}, young); (v == CrashLoop) != (n == loopMost-1) {
+		if v, earlyExits = DecideRestart(Exit{1, second}, earlyExits); (v == CrashLoop) != (n == crashLoopExits-1) {
 			t.Fatal(n, v)
 		}
 	}
@@ -100,8 +100,9 @@
 	}
 }
 
-// Over random fleets, crashes, kills of the supervisor and slow starts: never more away by the rollout's doing than
-// allowed, nothing replaced while an office is cold, always an end, and it is the same after a restart from its text.
+// With random fleets, crashes, kills of the supervisor and slow starts, the rollout never takes more instances away
+// than allowed, replaces none while an office is cold, always ends, and decides the same after a restart from its
+// stored state.
 func TestRandomRollouts(t *testing.T) {
 	flag.Set("rapid.seed", "7")
 	flag.Set("rapid.checks", "2000")
@@ -112,15 +113,15 @@
 		l := limits
 		l.Back = rapid.Bool().Draw(t, "back")
 		l.MostAway = rapid.Float64Range(0, 1).Draw(t, "away")
-		seen := fleet(n, Serving)
+		instances := newFleet(n, Serving)
 		r := &Rollout{From: "1", To: "2"}
-		most := max(int(l.MostAway*float64(n)), 1)
+		limit := max(int(l.MostAway*float64(n)), 1)
 		starts := rapid.SliceOfN(rapid.Int64Range(0, 4), n*2, n*2).Draw(t, "starts")
 		coldFrom, coldFor := rapid.Int64Range(0, 60).Draw(t, "cold from"), rapid.Int64Range(0, 25).Draw(t, "cold for")
 		for tick := range int64(3000) {
 			now := (tick + 100) * second
-			for k := range seen { // what the supervisor and the instances do
-				s := &seen[k]
+			for k := range instances { // simulates the supervisor and the instances
+				s := &instances[k]
 				took := 1 + starts[(k+int(tick))%len(starts)]
 				switch {
 				case s.Phase == Draining && now-s.Since >= second:
@@ -133,14 +134,14 @@
 					s.Phase, s.Since = Serving, now
 				}
 			}
-			cold := 0
+			coldOffices := 0
 			if tick >= coldFrom && tick < coldFrom+coldFor {
-				cold = 1
+				coldOffices = 1
 			}
-			again := *r
-			step := r.Next(now, l, seen, cold)
-			if step2 := again.Next(now, l, seen, cold); !reflect.DeepEqual(step, step2) || again != *r {
-				t.Fatal("another decision on the same sight")
+			copied := *r
+			step := r.Next(now, l, instances, coldOffices)
+			if step2 := copied.Next(now, l, instances, coldOffices); !reflect.DeepEqual(step, step2) || copied != *r {
+				t.Fatal("another decision on the same input")
 			}
 			if step.State == Done || step.State == RolledBack || step.State == Halted {
 				if step.State == Done && (step.Remaining > 0 || bad && n > 1) {
@@ -152,25 +153,25 @@
 				return
 			}
 			away, took := 0, 0
-			for _, s := range seen {
+			for _, s := range instances {
 				if s.Phase != Serving && s.Phase != Recovering {
 					away++
 				} else if contains(step.Replace, s.Name) {
 					took++
 				}
 			}
-			if took > 0 && away+took > most {
-				t.Fatalf("%d away and %d more of %d, most %d", away, took, n, most)
+			if took > 0 && away+took > limit {
+				t.Fatalf("%d away and %d more of %d, limit %d", away, took, n, limit)
 			}
-			if took > 0 && cold > 0 {
+			if took > 0 && coldOffices > 0 {
 				t.Fatal("replaced while an office is cold")
 			}
-			for k := range seen {
-				if contains(step.Replace, seen[k].Name) {
-					seen[k] = InstanceStatus{seen[k].Name, step.StartAs, Draining, now, 0}
+			for k := range instances {
+				if contains(step.Replace, instances[k].Name) {
+					instances[k] = InstanceStatus{instances[k].Name, step.StartAs, Draining, now, 0}
 				}
 			}
 		}
-		t.Fatal("no end")
+		t.Fatal("the rollout does not end")
 	})
 }
