--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -10,25 +10,25 @@
 )
 
 type release struct {
-	host  string // of its caller; empty: not known
-	msg   []byte
-	until time.Time
+	host      string // of its caller; empty: not known
+	message   []byte
+	expiresAt time.Time
 }
 
 // Answer implements exchange.Caller.
 func (s *Server) Answer(id string, f exchange.FinalAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
-	if t == nil || t.stood {
+	t := s.transactions[id]
+	if t == nil || t.established {
 		return // never a second answer
 	}
 	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[f.Verdict]
-	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echo...)
+	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echoedHeaders...)
 	if f.Verdict == exchange.Stands {
-		t.stood, t.echo = true, nil
-		t.open, t.standing, t.used = t.open-1, t.standing+1, time.Now()
-		t.answered()
+		t.established, t.echoedHeaders = true, nil
+		t.openCalls, t.establishedCalls, t.lastUsed = t.openCalls-1, t.establishedCalls+1, time.Now()
+		t.wakeIfDrained()
 	} else {
 		s.remove(t)
 	}
@@ -40,13 +40,13 @@
 
 // Presence implements exchange.PresenceChecker: a set-up belongs to its connection, and only that may cancel it.
 func (s *Server) Presence(id string) exchange.Presence {
-	t := s.waiting(id)
+	t := s.openTransaction(id)
 	if t == nil {
 		return exchange.Gone
 	}
 	input := t.Input()
 	switch {
-	case input == sip.InputEnded, s.waiting(id) != t: // cancelled before the look, which then finds nothing unread
+	case input == sip.InputEnded, s.openTransaction(id) != t: // cancelled before the look, which then finds nothing unread
 		return exchange.Gone
 	case input == sip.InputUnread:
 		return exchange.InputPending
@@ -55,10 +55,10 @@
 }
 
 // waiting gives a set-up that waits for its answer, or nil.
-func (s *Server) waiting(id string) *txn {
+func (s *Server) openTransaction(id string) *transaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.txns[id]; t != nil && t.conn != nil {
+	if t := s.transactions[id]; t != nil && t.conn != nil {
 		return t
 	}
 	return nil
@@ -69,9 +69,9 @@
 func (s *Server) Release(id string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
+	t := s.transactions[id]
 	if t == nil {
-		t = &txn{id: id, number: id}
+		t = &transaction{id: id, number: id}
 	}
 	s.remove(t)
 	cause := "Q.850;cause=16"
@@ -83,39 +83,39 @@
 	b = sip.AppendHeader(b, "Call-ID", id)
 	b = fmt.Appendf(b, "CSeq: %d BYE\r\n", t.seq+1)
 	b = sip.AppendBody(sip.AppendHeader(b, "Reason", cause), nil)
-	if t.conn != nil && s.conns[t.conn] && !t.gone {
+	if t.conn != nil && s.conns[t.conn] && !t.ending {
 		t.Send(b)
 		return
 	}
-	if c := s.another(t.conn); c != nil {
+	if c := s.connForRelease(t.conn); c != nil {
 		c.Send(b)
 		return
 	}
-	if len(s.late) < maxPendingReleases {
-		late := release{msg: b, until: time.Now().Add(releaseTimeout)}
+	if len(s.pendingReleases) < maxPendingReleases {
+		late := release{message: b, expiresAt: time.Now().Add(releaseTimeout)}
 		if t.conn != nil {
 			late.host = t.host
 		}
-		s.late = append(s.late, late)
+		s.pendingReleases = append(s.pendingReleases, late)
 	}
 }
 
 // another finds a connection for the release of a call whose own has gone: one from the same host first, then one
 // that has asked for something, the last of those. A stranger who has only connected may never read it.
-func (s *Server) another(gone *conn) (best *conn) {
+func (s *Server) connForRelease(gone *conn) (best *conn) {
 	most := 0
 	for c := range s.conns {
 		fit := 0
 		switch {
-		case c.gone:
+		case c.ending:
 		case gone != nil && c.host == gone.host:
 			fit = 3
-		case c.asked:
+		case c.hasRequested:
 			fit = 2
 		case gone == nil: // from before a restart: its caller may only just have come back
 			fit = 1
 		}
-		if fit > most || fit > 0 && fit == most && c.used.After(best.used) {
+		if fit > most || fit > 0 && fit == most && c.lastUsed.After(best.lastUsed) {
 			best, most = c, fit
 		}
 	}
@@ -124,11 +124,11 @@
 
 // flushLate gives a connection the releases that found none: at once those of its host, or of a call from before a
 // restart, and all of them once it has asked for something. Called under the lock.
-func (s *Server) flushLate(c *conn) {
-	s.late = slices.DeleteFunc(s.late, func(r release) bool {
-		if time.Now().After(r.until) {
+func (s *Server) flushPendingReleases(c *conn) {
+	s.pendingReleases = slices.DeleteFunc(s.pendingReleases, func(r release) bool {
+		if time.Now().After(r.expiresAt) {
 			return true
 		}
-		return (c.asked || r.host == "" || r.host == c.host) && c.Send(r.msg)
+		return (c.hasRequested || r.host == "" || r.host == c.host) && c.Send(r.message)
 	})
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -32,17 +32,17 @@
 	// youngAge and unusedAge order who makes room for a new connection: one that has asked for nothing that long,
 	// then one without a call that has not asked that long. The time of a request on its way is well below. Nor does
 	// one whose bytes still came partialAge ago, as long as others do: it may only be slow.
-	youngAge, unusedAge, partialAge = 250 * time.Millisecond, time.Second, time.Second
+	silentAge, idleAge, partialReadAge = 250 * time.Millisecond, time.Second, time.Second
 	// evictedShare is the part of the places, as a divisor, that connections which make room may keep while their peers
 	// still read; beyond it they are closed at once.
-	evictedShare = 8
+	evictedDivisor = 8
 	// maxOpenCalls bounds the set-ups open on one connection, lest one caller fill the table for all: at the busiest
 	// rates of one instance, all its calls of two seconds.
 	maxOpenCalls = 256
 	// maxEchoBytes bounds the headers that an answer repeats, as they are kept for it.
 	maxEchoBytes = 1 << 10
 	// headerRoom is what a set-up may grow by on its way to an office, where the limit of a message holds too.
-	headerRoom = 512
+	headerReserve = 512
 	// maxRejectionsLogged is how many requests turned down are logged one by one on a connection; its last line has their
 	// number. A caller that sends the same again at once must not fill the log.
 	maxRejectionsLogged = 3
@@ -70,24 +70,24 @@
 // Server takes calls from callers that speak the platform's protocol.
 type Server struct {
 	Options
-	mu       sync.Mutex
-	refusing bool      // nothing more is taken
-	drainAt  time.Time // from then on connections are closed as they have nothing open; zero: no drain
-	conns    map[*conn]bool
-	parting  int // of these, those that make room
-	txns     map[string]*txn
-	late     []release // that found no connection
+	mu              sync.Mutex
+	refusing        bool      // nothing more is taken
+	drainAt         time.Time // from then on connections are closed as they have nothing open; zero: no drain
+	conns           map[*conn]bool
+	evicting        int // of these, those that make room
+	transactions    map[string]*transaction
+	pendingReleases []release // that found no connection
 }
 
 // room closes the connection that can best be spared, where all places are taken: callers that connect and say
 // nothing must not keep others out. Called under the lock.
-func (s *Server) room() bool {
-	spare := s.spare()
+func (s *Server) evictOne() bool {
+	spare := s.evictionCandidate()
 	if spare == nil {
 		return false
 	}
-	spare.gone, spare.parts = true, true
-	if s.parting++; s.parting > max(s.MaxConnections/evictedShare, 1) {
+	spare.ending, spare.evicted = true, true
+	if s.evicting++; s.evicting > max(s.MaxConnections/evictedDivisor, 1) {
 		spare.Abort(sip.Evicted)
 	} else {
 		spare.CloseWithReason(sip.Evicted)
@@ -95,11 +95,11 @@
 	return true
 }
 
-// spare finds the connection that makes room next, or nil. Called under the lock.
-func (s *Server) spare() (spare *conn) {
+// evictionCandidate finds the connection that makes room next, or nil. Called under the lock.
+func (s *Server) evictionCandidate() (spare *conn) {
 	least := 0
 	for c := range s.conns {
-		if r := c.rank(); r >= 0 && (spare == nil || r < least || r == least && c.last().Before(spare.last())) {
+		if r := c.evictionRank(); r >= 0 && (spare == nil || r < least || r == least && c.lastActivity().Before(spare.lastActivity())) {
 			spare, least = c, r
 		}
 	}
@@ -108,7 +108,7 @@
 
 // New makes a server.
 func New(o Options) *Server {
-	return &Server{Options: o, conns: map[*conn]bool{}, txns: map[string]*txn{}}
+	return &Server{Options: o, conns: map[*conn]bool{}, transactions: map[string]*transaction{}}
 }
 
 // Drain closes connections as soon as no set-up is open on them, beginning after that time. What still comes is served.
@@ -126,13 +126,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.MaxConnections = n
-	for len(s.conns)-s.parting > n {
-		spare := s.spare()
+	for len(s.conns)-s.evicting > n {
+		spare := s.evictionCandidate()
 		if spare == nil {
 			return
 		}
-		spare.gone, spare.parts = true, true
-		s.parting++
+		spare.ending, spare.evicted = true, true
+		s.evicting++
 		spare.CloseWithReason(sip.Evicted) // all at once: an abort waits for its reader, and the front with it
 	}
 }
@@ -161,7 +161,7 @@
 		}
 		pause = time.Millisecond
 		s.mu.Lock()
-		over := len(s.conns)-s.parting >= s.MaxConnections && !s.room()
+		over := len(s.conns)-s.evicting >= s.MaxConnections && !s.evictOne()
 		cn := newConn(c, s)
 		if !over {
 			s.conns[cn] = true
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if _, begun := c.PartialMessage(); !c.gone && (begun || c.open > 0 || c.asked && c.standing == 0) {
+		if _, begun := c.PartialMessage(); !c.ending && (begun || c.openCalls > 0 || c.hasRequested && c.establishedCalls == 0) {
 			n++
 		}
 	}
@@ -205,8 +205,8 @@
 	for {
 		s.mu.Lock()
 		for c := range s.conns {
-			if c.open == 0 {
-				c.gone = true
+			if c.openCalls == 0 {
+				c.ending = true
 				c.Conn.Close()
 			}
 		}
@@ -226,17 +226,17 @@
 func (s *Server) serve(ctx context.Context, c *conn) {
 	began := time.Now()
 	s.mu.Lock()
-	s.flushLate(c)
+	s.flushPendingReleases(c)
 	s.mu.Unlock()
-	reason, err := c.Run(ctx, c.take)
+	reason, err := c.Run(ctx, c.handle)
 	s.mu.Lock()
 	delete(s.conns, c)
-	if c.parts {
-		s.parting--
+	if c.evicted {
+		s.evicting--
 	}
-	c.gone = true
-	left := len(s.abandon(c))
+	c.ending = true
+	left := len(s.giveUpOpen(c))
 	s.mu.Unlock()
-	s.Log.Info("caller connection ended", "reason", reason, "peer", c.Remote(), "given_up", left, "turned_down", c.turned,
+	s.Log.Info("caller connection ended", "reason", reason, "peer", c.Remote(), "given_up", left, "turned_down", c.rejected,
 		"age_ms", time.Since(began).Milliseconds(), "err", err)
 }
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -20,39 +20,39 @@
 )
 
 // core notes what the server hands to the exchange.
-type core struct {
-	mu    sync.Mutex
-	told  chan string
-	setup exchange.Setup
-	away  atomic.Bool // the readiness test fails
+type coreStub struct {
+	mu        sync.Mutex
+	events    chan string
+	lastSetup exchange.Setup
+	notReady  atomic.Bool // the readiness test fails
 }
 
-func (c *core) Submit(s exchange.Setup, _ exchange.Caller) {
+func (c *coreStub) Submit(s exchange.Setup, _ exchange.Caller) {
 	c.mu.Lock()
-	c.setup = s
+	c.lastSetup = s
 	c.mu.Unlock()
-	c.told <- "arrive " + s.ID
+	c.events <- "arrive " + s.ID
 }
-func (c *core) GiveUp(id, _ string, _ exchange.Caller) { c.told <- "give up " + id }
-func (c *core) HangUp(id, _ string)                    { c.told <- "hang up " + id }
-func (c *core) CallerDisconnected(id, _ string)        { c.told <- "left " + id }
+func (c *coreStub) GiveUp(id, _ string, _ exchange.Caller) { c.events <- "give up " + id }
+func (c *coreStub) HangUp(id, _ string)                    { c.events <- "hang up " + id }
+func (c *coreStub) CallerDisconnected(id, _ string)        { c.events <- "left " + id }
 
-func newServer(most int) (*Server, *core) {
-	c := &core{told: make(chan string, 1000)}
-	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.away.Load() }, MaxConnections: most, Names: exchange.Names{
+func newServer(most int) (*Server, *coreStub) {
+	c := &coreStub{events: make(chan string, 1000)}
+	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.notReady.Load() }, MaxConnections: most, Names: exchange.Names{
 		Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}, Pools: []int{0, 1, 2}}}), c
 }
 
-type bed struct {
+type harness struct {
 	*Server
-	*core
+	*coreStub
 	t    *testing.T
 	addr string
 }
 
-func newBed(t *testing.T, most int) *bed {
-	b := &bed{t: t}
-	b.Server, b.core = newServer(most)
+func newHarness(t *testing.T, most int) *harness {
+	b := &harness{t: t}
+	b.Server, b.coreStub = newServer(most)
 	b.addr = netcase.Serve(t, b.Serve)
 	return b
 }
@@ -64,7 +64,7 @@
 	t *testing.T
 }
 
-func (b *bed) dial() peer {
+func (b *harness) dial() peer {
 	b.t.Helper()
 	c, err := net.Dial("tcp", b.addr)
 	if err != nil {
@@ -82,7 +82,7 @@
 }
 
 // want reads a message: its status or method, and the value of a header.
-func (p peer) want(status int, method, header, value string) {
+func (p peer) expectMessage(status int, method, header, value string) {
 	p.t.Helper()
 	m, err := p.Next()
 	if err != nil || m.Status != status || string(m.Method) != method || string(m.Get(header)) != value {
@@ -90,9 +90,9 @@
 	}
 }
 
-func (b *bed) expect(want string) {
+func (b *harness) expectEvent(want string) {
 	b.t.Helper()
-	if got := <-b.told; got != want {
+	if got := <-b.events; got != want {
 		b.t.Errorf("told %q, want %q", got, want)
 	}
 }
@@ -106,42 +106,42 @@
 
 const headers = "Subject: open-log\r\nOrganization: acme\r\nX-Patience: 1500\r\nX-Retry: 1\r\nX-Facts: dest:2;width:1;again:1\r\n"
 
-func TestACall(t *testing.T) {
-	b := newBed(t, 10)
+func TestCall(t *testing.T) {
+	b := newHarness(t, 10)
 	p := b.dial()
 	p.write(message("OPTIONS", "ping", ""))
-	p.want(200, "", "Call-ID", "ping")
+	p.expectMessage(200, "", "Call-ID", "ping")
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
-	if s := b.setup; string(s.Description) != "hi" || s.Dest != 2 || !s.Again || !s.Retry || s.Number != "17" || s.Tenant != "acme" ||
+	b.expectEvent("arrive " + id)
+	if s := b.lastSetup; string(s.Description) != "hi" || s.Dest != 2 || !s.Again || !s.Retry || s.Number != "17" || s.Tenant != "acme" ||
 		s.ExpiresAt.Sub(s.Taken) != 1500*time.Millisecond {
 		t.Errorf("set-up %+v", s)
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log")})
-	p.want(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
+	p.expectMessage(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer goes nowhere
 	p.write(message("BYE", id, ""))
-	p.want(200, "", "Call-ID", id)
-	b.expect("hang up " + id)
+	p.expectMessage(200, "", "Call-ID", id)
+	b.expectEvent("hang up " + id)
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 200 * time.Millisecond})
-	p.want(503, "", "X-Later-Ms", "200")
+	p.expectMessage(503, "", "X-Later-Ms", "200")
 	p.write(message("BYE", id, ""))
-	p.want(481, "", "Call-ID", id)
-	b.expect("hang up " + id)
+	p.expectMessage(481, "", "Call-ID", id)
+	b.expectEvent("hang up " + id)
 	p.write(message("INVITE", id, headers) + message("CANCEL", id, ""))
-	b.expect("arrive " + id)
-	b.expect("give up " + id)
+	b.expectEvent("arrive " + id)
+	b.expectEvent("give up " + id)
 	p.write(message("SUBSCRIBE", id, ""))
-	p.want(405, "", "Call-ID", id)
-	b.away.Store(true)
+	p.expectMessage(405, "", "Call-ID", id)
+	b.notReady.Store(true)
 	p.write(message("OPTIONS", "ping", ""))
-	p.want(503, "", "Call-ID", "ping")
+	p.expectMessage(503, "", "Call-ID", "ping")
 }
 
 func TestInvalidSetUps(t *testing.T) {
-	b := newBed(t, 10)
+	b := newHarness(t, 10)
 	p := b.dial()
 	for _, text := range []string{
 		message("INVITE", "short", headers),
@@ -165,69 +165,69 @@
 			t.Errorf("%.200q: %+v, %v", text, m, err)
 		}
 	}
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
 // A bad client that names the id of an open set-up got the answer to it ('served', and its owner none), and its
 // CANCEL ended it. The first connection's set-up goes on, and a stranger is told so.
-func TestTheIDOfAnOpenSetUp(t *testing.T) {
-	b := newBed(t, 10)
+func TestIDOfOpenSetUp(t *testing.T) {
+	b := newHarness(t, 10)
 	p, stranger := b.dial(), b.dial()
 	p.write(message("INVITE", id, headers) + message("INVITE", id, headers) + message("OPTIONS", "ping", ""))
-	b.expect("arrive " + id)
-	p.want(200, "", "Call-ID", "ping")
+	b.expectEvent("arrive " + id)
+	p.expectMessage(200, "", "Call-ID", "ping")
 	stranger.write(strings.Replace(message("INVITE", id, headers), "\r\nhi", "\r\nho", 1))
-	stranger.want(482, "", "Call-ID", id)
+	stranger.expectMessage(482, "", "Call-ID", id)
 	stranger.write(message("CANCEL", id, ""))
-	stranger.want(481, "", "Call-ID", id)
+	stranger.expectMessage(481, "", "Call-ID", id)
 	stranger.Close()
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
-	p.want(200, "", "Call-ID", id)
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	p.expectMessage(200, "", "Call-ID", id)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
 // A connection's end gives up the set-ups open on it. What stands goes on: its release takes any connection,
 // and the next one where there is none.
 func TestConnectionEnds(t *testing.T) {
-	b := newBed(t, 10)
+	b := newHarness(t, 10)
 	p := b.dial()
 	other := "0000000000000001"
 	p.write(message("INVITE", id, headers) + message("INVITE", other, headers))
-	b.expect("arrive " + id)
-	b.expect("arrive " + other)
+	b.expectEvent("arrive " + id)
+	b.expectEvent("arrive " + other)
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
-	p.want(200, "", "Call-ID", id)
+	p.expectMessage(200, "", "Call-ID", id)
 	p.Close()
-	b.expect("give up " + other)
+	b.expectEvent("give up " + other)
 	b.Release(id, true)
 	p = b.dial()
-	p.want(0, "BYE", "Reason", "Q.850;cause=41")
+	p.expectMessage(0, "BYE", "Reason", "Q.850;cause=41")
 	b.Release(other, false) // unknown here, from before a restart: passed on all the same
-	p.want(0, "BYE", "Reason", "Q.850;cause=16")
+	p.expectMessage(0, "BYE", "Reason", "Q.850;cause=16")
 }
 
 // Callers that connect and say nothing, by the hundreds, held all places until they left, and 1,003 of 1,440
 // connections were closed at once. They make room, oldest first; a set-up under way does not.
-func TestSilentCallersMakeRoom(t *testing.T) {
-	b := newBed(t, 2)
+func TestSilentCallersAreEvicted(t *testing.T) {
+	b := newHarness(t, 2)
 	good := b.dial()
 	good.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	for range 20 {
 		b.dial()
 	}
 	last := b.dial()
 	last.write(message("INVITE", "0000000000000002", headers))
-	b.expect("arrive 0000000000000002")
+	b.expectEvent("arrive 0000000000000002")
 	if _, err := b.dial().Next(); err == nil {
 		t.Error("a third connection of two was served")
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
-	good.want(503, "", "Call-ID", id)
+	good.expectMessage(503, "", "Call-ID", id)
 	if b.dial(); !errors.Is(last.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with a set-up open made room")
 	}
@@ -261,7 +261,7 @@
 		_, silent := open()
 		asker, asked := open()
 		io.WriteString(asker, message("INVITE", id, headers))
-		<-core.told
+		<-core.events
 		time.Sleep(firstIdleTimeout + time.Millisecond)
 		synctest.Wait()
 		if !ended(silent) || ended(asked) {
@@ -276,15 +276,15 @@
 		s.Release(id, false)
 		time.Sleep(idleTimeout + busyIdleInterval)
 		synctest.Wait()
-		if !ended(asked) || len(s.txns) != 0 {
-			t.Errorf("a caller that asks once and stays keeps its place; %d transactions left", len(s.txns))
+		if !ended(asked) || len(s.transactions) != 0 {
+			t.Errorf("a caller that asks once and stays keeps its place; %d transactions left", len(s.transactions))
 		}
 	})
 }
 
 // A close over unread input is a reset, which may destroy the refusal before its reader has it.
-func TestABadClientReadsItsRefusal(t *testing.T) {
-	b := newBed(t, 10)
+func TestInvalidInputIsAnsweredBeforeClose(t *testing.T) {
+	b := newHarness(t, 10)
 	endless := strings.Repeat("x", 3*sip.MaxMessage)
 	for text, status := range map[string]int{
 		"not SIP\r\n\r\n" + endless:                                                                   400,
@@ -294,13 +294,13 @@
 	} {
 		p := b.dial()
 		p.write(text)
-		p.want(status, "", "Content-Length", "0")
+		p.expectMessage(status, "", "Content-Length", "0")
 		if _, err := p.Next(); err != io.EOF {
 			t.Errorf("%.60q: %v after the refusal", text, err)
 		}
 	}
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
@@ -318,7 +318,7 @@
 			if err != nil {
 				return
 			}
-			if err := c.take(m); err != nil {
+			if err := c.handle(m); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -326,116 +326,116 @@
 }
 
 // age makes all connections as old, unused, as they would be after that time.
-func (b *bed) age(by time.Duration) {
-	b.mu().Lock()
-	defer b.mu().Unlock()
+func (b *harness) ageConnections(by time.Duration) {
+	b.serverLock().Lock()
+	defer b.serverLock().Unlock()
 	for c := range b.conns {
-		c.used = c.used.Add(-by)
+		c.lastUsed = c.lastUsed.Add(-by)
 	}
 }
 
-func (b *bed) mu() *sync.Mutex { return &b.Server.mu }
+func (b *harness) serverLock() *sync.Mutex { return &b.Server.mu }
 
 // A set-up that is read while its connection makes room got no answer at all.
-func TestASetUpInTheInstantOfTheEviction(t *testing.T) {
-	b := newBed(t, 1)
+func TestSetUpDuringEviction(t *testing.T) {
+	b := newHarness(t, 1)
 	p := b.dial()
 	p.write(message("OPTIONS", "ping", ""))
-	p.want(200, "", "Call-ID", "ping")
-	b.mu().Lock() // the reader can't take it yet
+	p.expectMessage(200, "", "Call-ID", "ping")
+	b.serverLock().Lock() // the reader can't take it yet
 	p.write(message("INVITE", id, headers))
-	if !b.room() {
+	if !b.evictOne() {
 		t.Error("no room")
 	}
-	b.mu().Unlock()
-	p.want(503, "", "Call-ID", id)
+	b.serverLock().Unlock()
+	p.expectMessage(503, "", "Call-ID", id)
 	if _, err := p.Next(); err != io.EOF {
 		t.Errorf("after the refusal: %v", err)
 	}
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
 // A caller that writes slowly lost its place to those that say nothing, as it had connected before them.
-func TestASlowCallerKeepsItsPlace(t *testing.T) {
-	b := newBed(t, 3)
+func TestSlowCallerIsNotEvicted(t *testing.T) {
+	b := newHarness(t, 3)
 	slow := b.dial()
 	text := message("INVITE", id, headers)
 	slow.write(text[:40])
 	for begun := false; !begun; {
-		b.mu().Lock()
+		b.serverLock().Lock()
 		for c := range b.conns {
 			_, begun = c.PartialMessage()
 		}
-		b.mu().Unlock()
+		b.serverLock().Unlock()
 	}
 	for range 3 {
 		b.dial()
 	}
-	b.age(youngAge + time.Millisecond)
+	b.ageConnections(silentAge + time.Millisecond)
 	for range 20 {
 		b.dial()
 	}
 	slow.write(text[40:])
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 }
 
 // A release went to a connection that had made room, and was never read.
-func TestAReleaseDoesNotGoWhereNobodyReads(t *testing.T) {
-	b := newBed(t, 1)
+func TestReleaseAvoidsEvictedConnection(t *testing.T) {
+	b := newHarness(t, 1)
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
-	p.want(200, "", "Call-ID", id)
+	p.expectMessage(200, "", "Call-ID", id)
 	q := b.dial()
 	if _, err := p.Next(); err != io.EOF { // it has made room; its peer has not closed yet
 		t.Errorf("after the answer: %v", err)
 	}
 	b.Release(id, false)
-	q.want(0, "BYE", "Call-ID", id)
+	q.expectMessage(0, "BYE", "Call-ID", id)
 }
 
 // A connection that can't be read any further was closed over the set-ups that waited on it.
-func TestSetUpsBesideGarbageAreAnswered(t *testing.T) {
-	b := newBed(t, 1)
+func TestOpenSetUpsAreAnsweredAfterGarbage(t *testing.T) {
+	b := newHarness(t, 1)
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	p.write("garbage\r\n\r\n")
-	p.want(503, "", "Call-ID", id)
-	p.want(400, "", "Call-ID", "")
-	b.expect("give up " + id)
+	p.expectMessage(503, "", "Call-ID", id)
+	p.expectMessage(400, "", "Call-ID", "")
+	b.expectEvent("give up " + id)
 }
 
 // The planned end: what still comes is refused by the front, what is open keeps its connection until it is answered, and
 // no answer is lost to the close.
 func TestShutdown(t *testing.T) {
-	b := newBed(t, 10)
+	b := newHarness(t, 10)
 	p, q := b.dial(), b.dial()
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	q.write(message("OPTIONS", "ping", ""))
-	q.want(200, "", "Call-ID", "ping")
+	q.expectMessage(200, "", "Call-ID", "ping")
 	b.Refuse()
 	ended := make(chan bool)
 	p.write(message("INVITE", "0000000000000002", headers))
-	p.want(503, "", "Call-ID", "0000000000000002")
+	p.expectMessage(503, "", "Call-ID", "0000000000000002")
 	go func() { b.Shutdown(t.Context()); close(ended) }()
 	if _, err := q.Next(); err != io.EOF {
 		t.Errorf("at a connection without a set-up: %v", err)
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
-	p.want(503, "", "Call-ID", id)
+	p.expectMessage(503, "", "Call-ID", id)
 	if _, err := p.Next(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
 	}
 	p.Close()
 	q.Close()
 	<-ended
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
@@ -465,7 +465,7 @@
 				}
 			}
 			if early {
-				if got := <-core.told; got != "arrive "+id {
+				if got := <-core.events; got != "arrive "+id {
 					t.Errorf("told %s", got)
 				}
 				s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
@@ -486,41 +486,41 @@
 // A drain: connections that are idle are closed once it begins, those with a set-up open once that is answered or its call is
 // over, and new ones are served. A request that crosses the close is served. After it, connections are kept again.
 func TestDrain(t *testing.T) {
-	b := newBed(t, 10)
+	b := newHarness(t, 10)
 	idle, busy, crossing := b.dial(), b.dial(), b.dial()
 	for _, p := range []peer{idle, busy, crossing} {
 		p.write(message("OPTIONS", "ping", ""))
-		p.want(200, "", "Call-ID", "ping")
+		p.expectMessage(200, "", "Call-ID", "ping")
 	}
 	busy.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
-	b.mu().Lock() // no reader looks at its limits before the request has come
+	b.expectEvent("arrive " + id)
+	b.serverLock().Lock() // no reader looks at its limits before the request has come
 	b.drainAt = time.Now()
 	for c := range b.conns {
 		c.RecheckLimits()
 	}
 	other := "0000000000000002"
 	crossing.write(message("INVITE", other, headers))
-	b.mu().Unlock()
-	b.expect("arrive " + other)
+	b.serverLock().Unlock()
+	b.expectEvent("arrive " + other)
 	if _, err := idle.Next(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
 	fresh := b.dial()
 	fresh.write(message("INVITE", "0000000000000003", headers))
-	b.expect("arrive 0000000000000003")
+	b.expectEvent("arrive 0000000000000003")
 	// A call that stands keeps its connection: its release has no other way while no new connection comes.
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
-	busy.want(200, "", "Call-ID", id)
+	busy.expectMessage(200, "", "Call-ID", id)
 	if !errors.Is(busy.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with a standing call was closed")
 	}
 	busy.SetReadDeadline(time.Time{})
 	b.Release(id, false)
-	busy.want(0, "BYE", "Call-ID", id)
+	busy.expectMessage(0, "BYE", "Call-ID", id)
 	for id, p := range map[string]peer{other: crossing, "0000000000000003": fresh} {
 		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
-		p.want(503, "", "Call-ID", id)
+		p.expectMessage(503, "", "Call-ID", id)
 	}
 	for _, p := range []peer{busy, crossing, fresh} {
 		if _, err := p.Next(); err != io.EOF {
@@ -530,27 +530,27 @@
 	b.Resume()
 	kept := b.dial()
 	kept.write(message("OPTIONS", "ping", ""))
-	kept.want(200, "", "Call-ID", "ping")
+	kept.expectMessage(200, "", "Call-ID", "ping")
 	if !errors.Is(kept.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection was closed after the drain")
 	}
 }
 
 // A connection that is never without a set-up would never end: after a while it is refused new ones.
-func TestABusyConnectionInADrain(t *testing.T) {
-	b := newBed(t, 10)
+func TestBusyConnectionInDrain(t *testing.T) {
+	b := newHarness(t, 10)
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
-	b.expect("arrive " + id)
+	b.expectEvent("arrive " + id)
 	b.Drain(-drainTimeout / 2)
 	p.write(message("INVITE", "0000000000000002", headers))
-	b.expect("arrive 0000000000000002")
+	b.expectEvent("arrive 0000000000000002")
 	b.Drain(-2 * drainTimeout)
 	p.write(message("INVITE", "0000000000000003", headers))
-	p.want(503, "", "Call-ID", "0000000000000003")
+	p.expectMessage(503, "", "Call-ID", "0000000000000003")
 	for _, id := range []string{id, "0000000000000002"} {
 		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
-		p.want(503, "", "Call-ID", id)
+		p.expectMessage(503, "", "Call-ID", id)
 	}
 	if _, err := p.Next(); err != io.EOF {
 		t.Errorf("after the last answer: %v", err)
@@ -558,7 +558,7 @@
 }
 
 // In a drain a connection is closed with the answer to its last set-up, not only when its reader looks again.
-func TestADrainedConnectionEndsWithItsAnswer(t *testing.T) {
+func TestDrainedConnectionEndsWithLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, core := newServer(10)
 		ours, theirs := net.Pipe()
@@ -568,13 +568,13 @@
 		go func() { s.serve(t.Context(), c); close(done) }()
 		go io.Copy(io.Discard, theirs)
 		io.WriteString(theirs, message("INVITE", id, headers))
-		<-core.told
+		<-core.events
 		s.Drain(0)
 		synctest.Wait()
 		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 		synctest.Wait()
 		s.mu.Lock()
-		if !c.gone {
+		if !c.ending {
 			t.Error("kept after its answer")
 		}
 		s.mu.Unlock()
--- a/internal/caller/gone_test.go
+++ b/internal/caller/gone_test.go
@@ -13,23 +13,23 @@
 
 // departures are the ways in which a client leaves its set-up.
 var departures = map[string]func(p peer){
-	"close":      func(p peer) { p.Close() },
-	"reset":      func(p peer) { p.Conn.(*net.TCPConn).SetLinger(0); p.Close() },
-	"half-close": func(p peer) { p.Conn.(*net.TCPConn).CloseWrite() },
-	"cancel":     func(p peer) { p.write(message("CANCEL", id, "")) },
-	stays:        func(p peer) {},
+	"close":        func(p peer) { p.Close() },
+	"reset":        func(p peer) { p.Conn.(*net.TCPConn).SetLinger(0); p.Close() },
+	"half-close":   func(p peer) { p.Conn.(*net.TCPConn).CloseWrite() },
+	"cancel":       func(p peer) { p.write(message("CANCEL", id, "")) },
+	staysConnected: func(p peer) {},
 }
 
 // gracePeriod is how long after its client has left an attempt may still begin.
 const gracePeriod = 100 * time.Millisecond
 
 // stays is the client that waits on: its call does get its attempt.
-const stays = "stays"
+const staysConnected = "stays"
 
 // withCore is a front over real connections before a real core that the test keeps busy.
-func withCore(t *testing.T) (*bed, *corecase.Core) {
+func newCoreHarness(t *testing.T) (*harness, *corecase.Core) {
 	c := corecase.New(t)
-	b := &bed{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxConnections: 10,
+	b := &harness{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxConnections: 10,
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}}})}
 	b.addr = netcase.Serve(t, b.Serve)
 	return b, c
@@ -38,14 +38,14 @@
 // A client leaves while the core is busy with other work and an attempt of its call falls due. Its leaving waits in the
 // core's inbox, behind the alarm; or in the kernel, as the reader waits itself. The attempt began all the same, however
 // long ago the client had left.
-func TestNoAttemptAfterTheClientHasGone(t *testing.T) {
+func TestNoAttemptAfterClientHasGone(t *testing.T) {
 	const patient = "Subject: open-log\r\nX-Patience: 8000\r\n"
 	for _, state := range corecase.States {
 		for name, leave := range departures {
 			for _, unread := range []bool{false, true} {
 				t.Run(strings.Join([]string{string(state), name, map[bool]string{false: "read", true: "unread"}[unread]}, ", "), func(t *testing.T) {
 					t.Parallel()
-					b, core := withCore(t)
+					b, core := newCoreHarness(t)
 					p := b.dial()
 					setUp := func() { p.write(message("INVITE", id, patient)) }
 					core.Enter(state, setUp)
@@ -61,7 +61,7 @@
 						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(id) == exchange.InputPending })
 					}
 					leave(p)
-					if name == stays {
+					if name == staysConnected {
 						free()
 						corecase.Until(t, func() bool { return core.Invited(id) == 1 })
 						return
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -11,9 +11,9 @@
 )
 
 // abandon gives up the set-ups that are open on a connection. Called under the lock.
-func (s *Server) abandon(c *conn) (all []*txn) {
-	for id, t := range s.txns {
-		if t.conn == c && !t.stood {
+func (s *Server) giveUpOpen(c *conn) (all []*transaction) {
+	for id, t := range s.transactions {
+		if t.conn == c && !t.established {
 			all = append(all, t)
 			s.remove(t)
 			s.Core.GiveUp(id, owner, s)
@@ -23,25 +23,25 @@
 }
 
 // txn is one set-up of a caller, until it has its refusal or its call is over.
-type txn struct {
+type transaction struct {
 	*conn
-	id, number string
-	sum        uint64 // of the set-up
-	echo       []byte // headers for the answer
-	seq        uint64
-	stood      bool
+	id, number    string
+	fingerprint   uint64 // of the set-up
+	echoedHeaders []byte // headers for the answer
+	seq           uint64
+	established   bool
 }
 
 // take handles one message of a caller.
-func (c *conn) take(m *sip.Message) error {
+func (c *conn) handle(m *sip.Message) error {
 	if m.Status != 0 {
 		return nil // 'release heard', which is free
 	}
 	id := string(m.Get("Call-ID"))
 	switch string(m.Method) {
 	case "INVITE":
-		if status, why := c.setup(m, id); status != 0 {
-			if c.turned++; c.turned <= maxRejectionsLogged {
+		if status, why := c.handleInvite(m, id); status != 0 {
+			if c.rejected++; c.rejected <= maxRejectionsLogged {
 				c.server.Log.Warn("set-up turned down", "status", status, "why", why, "peer", c.Remote())
 			}
 			c.Send(sip.Response(m, status))
@@ -58,7 +58,7 @@
 		c.Send(sip.Response(m, status))
 		c.server.Core.HangUp(id, owner)
 	case "OPTIONS":
-		c.use()
+		c.noteRequest()
 		status := 200
 		if !c.server.Ready() {
 			status = 503
@@ -77,7 +77,7 @@
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
+	t := s.transactions[id]
 	if t == nil || t.conn != c {
 		return false
 	}
@@ -90,8 +90,8 @@
 func (s *Server) forget(id string, stood bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
-	if t == nil || stood && !t.stood {
+	t := s.transactions[id]
+	if t == nil || stood && !t.established {
 		return false
 	}
 	s.remove(t)
@@ -99,32 +99,32 @@
 }
 
 // remove ends a transaction. Called under the lock.
-func (s *Server) remove(t *txn) {
-	delete(s.txns, t.id)
+func (s *Server) remove(t *transaction) {
+	delete(s.transactions, t.id)
 	if t.conn == nil {
 		return
 	}
-	if t.stood {
-		t.standing--
+	if t.established {
+		t.establishedCalls--
 	} else {
-		t.open--
+		t.openCalls--
 	}
-	t.used = time.Now()
-	t.conn.answered()
+	t.lastUsed = time.Now()
+	t.conn.wakeIfDrained()
 }
 
 // setup takes a set-up, or tells the status that turns it down. What the call keeps is copied out of the read
 // buffer here.
-func (c *conn) setup(m *sip.Message, id string) (status int, why string) {
+func (c *conn) handleInvite(m *sip.Message, id string) (status int, why string) {
 	seq, method, ok := m.CSeq()
 	switch {
-	case !callID(id):
+	case !isCallID(id):
 		return 400, "Call-ID is not 16 hex digits"
 	case !ok || string(method) != "INVITE":
 		return 400, "CSeq does not name INVITE"
 	case len(m.User()) == 0:
 		return 400, "no number in the first line"
-	case len(m.Body) > sip.MaxMessage-headerRoom-len(m.User()):
+	case len(m.Body) > sip.MaxMessage-headerReserve-len(m.User()):
 		return 413, "description leaves no room for the headers to an office"
 	}
 	number := string(m.User())
@@ -163,17 +163,17 @@
 		return 400, "headers that an answer repeats are over 1 KiB"
 	}
 	s := c.server
-	t := &txn{conn: c, id: id, number: number, sum: call.Fingerprint(), echo: echo, seq: seq}
+	t := &transaction{conn: c, id: id, number: number, fingerprint: call.Fingerprint(), echoedHeaders: echo, seq: seq}
 	s.mu.Lock()
-	c.stays()
-	old := s.txns[id]
-	twice := old != nil && old.conn == c && old.sum == t.sum && bytes.Equal(old.echo, t.echo)
-	gone, full := c.gone || s.refusing || c.outstays(), c.open >= maxOpenCalls
+	c.cancelIdleEnding()
+	old := s.transactions[id]
+	twice := old != nil && old.conn == c && old.fingerprint == t.fingerprint && bytes.Equal(old.echoedHeaders, t.echoedHeaders)
+	gone, full := c.ending || s.refusing || c.exceedsDrain(), c.openCalls >= maxOpenCalls
 	take := old == nil && !gone && !full
 	if take {
-		s.txns[id] = t
-		c.ask()
-		c.open++
+		s.transactions[id] = t
+		c.noteRequestLocked()
+		c.openCalls++
 	}
 	s.mu.Unlock()
 	switch {
@@ -190,7 +190,7 @@
 	return 0, ""
 }
 
-func callID(id string) bool {
+func isCallID(id string) bool {
 	if len(id) != 16 {
 		return false
 	}
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -11,58 +11,58 @@
 )
 
 // kept is a final answer that a caller may ask for again.
-type kept struct {
-	id, owner string
-	sum       uint64 // of the set-up
-	f         FinalAnswer
-	over      bool // it stood and is over
-	cut       bool
-	at        int64
+type recordedAnswer struct {
+	id, owner   string
+	fingerprint uint64 // of the set-up
+	answer      FinalAnswer
+	ended       bool // it stood and is over
+	cut         bool
+	at          int64
 }
 
-func (c *core) arrive(s Setup, from Caller) {
+func (c *core) submit(s Setup, from Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
 		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
 			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
 		cl.disconnected = false
-		if cl.from = from; cl.established {
+		if cl.caller = from; cl.established {
 			from.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.desc})
 		}
 		return
 	}
-	if k := c.kept[s.ID]; k != nil {
-		if k.owner != s.Owner || k.sum != s.Fingerprint() { // another call under that id: its answer is not this caller's
+	if k := c.answers[s.ID]; k != nil {
+		if k.owner != s.Owner || k.fingerprint != s.Fingerprint() { // another call under that id: its answer is not this caller's
 			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
-		if from.Answer(s.ID, k.f); k.over {
+		if from.Answer(s.ID, k.answer); k.ended {
 			from.Release(s.ID, k.cut)
 		}
 		return
 	}
 	c.serial++
-	cl := &call{Setup: s, serial: c.serial, from: from}
+	cl := &call{Setup: s, serial: c.serial, caller: from}
 	c.calls[s.ID] = cl
-	c.open++
-	if c.load += loadBytesEach + len(s.Description); c.load > c.most/loadShare || c.ending {
-		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+	c.unanswered++
+	if c.loadBytes += bytesPerCall + len(s.Description); c.loadBytes > c.memoryBytes/callMemoryDivisor || c.refusingAll {
+		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
 		return
 	}
-	notAfter := s.ExpiresAt.Add(-answerLead).UnixNano()
+	notAfter := s.ExpiresAt.Add(-answerMargin).UnixNano()
 	cl.notAfter = notAfter
 	// The module ends every call in time by itself. Should it ever not, the caller is still owed an answer.
-	c.afterFor(cl, time.Duration(notAfter-c.now), func(cl *call) {
+	c.afterForCall(cl, time.Duration(notAfter-c.now), func(cl *call) {
 		if cl.established {
 			return
 		}
 		if cl.inFlight {
-			c.withdraw(cl, control.TimedOut)
+			c.withdrawAttempt(cl, control.TimedOut)
 		}
 		if c.calls[cl.ID] == cl {
-			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
-			c.final(cl, FinalAnswer{Verdict: Failed})
+			c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
+			c.answer(cl, FinalAnswer{Verdict: Failed})
 		}
 	})
 	c.admit(cl)
@@ -73,57 +73,57 @@
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
 	r, module := c.chain.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
-		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, Asked: cl.asked})
-	if cl.asked > 0 {
-		c.waits--
+		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, Asked: cl.holds})
+	if cl.holds > 0 {
+		c.heldByModules--
 	}
 	switch {
 	case r.Verdict == join.Refuse:
 		c.log.Debug("call turned away", "call", cl.ID, "by", module, "why", r.Reason, "later_ms", r.Wait/1e6)
-		cl.asked = -1
-		c.tell(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; control never had it
-		if !c.set.RetryAfter {
+		cl.holds = -1
+		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; control never had it
+		if !c.settings.RetryAfter {
 			r.Wait = 0
 		}
-		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.set.MaxRetryAfter))})
-	case r.Verdict == join.Hold && waited < int64(maxHold) && c.waits*loadBytesEach < c.most/heldShare:
-		cl.asked++
-		c.waits++
-		c.afterFor(cl, max(time.Duration(r.Wait), holdStep), c.admit)
+		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.settings.MaxRetryAfter))})
+	case r.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
+		cl.holds++
+		c.heldByModules++
+		c.afterForCall(cl, max(time.Duration(r.Wait), minHoldInterval), c.admit)
 	default:
-		if cl.asked == 0 { // decided at once, as it would be without the seam
+		if cl.holds == 0 { // decided at once, as it would be without the seam
 			waited = 0
 		}
-		cl.asked = -1
-		c.tell(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
+		cl.holds = -1
+		c.dispatch(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
 			FarEnd: cl.Dest, Redialed: cl.Retry, Waited: waited})
 	}
 }
 
 // final gives a call its one final answer.
-func (c *core) final(cl *call, f FinalAnswer) {
+func (c *core) answer(cl *call, f FinalAnswer) {
 	if c.calls[cl.ID] != cl || cl.established {
 		return
 	}
-	c.open--
-	c.given[f.Verdict]++
-	cl.answered = c.now
+	c.unanswered--
+	c.answersGiven[f.Verdict]++
+	cl.answeredAt = c.now
 	c.log.Debug("answer", "call", cl.ID, "verdict", f.Verdict, "later_ms", f.Wait.Milliseconds(), "attempts",
-		cl.sent, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
+		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
 	if f.Verdict == Stands {
 		cl.established, cl.desc = true, f.Description
-		c.load += len(f.Description)
+		c.loadBytes += len(f.Description)
 	} else {
-		c.drop(cl)
-		c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: f, at: c.now})
+		c.remove(cl)
+		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: f, at: c.now})
 	}
-	c.write(cl, Record{Verdict: f.Verdict.String(), Wait: f.Wait})
-	cl.from.Answer(cl.ID, f)
+	c.recordCall(cl, Record{Verdict: f.Verdict.String(), Wait: f.Wait})
+	cl.caller.Answer(cl.ID, f)
 }
 
 // afterFor sets an alarm for a call that is still in hand then. The alarm does not hold the call: set-ups that are
 // turned away at once come by the thousands, and their descriptions would stay until their callers' time is up.
-func (c *core) afterFor(cl *call, wait time.Duration, do func(*call)) {
+func (c *core) afterForCall(cl *call, wait time.Duration, do func(*call)) {
 	id, serial := cl.ID, cl.serial
 	c.after(wait, func() {
 		if cl := c.calls[id]; cl != nil && cl.serial == serial {
@@ -132,76 +132,76 @@
 	})
 }
 
-func (c *core) drop(cl *call) {
-	if cl.asked > 0 {
-		c.waits--
+func (c *core) remove(cl *call) {
+	if cl.holds > 0 {
+		c.heldByModules--
 	}
 	delete(c.calls, cl.ID)
-	c.load -= loadBytesEach + len(cl.Description) + len(cl.desc)
+	c.loadBytes -= bytesPerCall + len(cl.Description) + len(cl.desc)
 }
 
 // write hands a record to the store: one with the answer, and one more when a call that stood is over.
-func (c *core) write(cl *call, r Record) {
+func (c *core) recordCall(cl *call, r Record) {
 	r.ID, r.Owner, r.Class, r.Tenant, r.Number = cl.ID, cl.Owner, cl.Name, cl.Tenant, cl.Number
-	r.Attempts, r.Server, r.Taken = cl.sent, cl.server, cl.Taken
-	if cl.answered > 0 {
-		r.Answered = time.Unix(0, cl.answered)
+	r.Attempts, r.Server, r.Taken = cl.attempts, cl.server, cl.Taken
+	if cl.answeredAt > 0 {
+		r.Answered = time.Unix(0, cl.answeredAt)
 	}
 	if r.Verdict != Stands.String() || c.calls[cl.ID] != cl {
 		r.Ended = time.Unix(0, c.now)
 	}
-	c.record(r)
+	c.onRecord(r)
 }
 
 // keep remembers a final answer, and forgets the oldest ones beyond the bounds.
-func (c *core) keep(k *kept) {
-	c.kept[k.id] = k
-	c.queue = append(c.queue, k)
-	c.bytes += len(k.f.Description)
-	for len(c.queue) > c.most/retainedShare/retainedBytesEach || c.bytes > c.most/retainedShare ||
-		len(c.queue) > 0 && c.now-c.queue[0].at > int64(retention) {
-		old := c.queue[0]
-		c.queue[0] = nil
-		c.queue = c.queue[1:]
-		c.bytes -= len(old.f.Description)
-		if c.kept[old.id] == old {
-			delete(c.kept, old.id)
+func (c *core) recordAnswer(k *recordedAnswer) {
+	c.answers[k.id] = k
+	c.answerQueue = append(c.answerQueue, k)
+	c.answerBytes += len(k.answer.Description)
+	for len(c.answerQueue) > c.memoryBytes/answerMemoryDivisor/bytesPerAnswer || c.answerBytes > c.memoryBytes/answerMemoryDivisor ||
+		len(c.answerQueue) > 0 && c.now-c.answerQueue[0].at > int64(answerRetention) {
+		old := c.answerQueue[0]
+		c.answerQueue[0] = nil
+		c.answerQueue = c.answerQueue[1:]
+		c.answerBytes -= len(old.answer.Description)
+		if c.answers[old.id] == old {
+			delete(c.answers, old.id)
 		}
 	}
 }
 
 func (c *core) giveUp(id, owner string, from Caller) {
 	cl := c.calls[id]
-	if cl == nil || cl.Owner != owner || from != nil && cl.from != from {
+	if cl == nil || cl.Owner != owner || from != nil && cl.caller != from {
 		return
 	}
 	if cl.established { // its answer crossed the caller's leaving
 		c.hangUp(id, owner)
 		return
 	}
-	c.drop(cl)
-	c.open--
-	c.keep(&kept{id: id, owner: owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Failed}, at: c.now})
-	c.write(cl, Record{Verdict: "left"})
-	c.tell(control.Event{Kind: control.Aborted, Call: id})
+	c.remove(cl)
+	c.unanswered--
+	c.recordAnswer(&recordedAnswer{id: id, owner: owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Failed}, at: c.now})
+	c.recordCall(cl, Record{Verdict: "left"})
+	c.dispatch(control.Event{Kind: control.Aborted, Call: id})
 	if cl.inFlight {
-		c.withdraw(cl, control.Canceled)
+		c.withdrawAttempt(cl, control.Canceled)
 	}
 }
 
-func (c *core) left(id, owner string) {
+func (c *core) callerDisconnected(id, owner string) {
 	if cl := c.calls[id]; cl != nil && cl.Owner == owner && !cl.established {
 		cl.disconnected = true
 	}
 }
 
 // over ends a standing call: the module learns it, and the memory of its answer begins.
-func (c *core) over(cl *call, e Result, cut bool) {
-	c.drop(cl)
-	c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Stands, Description: cl.desc}, over: true,
+func (c *core) endEstablished(cl *call, e Result, cut bool) {
+	c.remove(cl)
+	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.desc}, ended: true,
 		cut: cut, at: c.now})
-	c.write(cl, Record{Verdict: Stands.String(), Cut: cut})
-	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
+	c.recordCall(cl, Record{Verdict: Stands.String(), Cut: cut})
+	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
 		Outcome: e.Outcome, Report: e.Report, CallEnded: true})
 }
 
@@ -210,19 +210,19 @@
 	if cl == nil || !cl.established || cl.Owner != owner {
 		return
 	}
-	c.offices.Bye(cl.server, id, cl.sent-1, false)
-	c.over(cl, Result{Outcome: control.Canceled}, false)
+	c.offices.Bye(cl.server, id, cl.attempts-1, false)
+	c.endEstablished(cl, Result{Outcome: control.Canceled}, false)
 }
 
-func (c *core) released(server uint64, id string, cut bool, report []float64) {
-	c.heard[server] = c.now
+func (c *core) callReleased(server uint64, id string, cut bool, report []float64) {
+	c.lastHeard[server] = c.now
 	cl := c.calls[id]
 	if cl == nil || !cl.established || cl.server != server {
 		if report != nil {
-			c.state(server, report)
+			c.reportReceived(server, report)
 		}
-		if cl == nil && c.kept[id] == nil {
-			c.stray(id, cut)
+		if cl == nil && c.answers[id] == nil {
+			c.onUnknownRelease(id, cut)
 		}
 		return
 	}
@@ -230,24 +230,24 @@
 	if cut {
 		e.Outcome = control.ConnectionLost
 	}
-	c.over(cl, e, cut)
-	cl.from.Release(id, cut)
+	c.endEstablished(cl, e, cut)
+	cl.caller.Release(id, cut)
 }
 
 // inOrder gives the calls in the order in which they came: the module's decisions must not hang on a map's order.
-func (c *core) inOrder() []*call {
+func (c *core) callsInOrder() []*call {
 	return slices.SortedFunc(maps.Values(c.calls), func(a, b *call) int { return cmp.Compare(a.serial, b.serial) })
 }
 
 func (c *core) refuseAll() {
-	c.ending = true
-	for _, cl := range c.inOrder() {
+	c.refusingAll = true
+	for _, cl := range c.callsInOrder() {
 		if !cl.established {
-			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
+			c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
 			if cl.inFlight {
-				c.withdraw(cl, control.Canceled)
+				c.withdrawAttempt(cl, control.Canceled)
 			}
-			c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+			c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
 		}
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -19,10 +19,10 @@
 	// inboxShare and inboxBytesEach bound the events that wait for the core, over which the sides' readers wait in turn:
 	// a part of the instance's memory, if each holds the longest message. The core takes some hundred thousand a
 	// second, so this is some milliseconds' work.
-	inboxShare, inboxBytesEach = 16, 16 << 10
+	inboxMemoryDivisor, maxEventBytes = 16, 16 << 10
 	// answerLead is how long before its caller leaves the core looks at a call as over: the answer has to be
 	// written and read whole before that, on a core that other instances share.
-	answerLead = 25 * time.Millisecond
+	answerMargin = 25 * time.Millisecond
 )
 
 // Options is what an Exchange is made from.
@@ -42,20 +42,20 @@
 
 // Exchange runs the core. Its methods may be called from any goroutine, also from within the core's calls.
 type Exchange struct {
-	core  *core
-	mu    sync.Mutex
-	room  *sync.Cond
-	inbox []func()
-	most  int // of the inbox, for those who can wait
-	wake  chan struct{}
-	over  bool          // Run has ended: events go nowhere
-	done  chan struct{} // closed then
+	core       *core
+	mu         sync.Mutex
+	spaceFreed *sync.Cond
+	inbox      []func()
+	maxInbox   int // of the inbox, for those who can wait
+	wake       chan struct{}
+	stopped    bool          // Run has ended: events go nowhere
+	done       chan struct{} // closed then
 }
 
 // New makes an exchange; Run starts it. The offices' side is set by Connect, as the two need each other.
 func New(o Options) (*Exchange, error) {
 	told := o.Settings
-	told.ClearWait += releaseMargin
+	told.ClearWait += clearWaitMargin
 	module, err := control.New(told, o.Seed)
 	if err != nil {
 		return nil, err
@@ -64,9 +64,9 @@
 		return nil, fmt.Errorf("modules named twice: %v", names)
 	}
 	x := &Exchange{wake: make(chan struct{}, 1), done: make(chan struct{})}
-	x.room = sync.NewCond(&x.mu)
+	x.spaceFreed = sync.NewCond(&x.mu)
 	x.core = newCore(o, module)
-	x.most = x.core.most / inboxShare / inboxBytesEach
+	x.maxInbox = x.core.memoryBytes / inboxMemoryDivisor / maxEventBytes
 	return x, nil
 }
 
@@ -76,10 +76,10 @@
 // post hands the core an event. Readers wait while the inbox is full; what the core itself causes must not.
 func (x *Exchange) post(wait bool, f func()) {
 	x.mu.Lock()
-	for wait && len(x.inbox) >= x.most && !x.over {
-		x.room.Wait()
+	for wait && len(x.inbox) >= x.maxInbox && !x.stopped {
+		x.spaceFreed.Wait()
 	}
-	if !x.over {
+	if !x.stopped {
 		x.inbox = append(x.inbox, f)
 	}
 	x.mu.Unlock()
@@ -98,7 +98,7 @@
 	for {
 		x.mu.Lock()
 		batch, x.inbox = x.inbox, batch[:0]
-		x.room.Broadcast()
+		x.spaceFreed.Broadcast()
 		x.mu.Unlock()
 		for k, f := range batch {
 			x.core.tick()
@@ -109,7 +109,7 @@
 		if len(batch) > 0 {
 			continue
 		}
-		timer.Reset(x.core.rest())
+		timer.Reset(x.core.untilNextTimer())
 		select {
 		case <-ctx.Done():
 			return nil
@@ -129,7 +129,7 @@
 		x.inbox = nil
 		x.mu.Unlock()
 		if len(batch) == 0 {
-			return x.core.rest()
+			return x.core.untilNextTimer()
 		}
 		for _, f := range batch {
 			f()
@@ -146,15 +146,15 @@
 // close lets go of all who wait for the core.
 func (x *Exchange) close() {
 	x.mu.Lock()
-	x.over, x.inbox = true, nil
-	x.room.Broadcast()
+	x.stopped, x.inbox = true, nil
+	x.spaceFreed.Broadcast()
 	x.mu.Unlock()
 	close(x.done)
 }
 
 // Arrive hands over a set-up. A set-up that the owner sent before joins the running call or gets the recorded
 // answer.
-func (x *Exchange) Submit(s Setup, from Caller) { x.post(true, func() { x.core.arrive(s, from) }) }
+func (x *Exchange) Submit(s Setup, from Caller) { x.post(true, func() { x.core.submit(s, from) }) }
 
 // GiveUp tells that a caller no longer waits. With a caller given, only if the call is still that caller's
 // (it may have been joined from elsewhere). It never blocks, so that a side may call it under its lock: the id
@@ -165,7 +165,7 @@
 
 // Left tells that a caller is away and may come back. It never blocks, as GiveUp.
 func (x *Exchange) CallerDisconnected(id, owner string) {
-	x.post(false, func() { x.core.left(id, owner) })
+	x.post(false, func() { x.core.callerDisconnected(id, owner) })
 }
 
 // HangUp tells that a caller ended its standing call.
@@ -173,37 +173,37 @@
 
 // Stood tells that an office took attempt n of a call.
 func (x *Exchange) Accepted(server uint64, id string, n int, desc []byte) {
-	x.post(true, func() { x.core.stood(server, id, n, desc) })
+	x.post(true, func() { x.core.attemptEstablished(server, id, n, desc) })
 }
 
 // Ended tells that attempt n of a call ended before it stood. It never blocks: the core may have caused it.
 func (x *Exchange) Ended(server uint64, id string, n int, e Result) {
-	x.post(false, func() { x.core.ended(server, id, n, e) })
+	x.post(false, func() { x.core.attemptEnded(server, id, n, e) })
 }
 
 // Released tells that an office released a call that stood.
 func (x *Exchange) Released(server uint64, id string, cut bool, report []float64) {
-	x.post(true, func() { x.core.released(server, id, cut, report) })
+	x.post(true, func() { x.core.callReleased(server, id, cut, report) })
 }
 
 // State tells an office's report that came unasked.
 func (x *Exchange) State(server uint64, report []float64) {
-	x.post(true, func() { x.core.state(server, report) })
+	x.post(true, func() { x.core.reportReceived(server, report) })
 }
 
 // Lost tells that an office's process died: all that stood there is cut.
 func (x *Exchange) ServerLost(server uint64) {
-	x.post(false, func() { x.core.lost(server, x.core.now+1) })
+	x.post(false, func() { x.core.officeLost(server, x.core.now+1) })
 }
 
 // Members tells a change of the list of offices. It never blocks: what is known at the start comes before Run.
 func (x *Exchange) UpdateOffices(changed []Office, full bool) {
-	x.post(false, func() { x.core.members(changed, full) })
+	x.post(false, func() { x.core.updateOffices(changed, full) })
 }
 
 // Open tells how many calls still wait for their answer.
 func (x *Exchange) UnansweredCalls() (n int) {
-	x.ask(func() { n = x.core.open })
+	x.runAndWait(func() { n = x.core.unanswered })
 	return n
 }
 
@@ -211,7 +211,7 @@
 // been told, and before Run. What is unfit is logged and left out.
 func (x *Exchange) Restore(l control.Learnt) {
 	x.post(false, func() {
-		if err := x.core.module.Restore(x.core.now, l); err != nil {
+		if err := x.core.controller.Restore(x.core.now, l); err != nil {
 			x.core.log.Warn("snapshot left out", "why", err)
 		}
 	})
@@ -220,9 +220,9 @@
 // Learnt gives what the module has learnt, also after Run's end.
 func (x *Exchange) Learnt() (l control.Learnt) {
 	got := false
-	x.ask(func() { l, got = x.core.module.Learnt(), true })
+	x.runAndWait(func() { l, got = x.core.controller.Learnt(), true })
 	if !got { // the core has ended; nothing changes it any more
-		l = x.core.module.Learnt()
+		l = x.core.controller.Learnt()
 	}
 	return l
 }
@@ -236,7 +236,7 @@
 // say: while the inbox is half full or more, the core has callers and offices to hear, and it is not taken.
 func (x *Exchange) TryRun(f func(now int64)) bool {
 	x.mu.Lock()
-	room := len(x.inbox) < x.most/2 && !x.over
+	room := len(x.inbox) < x.maxInbox/2 && !x.stopped
 	x.mu.Unlock()
 	if room {
 		x.post(false, func() { f(x.core.now) })
@@ -245,20 +245,20 @@
 }
 
 // Look runs f where the core's state may be looked at, and waits for it; it runs nothing after the core's end.
-func (x *Exchange) Look(f func()) { x.ask(f) }
+func (x *Exchange) Look(f func()) { x.runAndWait(f) }
 
 // InboxUsed is the part of the inbox's bound that is used now.
 func (x *Exchange) InboxUsed() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return float64(len(x.inbox)) / float64(max(x.most, 1))
+	return float64(len(x.inbox)) / float64(max(x.maxInbox, 1))
 }
 
 // RefuseAll answers all that still waits, for an end that can't wait longer, and from then on refuses what comes.
-func (x *Exchange) RefuseAll() { x.ask(x.core.refuseAll) }
+func (x *Exchange) RefuseAll() { x.runAndWait(x.core.refuseAll) }
 
 // ask has the core do something and waits for it, or for the core's end.
-func (x *Exchange) ask(f func()) {
+func (x *Exchange) runAndWait(f func()) {
 	done := make(chan struct{})
 	x.post(false, func() { f(); close(done) })
 	select {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -27,277 +27,279 @@
 }
 
 // bed is a core between a caller and offices that note what they are told, on a clock of its own.
-type bed struct {
+type harness struct {
 	*core
-	t     *testing.T
-	at    time.Time
-	said  []string // what offices and callers were told
-	stray []string
-	recs  []Record
+	t               *testing.T
+	testTime        time.Time
+	outputs         []string // what offices and callers were told
+	unknownReleases []string
+	records         []Record
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, at: time.Unix(1_000_000, 0)}
-	x, err := New(Options{Settings: settings(), Seed: 3, Now: func() time.Time { return b.at }, Log: netcase.Quiet(),
-		Record:           func(r Record) { b.recs = append(b.recs, r) },
-		OnUnknownRelease: func(id string, cut bool) { b.stray = append(b.stray, id) }})
+func newHarness(t *testing.T) *harness {
+	b := &harness{t: t, testTime: time.Unix(1_000_000, 0)}
+	x, err := New(Options{Settings: settings(), Seed: 3, Now: func() time.Time { return b.testTime }, Log: netcase.Quiet(),
+		Record:           func(r Record) { b.records = append(b.records, r) },
+		OnUnknownRelease: func(id string, cut bool) { b.unknownReleases = append(b.unknownReleases, id) }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.SetOffices(b)
 	b.core = x.core
 	b.tick()
-	b.members([]Office{office(10, 0, control.Serving, 0), office(11, 1, control.Serving, 0)}, true)
-	b.said = nil
+	b.updateOffices([]Office{newOffice(10, 0, control.Serving, 0), newOffice(11, 1, control.Serving, 0)}, true)
+	b.outputs = nil
 	return b
 }
 
-func office(id uint64, cell int, state control.EntryState, ready int64) Office {
+func newOffice(id uint64, cell int, state control.EntryState, ready int64) Office {
 	return Office{Entry: control.Entry{Server: id, Cell: cell, Share: 1, State: state, ReadyAt: ready}, Addr: "a:1"}
 }
 
-func (b *bed) say(format string, a ...any) { b.said = append(b.said, fmt.Sprintf(format, a...)) }
+func (b *harness) outputf(format string, a ...any) {
+	b.outputs = append(b.outputs, fmt.Sprintf(format, a...))
+}
 
-func (b *bed) Answer(id string, f FinalAnswer) {
-	b.say("answer %s %s %s %dms", id, f.Verdict, f.Description, f.Wait.Milliseconds())
+func (b *harness) Answer(id string, f FinalAnswer) {
+	b.outputf("answer %s %s %s %dms", id, f.Verdict, f.Description, f.Wait.Milliseconds())
 }
-func (b *bed) Release(id string, cut bool)            { b.say("release %s %v", id, cut) }
-func (b *bed) UpdateList([]Office, bool)              {}
-func (b *bed) Invite(a Attempt)                       { b.say("invite %s %d at %d", a.ID, a.Index, a.Server) }
-func (b *bed) Cancel(s uint64, id string, n int)      { b.say("cancel %s %d at %d", id, n, s) }
-func (b *bed) Bye(s uint64, id string, n int, c bool) { b.say("bye %s at %d %v", id, s, c) }
-func (b *bed) ReportSilence(s uint64, _ time.Time, check bool) {
+func (b *harness) Release(id string, cut bool)            { b.outputf("release %s %v", id, cut) }
+func (b *harness) UpdateList([]Office, bool)              {}
+func (b *harness) Invite(a Attempt)                       { b.outputf("invite %s %d at %d", a.ID, a.Index, a.Server) }
+func (b *harness) Cancel(s uint64, id string, n int)      { b.outputf("cancel %s %d at %d", id, n, s) }
+func (b *harness) Bye(s uint64, id string, n int, c bool) { b.outputf("bye %s at %d %v", id, s, c) }
+func (b *harness) ReportSilence(s uint64, _ time.Time, check bool) {
 	if check {
-		b.say("check %d", s)
+		b.outputf("check %d", s)
 	}
 }
 
 // want compares what was said since the last look.
-func (b *bed) want(lines ...string) {
+func (b *harness) expect(lines ...string) {
 	b.t.Helper()
-	if !slices.Equal(b.said, lines) {
-		b.t.Errorf("said\n  %s\nwant\n  %s", strings.Join(b.said, "\n  "), strings.Join(lines, "\n  "))
+	if !slices.Equal(b.outputs, lines) {
+		b.t.Errorf("said\n  %s\nwant\n  %s", strings.Join(b.outputs, "\n  "), strings.Join(lines, "\n  "))
 	}
-	b.said = nil
+	b.outputs = nil
 }
 
 // pass moves the clock on in small steps, as alarms set alarms.
-func (b *bed) pass(d time.Duration) {
-	for end := b.at.Add(d); b.at.Before(end); {
-		b.at = b.at.Add(min(5*ms, end.Sub(b.at)))
+func (b *harness) advance(d time.Duration) {
+	for end := b.testTime.Add(d); b.testTime.Before(end); {
+		b.testTime = b.testTime.Add(min(5*ms, end.Sub(b.testTime)))
 		b.tick()
 	}
 }
 
-func (b *bed) call(id string, patience time.Duration) {
-	b.arrive(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.at, ExpiresAt: b.at.Add(patience)}, b)
+func (b *harness) submitCall(id string, patience time.Duration) {
+	b.submit(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.testTime, ExpiresAt: b.testTime.Add(patience)}, b)
 }
 
-func TestACallFromSetUpToRelease(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.want("invite a 0 at 10")
-	b.pass(50 * ms)
-	b.stood(10, "a", 0, []byte("d"))
-	b.want("answer a stands d 0ms")
-	b.stood(10, "a", -1, nil) // told again
-	b.pass(time.Second)
-	b.released(10, "a", false, []float64{3, 4})
-	b.want("release a false")
-	b.released(10, "a", false, nil)
-	b.want()
-	if len(b.stray) != 0 || b.open != 0 || len(b.calls) != 0 {
-		t.Errorf("left behind: %v, %d open, %d calls", b.stray, b.open, len(b.calls))
+func TestCallFromSetUpToRelease(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.expect("invite a 0 at 10")
+	b.advance(50 * ms)
+	b.attemptEstablished(10, "a", 0, []byte("d"))
+	b.expect("answer a stands d 0ms")
+	b.attemptEstablished(10, "a", -1, nil) // told again
+	b.advance(time.Second)
+	b.callReleased(10, "a", false, []float64{3, 4})
+	b.expect("release a false")
+	b.callReleased(10, "a", false, nil)
+	b.expect()
+	if len(b.unknownReleases) != 0 || b.unanswered != 0 || len(b.calls) != 0 {
+		t.Errorf("left behind: %v, %d open, %d calls", b.unknownReleases, b.unanswered, len(b.calls))
 	}
-	if r := b.recs[len(b.recs)-1]; len(b.recs) != 2 || !b.recs[0].Ended.IsZero() || r.Verdict != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
+	if r := b.records[len(b.records)-1]; len(b.records) != 2 || !b.records[0].Ended.IsZero() || r.Verdict != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
 		r.Answered.Sub(r.Taken) != 50*ms || r.Ended.Sub(r.Taken) != 1050*ms {
-		t.Errorf("records %+v", b.recs)
+		t.Errorf("records %+v", b.records)
 	}
 }
 
 // A call that no office answers has its one answer before its caller leaves, and its attempt is given up first.
 func TestSilentOfficeIsAnsweredInTime(t *testing.T) {
-	b := newBed(t)
-	b.call("a", time.Second)
-	b.pass(time.Second - answerLead)
-	b.want("invite a 0 at 10", "cancel a 0 at 10", "answer a refused  2000ms")
-	b.pass(9 * time.Second)
-	b.stood(10, "a", -1, nil) // the answer comes after all
-	b.want("bye a at 10 true")
+	b := newHarness(t)
+	b.submitCall("a", time.Second)
+	b.advance(time.Second - answerMargin)
+	b.expect("invite a 0 at 10", "cancel a 0 at 10", "answer a refused  2000ms")
+	b.advance(9 * time.Second)
+	b.attemptEstablished(10, "a", -1, nil) // the answer comes after all
+	b.expect("bye a at 10 true")
 }
 
 func TestReleaseWaitBetweenAttempts(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.ended(10, "a", 0, Result{Outcome: control.ConnectionLost})
-	b.want("invite a 0 at 10")
-	b.pass(300 * ms)
-	b.want() // the margin: the rule counts from the end as it was written
-	b.pass(900 * ms)
-	if len(b.said) != 1 || !strings.HasPrefix(b.said[0], "invite a 1 ") {
-		t.Errorf("said %v", b.said)
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.attemptEnded(10, "a", 0, Result{Outcome: control.ConnectionLost})
+	b.expect("invite a 0 at 10")
+	b.advance(300 * ms)
+	b.expect() // the margin: the rule counts from the end as it was written
+	b.advance(900 * ms)
+	if len(b.outputs) != 1 || !strings.HasPrefix(b.outputs[0], "invite a 1 ") {
+		t.Errorf("said %v", b.outputs)
 	}
 }
 
 // What the module must never do is kept back here.
-func TestGuardsOfTheCore(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.said = nil
+func TestCoreKeepsBackInvalidAttempts(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.outputs = nil
 	cl := b.calls["a"]
 	b.send(cl, control.Action{Kind: control.Send, Call: "a", Server: 11, Wait: int64(time.Second)})
-	b.want() // a second attempt out
-	cl.inFlight, cl.clearAt = false, b.now+1
+	b.expect() // a second attempt out
+	cl.inFlight, cl.notBefore = false, b.now+1
 	b.send(cl, control.Action{Kind: control.Send, Call: "a", Server: 11, Wait: int64(time.Second)})
-	cl.clearAt = 0
+	cl.notBefore = 0
 	b.send(cl, control.Action{Kind: control.Send, Call: "a", Server: 12, Wait: int64(time.Second)})
-	for _, line := range b.said {
+	for _, line := range b.outputs {
 		if strings.HasPrefix(line, "invite") {
-			t.Errorf("sent: %v", b.said)
+			t.Errorf("sent: %v", b.outputs)
 		}
 	}
 }
 
 // Set-ups that are turned away at once, by the thousands, stayed in memory until their callers' time was up, which a
 // bad client may put at a day.
-func TestWhatIsRefusedIsNotKept(t *testing.T) {
-	b := newBed(t)
+func TestRefusedCallIsFreed(t *testing.T) {
+	b := newHarness(t)
 	names := Names{Classes: []Class{{Name: "open-log", Deadline: 9 * time.Second}}}
 	day, s := maxPatience.Milliseconds(), Setup{ID: "a", Number: "17", Dest: -1, Description: make([]byte, 16<<10)}
-	if err := names.Apply(&s, "open-log", "", &day, b.at); err != nil || s.ExpiresAt.Sub(s.Taken) != 9*time.Second {
+	if err := names.Apply(&s, "open-log", "", &day, b.testTime); err != nil || s.ExpiresAt.Sub(s.Taken) != 9*time.Second {
 		t.Fatalf("patience %v, %v", s.ExpiresAt.Sub(s.Taken), err)
 	}
 	s.Owner = "sip"
-	b.arrive(s, b)
+	b.submit(s, b)
 	call := weak.Make(b.calls["a"])
-	b.ended(10, "a", 0, Result{Outcome: control.Unavailable})
-	b.ended(11, "a", 0, Result{Outcome: control.Unavailable})
-	if b.open != 0 {
-		t.Fatalf("said %v", b.said)
+	b.attemptEnded(10, "a", 0, Result{Outcome: control.Unavailable})
+	b.attemptEnded(11, "a", 0, Result{Outcome: control.Unavailable})
+	if b.unanswered != 0 {
+		t.Fatalf("said %v", b.outputs)
 	}
 	runtime.GC()
 	if call.Value() != nil {
 		t.Error("the call is kept after its refusal")
 	}
-	b.pass(10 * time.Second)
-	if len(b.alarms) != 0 {
-		t.Errorf("%d alarms left", len(b.alarms))
+	b.advance(10 * time.Second)
+	if len(b.timers) != 0 {
+		t.Errorf("%d alarms left", len(b.timers))
 	}
 }
 
 // A module that forgets a call must not leave its caller without an answer.
 func TestForgottenCallIsAnswered(t *testing.T) {
-	b := newBed(t)
-	b.call("a", time.Second)
-	b.said = nil
-	b.module.Handle(b.now, control.Event{Kind: control.Aborted, Call: "a"})
-	b.pass(time.Second)
-	if n := len(b.said); n == 0 || b.said[n-1] != "answer a failed  0ms" {
-		t.Errorf("said %v", b.said)
+	b := newHarness(t)
+	b.submitCall("a", time.Second)
+	b.outputs = nil
+	b.controller.Handle(b.now, control.Event{Kind: control.Aborted, Call: "a"})
+	b.advance(time.Second)
+	if n := len(b.outputs); n == 0 || b.outputs[n-1] != "answer a failed  0ms" {
+		t.Errorf("said %v", b.outputs)
 	}
 }
 
 // A set-up sent again joins the running call or gets the recorded answer, and never makes a second attempt.
-func TestResend(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.call("a", 3*time.Second)
-	b.want("invite a 0 at 10")
-	b.stood(10, "a", 0, []byte("d"))
-	b.call("a", 3*time.Second)
-	b.want("answer a stands d 0ms", "answer a stands d 0ms")
-	b.released(10, "a", true, nil)
-	b.call("a", 3*time.Second)
-	b.want("release a true", "answer a stands d 0ms", "release a true")
-	b.arrive(Setup{ID: "a", Owner: "another"}, b)
-	b.want("answer a failed  0ms")
-	b.call("b", 100*ms)
-	b.pass(100 * ms)
-	b.said = nil
-	b.call("b", 3*time.Second)
-	b.want("answer b refused  200ms")
-	b.pass(retention + time.Second)
-	b.call("c", time.Second)
-	b.ended(10, "c", 0, Result{Outcome: control.Unavailable})
-	if b.kept["a"] != nil || len(b.queue) != 1 {
-		t.Errorf("kept for ever: %d", len(b.queue))
+func TestRepeatedSetUp(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.submitCall("a", 3*time.Second)
+	b.expect("invite a 0 at 10")
+	b.attemptEstablished(10, "a", 0, []byte("d"))
+	b.submitCall("a", 3*time.Second)
+	b.expect("answer a stands d 0ms", "answer a stands d 0ms")
+	b.callReleased(10, "a", true, nil)
+	b.submitCall("a", 3*time.Second)
+	b.expect("release a true", "answer a stands d 0ms", "release a true")
+	b.submit(Setup{ID: "a", Owner: "another"}, b)
+	b.expect("answer a failed  0ms")
+	b.submitCall("b", 100*ms)
+	b.advance(100 * ms)
+	b.outputs = nil
+	b.submitCall("b", 3*time.Second)
+	b.expect("answer b refused  200ms")
+	b.advance(answerRetention + time.Second)
+	b.submitCall("c", time.Second)
+	b.attemptEnded(10, "c", 0, Result{Outcome: control.Unavailable})
+	if b.answers["a"] != nil || len(b.answerQueue) != 1 {
+		t.Errorf("kept for ever: %d", len(b.answerQueue))
 	}
 }
 
-func TestCallerLeaves(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
+func TestCallerGivesUp(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
 	b.giveUp("a", "another", nil)
-	b.giveUp("a", "o", new(bed)) // the call is another connection's by now
-	b.want("invite a 0 at 10")
+	b.giveUp("a", "o", new(harness)) // the call is another connection's by now
+	b.expect("invite a 0 at 10")
 	b.giveUp("a", "o", nil)
-	b.want("cancel a 0 at 10")
-	b.pass(4 * time.Second)
-	b.want()
-	b.call("b", 3*time.Second)
-	b.stood(10, "b", 0, nil)
-	b.said = nil
+	b.expect("cancel a 0 at 10")
+	b.advance(4 * time.Second)
+	b.expect()
+	b.submitCall("b", 3*time.Second)
+	b.attemptEstablished(10, "b", 0, nil)
+	b.outputs = nil
 	b.hangUp("b", "another")
-	b.want()
+	b.expect()
 	b.hangUp("b", "o")
-	b.want("bye b at 10 false")
-	b.call("c", 3*time.Second)
-	b.stood(10, "c", 0, nil)
-	b.said = nil
+	b.expect("bye b at 10 false")
+	b.submitCall("c", 3*time.Second)
+	b.attemptEstablished(10, "c", 0, nil)
+	b.outputs = nil
 	b.giveUp("c", "o", nil) // its answer crossed the caller's leaving
-	b.want("bye c at 10 false")
+	b.expect("bye c at 10 false")
 }
 
 // Calls at a processor that died, started anew or left the list are released towards their callers.
 func TestCutCalls(t *testing.T) {
-	for _, end := range []func(b *bed){
-		func(b *bed) { b.lost(10, b.now+1) },
-		func(b *bed) { b.members([]Office{office(10, 0, control.Removed, 0)}, false) },
-		func(b *bed) { b.members([]Office{office(10, 0, control.Serving, b.now+1)}, false) },
+	for _, end := range []func(b *harness){
+		func(b *harness) { b.officeLost(10, b.now+1) },
+		func(b *harness) { b.updateOffices([]Office{newOffice(10, 0, control.Removed, 0)}, false) },
+		func(b *harness) { b.updateOffices([]Office{newOffice(10, 0, control.Serving, b.now+1)}, false) },
 	} {
-		b := newBed(t)
-		b.call("a", 3*time.Second)
-		b.stood(10, "a", 0, nil)
-		b.said = nil
+		b := newHarness(t)
+		b.submitCall("a", 3*time.Second)
+		b.attemptEstablished(10, "a", 0, nil)
+		b.outputs = nil
 		end(b)
-		b.want("release a true")
+		b.expect("release a true")
 	}
 	// The list tells of a start late: what was sent after it stands at the new process.
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.stood(10, "a", 0, nil)
-	b.said = nil
-	b.members([]Office{office(10, 0, control.Serving, b.now-1)}, false)
-	b.want()
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.attemptEstablished(10, "a", 0, nil)
+	b.outputs = nil
+	b.updateOffices([]Office{newOffice(10, 0, control.Serving, b.now-1)}, false)
+	b.expect()
 }
 
-func TestSilentOfficeWithCallsIsLookedAt(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.stood(10, "a", 0, nil)
-	b.said = nil
+func TestSilentOfficeWithCallsIsChecked(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.attemptEstablished(10, "a", 0, nil)
+	b.outputs = nil
 	for range 5 {
-		b.pass(time.Second)
-		b.state(10, []float64{1, 2})
+		b.advance(time.Second)
+		b.reportReceived(10, []float64{1, 2})
 	}
-	b.want()
-	b.pass(4500 * ms)
-	if len(b.said) == 0 || b.said[0] != "check 10" {
-		t.Errorf("said %v", b.said)
+	b.expect()
+	b.advance(4500 * ms)
+	if len(b.outputs) == 0 || b.outputs[0] != "check 10" {
+		t.Errorf("said %v", b.outputs)
 	}
 }
 
-func TestReleaseOfACallFromBeforeTheStart(t *testing.T) {
-	b := newBed(t)
-	b.released(10, "old", true, nil)
-	if !slices.Equal(b.stray, []string{"old"}) {
-		t.Errorf("strays %v", b.stray)
+func TestReleaseOfUnknownCall(t *testing.T) {
+	b := newHarness(t)
+	b.callReleased(10, "old", true, nil)
+	if !slices.Equal(b.unknownReleases, []string{"old"}) {
+		t.Errorf("strays %v", b.unknownReleases)
 	}
 }
 
-func TestRunTakesEventsInOrderAndRings(t *testing.T) {
+func TestRunHandlesEventsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bed{t: t}
+		b := &harness{t: t}
 		x, err := New(Options{Settings: settings(), Seed: 3, Now: time.Now, Log: netcase.Quiet()})
 		if err != nil {
 			t.Fatal(err)
@@ -305,8 +307,8 @@
 		x.SetOffices(b)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
-		for range x.most + 1 { // a long list, known before Run takes anything
-			x.UpdateOffices([]Office{office(10, 0, control.Serving, 0)}, true)
+		for range x.maxInbox + 1 { // a long list, known before Run takes anything
+			x.UpdateOffices([]Office{newOffice(10, 0, control.Serving, 0)}, true)
 		}
 		go func() { done <- x.Run(ctx) }()
 		now := time.Now()
@@ -318,14 +320,14 @@
 			t.Errorf("%d open", n)
 		}
 		x.RefuseAll()
-		b.want("invite a 0 at 10", "invite b 0 at 10", "answer a stands  0ms", "cancel b 0 at 10",
+		b.expect("invite a 0 at 10", "invite b 0 at 10", "answer a stands  0ms", "cancel b 0 at 10",
 			"answer b refused  2000ms")
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 		// After its end nobody is held up, however much still comes.
-		for range x.most + 1 {
+		for range x.maxInbox + 1 {
 			x.State(10, nil)
 		}
 		x.RefuseAll()
@@ -336,58 +338,58 @@
 }
 
 // A full list that left an office out, without naming it as gone, left the calls that stood there without a release.
-func TestAFullListThatLeavesAnOfficeOut(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.stood(10, "a", 0, nil)
-	b.said = nil
-	b.members([]Office{office(11, 1, control.Serving, 0)}, true)
-	b.want("release a true")
-	b.members([]Office{office(11, 1, control.Serving, 0)}, true)
-	b.want()
+func TestFullListOmitsOffice(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.attemptEstablished(10, "a", 0, nil)
+	b.outputs = nil
+	b.updateOffices([]Office{newOffice(11, 1, control.Serving, 0)}, true)
+	b.expect("release a true")
+	b.updateOffices([]Office{newOffice(11, 1, control.Serving, 0)}, true)
+	b.expect()
 }
 
 // A start of an office that goes back in time cuts nothing that was sent after it.
-func TestAStartThatGoesBack(t *testing.T) {
-	b := newBed(t)
-	b.members([]Office{office(10, 0, control.Serving, b.at.Add(-ms).UnixNano())}, false)
-	b.call("a", 3*time.Second)
-	b.stood(10, "a", 0, nil)
-	b.said = nil
-	b.members([]Office{office(10, 0, control.Serving, b.at.Add(-time.Hour).UnixNano())}, false)
-	b.members([]Office{office(10, 0, control.Serving, 0)}, false)
-	b.want()
+func TestOfficeStartTimeGoesBack(t *testing.T) {
+	b := newHarness(t)
+	b.updateOffices([]Office{newOffice(10, 0, control.Serving, b.testTime.Add(-ms).UnixNano())}, false)
+	b.submitCall("a", 3*time.Second)
+	b.attemptEstablished(10, "a", 0, nil)
+	b.outputs = nil
+	b.updateOffices([]Office{newOffice(10, 0, control.Serving, b.testTime.Add(-time.Hour).UnixNano())}, false)
+	b.updateOffices([]Office{newOffice(10, 0, control.Serving, 0)}, false)
+	b.expect()
 }
 
 // A call that is handed over after all that waited was refused, as the program ends, would wait for an answer that
 // nobody gives.
-func TestACallAfterAllWereRefused(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
+func TestCallAfterRefuseAll(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
 	b.refuseAll()
-	b.said = nil
-	b.call("b", 3*time.Second)
-	b.want("answer b refused  2000ms")
+	b.outputs = nil
+	b.submitCall("b", 3*time.Second)
+	b.expect("answer b refused  2000ms")
 }
 
 // While a caller is away, the attempt that is out goes on, and no other is sent for nobody; a caller that comes back has
 // its call, or the answer on record.
-func TestACallerThatIsAway(t *testing.T) {
-	b := newBed(t)
-	b.call("a", 3*time.Second)
-	b.left("a", "another")
-	b.left("a", "o")
-	b.want("invite a 0 at 10")
-	b.ended(10, "a", 0, Result{Outcome: control.ConnectionRefused}) // another office would be tried at once
-	b.want("answer a refused  2000ms")
-	b.call("a", 3*time.Second)
-	b.want("answer a refused  2000ms")
+func TestDisconnectedCaller(t *testing.T) {
+	b := newHarness(t)
+	b.submitCall("a", 3*time.Second)
+	b.callerDisconnected("a", "another")
+	b.callerDisconnected("a", "o")
+	b.expect("invite a 0 at 10")
+	b.attemptEnded(10, "a", 0, Result{Outcome: control.ConnectionRefused}) // another office would be tried at once
+	b.expect("answer a refused  2000ms")
+	b.submitCall("a", 3*time.Second)
+	b.expect("answer a refused  2000ms")
 
-	b = newBed(t)
-	b.call("b", 3*time.Second)
-	b.left("b", "o")
-	b.call("b", 3*time.Second) // it is back
-	b.said = nil
-	b.ended(10, "b", 0, Result{Outcome: control.ConnectionRefused})
-	b.want("invite b 1 at 11")
+	b = newHarness(t)
+	b.submitCall("b", 3*time.Second)
+	b.callerDisconnected("b", "o")
+	b.submitCall("b", 3*time.Second) // it is back
+	b.outputs = nil
+	b.attemptEnded(10, "b", 0, Result{Outcome: control.ConnectionRefused})
+	b.expect("invite b 1 at 11")
 }
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -13,33 +13,33 @@
 
 // An instance that sees two calls a second, and forty servers that are silent: it learns nothing of any one of them, and
 // goes on sending; with goodput it soon has next to nothing out. Each call still has one answer, and each attempt one end.
-func TestGoodputInAJam(t *testing.T) {
+func TestGoodputUnderSilentServers(t *testing.T) {
 	sent := map[bool]int{}
 	for _, on := range []bool{false, true} {
-		b := newBed(t)
+		b := newHarness(t)
 		if on {
 			b.chain = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
-			b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+			b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
 		}
 		var list []Office
 		for k := range 40 {
-			list = append(list, office(uint64(10+k), k%2, control.Serving, 0))
+			list = append(list, newOffice(uint64(10+k), k%2, control.Serving, 0))
 		}
-		b.members(list, true)
+		b.updateOffices(list, true)
 		calls := 0
 		offer := func(d time.Duration, answered bool) (invites, answers, most int) {
-			b.said = nil
-			for end := b.at.Add(d); b.at.Before(end); {
+			b.outputs = nil
+			for end := b.testTime.Add(d); b.testTime.Before(end); {
 				calls++
-				b.call(fmt.Sprint("c", calls), 3*time.Second)
+				b.submitCall(fmt.Sprint("c", calls), 3*time.Second)
 				if answered {
-					b.pass(80 * ms)
-					for _, line := range b.said[max(0, len(b.said)-1):] {
+					b.advance(80 * ms)
+					for _, line := range b.outputs[max(0, len(b.outputs)-1):] {
 						var id string
 						var n int
 						var server uint64
 						if _, err := fmt.Sscanf(line, "invite %s %d at %d", &id, &n, &server); err == nil {
-							b.stood(server, id, n, nil)
+							b.attemptEstablished(server, id, n, nil)
 						}
 					}
 				}
@@ -50,9 +50,9 @@
 					}
 				}
 				most = max(most, out)
-				b.pass(400 * ms)
+				b.advance(400 * ms)
 			}
-			for _, line := range b.said {
+			for _, line := range b.outputs {
 				if strings.HasPrefix(line, "invite") {
 					invites++
 				} else if strings.HasPrefix(line, "answer") {
@@ -70,12 +70,12 @@
 		if on && most > 3 {
 			t.Errorf("%d out at once in the jam", most)
 		}
-		b.pass(4 * time.Second)
-		if b.open != 0 {
-			t.Errorf("%d calls without an answer", b.open)
+		b.advance(4 * time.Second)
+		if b.unanswered != 0 {
+			t.Errorf("%d calls without an answer", b.unanswered)
 		}
 		answered := map[string]int{}
-		for _, line := range b.said {
+		for _, line := range b.outputs {
 			if strings.HasPrefix(line, "answer ") {
 				answered[strings.Fields(line)[1]]++
 			}
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -10,112 +10,112 @@
 )
 
 // gate is a joined module that does what a test wants.
-type gate struct {
-	name   string
-	ruling join.Ruling
-	shut   map[uint64]bool
-	seen   []control.EventKind
-	did    []control.ActionKind
+type moduleStub struct {
+	name    string
+	ruling  join.Ruling
+	full    map[uint64]bool
+	events  []control.EventKind
+	actions []control.ActionKind
 }
 
-func (g *gate) Name() string                          { return g.name }
-func (g *gate) See(_ int64, ev control.Event)         { g.seen = append(g.seen, ev.Kind) }
-func (g *gate) Did(_ int64, a control.Action)         { g.did = append(g.did, a.Kind) }
-func (g *gate) Admit(int64, join.Call) join.Ruling    { return g.ruling }
-func (g *gate) Room(_ int64, s uint64) (bool, string) { return !g.shut[s], "shut" }
-func (g *gate) Status(int64) join.Status              { return join.Status{Module: g.name} }
+func (g *moduleStub) Name() string                          { return g.name }
+func (g *moduleStub) See(_ int64, ev control.Event)         { g.events = append(g.events, ev.Kind) }
+func (g *moduleStub) Did(_ int64, a control.Action)         { g.actions = append(g.actions, a.Kind) }
+func (g *moduleStub) Admit(int64, join.Call) join.Ruling    { return g.ruling }
+func (g *moduleStub) Room(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
+func (g *moduleStub) Status(int64) join.Status              { return join.Status{Module: g.name} }
 
-func newGate(t *testing.T) (*bed, *gate) {
-	g := &gate{name: "gate", shut: map[uint64]bool{}}
-	b := newBed(t)
+func newHarnessWithModule(t *testing.T) (*harness, *moduleStub) {
+	g := &moduleStub{name: "gate", full: map[uint64]bool{}}
+	b := newHarness(t)
 	b.chain = join.Chain{g}
-	b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
 	return b, g
 }
 
-func TestAJoinedModuleRefuses(t *testing.T) {
-	b, g := newGate(t)
+func TestModuleRefuses(t *testing.T) {
+	b, g := newHarnessWithModule(t)
 	g.ruling = join.Ruling{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
-	b.call("a", 3*time.Second)
-	b.want("answer a refused  2000ms") // at once, and no longer a wait than the settings allow
-	if b.open != 0 || len(b.calls) != 0 {
+	b.submitCall("a", 3*time.Second)
+	b.expect("answer a refused  2000ms") // at once, and no longer a wait than the settings allow
+	if b.unanswered != 0 || len(b.calls) != 0 {
 		t.Error("the refused call is kept")
 	}
-	b.call("a", 3*time.Second)
-	b.want("answer a refused  2000ms") // on record: sent again it is the same answer
+	b.submitCall("a", 3*time.Second)
+	b.expect("answer a refused  2000ms") // on record: sent again it is the same answer
 }
 
 // A held call is asked about again; whatever the module says, control decides after a second at the latest.
-func TestAHeldCallIsControlsInTheEnd(t *testing.T) {
-	b, g := newGate(t)
+func TestHeldCallReachesControl(t *testing.T) {
+	b, g := newHarnessWithModule(t)
 	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
-	b.call("a", 3*time.Second)
-	b.call("gone", 3*time.Second)
-	b.pass(500 * ms)
-	b.want()
+	b.submitCall("a", 3*time.Second)
+	b.submitCall("gone", 3*time.Second)
+	b.advance(500 * ms)
+	b.expect()
 	b.giveUp("gone", "o", nil)
-	b.pass(400 * ms)
-	b.want()
-	b.pass(150 * ms)
-	b.want("invite a 0 at 10")
-	if b.waits != 0 {
-		t.Errorf("%d calls held still", b.waits)
+	b.advance(400 * ms)
+	b.expect()
+	b.advance(150 * ms)
+	b.expect("invite a 0 at 10")
+	if b.heldByModules != 0 {
+		t.Errorf("%d calls held still", b.heldByModules)
 	}
 	g.ruling = join.Ruling{}
-	b.call("b", 3*time.Second)
-	b.want("invite b 0 at 10")
+	b.submitCall("b", 3*time.Second)
+	b.expect("invite b 0 at 10")
 }
 
-func TestAHeldCallStillHasItsAnswerInTime(t *testing.T) {
-	b, g := newGate(t)
+func TestHeldCallIsAnsweredInTime(t *testing.T) {
+	b, g := newHarnessWithModule(t)
 	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
-	b.call("a", 300*ms)
-	b.pass(300 * ms)
-	b.want("answer a failed  0ms")
-	if b.waits != 0 || b.open != 0 {
+	b.submitCall("a", 300*ms)
+	b.advance(300 * ms)
+	b.expect("answer a failed  0ms")
+	if b.heldByModules != 0 || b.unanswered != 0 {
 		t.Error("it is kept still")
 	}
 }
 
 // A server without room gets nothing; control sends elsewhere, or holds, and never learns of it as a fault.
-func TestACappedServerGetsNothing(t *testing.T) {
-	b, g := newGate(t)
-	g.shut[10] = true
-	b.call("a", 3*time.Second)
-	b.want("invite a 0 at 11")
-	g.shut[11] = true
-	b.call("b", 3*time.Second)
-	b.want() // held by control, for its one later try
-	g.shut = nil
-	b.pass(700 * ms)
-	if len(b.said) != 1 || b.said[0] != "invite b 0 at 10" && b.said[0] != "invite b 0 at 11" {
-		t.Error(b.said)
+func TestCappedServerGetsNoAttempt(t *testing.T) {
+	b, g := newHarnessWithModule(t)
+	g.full[10] = true
+	b.submitCall("a", 3*time.Second)
+	b.expect("invite a 0 at 11")
+	g.full[11] = true
+	b.submitCall("b", 3*time.Second)
+	b.expect() // held by control, for its one later try
+	g.full = nil
+	b.advance(700 * ms)
+	if len(b.outputs) != 1 || b.outputs[0] != "invite b 0 at 10" && b.outputs[0] != "invite b 0 at 11" {
+		t.Error(b.outputs)
 	}
-	if len(g.did) != 2 || g.did[0] != control.Send {
-		t.Error(g.did)
+	if len(g.actions) != 2 || g.actions[0] != control.Send {
+		t.Error(g.actions)
 	}
 }
 
 // A module that changes its mind between control's choice and the send is still obeyed.
-func TestTheCoreGuardsACap(t *testing.T) {
-	b, g := newGate(t)
-	b.module.ExcludeServers(func(uint64) bool { return false })
-	g.shut[10], g.shut[11] = true, true
-	b.call("a", 3*time.Second)
-	if len(b.said) != 1 || b.said[0] != "answer a refused  200ms" {
-		t.Errorf("%q", b.said)
+func TestCapIsCheckedBeforeSend(t *testing.T) {
+	b, g := newHarnessWithModule(t)
+	b.controller.ExcludeServers(func(uint64) bool { return false })
+	g.full[10], g.full[11] = true, true
+	b.submitCall("a", 3*time.Second)
+	if len(b.outputs) != 1 || b.outputs[0] != "answer a refused  200ms" {
+		t.Errorf("%q", b.outputs)
 	}
 }
 
-func TestModulesHaveNamesOfTheirOwn(t *testing.T) {
-	_, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), Join: join.Chain{&gate{name: "a"}, &gate{name: "a"}}})
+func TestDuplicateModuleNames(t *testing.T) {
+	_, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), Join: join.Chain{&moduleStub{name: "a"}, &moduleStub{name: "a"}}})
 	if err == nil {
 		t.Error("two modules of one name")
 	}
 }
 
 // What other instances say waits while the core has much to do, and is never waited for: callers and offices come first.
-func TestOffersLeaveRoomForCallers(t *testing.T) {
+func TestTryRunLeavesInboxSpace(t *testing.T) {
 	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), MemoryBytes: 64 << 20})
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 			t.Fatal("without a bound")
 		}
 	}
-	if most := 64 << 20 / inboxShare / inboxBytesEach; taken < most/2 || taken > most/2+1 || x.InboxUsed() > 0.6 {
+	if most := 64 << 20 / inboxMemoryDivisor / maxEventBytes; taken < most/2 || taken > most/2+1 || x.InboxUsed() > 0.6 {
 		t.Errorf("%d taken, of a bound of %d", taken, most)
 	}
 	done := make(chan struct{})
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -25,7 +25,7 @@
 }
 
 // maxNumber bounds a number called: much more than any plan of numbers, and little in an office's first line.
-const maxNumber = 128
+const maxNumberLength = 128
 
 // Fill sets class, tenant and times of a set-up whose last byte came at that time, and checks its number and first
 // choice. A patience beyond the class's deadline counts as that: later the call is worth nothing, and what is kept for
@@ -39,7 +39,7 @@
 	if tenant != "" && !slices.Contains(n.Tenants, tenant) {
 		return fmt.Errorf("unknown tenant %q", tenant)
 	}
-	if len(s.Number) > maxNumber || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
+	if len(s.Number) > maxNumberLength || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
 		return errors.New("number is too long, or no visible ASCII")
 	}
 	if s.Dest != -1 && (s.Dest < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.Dest)) {
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -7,14 +7,14 @@
 
 // status is a look at everything, for operators. It changes nothing.
 func (c *core) status() Status {
-	s := Status{Open: c.open, Held: c.module.Held(), HeldByModules: c.waits, Standing: len(c.calls) - c.open, ReceivedTotal: c.serial,
-		Stands: c.given[Stands], Refused: c.given[Refused], Failed: c.given[Failed], LoadBytes: c.load, Modules: c.chain.Status(c.now)}
-	for _, b := range c.module.ServerStatuses(c.now) {
+	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, Standing: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
+		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.chain.Status(c.now)}
+	for _, b := range c.controller.ServerStatuses(c.now) {
 		listed := "serving"
 		if !b.Available {
 			listed = "draining"
 		}
-		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(b.Server, 16), Addr: c.known[b.Server].Addr, Listed: listed,
+		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(b.Server, 16), Addr: c.knownOffices[b.Server].Addr, Listed: listed,
 			Warmth: b.Warmth, Cold: b.Cold, Down: b.Down, Marked: b.Marked, Pressed: b.Pressed, Out: b.Out, Standing: b.Standing,
 			ExpectedDelayMS: float64(b.ExpectedDelay) / 1e6})
 	}
@@ -54,7 +54,7 @@
 
 // Status asks the core; the zero Status after its end.
 func (x *Exchange) Status() (s Status) {
-	x.ask(func() { s = x.core.status() })
+	x.runAndWait(func() { s = x.core.status() })
 	x.mu.Lock()
 	s.InboxLength = len(x.inbox)
 	x.mu.Unlock()
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -42,12 +42,12 @@
 	ExpiresAt   time.Time // its caller leaves
 }
 
-var sumSeed = maphash.MakeSeed()
+var fingerprintSeed = maphash.MakeSeed()
 
 // Sum tells two set-ups under one id apart: it is the same for one that was sent again.
 func (s *Setup) Fingerprint() uint64 {
 	var h maphash.Hash
-	h.SetSeed(sumSeed)
+	h.SetSeed(fingerprintSeed)
 	for _, part := range []string{s.Name, s.Tenant, s.Number} {
 		h.WriteString(part)
 		h.WriteByte(0)
