--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// unheardFirstWait, doubled each time, is the wait until a client whose input waits to be read is asked for again, and
-	// unheardLimit how long it may stay so: its attempt begins by then, or never.
+	// firstPresenceRecheck is the wait until a client with unread input is checked again; it doubles each time.
+	// maxPresenceWait bounds the whole wait: the attempt starts by then or never.
 	firstPresenceRecheck, maxPresenceWait = time.Millisecond, 200 * time.Millisecond
 )
 
-// presence is what the front knows of a call's client.
+// presence returns what the front knows of a call's client; Connected where the front can't tell.
 func presence(from Caller, id string) Presence {
 	if checker, ok := from.(PresenceChecker); ok {
 		return checker.Presence(id)
@@ -20,8 +20,8 @@
 	return Connected
 }
 
-// send starts an attempt. The module keeps the rules itself; what it would break here comes back to it as
-// never sent.
+// send starts an attempt. The controller keeps the rules itself; an attempt that would break one here is not sent,
+// which is reported back to the controller as an attempt that never ran.
 func (c *core) send(cl *call, a control.Action) {
 	there := presence(cl.caller, cl.ID)
 	if cl.disconnected || there == Gone {
@@ -54,7 +54,7 @@
 	c.invite(cl, a)
 }
 
-// serving tells whether a server is listed and takes attempts.
+// isServing tells whether a server is listed and accepts attempts.
 func (c *core) isServing(server uint64) bool {
 	office, listed := c.knownOffices[server]
 	return listed && office.State == control.Serving
@@ -71,8 +71,8 @@
 		Wait: wait, Presence: func() Presence { return presence(from, id) }})
 }
 
-// askAgain keeps an attempt back while input of the call's client waits to be read: its reader goes on meanwhile. An
-// attempt kept back counts as out, so that all that ends one ends it.
+// recheckPresence delays an attempt while unread input of the client waits, which the reader handles meanwhile. A
+// delayed attempt counts as in flight, so whatever ends an attempt ends it too.
 func (c *core) recheckPresence(cl *call, a control.Action, wait time.Duration, until int64) {
 	n := cl.attempts
 	c.afterForCall(cl, wait, func(cl *call) {
@@ -93,22 +93,22 @@
 	})
 }
 
-// unwanted ends a call whose client has gone, or can't be heard: an attempt would be work for nobody. The refusal is
-// on record, should the client come back.
+// refuseAbsentClient refuses a call whose client has gone or whose input stays unread, as an attempt would be wasted.
+// The refusal is recorded in case the client comes back.
 func (c *core) refuseAbsentClient(cl *call, server uint64) {
-	c.log.Debug("attempt not wanted", "call", cl.ID, "server", server, "away", cl.disconnected)
+	c.log.Debug("attempt dropped: client gone", "call", cl.ID, "server", server, "away", cl.disconnected)
 	c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: server, Outcome: control.Canceled, CallEnded: true})
 	c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
 }
 
-// withdraw gives up the attempt that is out.
+// withdrawAttempt cancels the attempt in flight.
 func (c *core) withdrawAttempt(cl *call, o control.Outcome) {
 	c.offices.Cancel(cl.server, cl.ID, cl.attempts-1)
 	c.attemptReturned(cl, Result{Outcome: o})
 }
 
-// back takes the end of the attempt that is out.
+// attemptReturned handles the end of the attempt in flight.
 func (c *core) attemptReturned(cl *call, e Result) {
 	c.log.Debug("attempt ended", "call", cl.ID, "n", cl.attempts-1, "server", cl.server, "outcome", e.Outcome,
 		"note", e.Note, "wait_ms", e.WaitMS, "report", e.Report, "after_ms", (c.now-cl.sentAt)/1e6)
@@ -120,23 +120,25 @@
 		Outcome: e.Outcome, Note: e.Note, WaitMS: e.WaitMS, Report: e.Report, CallEnded: c.calls[cl.ID] != cl})
 }
 
+// attemptEstablished handles an office's acceptance of attempt n.
 func (c *core) attemptEstablished(server uint64, id string, n int, desc []byte) {
 	c.lastHeard[server] = c.now
 	cl := c.calls[id]
 	if cl != nil && cl.established && cl.server == server {
-		return // told again
+		return // repeated
 	}
 	if cl == nil || !cl.inFlight || cl.server != server || cl.attempts != n+1 {
-		c.offices.Bye(server, id, n, true) // the answer crossed the end of its attempt
+		c.offices.Bye(server, id, n, true) // the acceptance crossed the end of its attempt
 		return
 	}
-	c.log.Debug("attempt stood", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
+	c.log.Debug("attempt established", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
 	c.answer(cl, FinalAnswer{Verdict: Stands, Description: desc})
 	c.scheduleSilenceCheck()
 	c.dispatch(control.Event{Kind: control.Stands, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
 }
 
+// attemptEnded handles the end of attempt n without an acceptance.
 func (c *core) attemptEnded(server uint64, id string, n int, e Result) {
 	if e.Outcome == control.Errored || e.Outcome == control.Saturated {
 		c.lastHeard[server] = c.now
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -10,16 +10,17 @@
 	"masthill/control/join"
 )
 
-// kept is a final answer that a caller may ask for again.
+// recordedAnswer is the final answer to a call, kept for callers that repeat its set-up.
 type recordedAnswer struct {
 	id, owner   string
 	fingerprint uint64 // of the set-up
 	answer      FinalAnswer
-	ended       bool // it stood and is over
+	ended       bool // the call was established and has ended
 	cut         bool
 	at          int64
 }
 
+// submit handles a set-up: a new call is admitted, a repeated one joins its call or gets the recorded answer.
 func (c *core) submit(s Setup, from Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
 		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
@@ -33,7 +34,7 @@
 		return
 	}
 	if k := c.answers[s.ID]; k != nil {
-		if k.owner != s.Owner || k.fingerprint != s.Fingerprint() { // another call under that id: its answer is not this caller's
+		if k.owner != s.Owner || k.fingerprint != s.Fingerprint() { // another call with the same id
 			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
@@ -52,7 +53,7 @@
 	}
 	notAfter := s.ExpiresAt.Add(-answerMargin).UnixNano()
 	cl.notAfter = notAfter
-	// The module ends every call in time by itself. Should it ever not, the caller is still owed an answer.
+	// The controller ends every call in time by itself. If it ever did not, the caller would still be owed an answer.
 	c.afterForCall(cl, time.Duration(notAfter-c.now), func(cl *call) {
 		if cl.established {
 			return
@@ -68,8 +69,8 @@
 	c.admit(cl)
 }
 
-// admit has the joined modules decide on a new call, and then control. A refusal goes out at once; a call that is held
-// is asked about again, until its bound.
+// admit asks the joined modules about a new call, and then the controller. A refusal is answered at once. A held call
+// is asked about again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
 	r, module := c.chain.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
@@ -79,9 +80,9 @@
 	}
 	switch {
 	case r.Verdict == join.Refuse:
-		c.log.Debug("call turned away", "call", cl.ID, "by", module, "why", r.Reason, "later_ms", r.Wait/1e6)
+		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", r.Reason, "later_ms", r.Wait/1e6)
 		cl.holds = -1
-		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; control never had it
+		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; the controller never saw the call
 		if !c.settings.RetryAfter {
 			r.Wait = 0
 		}
@@ -91,7 +92,7 @@
 		c.heldByModules++
 		c.afterForCall(cl, max(time.Duration(r.Wait), minHoldInterval), c.admit)
 	default:
-		if cl.holds == 0 { // decided at once, as it would be without the seam
+		if cl.holds == 0 { // decided at once, as without joined modules
 			waited = 0
 		}
 		cl.holds = -1
@@ -100,7 +101,7 @@
 	}
 }
 
-// final gives a call its one final answer.
+// answer gives a call its one final answer.
 func (c *core) answer(cl *call, f FinalAnswer) {
 	if c.calls[cl.ID] != cl || cl.established {
 		return
@@ -121,8 +122,9 @@
 	cl.caller.Answer(cl.ID, f)
 }
 
-// afterFor sets an alarm for a call that is still in hand then. The alarm does not hold the call: set-ups that are
-// turned away at once come by the thousands, and their descriptions would stay until their callers' time is up.
+// afterForCall sets a timer for a call, which runs only if the call still exists. The timer does not reference the
+// call: set-ups that are refused at once arrive by the thousands, and their descriptions would stay in memory until
+// their callers' deadlines.
 func (c *core) afterForCall(cl *call, wait time.Duration, do func(*call)) {
 	id, serial := cl.ID, cl.serial
 	c.after(wait, func() {
@@ -132,6 +134,7 @@
 	})
 }
 
+// remove deletes a call and its share of the memory count.
 func (c *core) remove(cl *call) {
 	if cl.holds > 0 {
 		c.heldByModules--
@@ -140,7 +143,7 @@
 	c.loadBytes -= bytesPerCall + len(cl.Description) + len(cl.desc)
 }
 
-// write hands a record to the store: one with the answer, and one more when a call that stood is over.
+// recordCall passes a record to the store: one with the answer, and another when an established call ends.
 func (c *core) recordCall(cl *call, r Record) {
 	r.ID, r.Owner, r.Class, r.Tenant, r.Number = cl.ID, cl.Owner, cl.Name, cl.Tenant, cl.Number
 	r.Attempts, r.Server, r.Taken = cl.attempts, cl.server, cl.Taken
@@ -153,7 +156,7 @@
 	c.onRecord(r)
 }
 
-// keep remembers a final answer, and forgets the oldest ones beyond the bounds.
+// recordAnswer keeps a final answer and removes the oldest ones beyond the bounds.
 func (c *core) recordAnswer(k *recordedAnswer) {
 	c.answers[k.id] = k
 	c.answerQueue = append(c.answerQueue, k)
@@ -175,7 +178,7 @@
 	if cl == nil || cl.Owner != owner || from != nil && cl.caller != from {
 		return
 	}
-	if cl.established { // its answer crossed the caller's leaving
+	if cl.established { // the answer crossed the caller's giving up
 		c.hangUp(id, owner)
 		return
 	}
@@ -195,7 +198,8 @@
 	}
 }
 
-// over ends a standing call: the module learns it, and the memory of its answer begins.
+// endEstablished ends an established call: it reports the end to the controller and keeps the answer for repeated
+// set-ups.
 func (c *core) endEstablished(cl *call, e Result, cut bool) {
 	c.remove(cl)
 	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.desc}, ended: true,
@@ -234,11 +238,12 @@
 	cl.caller.Release(id, cut)
 }
 
-// inOrder gives the calls in the order in which they came: the module's decisions must not hang on a map's order.
+// callsInOrder returns the calls in order of arrival, since the controller's decisions must not depend on map order.
 func (c *core) callsInOrder() []*call {
 	return slices.SortedFunc(maps.Values(c.calls), func(a, b *call) int { return cmp.Compare(a.serial, b.serial) })
 }
 
+// refuseAll refuses all unanswered calls, and every later one.
 func (c *core) refuseAll() {
 	c.refusingAll = true
 	for _, cl := range c.callsInOrder() {
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// retention bounds the memory of final answers for callers that send a set-up again: longer than any class's
-	// deadline. At the busiest rates of one instance they are a few thousand; retainedShare bounds their descriptions,
-	// and with retainedBytesEach their number, as a part of the instance's memory.
+	// answerRetention is how long final answers are kept for callers that repeat a set-up: longer than any class's
+	// deadline. At the busiest rates of one instance they are a few thousand. answerMemoryDivisor bounds their
+	// descriptions as a fraction of the instance's memory, 1/24, and with bytesPerAnswer their number.
 	answerRetention, answerMemoryDivisor, bytesPerAnswer = 30 * time.Second, 24, 1 << 10
-	// releaseMargin is added to the told release wait: the module counts from its event, the rule from when
-	// the CANCEL has been written.
+	// clearWaitMargin is added to the release wait that the controller is configured with: the controller counts from
+	// its event, while the rule counts from when the CANCEL has been written.
 	clearWaitMargin = 15 * int64(time.Millisecond)
-	// silenceLimit is the silence of an office after which the calls that stand there are doubted: its reports
-	// come about once a second while anything changes. silenceCheckInterval is how often that is looked at.
+	// silenceLimit is the silence of an office after which its connection is checked if calls are established there: it
+	// sends a report about once a second while anything changes. Silent offices are looked for every
+	// silenceCheckInterval.
 	silenceLimit, silenceCheckInterval = 3 * time.Second, time.Second
-	// loadShare bounds what all calls in hand hold, as a part of the instance's memory, with loadBytesEach for a call
-	// beside its descriptions. Beyond it new calls are refused at once.
+	// callMemoryDivisor bounds the memory of all present calls as a fraction of the instance's memory, 1/4, counting
+	// bytesPerCall for each call beside its descriptions. Beyond it new calls are refused at once.
 	callMemoryDivisor, bytesPerCall = 4, 1 << 10
-	// maxDepartedServers bounds the memory of servers that were on a list and have gone.
+	// maxDepartedServers bounds how many known servers there may be before those removed from the list are forgotten.
 	maxDepartedServers = 1024
-	// maxHold is how long joined modules may hold a call before control sees it, in all; holdStep is the least wait
-	// between two looks, heldShare the part of the instance's memory that calls held so may take, with loadBytesEach for one.
-	// Beyond any of them control decides at once: no module can keep a call from its decision.
+	// maxHold is how long joined modules may hold a call in all before package control gets it. minHoldInterval is the
+	// least wait until they are asked again. heldMemoryDivisor bounds the memory of held calls as a fraction of the
+	// instance's, 1/16, counting bytesPerCall for each. Beyond any of these bounds control decides at once, so no
+	// module can withhold a call from it.
 	maxHold, minHoldInterval, heldMemoryDivisor = time.Second, 5 * time.Millisecond, 16
 )
 
-// call is a call in hand: waiting for its answer, or standing.
+// call is a call that waits for its answer or is established.
 type call struct {
 	Setup
-	serial       uint64 // no other call has it, also under the same id
+	serial       uint64 // unique to this call, also among calls with the same id
 	caller       Caller
-	attempts     int  // attempts so far
-	inFlight     bool // the last of them is out
+	attempts     int  // number sent so far
+	inFlight     bool // the last attempt has not ended
 	server       uint64
 	sentAt       int64
-	notBefore    int64 // no attempt before this
-	notAfter     int64 // of its decisions
-	holds        int   // how often joined modules held it; -1: control has it
-	disconnected bool  // its caller left and may come back
+	notBefore    int64 // of the next attempt
+	notAfter     int64 // latest time for decisions on the call
+	holds        int   // how often joined modules have held it; -1: control has it
+	disconnected bool  // its caller has disconnected and may come back
 	established  bool
 	desc         []byte
 	answeredAt   int64
 }
 
-// core is the state that one goroutine owns.
+// core is the state of an Exchange. Only one goroutine uses it.
 type core struct {
 	clock            func() time.Time
 	log              *slog.Logger
@@ -68,18 +70,18 @@
 
 	calls           map[string]*call
 	unanswered      int // calls without a final answer
-	loadBytes       int // bytes that the calls in hand hold
-	memoryBytes     int // bytes of the instance
+	loadBytes       int // memory that all present calls are counted with
+	memoryBytes     int // memory of the instance
 	knownOffices    map[uint64]Office
-	lastHeard       map[uint64]int64 // when each server last told anything
-	silenceCheckSet bool             // the look at silent servers is due
+	lastHeard       map[uint64]int64 // when each server last sent anything
+	silenceCheckSet bool             // the timer for the next check is set
 	answers         map[string]*recordedAnswer
-	answerQueue     []*recordedAnswer // in order of time
-	answerBytes     int               // of descriptions kept
+	answerQueue     []*recordedAnswer // oldest first
+	answerBytes     int               // of the descriptions in them
 
-	events      []control.Event // for the module, in order
+	events      []control.Event // still to be dispatched, in order
 	dispatching bool
-	refusingAll bool // all that comes is refused
+	refusingAll bool // every new call is refused
 }
 
 func newCore(o Options, module *control.Controller) *core {
@@ -100,8 +102,8 @@
 	return c
 }
 
-// tell gives the module an event and does what it decides. Events that come up meanwhile wait their turn: the
-// module is never entered twice.
+// dispatch passes an event to the controller and performs the actions that it returns. Events that arise meanwhile are
+// queued, so that the controller is never re-entered.
 func (c *core) dispatch(ev control.Event) {
 	c.events = append(c.events, ev)
 	if c.dispatching {
@@ -119,6 +121,7 @@
 	c.events, c.dispatching = nil, false
 }
 
+// perform carries out an action of the controller.
 func (c *core) perform(a control.Action) {
 	if a.Kind == control.StartTimer {
 		tag := a.Tag
@@ -126,7 +129,7 @@
 		return
 	}
 	if a.Kind == control.Subscribe {
-		return // the list comes unasked
+		return // the list of offices is pushed without a subscription
 	}
 	cl := c.calls[a.Call]
 	if cl == nil || cl.established {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange is the core: the one place where callers' and offices' sides meet. It keeps the call table,
-// the attempts and the timers round the decision module, and enforces what no decision may break: one final
-// answer a call, one attempt out at a time, the release wait, and a release after a call has ended. It knows
-// no wire; callers and offices are interfaces.
+// Package exchange is the core of an instance. It connects the callers' side with the offices' side, holds the call
+// table, the attempts and the timers, and asks the controller (package control) for decisions. It enforces what no
+// decision may break: one final answer per call, one attempt in flight at a time, the release wait between attempts, and
+// a release after a call has ended. It knows no wire protocol; callers and offices are interfaces.
 package exchange
 
 import (
@@ -16,43 +16,44 @@
 )
 
 const (
-	// inboxShare and inboxBytesEach bound the events that wait for the core, over which the sides' readers wait in turn:
-	// a part of the instance's memory, if each holds the longest message. The core takes some hundred thousand a
-	// second, so this is some milliseconds' work.
+	// inboxMemoryDivisor and maxEventBytes bound the queue of events for the core: 1/16 of the instance's memory if
+	// each event holds the longest message. Readers block while it is full. The core handles some hundred thousand
+	// events a second, so a full queue is some milliseconds of work.
 	inboxMemoryDivisor, maxEventBytes = 16, 16 << 10
-	// answerLead is how long before its caller leaves the core looks at a call as over: the answer has to be
-	// written and read whole before that, on a core that other instances share.
+	// answerMargin is how long before its caller's deadline the core ends a call: the answer must be written and read
+	// in full before the deadline, on a processor core that other instances share.
 	answerMargin = 25 * time.Millisecond
 )
 
-// Options is what an Exchange is made from.
+// Options configures an Exchange.
 type Options struct {
 	Settings    control.Settings
 	Seed        uint64
 	Now         func() time.Time
 	Log         *slog.Logger
-	MemoryBytes int          // bytes that the instance may hold; 0: those of the largest
-	Record      func(Record) // called by the core, must not block; nil: no store
-	// Stray takes the release of a call that this process never had: one from before its restart, whose
-	// caller still holds it. Called by the core, must not block.
+	MemoryBytes int          // memory of the instance; 0: that of the largest instance, 192 MiB
+	Record      func(Record) // called by the core, must not block; nil: records are dropped
+	// OnUnknownRelease is called for the release of a call that this process does not know: one from before its
+	// restart, which the caller still holds. It is called by the core and must not block.
 	OnUnknownRelease func(id string, cut bool)
-	// Join are the decision modules that take part beside control, in the order in which they are asked.
+	// Join holds the decision modules that take part beside package control, in the order in which they are asked.
 	Join join.Chain
 }
 
-// Exchange runs the core. Its methods may be called from any goroutine, also from within the core's calls.
+// Exchange runs the core. Its methods may be called from any goroutine; those documented as non-blocking also from the
+// methods of Caller and Offices, which the core calls.
 type Exchange struct {
 	core       *core
 	mu         sync.Mutex
 	spaceFreed *sync.Cond
 	inbox      []func()
-	maxInbox   int // of the inbox, for those who can wait
+	maxInbox   int // length of the inbox from which on blocking posts wait
 	wake       chan struct{}
-	stopped    bool          // Run has ended: events go nowhere
-	done       chan struct{} // closed then
+	stopped    bool          // Run has ended and events are discarded
+	done       chan struct{} // closed when Run ends
 }
 
-// New makes an exchange; Run starts it. The offices' side is set by Connect, as the two need each other.
+// New creates an exchange; Run starts it. SetOffices sets the offices' side, since each of the two needs the other.
 func New(o Options) (*Exchange, error) {
 	told := o.Settings
 	told.ClearWait += clearWaitMargin
@@ -61,7 +62,7 @@
 		return nil, err
 	}
 	if names, twice := o.Join.Names(); twice {
-		return nil, fmt.Errorf("modules named twice: %v", names)
+		return nil, fmt.Errorf("duplicate names among the decision modules: %v", names)
 	}
 	x := &Exchange{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	x.spaceFreed = sync.NewCond(&x.mu)
@@ -70,10 +71,11 @@
 	return x, nil
 }
 
-// Connect names the offices' side. To be called once, before Run.
+// SetOffices sets the offices' side. It must be called once, before Run.
 func (x *Exchange) SetOffices(o Offices) { x.core.offices = o }
 
-// post hands the core an event. Readers wait while the inbox is full; what the core itself causes must not.
+// post queues an event for the core. With wait it blocks while the inbox is full; events that the core itself may cause
+// must not wait, or the core would block on itself.
 func (x *Exchange) post(wait bool, f func()) {
 	x.mu.Lock()
 	for wait && len(x.inbox) >= x.maxInbox && !x.stopped {
@@ -89,7 +91,7 @@
 	}
 }
 
-// Run takes events in order until ctx ends.
+// Run handles events in order until ctx ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -119,8 +121,8 @@
 	}
 }
 
-// Drive does all that is due and comes back with the time to the next alarm. It takes the place of Run for whoever has
-// a clock of its own, such as a model: every event that is handed in is to be followed by it.
+// RunDue handles all queued events and due timers and returns the time until the next timer. It replaces Run where the
+// clock is simulated; it must be called after every event that is handed in.
 func (x *Exchange) RunDue() time.Duration {
 	for {
 		x.core.tick()
@@ -137,13 +139,13 @@
 	}
 }
 
-// Peek is Status for whoever drives the exchange.
+// StatusDirect is Status for use with RunDue, from the same goroutine.
 func (x *Exchange) StatusDirect() Status { return x.core.status() }
 
-// RefuseAllNow is RefuseAll for whoever drives the exchange.
+// RefuseAllDirect is RefuseAll for use with RunDue, from the same goroutine.
 func (x *Exchange) RefuseAllDirect() { x.core.refuseAll() }
 
-// close lets go of all who wait for the core.
+// close discards all events and releases all goroutines that wait for the core.
 func (x *Exchange) close() {
 	x.mu.Lock()
 	x.stopped, x.inbox = true, nil
@@ -152,63 +154,63 @@
 	close(x.done)
 }
 
-// Arrive hands over a set-up. A set-up that the owner sent before joins the running call or gets the recorded
-// answer.
+// Submit hands over a set-up. A repeated set-up of the same owner joins the running call or gets the recorded answer.
 func (x *Exchange) Submit(s Setup, from Caller) { x.post(true, func() { x.core.submit(s, from) }) }
 
-// GiveUp tells that a caller no longer waits. With a caller given, only if the call is still that caller's
-// (it may have been joined from elsewhere). It never blocks, so that a side may call it under its lock: the id
-// may come again at once, and that must not overtake this.
+// GiveUp reports that a caller no longer waits for the answer to its call. If from is not nil, it has no effect once the
+// call has been joined from another Caller. It never blocks, so it may be called under a lock: the same id may be
+// submitted again at once, and that must not overtake this event.
 func (x *Exchange) GiveUp(id, owner string, from Caller) {
 	x.post(false, func() { x.core.giveUp(id, owner, from) })
 }
 
-// Left tells that a caller is away and may come back. It never blocks, as GiveUp.
+// CallerDisconnected reports that a caller has disconnected and may come back. Like GiveUp, it never blocks.
 func (x *Exchange) CallerDisconnected(id, owner string) {
 	x.post(false, func() { x.core.callerDisconnected(id, owner) })
 }
 
-// HangUp tells that a caller ended its standing call.
+// HangUp reports that a caller ended its established call.
 func (x *Exchange) HangUp(id, owner string) { x.post(true, func() { x.core.hangUp(id, owner) }) }
 
-// Stood tells that an office took attempt n of a call.
+// Accepted reports that an office accepted attempt n of a call.
 func (x *Exchange) Accepted(server uint64, id string, n int, desc []byte) {
 	x.post(true, func() { x.core.attemptEstablished(server, id, n, desc) })
 }
 
-// Ended tells that attempt n of a call ended before it stood. It never blocks: the core may have caused it.
+// Ended reports that attempt n of a call ended without being accepted. It never blocks, as the core may have caused it.
 func (x *Exchange) Ended(server uint64, id string, n int, e Result) {
 	x.post(false, func() { x.core.attemptEnded(server, id, n, e) })
 }
 
-// Released tells that an office released a call that stood.
+// Released reports that an office released an established call.
 func (x *Exchange) Released(server uint64, id string, cut bool, report []float64) {
 	x.post(true, func() { x.core.callReleased(server, id, cut, report) })
 }
 
-// State tells an office's report that came unasked.
+// State hands over a load report that an office sent unasked.
 func (x *Exchange) State(server uint64, report []float64) {
 	x.post(true, func() { x.core.reportReceived(server, report) })
 }
 
-// Lost tells that an office's process died: all that stood there is cut.
+// ServerLost reports that the process of an office died: all calls established there are cut.
 func (x *Exchange) ServerLost(server uint64) {
 	x.post(false, func() { x.core.officeLost(server, x.core.now+1) })
 }
 
-// Members tells a change of the list of offices. It never blocks: what is known at the start comes before Run.
+// UpdateOffices hands over a change of the list of offices, or the full list. It never blocks, as the list that is known
+// at the start is handed over before Run.
 func (x *Exchange) UpdateOffices(changed []Office, full bool) {
 	x.post(false, func() { x.core.updateOffices(changed, full) })
 }
 
-// Open tells how many calls still wait for their answer.
+// UnansweredCalls returns the number of calls without a final answer.
 func (x *Exchange) UnansweredCalls() (n int) {
 	x.runAndWait(func() { n = x.core.unanswered })
 	return n
 }
 
-// Restore has the module take up what the process before had learnt. To be called after what is known at the start has
-// been told, and before Run. What is unfit is logged and left out.
+// Restore hands the controller the state that the previous process had saved. It must be called after the list of
+// offices that is known at the start has been handed over, and before Run. Invalid state is logged and ignored.
 func (x *Exchange) Restore(l control.Learnt) {
 	x.post(false, func() {
 		if err := x.core.controller.Restore(x.core.now, l); err != nil {
@@ -217,23 +219,24 @@
 	})
 }
 
-// Learnt gives what the module has learnt, also after Run's end.
+// Learnt returns the state that the controller has learnt, also after Run has ended.
 func (x *Exchange) Learnt() (l control.Learnt) {
 	got := false
 	x.runAndWait(func() { l, got = x.core.controller.Learnt(), true })
-	if !got { // the core has ended; nothing changes it any more
+	if !got { // the core has ended, so nothing changes the state any more
 		l = x.core.controller.Learnt()
 	}
 	return l
 }
 
-// Gauge brings joined modules a reading of the instance itself. It never blocks.
+// Gauge passes a reading of the instance's own resources to the joined modules. It never blocks.
 func (x *Exchange) Gauge(name string, used float64) {
 	x.post(false, func() { x.core.chain.Gauge(x.core.now, name, used) })
 }
 
-// Offer has the core run something of a module's when it comes to it, and does not wait. It is for what other instances
-// say: while the inbox is half full or more, the core has callers and offices to hear, and it is not taken.
+// TryRun queues f to run in the core and does not wait for it; f gets the core's present time. It is meant for messages
+// of other instances: to leave space for the events of callers and offices, it queues nothing and returns false while
+// the inbox is half full or more.
 func (x *Exchange) TryRun(f func(now int64)) bool {
 	x.mu.Lock()
 	room := len(x.inbox) < x.maxInbox/2 && !x.stopped
@@ -244,20 +247,21 @@
 	return room
 }
 
-// Look runs f where the core's state may be looked at, and waits for it; it runs nothing after the core's end.
+// Look runs f in the core, where its state may be read, and waits for it. After the core's end f is not run.
 func (x *Exchange) Look(f func()) { x.runAndWait(f) }
 
-// InboxUsed is the part of the inbox's bound that is used now.
+// InboxUsed returns the used part of the inbox as a fraction of its bound.
 func (x *Exchange) InboxUsed() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return float64(len(x.inbox)) / float64(max(x.maxInbox, 1))
 }
 
-// RefuseAll answers all that still waits, for an end that can't wait longer, and from then on refuses what comes.
+// RefuseAll refuses all calls that still wait for their answer, and every later one. It is for a shutdown that can't wait
+// any longer.
 func (x *Exchange) RefuseAll() { x.runAndWait(x.core.refuseAll) }
 
-// ask has the core do something and waits for it, or for the core's end.
+// runAndWait runs f in the core and waits until it has run or the core has ended.
 func (x *Exchange) runAndWait(f func()) {
 	done := make(chan struct{})
 	x.post(false, func() { f(); close(done) })
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -8,29 +8,32 @@
 	"time"
 )
 
-// maxPatience is a day: no caller waits longer, and much larger figures would overflow.
+// maxPatience bounds the patience that a set-up may ask for: no caller waits longer than a day, and much larger figures
+// would overflow.
 const maxPatience = 24 * time.Hour
 
-// Class is one class of call, by its name in the settings.
+// Class is a class of call as the settings name it.
 type Class struct {
 	Name     string
-	Deadline time.Duration // patience of a set-up that names none
+	Deadline time.Duration // patience of a set-up that names none, and the greatest patience
 }
 
-// Names are the names of the settings that set-ups refer to; both fronts check against them here.
+// Names holds the names in the settings that set-ups refer to. Both fronts check set-ups against them.
 type Names struct {
 	Classes []Class
 	Tenants []string
-	Pools   []int // pools that a call may name as its first choice; empty: any
+	Pools   []int // that a call may prefer; empty: any
 }
 
-// maxNumber bounds a number called: much more than any plan of numbers, and little in an office's first line.
+// maxNumberLength bounds the called number: it is well above any numbering plan, and short in the request line to an
+// office.
 const maxNumberLength = 128
 
-// Fill sets class, tenant and times of a set-up whose last byte came at that time, and checks its number and first
-// choice. A patience beyond the class's deadline counts as that: later the call is worth nothing, and what is kept for
-// it must have an end. The error says in plain words what is invalid: that must not reach an office, which may close the connection
-// on what it can't read, under all other set-ups. A tenant may be left out, a patience too (nil): then the class's deadline holds.
+// Apply sets the class, tenant and times of a set-up whose last byte was received at that time, and checks its number
+// and preferred pool. A patience beyond the class's deadline is reduced to it: later the call has no value, and what is
+// kept for it must be freed. An invalid set-up must not reach an office, which may close the connection over input that
+// it can't parse, with all other set-ups on it. The tenant may be empty. A nil patience means the class's deadline. The
+// error says what is invalid.
 func (n Names) Apply(s *Setup, class, tenant string, patienceMS *int64, at time.Time) error {
 	k := slices.IndexFunc(n.Classes, func(c Class) bool { return c.Name == class })
 	if k < 0 {
@@ -40,15 +43,15 @@
 		return fmt.Errorf("unknown tenant %q", tenant)
 	}
 	if len(s.Number) > maxNumberLength || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
-		return errors.New("number is too long, or no visible ASCII")
+		return errors.New("number is too long or not visible ASCII")
 	}
 	if s.Dest != -1 && (s.Dest < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.Dest)) {
-		return fmt.Errorf("first choice %d is no pool", s.Dest)
+		return fmt.Errorf("preferred pool %d does not exist", s.Dest)
 	}
 	patience := n.Classes[k].Deadline
 	if patienceMS != nil {
 		if *patienceMS <= 0 || *patienceMS > maxPatience.Milliseconds() {
-			return errors.New("patience is no time between 1 ms and a day")
+			return errors.New("patience is not between 1 ms and a day")
 		}
 		patience = min(time.Duration(*patienceMS)*time.Millisecond, patience)
 	}
--- a/internal/exchange/servers.go
+++ b/internal/exchange/servers.go
@@ -6,8 +6,8 @@
 	"masthill/control"
 )
 
-// quiet looks for servers that hold calls and say nothing. A connect will tell whether they are still there: of
-// a machine that has vanished nothing else does, and its calls' callers wait for the release.
+// checkSilentOffices has the connections checked of offices that are silent while calls are established there. Nothing
+// else detects a machine that has vanished, and the callers of its calls wait for a release.
 func (c *core) checkSilentOffices() {
 	c.silenceCheckSet = false
 	for _, cl := range c.calls {
@@ -18,6 +18,7 @@
 	c.scheduleSilenceCheck()
 }
 
+// scheduleSilenceCheck sets the timer for the next check while there are calls.
 func (c *core) scheduleSilenceCheck() {
 	if !c.silenceCheckSet && len(c.calls) > 0 {
 		c.silenceCheckSet = true
@@ -25,8 +26,9 @@
 	}
 }
 
-// lost cuts all that stood at an office whose process died, or of a new process, what had been sent before its
-// start. The list tells of a start seconds late, and by then calls may stand at the new process.
+// officeLost cuts the calls established at an office by attempts sent before a time: all of them where its process
+// died, or those sent before the start of a new process. The list reports a start seconds late, when calls may already
+// be established at the new process.
 func (c *core) officeLost(server uint64, before int64) {
 	for _, cl := range c.callsInOrder() {
 		if cl.established && cl.server == server && cl.sentAt < before {
@@ -37,22 +39,24 @@
 	}
 }
 
+// reportReceived passes an office's load report to the controller.
 func (c *core) reportReceived(server uint64, report []float64) {
 	c.lastHeard[server] = c.now
 	c.log.Debug("state", "server", server, "report", report)
 	c.dispatch(control.Event{Kind: control.LoadReport, Server: server, Report: report})
 }
 
-// members takes a change of the list. A processor that started anew, or is gone, has cut what stood there.
+// updateOffices applies a change of the list. An office that restarted or was removed has cut the calls established
+// there.
 func (c *core) updateOffices(changed []Office, full bool) {
-	dead := map[uint64]int64{} // and the time before which
+	dead := map[uint64]int64{} // attempts sent before this time are cut
 	if full {
 		now := map[uint64]bool{}
 		for _, o := range changed {
 			now[o.Server] = true
 		}
 		for id, o := range c.knownOffices {
-			if !now[id] && o.State != control.Removed { // as if it were named as gone
+			if !now[id] && o.State != control.Removed { // a full list that omits an office removes it
 				o.State = control.Removed
 				c.knownOffices[id] = o
 				dead[id] = c.now + 1
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// status is a look at everything, for operators. It changes nothing.
+// status returns the state for operators. It changes nothing.
 func (c *core) status() Status {
 	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, Standing: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
 		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.chain.Status(c.now)}
@@ -21,38 +21,38 @@
 	return s
 }
 
-// Status is what the core tells operators.
+// Status is the state of the core for operators.
 type Status struct {
-	Open          int           `json:"open"`     // calls that wait for their answer
-	Held          int           `json:"held"`     // of these, held for a later try
+	Open          int           `json:"open"`     // calls without a final answer
+	Held          int           `json:"held"`     // of these, held by control for a later attempt
 	HeldByModules int           `json:"waiting"`  // of these, held by joined modules
-	Standing      int           `json:"standing"` // calls
-	ReceivedTotal uint64        `json:"taken"`    // calls, since the start
-	Stands        uint64        `json:"stands"`   // final answers, since the start
+	Standing      int           `json:"standing"` // established calls
+	ReceivedTotal uint64        `json:"taken"`    // calls submitted since the start
+	Stands        uint64        `json:"stands"`   // final answers since the start, by verdict
 	Refused       uint64        `json:"refused"`
 	Failed        uint64        `json:"failed"`
-	LoadBytes     int           `json:"load_bytes"` // what the calls in hand hold
-	InboxLength   int           `json:"inbox"`      // events that wait for the core
+	LoadBytes     int           `json:"load_bytes"` // memory that all present calls are counted with
+	InboxLength   int           `json:"inbox"`      // queued events
 	Offices       []OfficeState `json:"offices"`
 	Modules       []join.Status `json:"modules"`
 }
 
-// OfficeState is one office as listed and as believed.
+// OfficeState is one office as listed and as the controller sees it.
 type OfficeState struct {
 	ID              string  `json:"id"` // hex
 	Addr            string  `json:"addr"`
 	Listed          string  `json:"listed"` // serving, draining
-	Warmth          float64 `json:"warmth"` // part of its capacity that it is taken to have
+	Warmth          float64 `json:"warmth"` // estimated fraction of its full capacity while it warms up
 	Cold            bool    `json:"cold"`
 	Down            bool    `json:"down"`
-	Marked          bool    `json:"marked"`
-	Pressed         bool    `json:"pressed"`
-	Out             int     `json:"out"`
-	Standing        int     `json:"standing"`
-	ExpectedDelayMS float64 `json:"delay_ms"` // to be expected
+	Marked          bool    `json:"marked"`   // an answer marked it as unfit for now
+	Pressed         bool    `json:"pressed"`  // its expected delay is above the reference
+	Out             int     `json:"out"`      // attempts without an answer
+	Standing        int     `json:"standing"` // established calls
+	ExpectedDelayMS float64 `json:"delay_ms"` // expected
 }
 
-// Status asks the core; the zero Status after its end.
+// Status returns the state of the core; the zero Status after its end.
 func (x *Exchange) Status() (s Status) {
 	x.runAndWait(func() { s = x.core.status() })
 	x.mu.Lock()
--- a/internal/exchange/alarms.go
+++ b/internal/exchange/timers.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// alarm is one timer of the core.
+// timer is a function that the core runs at a time.
 type timer struct {
 	at   int64
-	seq  uint64 // in order of setting, where the times are equal
+	seq  uint64 // orders timers of equal time by when they were set
 	fire func()
 }
 
+// timerHeap orders timers by time; it implements heap.Interface.
 type timerHeap []timer
 
 func (a timerHeap) Len() int { return len(a) }
@@ -32,12 +33,13 @@
 	return last
 }
 
+// after runs a function in the core after a time.
 func (c *core) after(wait time.Duration, fire func()) {
 	c.timerSeq++
 	heap.Push(&c.timers, timer{c.now + int64(wait), c.timerSeq, fire})
 }
 
-// tick moves the clock, which never goes back, and rings what is due.
+// tick advances the clock, which never goes back, and runs the timers that are due.
 func (c *core) tick() {
 	c.now = max(c.now, c.clock().UnixNano())
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
@@ -45,7 +47,7 @@
 	}
 }
 
-// rest is the time to the next alarm.
+// untilNextTimer returns the time until the next timer, or an hour where none is set.
 func (c *core) untilNextTimer() time.Duration {
 	if len(c.timers) == 0 {
 		return time.Hour
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -12,39 +12,39 @@
 
 // The final answers.
 const (
-	Stands  Verdict = iota // an office took the call
-	Refused                // turned away; trying again is harmless
-	Failed                 // given up
+	Stands  Verdict = iota // an office accepted the call; it is established
+	Refused                // not accepted; trying again is harmless
+	Failed                 // abandoned
 )
 
 func (v Verdict) String() string { return [...]string{"stands", "refused", "failed"}[v] }
 
-// Final is a call's one final answer.
+// FinalAnswer is the one final answer to a call.
 type FinalAnswer struct {
 	Verdict     Verdict
-	Description []byte        // of the office, where the call stands
-	Wait        time.Duration // how long the caller shall keep away; 0: no advice
+	Description []byte        // of the office, if the call is established
+	Wait        time.Duration // before the caller should try again; 0: no advice
 }
 
-// Setup is a call as a caller's side hands it over. Nothing in it may change afterwards.
+// Setup is a call as the callers' side submits it. It must not be modified afterwards.
 type Setup struct {
-	ID          string // 16 hex digits; offices know the call by it
-	Owner       string // who may join the call again or end it
+	ID          string // 16 hex digits, which identify the call at offices
+	Owner       string // who may rejoin the call or end it
 	Class       int
 	Name        string // of the class
 	Tenant      string
 	Number      string
 	Description []byte
-	Dest        int // pool of first choice
+	Dest        int // preferred pool; -1: none
 	Retry       bool
 	Again       bool
-	Taken       time.Time // its last byte
-	ExpiresAt   time.Time // its caller leaves
+	Taken       time.Time // when its last byte was received
+	ExpiresAt   time.Time // until when the caller waits
 }
 
 var fingerprintSeed = maphash.MakeSeed()
 
-// Sum tells two set-ups under one id apart: it is the same for one that was sent again.
+// Fingerprint distinguishes set-ups with the same id: it is the same for a set-up that was repeated.
 func (s *Setup) Fingerprint() uint64 {
 	var h maphash.Hash
 	h.SetSeed(fingerprintSeed)
@@ -56,10 +56,10 @@
 	return h.Sum64()
 }
 
-// Caller is where a call came from. Its methods are called by the core and must not block.
+// Caller is the origin of a call. Its methods are called by the core and must not block.
 type Caller interface {
 	Answer(id string, f FinalAnswer)
-	Release(id string, cut bool) // the call stood and is over; cut: before its time
+	Release(id string, cut bool) // the established call has ended; cut: abnormally
 }
 
 // Presence is what a front knows of the client of a call that waits for its answer.
@@ -67,35 +67,36 @@
 
 // The states of a client.
 const (
-	Connected    Presence = iota // all that it had sent until a moment ago has been handled
-	InputPending                 // older input of it waits to be read: a request to cancel may be among it
-	Gone                         // it has closed its connection, or cancelled the request
+	Connected    Presence = iota // everything it had sent until a moment ago has been handled
+	InputPending                 // older input is still unread, possibly a request to cancel
+	Gone                         // it has closed its connection or cancelled the request
 )
 
-// PresenceChecker is a Caller that is asked for a call's client before each attempt: word of a client that has gone may
-// still be on its way to the core, or unread. Presence may be called from any goroutine and must not block.
+// PresenceChecker is a Caller that is asked about a call's client before each attempt, as the news that a client has
+// gone may still be queued for the core or unread. Presence may be called from any goroutine and must not block.
 type PresenceChecker interface {
 	Presence(id string) Presence
 }
 
-// Desk is where a callers' side hands calls in; the Exchange is one.
+// CallHandler takes the calls of a callers' side. Exchange implements it.
 type CallHandler interface {
 	Submit(s Setup, from Caller)
 	GiveUp(id, owner string, from Caller)
 	HangUp(id, owner string)
-	// Left tells that a caller is away and may come back to its call by Arrive: until then no attempt is sent.
+	// CallerDisconnected reports that a caller has disconnected and may rejoin its call by Submit; until then no
+	// attempt is sent.
 	CallerDisconnected(id, owner string)
 }
 
-// Attempt is one set-up on its way to an office.
+// Attempt is one set-up sent to an office.
 type Attempt struct {
 	ID, Class, Number string
 	Description       []byte
 	Index             int // 0, 1, 2 ... within the call
 	Server            uint64
-	Wait              time.Duration // how long it is waited for
-	// Presence tells whether the client is still there, for an attempt that waits before it is written. It may be called
-	// from any goroutine and does not block.
+	Wait              time.Duration // until the attempt times out
+	// Presence returns the client's presence, for an attempt that is queued before it is written. It may be called from
+	// any goroutine and does not block.
 	Presence func() Presence
 }
 
@@ -105,17 +106,18 @@
 	Addr string
 }
 
-// Offices is the side of the offices. Its methods are called by the core and must not block.
+// Offices is the offices' side. Its methods are called by the core and must not block.
 type Offices interface {
 	UpdateList(changed []Office, full bool)
 	Invite(a Attempt)
 	Cancel(server uint64, id string, n int)
 	Bye(server uint64, id string, n int, cut bool)
-	// Suspect tells that nothing came where something was due since that time; check: calls stand there.
+	// ReportSilence reports that since a time nothing was received although something was due. check: calls are
+	// established there, so the connection must be checked.
 	ReportSilence(server uint64, since time.Time, check bool)
 }
 
-// Ending is how an attempt or a standing call ended at an office.
+// Result is how an attempt or an established call ended at an office.
 type Result struct {
 	Outcome control.Outcome
 	Note    int
@@ -123,7 +125,8 @@
 	Report  []float64 // in the order of the settings' fields; nil: none
 }
 
-// Record is one call for the store of record. A call that stands has two: the one with its answer has no end yet.
+// Record is one call for the store. An established call has two records, of which the first, written with the answer,
+// has no end.
 type Record struct {
 	ID, Owner, Class, Tenant, Number string
 	Verdict                          string
