--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -8,7 +8,7 @@
 	"masthill/control"
 )
 
-// client is a front that knows of its clients what a test wants.
+// clientStub is a front whose clients have a presence that the test sets.
 type clientStub struct {
 	*harness
 	presence Presence
@@ -16,12 +16,13 @@
 
 func (c *clientStub) Presence(string) Presence { return c.presence }
 
-// dial hands a call of a client over.
+// submitFrom submits a call of a front.
 func (b *harness) submitFrom(from Caller, id string) {
 	b.submit(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.testTime, ExpiresAt: b.testTime.Add(3 * time.Second)}, from)
 }
 
-// A client that has gone gets no attempt, first or further, whatever the core has heard of it. The refusal is on record.
+// A client that has gone gets no attempt, neither a first nor a later one, even if the core has not been told. The
+// refusal is recorded.
 func TestNoAttemptForDepartedClient(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, Gone}
@@ -37,7 +38,7 @@
 	}
 }
 
-// While input of a client waits to be read, its attempt waits: for that long, and no longer.
+// While input of a client is unread, its attempt waits, up to maxPresenceWait.
 func TestAttemptWaitsForPendingInput(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, InputPending}
@@ -48,28 +49,28 @@
 	b.advance(100 * ms)
 	b.expect("invite a 0 at 10")
 	if cl := b.calls["a"]; cl.sentAt <= cl.Taken.UnixNano() {
-		t.Error("its time counts from before it was sent")
+		t.Error("sentAt is from before the attempt was sent")
 	}
 	b.attemptEstablished(10, "a", 0, nil)
 	b.expect("answer a stands  0ms")
 
 	from.presence = InputPending
-	b.submitFrom(from, "b") // the reader does not come to it
+	b.submitFrom(from, "b") // the reader never handles the input
 	b.advance(maxPresenceWait + 300*ms)
 	b.expect("answer b refused  2000ms")
-	b.submitFrom(from, "c") // it comes to it, and the client has cancelled
+	b.submitFrom(from, "c") // the reader handles the input, which is a cancel
 	b.advance(20 * ms)
 	from.presence = Gone
 	b.giveUp("c", "o", nil)
 	b.advance(time.Second)
 	if slices.ContainsFunc(b.outputs, func(line string) bool { return line != "cancel c 0 at 10" && line != "cancel c 0 at 11" }) {
-		t.Errorf("said %q", b.outputs)
+		t.Errorf("got %q", b.outputs)
 	}
 	b.outputs = nil
 	from.presence = InputPending
 	b.submitFrom(from, "d")
 	b.advance(20 * ms)
-	from.presence = Gone // and the core has not heard of it
+	from.presence = Gone // and the core has not been told
 	b.advance(100 * ms)
 	b.expect("answer d refused  2000ms")
 	b.advance(10 * time.Second)
@@ -78,7 +79,7 @@
 	}
 }
 
-// A server that drains by the time at which its attempt may begin gets none.
+// A server that drains while an attempt to it waits gets none.
 func TestServerDrainsWhileAttemptWaits(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, InputPending}
@@ -89,7 +90,7 @@
 	b.expect("invite a 1 at 11")
 }
 
-// Whoever keeps an attempt back before it is written can ask for the client too.
+// The offices' side can ask for the client's presence of an attempt that it has queued.
 func TestAttemptReportsPresence(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, Connected}
@@ -102,7 +103,7 @@
 	}
 }
 
-// invited keeps the attempts.
+// attemptRecorder keeps the attempts that it is sent.
 type attemptRecorder struct {
 	*harness
 	attempts []Attempt
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -26,12 +26,12 @@
 			LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
-// bed is a core between a caller and offices that note what they are told, on a clock of its own.
+// harness is a core with a simulated clock, between a caller and offices that record what they are told.
 type harness struct {
 	*core
 	t               *testing.T
 	testTime        time.Time
-	outputs         []string // what offices and callers were told
+	outputs         []string // what offices and callers were told, one line each
 	unknownReleases []string
 	records         []Record
 }
@@ -74,16 +74,16 @@
 	}
 }
 
-// want compares what was said since the last look.
+// expect compares the outputs since the last comparison.
 func (b *harness) expect(lines ...string) {
 	b.t.Helper()
 	if !slices.Equal(b.outputs, lines) {
-		b.t.Errorf("said\n  %s\nwant\n  %s", strings.Join(b.outputs, "\n  "), strings.Join(lines, "\n  "))
+		b.t.Errorf("got\n  %s\nwant\n  %s", strings.Join(b.outputs, "\n  "), strings.Join(lines, "\n  "))
 	}
 	b.outputs = nil
 }
 
-// pass moves the clock on in small steps, as alarms set alarms.
+// advance moves the clock in small steps, since timers set timers.
 func (b *harness) advance(d time.Duration) {
 	for end := b.testTime.Add(d); b.testTime.Before(end); {
 		b.testTime = b.testTime.Add(min(5*ms, end.Sub(b.testTime)))
@@ -102,7 +102,7 @@
 	b.advance(50 * ms)
 	b.attemptEstablished(10, "a", 0, []byte("d"))
 	b.expect("answer a stands d 0ms")
-	b.attemptEstablished(10, "a", -1, nil) // told again
+	b.attemptEstablished(10, "a", -1, nil) // repeated
 	b.advance(time.Second)
 	b.callReleased(10, "a", false, []float64{3, 4})
 	b.expect("release a false")
@@ -117,14 +117,14 @@
 	}
 }
 
-// A call that no office answers has its one answer before its caller leaves, and its attempt is given up first.
+// A call that no office answers gets its one answer before its deadline, after its attempt has been cancelled.
 func TestSilentOfficeIsAnsweredInTime(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", time.Second)
 	b.advance(time.Second - answerMargin)
 	b.expect("invite a 0 at 10", "cancel a 0 at 10", "answer a refused  2000ms")
 	b.advance(9 * time.Second)
-	b.attemptEstablished(10, "a", -1, nil) // the answer comes after all
+	b.attemptEstablished(10, "a", -1, nil) // the office accepts after all
 	b.expect("bye a at 10 true")
 }
 
@@ -134,21 +134,21 @@
 	b.attemptEnded(10, "a", 0, Result{Outcome: control.ConnectionLost})
 	b.expect("invite a 0 at 10")
 	b.advance(300 * ms)
-	b.expect() // the margin: the rule counts from the end as it was written
+	b.expect() // clearWaitMargin: the rule counts from when the end was written
 	b.advance(900 * ms)
 	if len(b.outputs) != 1 || !strings.HasPrefix(b.outputs[0], "invite a 1 ") {
-		t.Errorf("said %v", b.outputs)
+		t.Errorf("got %v", b.outputs)
 	}
 }
 
-// What the module must never do is kept back here.
+// The core does not send attempts that break a rule, even if the controller asks for them.
 func TestCoreKeepsBackInvalidAttempts(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
 	b.outputs = nil
 	cl := b.calls["a"]
 	b.send(cl, control.Action{Kind: control.Send, Call: "a", Server: 11, Wait: int64(time.Second)})
-	b.expect() // a second attempt out
+	b.expect() // a second attempt in flight
 	cl.inFlight, cl.notBefore = false, b.now+1
 	b.send(cl, control.Action{Kind: control.Send, Call: "a", Server: 11, Wait: int64(time.Second)})
 	cl.notBefore = 0
@@ -160,8 +160,8 @@
 	}
 }
 
-// Set-ups that are turned away at once, by the thousands, stayed in memory until their callers' time was up, which a
-// bad client may put at a day.
+// Guards against a leak: set-ups that were refused at once, by the thousands, stayed in memory until their deadlines,
+// which a bad client may set to a day.
 func TestRefusedCallIsFreed(t *testing.T) {
 	b := newHarness(t)
 	names := Names{Classes: []Class{{Name: "open-log", Deadline: 9 * time.Second}}}
@@ -175,7 +175,7 @@
 	b.attemptEnded(10, "a", 0, Result{Outcome: control.Unavailable})
 	b.attemptEnded(11, "a", 0, Result{Outcome: control.Unavailable})
 	if b.unanswered != 0 {
-		t.Fatalf("said %v", b.outputs)
+		t.Fatalf("got %v", b.outputs)
 	}
 	runtime.GC()
 	if call.Value() != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// A module that forgets a call must not leave its caller without an answer.
+// A call that the controller has lost still gets an answer.
 func TestForgottenCallIsAnswered(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", time.Second)
@@ -195,11 +195,11 @@
 	b.controller.Handle(b.now, control.Event{Kind: control.Aborted, Call: "a"})
 	b.advance(time.Second)
 	if n := len(b.outputs); n == 0 || b.outputs[n-1] != "answer a failed  0ms" {
-		t.Errorf("said %v", b.outputs)
+		t.Errorf("got %v", b.outputs)
 	}
 }
 
-// A set-up sent again joins the running call or gets the recorded answer, and never makes a second attempt.
+// A repeated set-up joins the running call or gets the recorded answer, and never causes a second attempt.
 func TestRepeatedSetUp(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
@@ -222,7 +222,7 @@
 	b.submitCall("c", time.Second)
 	b.attemptEnded(10, "c", 0, Result{Outcome: control.Unavailable})
 	if b.answers["a"] != nil || len(b.answerQueue) != 1 {
-		t.Errorf("kept for ever: %d", len(b.answerQueue))
+		t.Errorf("%d answers still recorded", len(b.answerQueue))
 	}
 }
 
@@ -230,7 +230,7 @@
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
 	b.giveUp("a", "another", nil)
-	b.giveUp("a", "o", new(harness)) // the call is another connection's by now
+	b.giveUp("a", "o", new(harness)) // another caller has joined the call
 	b.expect("invite a 0 at 10")
 	b.giveUp("a", "o", nil)
 	b.expect("cancel a 0 at 10")
@@ -246,11 +246,11 @@
 	b.submitCall("c", 3*time.Second)
 	b.attemptEstablished(10, "c", 0, nil)
 	b.outputs = nil
-	b.giveUp("c", "o", nil) // its answer crossed the caller's leaving
+	b.giveUp("c", "o", nil) // the answer crossed the caller's giving up
 	b.expect("bye c at 10 false")
 }
 
-// Calls at a processor that died, started anew or left the list are released towards their callers.
+// Calls at an office that died, restarted or left the list are released towards their callers.
 func TestCutCalls(t *testing.T) {
 	for _, end := range []func(b *harness){
 		func(b *harness) { b.officeLost(10, b.now+1) },
@@ -264,7 +264,7 @@
 		end(b)
 		b.expect("release a true")
 	}
-	// The list tells of a start late: what was sent after it stands at the new process.
+	// The list reports a start late: what was sent after it is established at the new process.
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
 	b.attemptEstablished(10, "a", 0, nil)
@@ -285,7 +285,7 @@
 	b.expect()
 	b.advance(4500 * ms)
 	if len(b.outputs) == 0 || b.outputs[0] != "check 10" {
-		t.Errorf("said %v", b.outputs)
+		t.Errorf("got %v", b.outputs)
 	}
 }
 
@@ -293,7 +293,7 @@
 	b := newHarness(t)
 	b.callReleased(10, "old", true, nil)
 	if !slices.Equal(b.unknownReleases, []string{"old"}) {
-		t.Errorf("strays %v", b.unknownReleases)
+		t.Errorf("unknown releases %v", b.unknownReleases)
 	}
 }
 
@@ -307,7 +307,7 @@
 		x.SetOffices(b)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
-		for range x.maxInbox + 1 { // a long list, known before Run takes anything
+		for range x.maxInbox + 1 { // a long list, handed over before Run handles anything
 			x.UpdateOffices([]Office{newOffice(10, 0, control.Serving, 0)}, true)
 		}
 		go func() { done <- x.Run(ctx) }()
@@ -326,7 +326,7 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		// After its end nobody is held up, however much still comes.
+		// After its end no method blocks, however many events follow.
 		for range x.maxInbox + 1 {
 			x.State(10, nil)
 		}
@@ -337,7 +337,8 @@
 	})
 }
 
-// A full list that left an office out, without naming it as gone, left the calls that stood there without a release.
+// Guards against lost releases: a full list that omitted an office without naming it as removed left the calls
+// established there without a release.
 func TestFullListOmitsOffice(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
@@ -349,7 +350,7 @@
 	b.expect()
 }
 
-// A start of an office that goes back in time cuts nothing that was sent after it.
+// A start time of an office that goes back cuts no call whose attempt was sent after it.
 func TestOfficeStartTimeGoesBack(t *testing.T) {
 	b := newHarness(t)
 	b.updateOffices([]Office{newOffice(10, 0, control.Serving, b.testTime.Add(-ms).UnixNano())}, false)
@@ -361,8 +362,7 @@
 	b.expect()
 }
 
-// A call that is handed over after all that waited was refused, as the program ends, would wait for an answer that
-// nobody gives.
+// A call that is submitted after all waiting calls were refused at shutdown is refused too; it would never be answered.
 func TestCallAfterRefuseAll(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
@@ -372,8 +372,8 @@
 	b.expect("answer b refused  2000ms")
 }
 
-// While a caller is away, the attempt that is out goes on, and no other is sent for nobody; a caller that comes back has
-// its call, or the answer on record.
+// While a caller is disconnected, its attempt in flight goes on but no other is sent. A caller that comes back rejoins
+// its call or gets the recorded answer.
 func TestDisconnectedCaller(t *testing.T) {
 	b := newHarness(t)
 	b.submitCall("a", 3*time.Second)
@@ -388,7 +388,7 @@
 	b = newHarness(t)
 	b.submitCall("b", 3*time.Second)
 	b.callerDisconnected("b", "o")
-	b.submitCall("b", 3*time.Second) // it is back
+	b.submitCall("b", 3*time.Second) // the caller is back
 	b.outputs = nil
 	b.attemptEnded(10, "b", 0, Result{Outcome: control.ConnectionRefused})
 	b.expect("invite b 1 at 11")
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -11,8 +11,9 @@
 	"masthill/control/join"
 )
 
-// An instance that sees two calls a second, and forty servers that are silent: it learns nothing of any one of them, and
-// goes on sending; with goodput it soon has next to nothing out. Each call still has one answer, and each attempt one end.
+// With two calls a second and forty silent servers, an instance learns nothing about any single server and goes on
+// sending. With goodput it soon has almost no attempts in flight. Each call still gets one answer, and each attempt one
+// end.
 func TestGoodputUnderSilentServers(t *testing.T) {
 	sent := map[bool]int{}
 	for _, on := range []bool{false, true} {
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -9,7 +9,7 @@
 	"masthill/internal/netcase"
 )
 
-// gate is a joined module that does what a test wants.
+// moduleStub is a joined module with settable decisions.
 type moduleStub struct {
 	name    string
 	ruling  join.Ruling
@@ -37,15 +37,15 @@
 	b, g := newHarnessWithModule(t)
 	g.ruling = join.Ruling{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
-	b.expect("answer a refused  2000ms") // at once, and no longer a wait than the settings allow
+	b.expect("answer a refused  2000ms") // at once, with the wait limited to the settings' greatest
 	if b.unanswered != 0 || len(b.calls) != 0 {
 		t.Error("the refused call is kept")
 	}
 	b.submitCall("a", 3*time.Second)
-	b.expect("answer a refused  2000ms") // on record: sent again it is the same answer
+	b.expect("answer a refused  2000ms") // a repeated set-up gets the recorded answer
 }
 
-// A held call is asked about again; whatever the module says, control decides after a second at the latest.
+// A held call is asked about again. Whatever the module says, package control decides after maxHold at the latest.
 func TestHeldCallReachesControl(t *testing.T) {
 	b, g := newHarnessWithModule(t)
 	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
@@ -59,7 +59,7 @@
 	b.advance(150 * ms)
 	b.expect("invite a 0 at 10")
 	if b.heldByModules != 0 {
-		t.Errorf("%d calls held still", b.heldByModules)
+		t.Errorf("%d calls still held", b.heldByModules)
 	}
 	g.ruling = join.Ruling{}
 	b.submitCall("b", 3*time.Second)
@@ -73,11 +73,12 @@
 	b.advance(300 * ms)
 	b.expect("answer a failed  0ms")
 	if b.heldByModules != 0 || b.unanswered != 0 {
-		t.Error("it is kept still")
+		t.Error("the call is still kept")
 	}
 }
 
-// A server without room gets nothing; control sends elsewhere, or holds, and never learns of it as a fault.
+// A capped server gets no attempt. The controller chooses another server or holds the call, and does not count it as a
+// fault.
 func TestCappedServerGetsNoAttempt(t *testing.T) {
 	b, g := newHarnessWithModule(t)
 	g.full[10] = true
@@ -85,7 +86,7 @@
 	b.expect("invite a 0 at 11")
 	g.full[11] = true
 	b.submitCall("b", 3*time.Second)
-	b.expect() // held by control, for its one later try
+	b.expect() // held by the controller for its one later attempt
 	g.full = nil
 	b.advance(700 * ms)
 	if len(b.outputs) != 1 || b.outputs[0] != "invite b 0 at 10" && b.outputs[0] != "invite b 0 at 11" {
@@ -96,7 +97,7 @@
 	}
 }
 
-// A module that changes its mind between control's choice and the send is still obeyed.
+// A cap that a module sets between the controller's choice and the send is still obeyed.
 func TestCapIsCheckedBeforeSend(t *testing.T) {
 	b, g := newHarnessWithModule(t)
 	b.controller.ExcludeServers(func(uint64) bool { return false })
@@ -110,30 +111,30 @@
 func TestDuplicateModuleNames(t *testing.T) {
 	_, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), Join: join.Chain{&moduleStub{name: "a"}, &moduleStub{name: "a"}}})
 	if err == nil {
-		t.Error("two modules of one name")
+		t.Error("two modules with the same name were accepted")
 	}
 }
 
-// What other instances say waits while the core has much to do, and is never waited for: callers and offices come first.
+// TryRun takes nothing while the inbox is half full, and never waits: callers and offices come first.
 func TestTryRunLeavesInboxSpace(t *testing.T) {
 	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), MemoryBytes: 64 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	taken := 0
-	for x.TryRun(func(int64) { taken++ }) { // nobody runs the core
+	for x.TryRun(func(int64) { taken++ }) { // the core is not running
 		if taken++; taken > 1<<20 {
-			t.Fatal("without a bound")
+			t.Fatal("no bound on queued functions")
 		}
 	}
 	if most := 64 << 20 / inboxMemoryDivisor / maxEventBytes; taken < most/2 || taken > most/2+1 || x.InboxUsed() > 0.6 {
 		t.Errorf("%d taken, of a bound of %d", taken, most)
 	}
 	done := make(chan struct{})
-	go func() { x.HangUp("0000000000000001", "c"); close(done) }() // a front still has room, and does not wait
+	go func() { x.HangUp("0000000000000001", "c"); close(done) }() // a front still finds space and does not wait
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Error("a front waits behind what instances say")
+		t.Error("a front waits behind messages of other instances")
 	}
 }
