--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -9,8 +9,9 @@
 	"masthill/internal/sip"
 )
 
+// release is a release of a call that waits for a connection to be sent on.
 type release struct {
-	host      string // of its caller; empty: not known
+	host      string // of the call's caller; empty: unknown
 	message   []byte
 	expiresAt time.Time
 }
@@ -21,7 +22,7 @@
 	defer s.mu.Unlock()
 	t := s.transactions[id]
 	if t == nil || t.established {
-		return // never a second answer
+		return // a call gets no second answer
 	}
 	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[f.Verdict]
 	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echoedHeaders...)
@@ -38,7 +39,7 @@
 	t.Send(sip.AppendBody(b, f.Description))
 }
 
-// Presence implements exchange.PresenceChecker: a set-up belongs to its connection, and only that may cancel it.
+// Presence implements exchange.PresenceChecker. A set-up belongs to its connection, and only that may cancel it.
 func (s *Server) Presence(id string) exchange.Presence {
 	t := s.openTransaction(id)
 	if t == nil {
@@ -46,7 +47,7 @@
 	}
 	input := t.Input()
 	switch {
-	case input == sip.InputEnded, s.openTransaction(id) != t: // cancelled before the look, which then finds nothing unread
+	case input == sip.InputEnded, s.openTransaction(id) != t: // cancelled before Input, which then reports nothing unread
 		return exchange.Gone
 	case input == sip.InputUnread:
 		return exchange.InputPending
@@ -54,7 +55,7 @@
 	return exchange.Connected
 }
 
-// waiting gives a set-up that waits for its answer, or nil.
+// openTransaction returns the transaction of an unanswered set-up, or nil.
 func (s *Server) openTransaction(id string) *transaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// Release implements exchange.Caller. A call that stands belongs to no connection: where its own has gone,
-// any other will do, and the next one to open where there is none.
+// Release implements exchange.Caller. An established call belongs to no connection: if its own has ended, the release
+// is sent on any other, or on the next one to open if there is none.
 func (s *Server) Release(id string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// another finds a connection for the release of a call whose own has gone: one from the same host first, then one
-// that has asked for something, the last of those. A stranger who has only connected may never read it.
+// connForRelease returns a connection for the release of a call whose own has ended: preferably one from the same host,
+// or else one with a valid request; among these the last used. A peer that has only connected may never read it.
 func (s *Server) connForRelease(gone *conn) (best *conn) {
 	most := 0
 	for c := range s.conns {
@@ -112,7 +113,7 @@
 			fit = 3
 		case c.hasRequested:
 			fit = 2
-		case gone == nil: // from before a restart: its caller may only just have come back
+		case gone == nil: // a call from before a restart, whose caller may have just reconnected
 			fit = 1
 		}
 		if fit > most || fit > 0 && fit == most && c.lastUsed.After(best.lastUsed) {
@@ -122,8 +123,8 @@
 	return best
 }
 
-// flushLate gives a connection the releases that found none: at once those of its host, or of a call from before a
-// restart, and all of them once it has asked for something. Called under the lock.
+// flushPendingReleases sends the waiting releases on a connection: at once those of its host and of calls from before a
+// restart, and all of them once it has made a valid request. Called with the lock held.
 func (s *Server) flushPendingReleases(c *conn) {
 	s.pendingReleases = slices.DeleteFunc(s.pendingReleases, func(r release) bool {
 		if time.Now().After(r.expiresAt) {
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the server side of the platform's protocol: the listener, the callers' transactions and
-// the readiness test.
+// Package caller serves callers that speak the platform's protocol, a subset of SIP over TCP: it accepts their
+// connections, handles their transactions and answers the readiness test.
 package caller
 
 import (
@@ -17,70 +17,74 @@
 )
 
 const (
-	// writeTimeout is the deadline of a write to a caller. An answer that takes longer is not whole in time.
+	// writeTimeout bounds one write to a caller. An answer that takes longer is late anyway.
 	writeTimeout = time.Second
-	// messageTimeout is how long a set-up may take from its first byte to its last: honest clients may need two seconds. One
-	// on a connection that has asked for nothing yet is to be whole firstMessageTimeout after the accept, as a peer that sends
-	// nothing whole is owed its refusal within 3 s of connecting.
+	// messageTimeout bounds the time from a message's first byte to its last: valid clients may need two seconds. On a
+	// connection without a request so far, the message must be complete firstMessageTimeout after the accept, as a peer
+	// that sends nothing complete must get its refusal within 3 s of connecting.
 	messageTimeout, firstMessageTimeout = 2500 * time.Millisecond, 2600 * time.Millisecond
-	// lingerTimeout is how long a caller may take to close after this side has: some round trips, and its own pause.
+	// lingerTimeout is how long a caller may take to close its side after this side has closed: some round trips and
+	// the caller's own pause.
 	lingerTimeout = 300 * time.Millisecond
-	// firstIdleTimeout is how long a new connection may ask for nothing, idleTimeout one that has no call and asked before:
-	// callers close theirs after 4 s, and one that never does must not hold its place. With a set-up open or a
-	// call standing it is looked at again every busyIdleInterval.
+	// firstIdleTimeout is how long a new connection may be without a request; idleTimeout applies after a request, if
+	// the connection has no call. Callers close their connections after 4 s of idleness, and one that never does must
+	// not hold its place. A connection with an unanswered set-up or an established call is checked again every
+	// busyIdleInterval.
 	firstIdleTimeout, idleTimeout, busyIdleInterval = 2 * time.Second, 6 * time.Second, time.Second
-	// youngAge and unusedAge order who makes room for a new connection: one that has asked for nothing that long,
-	// then one without a call that has not asked that long. The time of a request on its way is well below. Nor does
-	// one whose bytes still came partialAge ago, as long as others do: it may only be slow.
+	// silentAge and idleAge order the connections for eviction: first those without any request for silentAge, then
+	// those without a call and without a request for idleAge. The time that a request takes to arrive is well below. A
+	// connection that received bytes of a message within partialReadAge is evicted last, as its peer may only be slow.
 	silentAge, idleAge, partialReadAge = 250 * time.Millisecond, time.Second, time.Second
-	// evictedShare is the part of the places, as a divisor, that connections which make room may keep while their peers
-	// still read; beyond it they are closed at once.
+	// evictedDivisor bounds the evicted connections that stay open while their peers still read, as a fraction of
+	// MaxConnections; beyond it they are closed at once.
 	evictedDivisor = 8
-	// maxOpenCalls bounds the set-ups open on one connection, lest one caller fill the table for all: at the busiest
-	// rates of one instance, all its calls of two seconds.
+	// maxOpenCalls bounds the unanswered set-ups on one connection, so that one caller can't fill the call table: it is
+	// enough for two seconds of all calls of one instance at the busiest rates.
 	maxOpenCalls = 256
-	// maxEchoBytes bounds the headers that an answer repeats, as they are kept for it.
+	// maxEchoBytes bounds the headers that an answer repeats, since they are kept until the answer.
 	maxEchoBytes = 1 << 10
-	// headerRoom is what a set-up may grow by on its way to an office, where the limit of a message holds too.
+	// headerReserve is how much a set-up may grow on its way to an office, where the limit on a message's length holds
+	// too.
 	headerReserve = 512
-	// maxRejectionsLogged is how many requests turned down are logged one by one on a connection; its last line has their
-	// number. A caller that sends the same again at once must not fill the log.
+	// maxRejectionsLogged bounds the rejected requests that are logged one by one on a connection; their total is
+	// logged when it ends. A caller that repeats the same request at once must not fill the log.
 	maxRejectionsLogged = 3
-	// drainTimeout is how long after the begin of a drain a connection that is never without a set-up may bring new ones.
+	// drainTimeout is how long after the start of a drain a connection that always has an unanswered set-up may bring
+	// new ones.
 	drainTimeout = time.Second
-	// shutdownInterval is how often an orderly end looks whether it is through.
+	// shutdownInterval is how often Shutdown checks whether all connections have ended.
 	shutdownInterval = 2 * time.Millisecond
-	// releaseTimeout is how long a release waits for a connection to go out on: PROTOCOL has it sent within 8 s.
+	// releaseTimeout is how long a release waits for a connection to be sent on: the protocol requires it within 8 s.
 	releaseTimeout = 7 * time.Second
-	// maxPendingReleases bounds the releases that wait.
+	// maxPendingReleases bounds the releases that wait for a connection.
 	maxPendingReleases = 1024
-	// owner marks the calls of this side: any of its connections may end a call (PROTOCOL).
+	// owner is the owner of all calls of this side: any of its connections may end a call, as the protocol requires.
 	owner = "sip"
 )
 
-// Options is what a Server is made from.
+// Options configures a Server.
 type Options struct {
 	Core           exchange.CallHandler
 	Log            *slog.Logger
 	Names          exchange.Names
-	Ready          func() bool // whether the readiness test passes
-	MaxConnections int         // connections held at once
+	Ready          func() bool // the answer to the readiness test
+	MaxConnections int         // greatest number of open connections
 }
 
 // Server takes calls from callers that speak the platform's protocol.
 type Server struct {
 	Options
 	mu              sync.Mutex
-	refusing        bool      // nothing more is taken
-	drainAt         time.Time // from then on connections are closed as they have nothing open; zero: no drain
+	refusing        bool      // every new set-up is refused
+	drainAt         time.Time // from then on, connections without an unanswered set-up are closed; zero: no drain
 	conns           map[*conn]bool
-	evicting        int // of these, those that make room
+	evicting        int // number of these that are being evicted
 	transactions    map[string]*transaction
-	pendingReleases []release // that found no connection
+	pendingReleases []release // waiting for a connection
 }
 
-// room closes the connection that can best be spared, where all places are taken: callers that connect and say
-// nothing must not keep others out. Called under the lock.
+// evictOne ends the connection that can best be spared, once MaxConnections is reached: callers that connect and send
+// nothing must not lock others out. It returns false if there is none to evict. Called with the lock held.
 func (s *Server) evictOne() bool {
 	spare := s.evictionCandidate()
 	if spare == nil {
@@ -95,7 +99,7 @@
 	return true
 }
 
-// evictionCandidate finds the connection that makes room next, or nil. Called under the lock.
+// evictionCandidate returns the connection to evict next, or nil. Called with the lock held.
 func (s *Server) evictionCandidate() (spare *conn) {
 	least := 0
 	for c := range s.conns {
@@ -106,12 +110,13 @@
 	return spare
 }
 
-// New makes a server.
+// New creates a server.
 func New(o Options) *Server {
 	return &Server{Options: o, conns: map[*conn]bool{}, transactions: map[string]*transaction{}}
 }
 
-// Drain closes connections as soon as no set-up is open on them, beginning after that time. What still comes is served.
+// Drain closes connections as soon as they have no unanswered set-up, starting after a time. Requests that still arrive
+// are served.
 func (s *Server) Drain(after time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +126,7 @@
 	}
 }
 
-// SetMaxOpen changes how many connections are held at once. Of those beyond, the ones that can best be spared make room.
+// SetMaxOpen changes MaxConnections. Connections beyond it are evicted, those that can best be spared first.
 func (s *Server) SetMaxOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,11 +138,11 @@
 		}
 		spare.ending, spare.evicted = true, true
 		s.evicting++
-		spare.CloseWithReason(sip.Evicted) // all at once: an abort waits for its reader, and the front with it
+		spare.CloseWithReason(sip.Evicted) // not Abort: many at once would each wait for the reader, and block the front
 	}
 }
 
-// Resume ends a drain: connections are kept again.
+// Resume ends a drain: connections are kept open again.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +158,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			break
 		}
-		if err != nil { // out of descriptors, say: what is open still gets its answers
+		if err != nil { // such as no free descriptor: open connections are still served
 			s.Log.Error("accept failed", "err", err)
 			time.Sleep(pause)
 			pause = min(2*pause, 100*time.Millisecond)
@@ -177,8 +182,9 @@
 	return g.Wait()
 }
 
-// Unfinished tells how many connections are still to be served before the end: a set-up is open there, or read in part, or
-// the connection is one that a drain has not closed yet. Calls that only stand go on without it.
+// Unfinished returns the number of connections that still have to be served before the end: those with an unanswered
+// set-up, those with a partly read message, and those that a drain has not closed yet. Established calls go on without
+// their connection.
 func (s *Server) Unfinished() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,15 +196,15 @@
 	return n
 }
 
-// Refuse has all that still comes refused here, at once: nothing more reaches the core.
+// Refuse makes the server refuse every new set-up itself; none reaches the core any more.
 func (s *Server) Refuse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = true
 }
 
-// Shutdown ends all connections in order, and waits for that until ctx ends. Refuse and the core's own refusal of all
-// that waits come before it, so that every set-up that was read gets its answer first.
+// Shutdown closes all connections gracefully and waits until they have ended or ctx ends. Refuse and the core's
+// RefuseAll must be called before, so that every set-up that was read gets its answer first.
 func (s *Server) Shutdown(ctx context.Context) {
 	tick := time.NewTicker(shutdownInterval)
 	defer tick.Stop()
@@ -223,6 +229,7 @@
 	}
 }
 
+// serve runs a connection until it ends, and gives up its unanswered set-ups.
 func (s *Server) serve(ctx context.Context, c *conn) {
 	began := time.Now()
 	s.mu.Lock()
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -19,7 +19,7 @@
 	"masthill/internal/sip"
 )
 
-// core notes what the server hands to the exchange.
+// coreStub records what the server hands to the exchange.
 type coreStub struct {
 	mu        sync.Mutex
 	events    chan string
@@ -57,7 +57,7 @@
 	return b
 }
 
-// peer is a caller's end of a connection.
+// peer is the caller's end of a connection.
 type peer struct {
 	net.Conn
 	*sip.Reader
@@ -81,7 +81,7 @@
 	}
 }
 
-// want reads a message: its status or method, and the value of a header.
+// expectMessage reads a message and checks its status or method and the value of a header.
 func (p peer) expectMessage(status int, method, header, value string) {
 	p.t.Helper()
 	m, err := p.Next()
@@ -93,7 +93,7 @@
 func (b *harness) expectEvent(want string) {
 	b.t.Helper()
 	if got := <-b.events; got != want {
-		b.t.Errorf("told %q, want %q", got, want)
+		b.t.Errorf("got %q, want %q", got, want)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log")})
 	p.expectMessage(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer goes nowhere
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is dropped
 	p.write(message("BYE", id, ""))
 	p.expectMessage(200, "", "Call-ID", id)
 	b.expectEvent("hang up " + id)
@@ -166,12 +166,13 @@
 		}
 	}
 	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+		t.Errorf("got %s", <-b.events)
 	}
 }
 
-// A bad client that names the id of an open set-up got the answer to it ('served', and its owner none), and its
-// CANCEL ended it. The first connection's set-up goes on, and a stranger is told so.
+// Guards against a caller that names the id of another caller's open set-up: it got the answer to it, while the owner
+// got none, and its CANCEL ended the set-up. The first connection's set-up now goes on, and the other caller's requests
+// are rejected.
 func TestIDOfOpenSetUp(t *testing.T) {
 	b := newHarness(t, 10)
 	p, stranger := b.dial(), b.dial()
@@ -186,12 +187,12 @@
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	p.expectMessage(200, "", "Call-ID", id)
 	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+		t.Errorf("got %s", <-b.events)
 	}
 }
 
-// A connection's end gives up the set-ups open on it. What stands goes on: its release takes any connection,
-// and the next one where there is none.
+// The end of a connection gives up its open set-ups. Established calls go on: a release is sent on any other
+// connection, or on the next one if there is none.
 func TestConnectionEnds(t *testing.T) {
 	b := newHarness(t, 10)
 	p := b.dial()
@@ -206,12 +207,13 @@
 	b.Release(id, true)
 	p = b.dial()
 	p.expectMessage(0, "BYE", "Reason", "Q.850;cause=41")
-	b.Release(other, false) // unknown here, from before a restart: passed on all the same
+	b.Release(other, false) // unknown here, from before a restart: passed on too
 	p.expectMessage(0, "BYE", "Reason", "Q.850;cause=16")
 }
 
-// Callers that connect and say nothing, by the hundreds, held all places until they left, and 1,003 of 1,440
-// connections were closed at once. They make room, oldest first; a set-up under way does not.
+// Guards against silent callers: hundreds of them, which connected and sent nothing, held all places until they left,
+// and 1,003 of 1,440 connections were closed at once. They are evicted, oldest first; a connection with an open set-up
+// is not.
 func TestSilentCallersAreEvicted(t *testing.T) {
 	b := newHarness(t, 2)
 	good := b.dial()
@@ -224,23 +226,24 @@
 	last.write(message("INVITE", "0000000000000002", headers))
 	b.expectEvent("arrive 0000000000000002")
 	if _, err := b.dial().Next(); err == nil {
-		t.Error("a third connection of two was served")
+		t.Error("a third connection was served, with a limit of two")
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 	good.expectMessage(503, "", "Call-ID", id)
 	if b.dial(); !errors.Is(last.readByte(), os.ErrDeadlineExceeded) {
-		t.Error("a connection with a set-up open made room")
+		t.Error("a connection with an open set-up was evicted")
 	}
 }
 
-// readByte waits a moment for anything.
+// readByte waits 20 ms for a byte.
 func (p peer) readByte() error {
 	p.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := p.Conn.Read(make([]byte, 1))
 	return err
 }
 
-// How long a connection may say nothing: before its first request, after its last, and with calls on it.
+// A connection may be silent for firstIdleTimeout before its first request, for idleTimeout after its last, and for any
+// time while it has an established call.
 func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, core := newServer(10)
@@ -271,18 +274,18 @@
 		time.Sleep(2 * idleTimeout)
 		synctest.Wait()
 		if ended(asked) {
-			t.Error("ended under a call")
+			t.Error("ended with an established call")
 		}
 		s.Release(id, false)
 		time.Sleep(idleTimeout + busyIdleInterval)
 		synctest.Wait()
 		if !ended(asked) || len(s.transactions) != 0 {
-			t.Errorf("a caller that asks once and stays keeps its place; %d transactions left", len(s.transactions))
+			t.Errorf("an idle caller keeps its connection after its call; %d transactions left", len(s.transactions))
 		}
 	})
 }
 
-// A close over unread input is a reset, which may destroy the refusal before its reader has it.
+// Closing a connection with unread input resets it, which may destroy the refusal before the peer has read it.
 func TestInvalidInputIsAnsweredBeforeClose(t *testing.T) {
 	b := newHarness(t, 10)
 	endless := strings.Repeat("x", 3*sip.MaxMessage)
@@ -300,11 +303,11 @@
 		}
 	}
 	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+		t.Errorf("got %s", <-b.events)
 	}
 }
 
-// Whatever comes, a connection is read to its end without a panic, and each answer is one that SIP allows.
+// Whatever arrives, a connection is read to its end without a panic or an error.
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		s, _ := newServer(1)
@@ -325,7 +328,7 @@
 	})
 }
 
-// age makes all connections as old, unused, as they would be after that time.
+// ageConnections moves the last use of all connections back by a time.
 func (b *harness) ageConnections(by time.Duration) {
 	b.serverLock().Lock()
 	defer b.serverLock().Unlock()
@@ -336,16 +339,16 @@
 
 func (b *harness) serverLock() *sync.Mutex { return &b.Server.mu }
 
-// A set-up that is read while its connection makes room got no answer at all.
+// Guards against a lost answer: a set-up that was read while its connection was being evicted got no answer.
 func TestSetUpDuringEviction(t *testing.T) {
 	b := newHarness(t, 1)
 	p := b.dial()
 	p.write(message("OPTIONS", "ping", ""))
 	p.expectMessage(200, "", "Call-ID", "ping")
-	b.serverLock().Lock() // the reader can't take it yet
+	b.serverLock().Lock() // the reader can't handle the set-up yet
 	p.write(message("INVITE", id, headers))
 	if !b.evictOne() {
-		t.Error("no room")
+		t.Error("no connection to evict")
 	}
 	b.serverLock().Unlock()
 	p.expectMessage(503, "", "Call-ID", id)
@@ -353,11 +356,12 @@
 		t.Errorf("after the refusal: %v", err)
 	}
 	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+		t.Errorf("got %s", <-b.events)
 	}
 }
 
-// A caller that writes slowly lost its place to those that say nothing, as it had connected before them.
+// Guards against a wrong order of eviction: a caller that wrote slowly was evicted before silent ones, as it had
+// connected before them.
 func TestSlowCallerIsNotEvicted(t *testing.T) {
 	b := newHarness(t, 3)
 	slow := b.dial()
@@ -381,7 +385,7 @@
 	b.expectEvent("arrive " + id)
 }
 
-// A release went to a connection that had made room, and was never read.
+// Guards against a lost release: it was sent on a connection that was being evicted, and never read.
 func TestReleaseAvoidsEvictedConnection(t *testing.T) {
 	b := newHarness(t, 1)
 	p := b.dial()
@@ -390,14 +394,15 @@
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	p.expectMessage(200, "", "Call-ID", id)
 	q := b.dial()
-	if _, err := p.Next(); err != io.EOF { // it has made room; its peer has not closed yet
+	if _, err := p.Next(); err != io.EOF { // evicted; its peer has not closed yet
 		t.Errorf("after the answer: %v", err)
 	}
 	b.Release(id, false)
 	q.expectMessage(0, "BYE", "Call-ID", id)
 }
 
-// A connection that can't be read any further was closed over the set-ups that waited on it.
+// Guards against lost answers: a connection whose input could not be read any further was closed without answers to its
+// open set-ups.
 func TestOpenSetUpsAreAnsweredAfterGarbage(t *testing.T) {
 	b := newHarness(t, 1)
 	p := b.dial()
@@ -409,8 +414,8 @@
 	b.expectEvent("give up " + id)
 }
 
-// The planned end: what still comes is refused by the front, what is open keeps its connection until it is answered, and
-// no answer is lost to the close.
+// At a shutdown, new set-ups are refused by the server, a connection with an open set-up stays until that is answered,
+// and no answer is lost to the close.
 func TestShutdown(t *testing.T) {
 	b := newHarness(t, 10)
 	p, q := b.dial(), b.dial()
@@ -424,7 +429,7 @@
 	p.expectMessage(503, "", "Call-ID", "0000000000000002")
 	go func() { b.Shutdown(t.Context()); close(ended) }()
 	if _, err := q.Next(); err != io.EOF {
-		t.Errorf("at a connection without a set-up: %v", err)
+		t.Errorf("on a connection without a set-up: %v", err)
 	}
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 	p.expectMessage(503, "", "Call-ID", id)
@@ -435,11 +440,11 @@
 	q.Close()
 	<-ended
 	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+		t.Errorf("got %s", <-b.events)
 	}
 }
 
-// A request may take two seconds to come; one that does not come whole is refused within 3 s of connecting.
+// A request may take two seconds to arrive. One that does not arrive in full is refused within 3 s of connecting.
 func TestSlowRequests(t *testing.T) {
 	for _, early := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -458,7 +463,7 @@
 					t.Fatal(err)
 				}
 				if !early {
-					break // and then nothing
+					break // nothing more is sent
 				}
 				if k < 19 {
 					time.Sleep(2100 * time.Millisecond / 19)
@@ -466,7 +471,7 @@
 			}
 			if early {
 				if got := <-core.events; got != "arrive "+id {
-					t.Errorf("told %s", got)
+					t.Errorf("got %s", got)
 				}
 				s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 			}
@@ -494,7 +499,7 @@
 	}
 	busy.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	b.serverLock().Lock() // no reader looks at its limits before the request has come
+	b.serverLock().Lock() // no reader checks its limits before the request has arrived
 	b.drainAt = time.Now()
 	for c := range b.conns {
 		c.RecheckLimits()
@@ -509,11 +514,11 @@
 	fresh := b.dial()
 	fresh.write(message("INVITE", "0000000000000003", headers))
 	b.expectEvent("arrive 0000000000000003")
-	// A call that stands keeps its connection: its release has no other way while no new connection comes.
+	// An established call keeps its connection: without a new one, its release can be sent on no other.
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	busy.expectMessage(200, "", "Call-ID", id)
 	if !errors.Is(busy.readByte(), os.ErrDeadlineExceeded) {
-		t.Error("a connection with a standing call was closed")
+		t.Error("a connection with an established call was closed")
 	}
 	busy.SetReadDeadline(time.Time{})
 	b.Release(id, false)
@@ -524,7 +529,7 @@
 	}
 	for _, p := range []peer{busy, crossing, fresh} {
 		if _, err := p.Next(); err != io.EOF {
-			t.Errorf("with nothing open: %v", err)
+			t.Errorf("without an open set-up: %v", err)
 		}
 	}
 	b.Resume()
@@ -536,7 +541,8 @@
 	}
 }
 
-// A connection that is never without a set-up would never end: after a while it is refused new ones.
+// Guards against a drain without end on a connection that always has an open set-up: after drainTimeout new ones are
+// refused.
 func TestBusyConnectionInDrain(t *testing.T) {
 	b := newHarness(t, 10)
 	p := b.dial()
@@ -557,7 +563,7 @@
 	}
 }
 
-// In a drain a connection is closed with the answer to its last set-up, not only when its reader looks again.
+// In a drain, a connection is closed as soon as its last set-up is answered, not only when its reader next checks.
 func TestDrainedConnectionEndsWithLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, core := newServer(10)
@@ -575,7 +581,7 @@
 		synctest.Wait()
 		s.mu.Lock()
 		if !c.ending {
-			t.Error("kept after its answer")
+			t.Error("kept open after its last answer")
 		}
 		s.mu.Unlock()
 		<-done
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -7,21 +7,22 @@
 	"masthill/internal/sip"
 )
 
-// conn is one caller's connection. What follows its host belongs to the server's lock.
+// conn is one caller's connection. The fields after host are guarded by the server's lock.
 type conn struct {
 	*sip.Conn
 	server           *Server
-	rejected         int       // requests turned down; the reader's
+	rejected         int       // rejected requests; used by the reader only
 	host             string    // of the peer
-	openCalls        int       // set-ups without their answer
-	establishedCalls int       // calls that stand
-	hasRequested     bool      // something valid was asked
-	lastUsed         time.Time // when it last was, or an answer was given; at first, when it was accepted
-	ending           bool      // it is ending: nothing more is taken
-	idleEnding       bool      // as it was idle; its reader may still find a request that had come
-	evicted          bool      // it makes room for others
+	openCalls        int       // unanswered set-ups
+	establishedCalls int       // established calls of its set-ups
+	hasRequested     bool      // a valid request was received
+	lastUsed         time.Time // when the last valid request or answer was; initially when it was accepted
+	ending           bool      // new set-ups are refused
+	idleEnding       bool      // ending because it was idle; the reader may still find a request that had arrived
+	evicted          bool      // ending to make space for others
 }
 
+// newConn wraps an accepted connection.
 func newConn(c net.Conn, s *Server) *conn {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	cn := &conn{server: s, host: host, lastUsed: time.Now()}
@@ -30,7 +31,7 @@
 	return cn
 }
 
-// whole is how long the message that begins now may take.
+// messageLimit returns how long a message that begins now may take to arrive.
 func (c *conn) messageLimit() time.Duration {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -40,7 +41,8 @@
 	return min(messageTimeout, firstMessageTimeout-time.Since(c.lastUsed))
 }
 
-// farewell is what a peer that can't be read any further is told last: its set-ups have no other way to their answers.
+// finalMessages returns the last messages to a peer whose input can't be read any further, ending with the error
+// response. Its unanswered set-ups are refused here, as no answer can reach them later.
 func (c *conn) finalMessages(why error) []byte {
 	s := c.server
 	s.mu.Lock()
@@ -53,7 +55,7 @@
 	return append(b, sip.ErrorResponse(why)...)
 }
 
-// idle is the limit of a connection's silence.
+// idleLimit returns how long the connection may stay silent from now on; 0 ends it.
 func (c *conn) idleLimit() time.Duration {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -80,15 +82,16 @@
 	return left
 }
 
-// stays takes back that the connection is idle, as a request had come before its end. Called by the reader, under the lock.
+// cancelIdleEnding reverts the decision to end the connection as idle, since a request had arrived before the end.
+// Called by the reader, with the lock held.
 func (c *conn) cancelIdleEnding() {
 	if c.idleEnding {
 		c.ending, c.idleEnding = false, false
 	}
 }
 
-// rank orders connections by how soon they make room for others; -1: never, as a set-up is open there. What
-// stands goes on without its connection.
+// evictionRank orders connections for eviction, lowest first; -1 excludes those with an unanswered set-up and those
+// that are ending. Established calls go on without their connection.
 func (c *conn) evictionRank() int {
 	unused := time.Since(c.lastUsed)
 	switch {
@@ -108,20 +111,20 @@
 	return 4
 }
 
-// outstays tells that a connection has not been without a set-up since the drain began: what it still brings is refused, or
-// it would never end.
+// exceedsDrain tells whether the connection has had an unanswered set-up ever since the drain began, for longer than
+// drainTimeout. New set-ups on it are refused, or it would never end.
 func (c *conn) exceedsDrain() bool {
 	left, drains := c.drainTimeLeft()
 	return drains && c.openCalls > 0 && left < -drainTimeout
 }
 
-// slow tells that a request is on its way in pieces.
+// isReading tells whether part of a message has arrived recently.
 func (c *conn) isReading() bool {
 	heard, begun := c.PartialMessage()
 	return begun && time.Since(heard) < partialReadAge
 }
 
-// last is when the connection was last of use.
+// lastActivity returns when the connection was last used, counting a partly read message.
 func (c *conn) lastActivity() time.Time {
 	if heard, begun := c.PartialMessage(); begun && heard.After(c.lastUsed) {
 		return heard
@@ -129,7 +132,8 @@
 	return c.lastUsed
 }
 
-// leaves tells how long a connection without an open set-up is kept in a drain.
+// drainTimeLeft returns how long the connection is kept open in a drain without an unanswered set-up, and whether the
+// drain applies to it.
 func (c *conn) drainTimeLeft() (left time.Duration, drains bool) {
 	if c.server.drainAt.IsZero() || !c.hasRequested || c.establishedCalls > 0 {
 		return 0, false
@@ -137,14 +141,14 @@
 	return time.Until(c.server.drainAt), true
 }
 
-// answered has the reader look whether the connection is to be closed, in a drain. Called under the lock.
+// wakeIfDrained makes the reader check at once whether a drain closes the connection. Called with the lock held.
 func (c *conn) wakeIfDrained() {
 	if c.openCalls == 0 && !c.server.drainAt.IsZero() {
 		c.RecheckLimits()
 	}
 }
 
-// use notes that something valid was asked.
+// noteRequest records a valid request.
 func (c *conn) noteRequest() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -152,7 +156,7 @@
 	c.noteRequestLocked()
 }
 
-// ask is use under the lock.
+// noteRequestLocked is the part of noteRequest that every valid request needs. Called with the lock held.
 func (c *conn) noteRequestLocked() {
 	c.lastUsed = time.Now()
 	if !c.hasRequested {
--- a/internal/caller/gone_test.go
+++ b/internal/caller/gone_test.go
@@ -20,13 +20,13 @@
 	staysConnected: func(p peer) {},
 }
 
-// gracePeriod is how long after its client has left an attempt may still begin.
+// gracePeriod is how long after its client has left an attempt may still start.
 const gracePeriod = 100 * time.Millisecond
 
-// stays is the client that waits on: its call does get its attempt.
+// staysConnected is the client that does not leave; its call does get an attempt.
 const staysConnected = "stays"
 
-// withCore is a front over real connections before a real core that the test keeps busy.
+// newCoreHarness returns a server with real connections in front of a real core, which the test can keep busy.
 func newCoreHarness(t *testing.T) (*harness, *corecase.Core) {
 	c := corecase.New(t)
 	b := &harness{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxConnections: 10,
@@ -35,9 +35,9 @@
 	return b, c
 }
 
-// A client leaves while the core is busy with other work and an attempt of its call falls due. Its leaving waits in the
-// core's inbox, behind the alarm; or in the kernel, as the reader waits itself. The attempt began all the same, however
-// long ago the client had left.
+// Guards against attempts for clients that have gone: a client leaves while the core is busy and an attempt of its call
+// becomes due. The news waits in the core's inbox behind the timer, or unread in the kernel while the reader itself
+// waits. The attempt was sent all the same, however long ago the client had left.
 func TestNoAttemptAfterClientHasGone(t *testing.T) {
 	const patient = "Subject: open-log\r\nX-Patience: 8000\r\n"
 	for _, state := range corecase.States {
@@ -54,7 +54,7 @@
 						setUp()
 						corecase.Until(t, func() bool { return core.InboxUsed() > 0 })
 					}
-					if unread { // one fills the inbox, the next has the reader wait for room there
+					if unread { // the first fills the inbox, the second makes the reader wait for space
 						for _, other := range []string{"0000000000000001", "0000000000000002"} {
 							p.write(message("INVITE", other, patient))
 						}
@@ -77,7 +77,7 @@
 					corecase.Until(t, func() bool { return b.Presence(id) == exchange.Gone })
 					core.Settle()
 					if n := core.Invited(id); n > 0 {
-						t.Errorf("%d attempts", n)
+						t.Errorf("%d attempts after the client left", n)
 					}
 				})
 			}
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -10,7 +10,7 @@
 	"masthill/internal/sip"
 )
 
-// abandon gives up the set-ups that are open on a connection. Called under the lock.
+// giveUpOpen gives up the unanswered set-ups of a connection and returns them. Called with the lock held.
 func (s *Server) giveUpOpen(c *conn) (all []*transaction) {
 	for id, t := range s.transactions {
 		if t.conn == c && !t.established {
@@ -22,20 +22,20 @@
 	return all
 }
 
-// txn is one set-up of a caller, until it has its refusal or its call is over.
+// transaction is one set-up of a caller, until it is refused or its call has ended.
 type transaction struct {
 	*conn
 	id, number    string
-	fingerprint   uint64 // of the set-up
-	echoedHeaders []byte // headers for the answer
+	fingerprint   uint64 // of its set-up
+	echoedHeaders []byte // that the answer repeats
 	seq           uint64
 	established   bool
 }
 
-// take handles one message of a caller.
+// handle handles one message of a caller.
 func (c *conn) handle(m *sip.Message) error {
 	if m.Status != 0 {
-		return nil // 'release heard', which is free
+		return nil // the response to a release
 	}
 	id := string(m.Get("Call-ID"))
 	switch string(m.Method) {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// cancel gives a set-up up, or releases the call where its answer crossed the CANCEL. Only the connection of the
-// set-up may: a stranger who knows an id must not end another's call.
+// cancel gives up a set-up, or releases its call if the answer crossed the CANCEL. Only the connection of the set-up
+// may cancel it: another caller that knows the id must not end the call.
 func (c *conn) cancel(id string) bool {
 	s := c.server
 	s.mu.Lock()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// forget drops a transaction that its caller ended.
+// forget removes the transaction of a call that its caller ended.
 func (s *Server) forget(id string, stood bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return true
 }
 
-// remove ends a transaction. Called under the lock.
+// remove removes a transaction. Called with the lock held.
 func (s *Server) remove(t *transaction) {
 	delete(s.transactions, t.id)
 	if t.conn == nil {
@@ -113,8 +113,8 @@
 	t.conn.wakeIfDrained()
 }
 
-// setup takes a set-up, or tells the status that turns it down. What the call keeps is copied out of the read
-// buffer here.
+// handleInvite accepts a set-up, or returns the status that rejects it and why. What the call keeps is copied out of
+// the read buffer here.
 func (c *conn) handleInvite(m *sip.Message, id string) (status int, why string) {
 	seq, method, ok := m.CSeq()
 	switch {
@@ -123,9 +123,9 @@
 	case !ok || string(method) != "INVITE":
 		return 400, "CSeq does not name INVITE"
 	case len(m.User()) == 0:
-		return 400, "no number in the first line"
+		return 400, "no number in the request line"
 	case len(m.Body) > sip.MaxMessage-headerReserve-len(m.User()):
-		return 413, "description leaves no room for the headers to an office"
+		return 413, "description leaves no space for the headers to an office"
 	}
 	number := string(m.User())
 	call := exchange.Setup{ID: id, Owner: owner, Number: number, Description: bytes.Clone(m.Body), Dest: -1,
@@ -134,7 +134,7 @@
 	if p := m.Get("X-Patience"); p != nil {
 		ms, err := strconv.ParseInt(string(p), 10, 64)
 		if err != nil {
-			return 400, "X-Patience is no number"
+			return 400, "X-Patience is not a number"
 		}
 		patience = &ms
 	}
@@ -144,11 +144,11 @@
 			n, err := strconv.ParseInt(value, 10, 32)
 			switch {
 			case name == "dest" && err != nil:
-				return 400, "dest in X-Facts is no number"
+				return 400, "dest in X-Facts is not a number"
 			case name == "dest":
 				call.Dest = int(n)
 			case name == "width" && (err != nil || n < 1):
-				return 400, "width in X-Facts is no number of circuits"
+				return 400, "width in X-Facts is not a positive number of circuits"
 			case name == "again":
 				call.Again = n == 1
 			}
@@ -160,7 +160,7 @@
 	}
 	echo := sip.EchoHeaders(m)
 	if len(echo) > maxEchoBytes {
-		return 400, "headers that an answer repeats are over 1 KiB"
+		return 400, "the headers that an answer repeats exceed 1 KiB"
 	}
 	s := c.server
 	t := &transaction{conn: c, id: id, number: number, fingerprint: call.Fingerprint(), echoedHeaders: echo, seq: seq}
@@ -177,19 +177,20 @@
 	}
 	s.mu.Unlock()
 	switch {
-	case old == nil && gone: // it had come before its caller could see the end; trying again is harmless
-		return 503, "the connection ends"
+	case old == nil && gone: // sent before the caller could see the end; trying again is harmless
+		return 503, "the connection is ending"
 	case old == nil && full:
-		return 503, "too many set-ups open on the connection"
+		return 503, "too many open set-ups on the connection"
 	case take:
-		c.MarkHandled() // the core may ask for the client before the reader asks for more
+		c.MarkHandled() // the core may ask for the client's presence before the reader reads on
 		s.Core.Submit(call, s)
-	case !twice: // joined, the answer to the first would go to whoever names its id
+	case !twice: // if it joined, anyone who names the id would get the first set-up's answer
 		return 482, "Call-ID of another set-up"
 	}
 	return 0, ""
 }
 
+// isCallID tells whether an id is 16 hex digits.
 func isCallID(id string) bool {
 	if len(id) != 16 {
 		return false
