--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -488,8 +488,9 @@
 	}
 }
 
-// A drain: connections that are idle are closed once it begins, those with a set-up open once that is answered or its call is
-// over, and new ones are served. A request that crosses the close is served. After it, connections are kept again.
+// In a drain, idle connections are closed when it begins, those with an open set-up once that is answered or its call
+// has ended, and new ones are served. A request that crosses the close is served. After the drain, connections are kept
+// open.
 func TestDrain(t *testing.T) {
 	b := newHarness(t, 10)
 	idle, busy, crossing := b.dial(), b.dial(), b.dial()
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -1,5 +1,5 @@
-// Package readiness is an instance's one answer to the question whether callers may come: the state, its transitions, and a
-// way to follow them. Reading it takes no lock.
+// Package readiness holds the lifecycle phase of an instance, which decides whether it accepts callers: the phase, its
+// transitions, and a way to wait for a change. Reading the phase takes no lock.
 package readiness
 
 import (
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Phase is what an instance is doing, as far as callers are concerned.
+// Phase is a phase in the lifecycle of an instance, as far as callers are concerned.
 type Phase int32
 
 // The phases, in order. An instance may be drained and come back; its end is final.
@@ -21,35 +21,35 @@
 
 func (p Phase) String() string { return [...]string{"starting", "ready", "draining", "ending"}[p] }
 
-// State is the state of one instance. The zero State is starting.
+// State is the lifecycle state of one instance. The zero State is in phase Starting.
 type State struct {
 	phase   atomic.Int32
 	mu      sync.Mutex
-	drain   bool          // asked for, whatever the phase
-	started bool          // all parts are there
-	changed chan struct{} // closed with the next change; nil: nobody waits
+	drain   bool          // requested, whatever the phase
+	started bool          // all parts of the instance have started
+	changed chan struct{} // closed at the next change; nil if nothing waits
 }
 
-// Phase is the present phase.
+// Phase returns the present phase.
 func (s *State) Phase() Phase { return Phase(s.phase.Load()) }
 
-// Ready tells whether callers may come.
+// Ready tells whether the instance accepts callers.
 func (s *State) Ready() bool { return s.Phase() == Ready }
 
-// Started tells that the instance serves. A drain that was asked for before holds.
+// MarkStarted reports that all parts of the instance have started. A drain that was requested before takes effect.
 func (s *State) MarkStarted() { s.change(func() { s.started = true }) }
 
-// Drain sends callers away; Resume has them come again. Both may be repeated, come before the start, and cross: the last
-// one holds. They tell the phase that follows.
+// Drain stops the instance from accepting callers, and Resume reverts that. Both may be repeated, may be called before
+// the start, and may race: the last call wins. They return the resulting phase.
 func (s *State) Drain() Phase { return s.change(func() { s.drain = true }) }
 
 // Resume ends a drain.
 func (s *State) Resume() Phase { return s.change(func() { s.drain = false }) }
 
-// End is the planned end.
+// End begins the planned shutdown, which is final.
 func (s *State) End() { s.change(func() { s.phase.Store(int32(Ending)) }) }
 
-// change is the one place where the phase changes.
+// change applies a change and derives the phase from it. All changes of the phase go through it.
 func (s *State) change(set func()) Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return now
 }
 
-// Await waits until the phase is another one than that, or ctx ends, and gives the present one.
+// WaitForChange waits until the phase differs from not, or ctx ends, and returns the present phase.
 func (s *State) WaitForChange(ctx context.Context, not Phase) Phase {
 	for {
 		s.mu.Lock()
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 )
 
-// Each order of the calls, and the phase after it.
+// Checks the phase after sequences of calls: s is MarkStarted, d is Drain, r is Resume and e is End.
 func TestTransitions(t *testing.T) {
 	for steps, want := range map[string]Phase{
 		"": Starting, "s": Ready, "d": Starting, "ds": Draining, "sd": Draining, "sdd": Draining, "sdr": Ready, "dsr": Ready, "drs": Ready,
