--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -17,26 +17,26 @@
 }
 
 // Answer implements exchange.Caller.
-func (s *Server) Answer(id string, f exchange.FinalAnswer) {
+func (s *Server) Answer(id string, answer exchange.FinalAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.transactions[id]
 	if t == nil || t.established {
 		return // a call gets no second answer
 	}
-	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[f.Verdict]
-	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echoedHeaders...)
-	if f.Verdict == exchange.Stands {
+	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Verdict]
+	b := append(sip.AppendStatus(make([]byte, 0, 512+len(answer.Description)), status), t.echoedHeaders...)
+	if answer.Verdict == exchange.Stands {
 		t.established, t.echoedHeaders = true, nil
 		t.openCalls, t.establishedCalls, t.lastUsed = t.openCalls-1, t.establishedCalls+1, time.Now()
 		t.wakeIfDrained()
 	} else {
 		s.remove(t)
 	}
-	if f.Wait > 0 {
-		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", f.Wait.Milliseconds())
+	if answer.Wait > 0 {
+		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", answer.Wait.Milliseconds())
 	}
-	t.Send(sip.AppendBody(b, f.Description))
+	t.Send(sip.AppendBody(b, answer.Description))
 }
 
 // Presence implements exchange.PresenceChecker. A set-up belongs to its connection, and only that may cancel it.
@@ -93,31 +93,31 @@
 		return
 	}
 	if len(s.pendingReleases) < maxPendingReleases {
-		late := release{message: b, expiresAt: time.Now().Add(releaseTimeout)}
+		pending := release{message: b, expiresAt: time.Now().Add(releaseTimeout)}
 		if t.conn != nil {
-			late.host = t.host
+			pending.host = t.host
 		}
-		s.pendingReleases = append(s.pendingReleases, late)
+		s.pendingReleases = append(s.pendingReleases, pending)
 	}
 }
 
 // connForRelease returns a connection for the release of a call whose own has ended: preferably one from the same host,
 // or else one with a valid request; among these the last used. A peer that has only connected may never read it.
-func (s *Server) connForRelease(gone *conn) (best *conn) {
-	most := 0
+func (s *Server) connForRelease(ended *conn) (best *conn) {
+	bestFit := 0
 	for c := range s.conns {
 		fit := 0
 		switch {
 		case c.ending:
-		case gone != nil && c.host == gone.host:
+		case ended != nil && c.host == ended.host:
 			fit = 3
 		case c.hasRequested:
 			fit = 2
-		case gone == nil: // a call from before a restart, whose caller may have just reconnected
+		case ended == nil: // a call from before a restart, whose caller may have just reconnected
 			fit = 1
 		}
-		if fit > most || fit > 0 && fit == most && c.lastUsed.After(best.lastUsed) {
-			best, most = c, fit
+		if fit > bestFit || fit > 0 && fit == bestFit && c.lastUsed.After(best.lastUsed) {
+			best, bestFit = c, fit
 		}
 	}
 	return best
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -86,28 +86,28 @@
 // evictOne ends the connection that can best be spared, once MaxConnections is reached: callers that connect and send
 // nothing must not lock others out. It returns false if there is none to evict. Called with the lock held.
 func (s *Server) evictOne() bool {
-	spare := s.evictionCandidate()
-	if spare == nil {
+	candidate := s.evictionCandidate()
+	if candidate == nil {
 		return false
 	}
-	spare.ending, spare.evicted = true, true
+	candidate.ending, candidate.evicted = true, true
 	if s.evicting++; s.evicting > max(s.MaxConnections/evictedDivisor, 1) {
-		spare.Abort(sip.Evicted)
+		candidate.Abort(sip.Evicted)
 	} else {
-		spare.CloseWithReason(sip.Evicted)
+		candidate.CloseWithReason(sip.Evicted)
 	}
 	return true
 }
 
 // evictionCandidate returns the connection to evict next, or nil. Called with the lock held.
-func (s *Server) evictionCandidate() (spare *conn) {
-	least := 0
+func (s *Server) evictionCandidate() (best *conn) {
+	bestRank := 0
 	for c := range s.conns {
-		if r := c.evictionRank(); r >= 0 && (spare == nil || r < least || r == least && c.lastActivity().Before(spare.lastActivity())) {
-			spare, least = c, r
+		if rank := c.evictionRank(); rank >= 0 && (best == nil || rank < bestRank || rank == bestRank && c.lastActivity().Before(best.lastActivity())) {
+			best, bestRank = c, rank
 		}
 	}
-	return spare
+	return best
 }
 
 // New creates a server.
@@ -132,13 +132,13 @@
 	defer s.mu.Unlock()
 	s.MaxConnections = n
 	for len(s.conns)-s.evicting > n {
-		spare := s.evictionCandidate()
-		if spare == nil {
+		candidate := s.evictionCandidate()
+		if candidate == nil {
 			return
 		}
-		spare.ending, spare.evicted = true, true
+		candidate.ending, candidate.evicted = true, true
 		s.evicting++
-		spare.CloseWithReason(sip.Evicted) // not Abort: many at once would each wait for the reader, and block the front
+		candidate.CloseWithReason(sip.Evicted) // not Abort: many at once would each wait for the reader, and block the front
 	}
 }
 
@@ -166,13 +166,13 @@
 		}
 		pause = time.Millisecond
 		s.mu.Lock()
-		over := len(s.conns)-s.evicting >= s.MaxConnections && !s.evictOne()
+		full := len(s.conns)-s.evicting >= s.MaxConnections && !s.evictOne()
 		cn := newConn(c, s)
-		if !over {
+		if !full {
 			s.conns[cn] = true
 		}
 		s.mu.Unlock()
-		if over {
+		if full {
 			s.Log.Warn("caller connection ended", "reason", sip.OverLimit, "peer", c.RemoteAddr().String())
 			c.Close()
 			continue
@@ -216,9 +216,9 @@
 				c.Conn.Close()
 			}
 		}
-		left := len(s.conns)
+		remaining := len(s.conns)
 		s.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		select {
@@ -242,8 +242,8 @@
 		s.evicting--
 	}
 	c.ending = true
-	left := len(s.giveUpOpen(c))
+	givenUp := len(s.giveUpOpen(c))
 	s.mu.Unlock()
-	s.Log.Info("caller connection ended", "reason", reason, "peer", c.Remote(), "given_up", left, "turned_down", c.rejected,
+	s.Log.Info("caller connection ended", "reason", reason, "peer", c.Remote(), "given_up", givenUp, "turned_down", c.rejected,
 		"age_ms", time.Since(began).Milliseconds(), "err", err)
 }
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -37,9 +37,9 @@
 func (c *coreStub) HangUp(id, _ string)                    { c.events <- "hang up " + id }
 func (c *coreStub) CallerDisconnected(id, _ string)        { c.events <- "left " + id }
 
-func newServer(most int) (*Server, *coreStub) {
+func newServer(maxConnections int) (*Server, *coreStub) {
 	c := &coreStub{events: make(chan string, 1000)}
-	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.notReady.Load() }, MaxConnections: most, Names: exchange.Names{
+	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.notReady.Load() }, MaxConnections: maxConnections, Names: exchange.Names{
 		Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}, Pools: []int{0, 1, 2}}}), c
 }
 
@@ -50,9 +50,9 @@
 	addr string
 }
 
-func newHarness(t *testing.T, most int) *harness {
+func newHarness(t *testing.T, maxConnections int) *harness {
 	b := &harness{t: t}
-	b.Server, b.coreStub = newServer(most)
+	b.Server, b.coreStub = newServer(maxConnections)
 	b.addr = netcase.Serve(t, b.Serve)
 	return b
 }
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -63,23 +63,23 @@
 	if c.openCalls > 0 {
 		return busyIdleInterval
 	}
-	left := firstIdleTimeout - time.Since(c.lastUsed)
+	remaining := firstIdleTimeout - time.Since(c.lastUsed)
 	switch {
 	case c.establishedCalls > 0:
-		left = busyIdleInterval
+		remaining = busyIdleInterval
 	case c.hasRequested:
-		left = idleTimeout - time.Since(c.lastUsed)
+		remaining = idleTimeout - time.Since(c.lastUsed)
 	}
 	if wait, drains := c.drainTimeLeft(); drains {
-		left = min(left, wait)
+		remaining = min(remaining, wait)
 	}
-	if left <= 0 && !c.ending {
+	if remaining <= 0 && !c.ending {
 		c.ending, c.idleEnding = true, true
 	}
 	if c.ending {
 		return 0
 	}
-	return left
+	return remaining
 }
 
 // cancelIdleEnding reverts the decision to end the connection as idle, since a request had arrived before the end.
@@ -93,15 +93,15 @@
 // evictionRank orders connections for eviction, lowest first; -1 excludes those with an unanswered set-up and those
 // that are ending. Established calls go on without their connection.
 func (c *conn) evictionRank() int {
-	unused := time.Since(c.lastUsed)
+	unusedFor := time.Since(c.lastUsed)
 	switch {
 	case c.openCalls > 0 || c.ending:
 		return -1
 	case c.isReading():
 		return 5
-	case !c.hasRequested && unused > silentAge:
+	case !c.hasRequested && unusedFor > silentAge:
 		return 0
-	case c.hasRequested && c.establishedCalls == 0 && unused > idleAge:
+	case c.hasRequested && c.establishedCalls == 0 && unusedFor > idleAge:
 		return 1
 	case !c.hasRequested:
 		return 2
@@ -114,8 +114,8 @@
 // exceedsDrain tells whether the connection has had an unanswered set-up ever since the drain began, for longer than
 // drainTimeout. New set-ups on it are refused, or it would never end.
 func (c *conn) exceedsDrain() bool {
-	left, drains := c.drainTimeLeft()
-	return drains && c.openCalls > 0 && left < -drainTimeout
+	remaining, drains := c.drainTimeLeft()
+	return drains && c.openCalls > 0 && remaining < -drainTimeout
 }
 
 // isReading tells whether part of a message has arrived recently.
@@ -134,7 +134,7 @@
 
 // drainTimeLeft returns how long the connection is kept open in a drain without an unanswered set-up, and whether the
 // drain applies to it.
-func (c *conn) drainTimeLeft() (left time.Duration, drains bool) {
+func (c *conn) drainTimeLeft() (remaining time.Duration, drains bool) {
 	if c.server.drainAt.IsZero() || !c.hasRequested || c.establishedCalls > 0 {
 		return 0, false
 	}
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -87,11 +87,11 @@
 }
 
 // forget removes the transaction of a call that its caller ended.
-func (s *Server) forget(id string, stood bool) bool {
+func (s *Server) forget(id string, establishedOnly bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.transactions[id]
-	if t == nil || stood && !t.established {
+	if t == nil || establishedOnly && !t.established {
 		return false
 	}
 	s.remove(t)
@@ -158,33 +158,33 @@
 	if err != nil {
 		return 400, err.Error()
 	}
-	echo := sip.EchoHeaders(m)
-	if len(echo) > maxEchoBytes {
+	echoedHeaders := sip.EchoHeaders(m)
+	if len(echoedHeaders) > maxEchoBytes {
 		return 400, "the headers that an answer repeats exceed 1 KiB"
 	}
 	s := c.server
-	t := &transaction{conn: c, id: id, number: number, fingerprint: call.Fingerprint(), echoedHeaders: echo, seq: seq}
+	t := &transaction{conn: c, id: id, number: number, fingerprint: call.Fingerprint(), echoedHeaders: echoedHeaders, seq: seq}
 	s.mu.Lock()
 	c.cancelIdleEnding()
-	old := s.transactions[id]
-	twice := old != nil && old.conn == c && old.fingerprint == t.fingerprint && bytes.Equal(old.echoedHeaders, t.echoedHeaders)
-	gone, full := c.ending || s.refusing || c.exceedsDrain(), c.openCalls >= maxOpenCalls
-	take := old == nil && !gone && !full
-	if take {
+	existing := s.transactions[id]
+	repeated := existing != nil && existing.conn == c && existing.fingerprint == t.fingerprint && bytes.Equal(existing.echoedHeaders, t.echoedHeaders)
+	refused, full := c.ending || s.refusing || c.exceedsDrain(), c.openCalls >= maxOpenCalls
+	accepted := existing == nil && !refused && !full
+	if accepted {
 		s.transactions[id] = t
 		c.noteRequestLocked()
 		c.openCalls++
 	}
 	s.mu.Unlock()
 	switch {
-	case old == nil && gone: // sent before the caller could see the end; trying again is harmless
+	case existing == nil && refused: // sent before the caller could see the end; trying again is harmless
 		return 503, "the connection is ending"
-	case old == nil && full:
+	case existing == nil && full:
 		return 503, "too many open set-ups on the connection"
-	case take:
+	case accepted:
 		c.MarkHandled() // the core may ask for the client's presence before the reader reads on
 		s.Core.Submit(call, s)
-	case !twice: // if it joined, anyone who names the id would get the first set-up's answer
+	case !repeated: // if it joined, anyone who names the id would get the first set-up's answer
 		return 482, "Call-ID of another set-up"
 	}
 	return 0, ""
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -13,8 +13,8 @@
 )
 
 // presence returns what the front knows of a call's client; Connected where the front can't tell.
-func presence(from Caller, id string) Presence {
-	if checker, ok := from.(PresenceChecker); ok {
+func presence(caller Caller, id string) Presence {
+	if checker, ok := caller.(PresenceChecker); ok {
 		return checker.Presence(id)
 	}
 	return Connected
@@ -23,15 +23,15 @@
 // send starts an attempt. The controller keeps the rules itself; an attempt that would break one here is not sent,
 // which is reported back to the controller as an attempt that never ran.
 func (c *core) send(cl *call, a control.Action) {
-	there := presence(cl.caller, cl.ID)
-	if cl.disconnected || there == Gone {
+	clientPresence := presence(cl.caller, cl.ID)
+	if cl.disconnected || clientPresence == Gone {
 		c.refuseAbsentClient(cl, a.Server)
 		return
 	}
-	room, module, why := c.chain.Room(c.now, a.Server)
-	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !room {
+	hasRoom, module, reason := c.modules.Room(c.now, a.Server)
+	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !hasRoom {
 		c.log.Error("attempt kept back", "call", cl.ID, "server", a.Server, "out", cl.inFlight,
-			"clear_in_ms", (cl.notBefore-c.now)/1e6, "serving", c.isServing(a.Server), "capped_by", module, "why", why)
+			"clear_in_ms", (cl.notBefore-c.now)/1e6, "serving", c.isServing(a.Server), "capped_by", module, "why", reason)
 		if !cl.inFlight {
 			cl.attempts++
 			c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: a.Server, Outcome: control.Unavailable})
@@ -40,14 +40,14 @@
 	}
 	n := cl.attempts
 	cl.attempts, cl.inFlight, cl.server, cl.sentAt = cl.attempts+1, true, a.Server, c.now
-	c.chain.Did(c.now, a)
+	c.modules.Did(c.now, a)
 	c.afterForCall(cl, time.Duration(a.Wait), func(cl *call) {
 		if cl.inFlight && cl.attempts == n+1 {
 			c.offices.ReportSilence(cl.server, time.Unix(0, cl.sentAt), false)
 			c.withdrawAttempt(cl, control.TimedOut)
 		}
 	})
-	if there == InputPending {
+	if clientPresence == InputPending {
 		c.recheckPresence(cl, a, firstPresenceRecheck, c.now+int64(min(maxPresenceWait, time.Duration(a.Wait/2))))
 		return
 	}
@@ -66,9 +66,9 @@
 	cl.sentAt = c.now
 	c.log.Debug("attempt", "call", cl.ID, "n", cl.attempts-1, "server", a.Server, "dest", cl.Dest, "wait_ms", wait.Milliseconds(),
 		"since_ms", (c.now-cl.Taken.UnixNano())/1e6)
-	from, id := cl.caller, cl.ID
+	caller, id := cl.caller, cl.ID
 	c.offices.Invite(Attempt{ID: cl.ID, Class: cl.Name, Number: cl.Number, Description: cl.Description, Index: cl.attempts - 1, Server: a.Server,
-		Wait: wait, Presence: func() Presence { return presence(from, id) }})
+		Wait: wait, Presence: func() Presence { return presence(caller, id) }})
 }
 
 // recheckPresence delays an attempt while unread input of the client waits, which the reader handles meanwhile. A
@@ -79,11 +79,11 @@
 		if !cl.inFlight || cl.attempts != n {
 			return
 		}
-		switch there := presence(cl.caller, cl.ID); {
-		case cl.disconnected || there == Gone || there == InputPending && c.now >= until:
+		switch clientPresence := presence(cl.caller, cl.ID); {
+		case cl.disconnected || clientPresence == Gone || clientPresence == InputPending && c.now >= until:
 			cl.inFlight = false
 			c.refuseAbsentClient(cl, a.Server)
-		case there == InputPending:
+		case clientPresence == InputPending:
 			c.recheckPresence(cl, a, 2*wait, until)
 		case !c.isServing(a.Server):
 			c.attemptReturned(cl, Result{Outcome: control.ConnectionRefused}) // it never ran: another server may take the call
@@ -103,25 +103,25 @@
 }
 
 // withdrawAttempt cancels the attempt in flight.
-func (c *core) withdrawAttempt(cl *call, o control.Outcome) {
+func (c *core) withdrawAttempt(cl *call, outcome control.Outcome) {
 	c.offices.Cancel(cl.server, cl.ID, cl.attempts-1)
-	c.attemptReturned(cl, Result{Outcome: o})
+	c.attemptReturned(cl, Result{Outcome: outcome})
 }
 
 // attemptReturned handles the end of the attempt in flight.
-func (c *core) attemptReturned(cl *call, e Result) {
-	c.log.Debug("attempt ended", "call", cl.ID, "n", cl.attempts-1, "server", cl.server, "outcome", e.Outcome,
-		"note", e.Note, "wait_ms", e.WaitMS, "report", e.Report, "after_ms", (c.now-cl.sentAt)/1e6)
+func (c *core) attemptReturned(cl *call, result Result) {
+	c.log.Debug("attempt ended", "call", cl.ID, "n", cl.attempts-1, "server", cl.server, "outcome", result.Outcome,
+		"note", result.Note, "wait_ms", result.WaitMS, "report", result.Report, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	if e.Outcome == control.TimedOut || e.Outcome == control.ConnectionLost || e.Outcome == control.Canceled {
+	if result.Outcome == control.TimedOut || result.Outcome == control.ConnectionLost || result.Outcome == control.Canceled {
 		cl.notBefore = c.now + c.settings.ClearWait
 	}
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
-		Outcome: e.Outcome, Note: e.Note, WaitMS: e.WaitMS, Report: e.Report, CallEnded: c.calls[cl.ID] != cl})
+		Outcome: result.Outcome, Note: result.Note, WaitMS: result.WaitMS, Report: result.Report, CallEnded: c.calls[cl.ID] != cl})
 }
 
 // attemptEstablished handles an office's acceptance of attempt n.
-func (c *core) attemptEstablished(server uint64, id string, n int, desc []byte) {
+func (c *core) attemptEstablished(server uint64, id string, n int, description []byte) {
 	c.lastHeard[server] = c.now
 	cl := c.calls[id]
 	if cl != nil && cl.established && cl.server == server {
@@ -133,19 +133,19 @@
 	}
 	c.log.Debug("attempt established", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	c.answer(cl, FinalAnswer{Verdict: Stands, Description: desc})
+	c.answer(cl, FinalAnswer{Verdict: Stands, Description: description})
 	c.scheduleSilenceCheck()
 	c.dispatch(control.Event{Kind: control.Stands, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
 }
 
 // attemptEnded handles the end of attempt n without an acceptance.
-func (c *core) attemptEnded(server uint64, id string, n int, e Result) {
-	if e.Outcome == control.Errored || e.Outcome == control.Saturated {
+func (c *core) attemptEnded(server uint64, id string, n int, result Result) {
+	if result.Outcome == control.Errored || result.Outcome == control.Saturated {
 		c.lastHeard[server] = c.now
 	}
 	if cl := c.calls[id]; cl != nil && cl.inFlight && cl.server == server && cl.attempts == n+1 {
-		c.attemptReturned(cl, e)
-	} else if e.Report != nil {
-		c.reportReceived(server, e.Report)
+		c.attemptReturned(cl, result)
+	} else if result.Report != nil {
+		c.reportReceived(server, result.Report)
 	}
 }
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -94,12 +94,12 @@
 func TestAttemptReportsPresence(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, Connected}
-	sent := &attemptRecorder{harness: b}
-	b.offices = sent
+	recorder := &attemptRecorder{harness: b}
+	b.offices = recorder
 	b.submitFrom(from, "a")
 	from.presence = Gone
-	if len(sent.attempts) != 1 || sent.attempts[0].Presence() != Gone {
-		t.Errorf("sent %d", len(sent.attempts))
+	if len(recorder.attempts) != 1 || recorder.attempts[0].Presence() != Gone {
+		t.Errorf("sent %d", len(recorder.attempts))
 	}
 }
 
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -21,30 +21,30 @@
 }
 
 // submit handles a set-up: a new call is admitted, a repeated one joins its call or gets the recorded answer.
-func (c *core) submit(s Setup, from Caller) {
+func (c *core) submit(s Setup, caller Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
 		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
-			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
+			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
 		cl.disconnected = false
-		if cl.caller = from; cl.established {
-			from.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.desc})
+		if cl.caller = caller; cl.established {
+			caller.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.officeDescription})
 		}
 		return
 	}
-	if k := c.answers[s.ID]; k != nil {
-		if k.owner != s.Owner || k.fingerprint != s.Fingerprint() { // another call with the same id
-			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
+	if recorded := c.answers[s.ID]; recorded != nil {
+		if recorded.owner != s.Owner || recorded.fingerprint != s.Fingerprint() { // another call with the same id
+			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
-		if from.Answer(s.ID, k.answer); k.ended {
-			from.Release(s.ID, k.cut)
+		if caller.Answer(s.ID, recorded.answer); recorded.ended {
+			caller.Release(s.ID, recorded.cut)
 		}
 		return
 	}
 	c.serial++
-	cl := &call{Setup: s, serial: c.serial, caller: from}
+	cl := &call{Setup: s, serial: c.serial, caller: caller}
 	c.calls[s.ID] = cl
 	c.unanswered++
 	if c.loadBytes += bytesPerCall + len(s.Description); c.loadBytes > c.memoryBytes/callMemoryDivisor || c.refusingAll {
@@ -73,24 +73,24 @@
 // is asked about again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
-	r, module := c.chain.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
+	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
 		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, Asked: cl.holds})
 	if cl.holds > 0 {
 		c.heldByModules--
 	}
 	switch {
-	case r.Verdict == join.Refuse:
-		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", r.Reason, "later_ms", r.Wait/1e6)
+	case ruling.Verdict == join.Refuse:
+		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", ruling.Reason, "later_ms", ruling.Wait/1e6)
 		cl.holds = -1
 		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; the controller never saw the call
 		if !c.settings.RetryAfter {
-			r.Wait = 0
+			ruling.Wait = 0
 		}
-		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.settings.MaxRetryAfter))})
-	case r.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
+		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(ruling.Wait, 0), c.settings.MaxRetryAfter))})
+	case ruling.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
 		cl.holds++
 		c.heldByModules++
-		c.afterForCall(cl, max(time.Duration(r.Wait), minHoldInterval), c.admit)
+		c.afterForCall(cl, max(time.Duration(ruling.Wait), minHoldInterval), c.admit)
 	default:
 		if cl.holds == 0 { // decided at once, as without joined modules
 			waited = 0
@@ -102,24 +102,24 @@
 }
 
 // answer gives a call its one final answer.
-func (c *core) answer(cl *call, f FinalAnswer) {
+func (c *core) answer(cl *call, answer FinalAnswer) {
 	if c.calls[cl.ID] != cl || cl.established {
 		return
 	}
 	c.unanswered--
-	c.answersGiven[f.Verdict]++
+	c.answersGiven[answer.Verdict]++
 	cl.answeredAt = c.now
-	c.log.Debug("answer", "call", cl.ID, "verdict", f.Verdict, "later_ms", f.Wait.Milliseconds(), "attempts",
+	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Verdict, "later_ms", answer.Wait.Milliseconds(), "attempts",
 		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
-	if f.Verdict == Stands {
-		cl.established, cl.desc = true, f.Description
-		c.loadBytes += len(f.Description)
+	if answer.Verdict == Stands {
+		cl.established, cl.officeDescription = true, answer.Description
+		c.loadBytes += len(answer.Description)
 	} else {
 		c.remove(cl)
-		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: f, at: c.now})
+		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: answer, at: c.now})
 	}
-	c.recordCall(cl, Record{Verdict: f.Verdict.String(), Wait: f.Wait})
-	cl.caller.Answer(cl.ID, f)
+	c.recordCall(cl, Record{Verdict: answer.Verdict.String(), Wait: answer.Wait})
+	cl.caller.Answer(cl.ID, answer)
 }
 
 // afterForCall sets a timer for a call, which runs only if the call still exists. The timer does not reference the
@@ -140,7 +140,7 @@
 		c.heldByModules--
 	}
 	delete(c.calls, cl.ID)
-	c.loadBytes -= bytesPerCall + len(cl.Description) + len(cl.desc)
+	c.loadBytes -= bytesPerCall + len(cl.Description) + len(cl.officeDescription)
 }
 
 // recordCall passes a record to the store: one with the answer, and another when an established call ends.
@@ -157,25 +157,25 @@
 }
 
 // recordAnswer keeps a final answer and removes the oldest ones beyond the bounds.
-func (c *core) recordAnswer(k *recordedAnswer) {
-	c.answers[k.id] = k
-	c.answerQueue = append(c.answerQueue, k)
-	c.answerBytes += len(k.answer.Description)
+func (c *core) recordAnswer(recorded *recordedAnswer) {
+	c.answers[recorded.id] = recorded
+	c.answerQueue = append(c.answerQueue, recorded)
+	c.answerBytes += len(recorded.answer.Description)
 	for len(c.answerQueue) > c.memoryBytes/answerMemoryDivisor/bytesPerAnswer || c.answerBytes > c.memoryBytes/answerMemoryDivisor ||
 		len(c.answerQueue) > 0 && c.now-c.answerQueue[0].at > int64(answerRetention) {
-		old := c.answerQueue[0]
+		oldest := c.answerQueue[0]
 		c.answerQueue[0] = nil
 		c.answerQueue = c.answerQueue[1:]
-		c.answerBytes -= len(old.answer.Description)
-		if c.answers[old.id] == old {
-			delete(c.answers, old.id)
+		c.answerBytes -= len(oldest.answer.Description)
+		if c.answers[oldest.id] == oldest {
+			delete(c.answers, oldest.id)
 		}
 	}
 }
 
-func (c *core) giveUp(id, owner string, from Caller) {
+func (c *core) giveUp(id, owner string, caller Caller) {
 	cl := c.calls[id]
-	if cl == nil || cl.Owner != owner || from != nil && cl.caller != from {
+	if cl == nil || cl.Owner != owner || caller != nil && cl.caller != caller {
 		return
 	}
 	if cl.established { // the answer crossed the caller's giving up
@@ -200,13 +200,13 @@
 
 // endEstablished ends an established call: it reports the end to the controller and keeps the answer for repeated
 // set-ups.
-func (c *core) endEstablished(cl *call, e Result, cut bool) {
+func (c *core) endEstablished(cl *call, result Result, cut bool) {
 	c.remove(cl)
-	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.desc}, ended: true,
+	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.officeDescription}, ended: true,
 		cut: cut, at: c.now})
 	c.recordCall(cl, Record{Verdict: Stands.String(), Cut: cut})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
-		Outcome: e.Outcome, Report: e.Report, CallEnded: true})
+		Outcome: result.Outcome, Report: result.Report, CallEnded: true})
 }
 
 func (c *core) hangUp(id, owner string) {
@@ -230,11 +230,11 @@
 		}
 		return
 	}
-	e := Result{Outcome: control.Completed, Report: report}
+	result := Result{Outcome: control.Completed, Report: report}
 	if cut {
-		e.Outcome = control.ConnectionLost
+		result.Outcome = control.ConnectionLost
 	}
-	c.endEstablished(cl, e, cut)
+	c.endEstablished(cl, result, cut)
 	cl.caller.Release(id, cut)
 }
 
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -35,19 +35,19 @@
 // call is a call that waits for its answer or is established.
 type call struct {
 	Setup
-	serial       uint64 // unique to this call, also among calls with the same id
-	caller       Caller
-	attempts     int  // number sent so far
-	inFlight     bool // the last attempt has not ended
-	server       uint64
-	sentAt       int64
-	notBefore    int64 // of the next attempt
-	notAfter     int64 // latest time for decisions on the call
-	holds        int   // how often joined modules have held it; -1: control has it
-	disconnected bool  // its caller has disconnected and may come back
-	established  bool
-	desc         []byte
-	answeredAt   int64
+	serial            uint64 // unique to this call, also among calls with the same id
+	caller            Caller
+	attempts          int  // number sent so far
+	inFlight          bool // the last attempt has not ended
+	server            uint64
+	sentAt            int64
+	notBefore         int64 // of the next attempt
+	notAfter          int64 // latest time for decisions on the call
+	holds             int   // how often joined modules have held it; -1: control has it
+	disconnected      bool  // its caller has disconnected and may come back
+	established       bool
+	officeDescription []byte
+	answeredAt        int64
 }
 
 // core is the state of an Exchange. Only one goroutine uses it.
@@ -57,7 +57,7 @@
 	onRecord         func(Record)
 	onUnknownRelease func(id string, cut bool)
 	controller       *control.Controller
-	chain            join.Chain
+	modules          join.Chain
 	heldByModules    int       // calls that joined modules hold
 	answersGiven     [3]uint64 // final answers by verdict
 	settings         control.Settings
@@ -84,7 +84,7 @@
 	refusingAll bool // every new call is refused
 }
 
-func newCore(o Options, module *control.Controller) *core {
+func newCore(o Options, controller *control.Controller) *core {
 	if o.Record == nil {
 		o.Record = func(Record) {}
 	}
@@ -94,10 +94,10 @@
 	if o.MemoryBytes == 0 {
 		o.MemoryBytes = 192 << 20
 	}
-	c := &core{memoryBytes: o.MemoryBytes, chain: o.Join, clock: o.Now, log: o.Log, onRecord: o.Record, onUnknownRelease: o.OnUnknownRelease, controller: module, settings: o.Settings,
+	c := &core{memoryBytes: o.MemoryBytes, modules: o.Join, clock: o.Now, log: o.Log, onRecord: o.Record, onUnknownRelease: o.OnUnknownRelease, controller: controller, settings: o.Settings,
 		calls: map[string]*call{}, knownOffices: map[uint64]Office{}, lastHeard: map[uint64]int64{}, answers: map[string]*recordedAnswer{}}
 	if len(o.Join) > 0 {
-		module.ExcludeServers(func(server uint64) bool { ok, _, _ := c.chain.Room(c.now, server); return !ok })
+		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.Room(c.now, server); return !ok })
 	}
 	return c
 }
@@ -113,7 +113,7 @@
 	for len(c.events) > 0 {
 		ev = c.events[0]
 		c.events = c.events[1:]
-		c.chain.See(c.now, ev)
+		c.modules.See(c.now, ev)
 		for _, a := range c.controller.Handle(c.now, ev) {
 			c.perform(a)
 		}
@@ -144,10 +144,10 @@
 			c.withdrawAttempt(cl, control.Canceled)
 		}
 	case control.Refuse:
-		c.chain.Did(c.now, a)
+		c.modules.Did(c.now, a)
 		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(a.Wait)})
 	case control.Fail:
-		c.chain.Did(c.now, a)
+		c.modules.Did(c.now, a)
 		c.answer(cl, FinalAnswer{Verdict: Failed})
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -55,18 +55,18 @@
 
 // New creates an exchange; Run starts it. SetOffices sets the offices' side, since each of the two needs the other.
 func New(o Options) (*Exchange, error) {
-	told := o.Settings
-	told.ClearWait += clearWaitMargin
-	module, err := control.New(told, o.Seed)
+	settings := o.Settings
+	settings.ClearWait += clearWaitMargin
+	controller, err := control.New(settings, o.Seed)
 	if err != nil {
 		return nil, err
 	}
-	if names, twice := o.Join.Names(); twice {
+	if names, duplicate := o.Join.Names(); duplicate {
 		return nil, fmt.Errorf("duplicate names among the decision modules: %v", names)
 	}
 	x := &Exchange{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	x.spaceFreed = sync.NewCond(&x.mu)
-	x.core = newCore(o, module)
+	x.core = newCore(o, controller)
 	x.maxInbox = x.core.memoryBytes / inboxMemoryDivisor / maxEventBytes
 	return x, nil
 }
@@ -155,13 +155,13 @@
 }
 
 // Submit hands over a set-up. A repeated set-up of the same owner joins the running call or gets the recorded answer.
-func (x *Exchange) Submit(s Setup, from Caller) { x.post(true, func() { x.core.submit(s, from) }) }
+func (x *Exchange) Submit(s Setup, caller Caller) { x.post(true, func() { x.core.submit(s, caller) }) }
 
 // GiveUp reports that a caller no longer waits for the answer to its call. If from is not nil, it has no effect once the
 // call has been joined from another Caller. It never blocks, so it may be called under a lock: the same id may be
 // submitted again at once, and that must not overtake this event.
-func (x *Exchange) GiveUp(id, owner string, from Caller) {
-	x.post(false, func() { x.core.giveUp(id, owner, from) })
+func (x *Exchange) GiveUp(id, owner string, caller Caller) {
+	x.post(false, func() { x.core.giveUp(id, owner, caller) })
 }
 
 // CallerDisconnected reports that a caller has disconnected and may come back. Like GiveUp, it never blocks.
@@ -231,7 +231,7 @@
 
 // Gauge passes a reading of the instance's own resources to the joined modules. It never blocks.
 func (x *Exchange) Gauge(name string, used float64) {
-	x.post(false, func() { x.core.chain.Gauge(x.core.now, name, used) })
+	x.post(false, func() { x.core.modules.Gauge(x.core.now, name, used) })
 }
 
 // TryRun queues f to run in the core and does not wait for it; f gets the core's present time. It is meant for messages
@@ -239,12 +239,12 @@
 // the inbox is half full or more.
 func (x *Exchange) TryRun(f func(now int64)) bool {
 	x.mu.Lock()
-	room := len(x.inbox) < x.maxInbox/2 && !x.stopped
+	hasSpace := len(x.inbox) < x.maxInbox/2 && !x.stopped
 	x.mu.Unlock()
-	if room {
+	if hasSpace {
 		x.post(false, func() { f(x.core.now) })
 	}
-	return room
+	return hasSpace
 }
 
 // Look runs f in the core, where its state may be read, and waits for it. After the core's end f is not run.
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -19,8 +19,8 @@
 	for _, on := range []bool{false, true} {
 		b := newHarness(t)
 		if on {
-			b.chain = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
-			b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+			b.modules = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
+			b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.Room(b.now, s); return !ok })
 		}
 		var list []Office
 		for k := range 40 {
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -28,8 +28,8 @@
 func newHarnessWithModule(t *testing.T) (*harness, *moduleStub) {
 	g := &moduleStub{name: "gate", full: map[uint64]bool{}}
 	b := newHarness(t)
-	b.chain = join.Chain{g}
-	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+	b.modules = join.Chain{g}
+	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.Room(b.now, s); return !ok })
 	return b, g
 }
 
--- a/internal/exchange/servers.go
+++ b/internal/exchange/servers.go
@@ -49,26 +49,26 @@
 // updateOffices applies a change of the list. An office that restarted or was removed has cut the calls established
 // there.
 func (c *core) updateOffices(changed []Office, full bool) {
-	dead := map[uint64]int64{} // attempts sent before this time are cut
+	cutBefore := map[uint64]int64{} // attempts sent before this time are cut
 	if full {
-		now := map[uint64]bool{}
+		listed := map[uint64]bool{}
 		for _, o := range changed {
-			now[o.Server] = true
+			listed[o.Server] = true
 		}
 		for id, o := range c.knownOffices {
-			if !now[id] && o.State != control.Removed { // a full list that omits an office removes it
+			if !listed[id] && o.State != control.Removed { // a full list that omits an office removes it
 				o.State = control.Removed
 				c.knownOffices[id] = o
-				dead[id] = c.now + 1
+				cutBefore[id] = c.now + 1
 			}
 		}
 	}
 	ev := control.Event{Kind: control.ListUpdate, FullList: full}
 	for _, o := range changed {
 		if before, ok := c.knownOffices[o.Server]; ok && o.State == control.Removed {
-			dead[o.Server] = c.now + 1
+			cutBefore[o.Server] = c.now + 1
 		} else if ok && before.ReadyAt != o.ReadyAt {
-			dead[o.Server] = o.ReadyAt
+			cutBefore[o.Server] = o.ReadyAt
 		}
 		c.knownOffices[o.Server] = o
 		ev.Entries = append(ev.Entries, o.Entry)
@@ -81,7 +81,7 @@
 	}
 	c.offices.UpdateList(changed, full)
 	c.dispatch(ev)
-	for id, before := range dead {
+	for id, before := range cutBefore {
 		c.officeLost(id, before)
 	}
 }
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -8,15 +8,15 @@
 // status returns the state for operators. It changes nothing.
 func (c *core) status() Status {
 	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, Standing: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
-		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.chain.Status(c.now)}
-	for _, b := range c.controller.ServerStatuses(c.now) {
+		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.modules.Status(c.now)}
+	for _, server := range c.controller.ServerStatuses(c.now) {
 		listed := "serving"
-		if !b.Available {
+		if !server.Available {
 			listed = "draining"
 		}
-		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(b.Server, 16), Addr: c.knownOffices[b.Server].Addr, Listed: listed,
-			Warmth: b.Warmth, Cold: b.Cold, Down: b.Down, Marked: b.Marked, Pressed: b.Pressed, Out: b.Out, Standing: b.Standing,
-			ExpectedDelayMS: float64(b.ExpectedDelay) / 1e6})
+		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(server.Server, 16), Addr: c.knownOffices[server.Server].Addr, Listed: listed,
+			Warmth: server.Warmth, Cold: server.Cold, Down: server.Down, Marked: server.Marked, Pressed: server.Pressed, Out: server.Out, Standing: server.Standing,
+			ExpectedDelayMS: float64(server.ExpectedDelay) / 1e6})
 	}
 	return s
 }
