--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -20,8 +20,8 @@
 	return Connected
 }
 
-// send starts an attempt. The controller keeps the rules itself; an attempt that would break one here is not sent,
-// which is reported back to the controller as an attempt that never ran.
+// send starts an attempt. The controller keeps the rules itself; an attempt that would break one is not sent here, and
+// reported back to the controller as one that never ran, unless another attempt is in flight.
 func (c *core) send(cl *call, a control.Action) {
 	clientPresence := presence(cl.caller, cl.ID)
 	if cl.disconnected || clientPresence == Gone {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -157,7 +157,7 @@
 // Submit hands over a set-up. A repeated set-up of the same owner joins the running call or gets the recorded answer.
 func (x *Exchange) Submit(s Setup, caller Caller) { x.post(true, func() { x.core.submit(s, caller) }) }
 
-// GiveUp reports that a caller no longer waits for the answer to its call. If from is not nil, it has no effect once the
+// GiveUp reports that a caller no longer waits for the answer to its call. If caller is not nil, it has no effect once the
 // call has been joined from another Caller. It never blocks, so it may be called under a lock: the same id may be
 // submitted again at once, and that must not overtake this event.
 func (x *Exchange) GiveUp(id, owner string, caller Caller) {
@@ -173,13 +173,13 @@
 func (x *Exchange) HangUp(id, owner string) { x.post(true, func() { x.core.hangUp(id, owner) }) }
 
 // Accepted reports that an office accepted attempt n of a call.
-func (x *Exchange) Accepted(server uint64, id string, n int, desc []byte) {
-	x.post(true, func() { x.core.attemptEstablished(server, id, n, desc) })
+func (x *Exchange) Accepted(server uint64, id string, n int, description []byte) {
+	x.post(true, func() { x.core.attemptEstablished(server, id, n, description) })
 }
 
 // Ended reports that attempt n of a call ended without being accepted. It never blocks, as the core may have caused it.
-func (x *Exchange) Ended(server uint64, id string, n int, e Result) {
-	x.post(false, func() { x.core.attemptEnded(server, id, n, e) })
+func (x *Exchange) Ended(server uint64, id string, n int, result Result) {
+	x.post(false, func() { x.core.attemptEnded(server, id, n, result) })
 }
 
 // Released reports that an office released an established call.
@@ -211,9 +211,9 @@
 
 // Restore hands the controller the state that the previous process had saved. It must be called after the list of
 // offices that is known at the start has been handed over, and before Run. Invalid state is logged and ignored.
-func (x *Exchange) Restore(l control.Learnt) {
+func (x *Exchange) Restore(learnt control.Learnt) {
 	x.post(false, func() {
-		if err := x.core.controller.Restore(x.core.now, l); err != nil {
+		if err := x.core.controller.Restore(x.core.now, learnt); err != nil {
 			x.core.log.Warn("snapshot left out", "why", err)
 		}
 	})
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -17,6 +17,7 @@
 	Failed                 // abandoned
 )
 
+// String returns the verdict as logs and records name it.
 func (v Verdict) String() string { return [...]string{"stands", "refused", "failed"}[v] }
 
 // FinalAnswer is the one final answer to a call.
@@ -35,9 +36,9 @@
 	Tenant      string
 	Number      string
 	Description []byte
-	Dest        int // preferred pool; -1: none
-	Retry       bool
-	Again       bool
+	Dest        int       // preferred pool; -1: none
+	Retry       bool      // the caller redials
+	Again       bool      // as the caller set it; decisions do not use it
 	Taken       time.Time // when its last byte was received
 	ExpiresAt   time.Time // until when the caller waits
 }
@@ -58,8 +59,10 @@
 
 // Caller is the origin of a call. Its methods are called by the core and must not block.
 type Caller interface {
-	Answer(id string, f FinalAnswer)
-	Release(id string, cut bool) // the established call has ended; cut: abnormally
+	// Answer delivers the final answer to a call.
+	Answer(id string, answer FinalAnswer)
+	// Release reports that an established call has ended; cut: abnormally.
+	Release(id string, cut bool)
 }
 
 // Presence is what a front knows of the client of a call that waits for its answer.
@@ -80,8 +83,12 @@
 
 // CallHandler takes the calls of a callers' side. Exchange implements it.
 type CallHandler interface {
-	Submit(s Setup, from Caller)
-	GiveUp(id, owner string, from Caller)
+	// Submit hands over a set-up. A repeated one of the same owner joins its call or gets the recorded answer.
+	Submit(s Setup, caller Caller)
+	// GiveUp reports that a caller no longer waits for its answer. With a Caller given, it has no effect once the call
+	// has been joined from another one.
+	GiveUp(id, owner string, caller Caller)
+	// HangUp reports that a caller ended its established call.
 	HangUp(id, owner string)
 	// CallerDisconnected reports that a caller has disconnected and may rejoin its call by Submit; until then no
 	// attempt is sent.
@@ -108,9 +115,13 @@
 
 // Offices is the offices' side. Its methods are called by the core and must not block.
 type Offices interface {
+	// UpdateList hands over a change of the list of offices, or the full list.
 	UpdateList(changed []Office, full bool)
+	// Invite sends an attempt to its office.
 	Invite(a Attempt)
+	// Cancel gives up attempt n of a call.
 	Cancel(server uint64, id string, n int)
+	// Bye releases the call that attempt n established; cut: abnormally.
 	Bye(server uint64, id string, n int, cut bool)
 	// ReportSilence reports that since a time nothing was received although something was due. check: calls are
 	// established there, so the connection must be checked.
@@ -120,7 +131,7 @@
 // Result is how an attempt or an established call ended at an office.
 type Result struct {
 	Outcome control.Outcome
-	Note    int
+	Note    int // as the office sent it
 	WaitMS  int64
 	Report  []float64 // in the order of the settings' fields; nil: none
 }
