--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -28,7 +28,7 @@
 		c.refuseAbsentClient(cl, a.Server)
 		return
 	}
-	hasRoom, module, reason := c.modules.Room(c.now, a.Server)
+	hasRoom, module, reason := c.modules.HasRoom(c.now, a.Server)
 	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !hasRoom {
 		c.log.Error("attempt kept back", "call", cl.ID, "server", a.Server, "out", cl.inFlight,
 			"clear_in_ms", (cl.notBefore-c.now)/1e6, "serving", c.isServing(a.Server), "capped_by", module, "why", reason)
@@ -40,7 +40,7 @@
 	}
 	n := cl.attempts
 	cl.attempts, cl.inFlight, cl.server, cl.sentAt = cl.attempts+1, true, a.Server, c.now
-	c.modules.Did(c.now, a)
+	c.modules.OnAction(c.now, a)
 	c.afterForCall(cl, time.Duration(a.Wait), func(cl *call) {
 		if cl.inFlight && cl.attempts == n+1 {
 			c.offices.ReportSilence(cl.server, time.Unix(0, cl.sentAt), false)
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -74,7 +74,7 @@
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
 	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
-		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, Asked: cl.holds})
+		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.holds})
 	if cl.holds > 0 {
 		c.heldByModules--
 	}
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -97,7 +97,7 @@
 	c := &core{memoryBytes: o.MemoryBytes, modules: o.Join, clock: o.Now, log: o.Log, onRecord: o.Record, onUnknownRelease: o.OnUnknownRelease, controller: controller, settings: o.Settings,
 		calls: map[string]*call{}, knownOffices: map[uint64]Office{}, lastHeard: map[uint64]int64{}, answers: map[string]*recordedAnswer{}}
 	if len(o.Join) > 0 {
-		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.Room(c.now, server); return !ok })
+		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.HasRoom(c.now, server); return !ok })
 	}
 	return c
 }
@@ -113,7 +113,7 @@
 	for len(c.events) > 0 {
 		ev = c.events[0]
 		c.events = c.events[1:]
-		c.modules.See(c.now, ev)
+		c.modules.OnEvent(c.now, ev)
 		for _, a := range c.controller.Handle(c.now, ev) {
 			c.perform(a)
 		}
@@ -144,10 +144,10 @@
 			c.withdrawAttempt(cl, control.Canceled)
 		}
 	case control.Refuse:
-		c.modules.Did(c.now, a)
+		c.modules.OnAction(c.now, a)
 		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(a.Wait)})
 	case control.Fail:
-		c.modules.Did(c.now, a)
+		c.modules.OnAction(c.now, a)
 		c.answer(cl, FinalAnswer{Verdict: Failed})
 	}
 }
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -12,30 +12,30 @@
 // moduleStub is a joined module with settable decisions.
 type moduleStub struct {
 	name    string
-	ruling  join.Ruling
+	ruling  join.Decision
 	full    map[uint64]bool
 	events  []control.EventKind
 	actions []control.ActionKind
 }
 
-func (g *moduleStub) Name() string                          { return g.name }
-func (g *moduleStub) See(_ int64, ev control.Event)         { g.events = append(g.events, ev.Kind) }
-func (g *moduleStub) Did(_ int64, a control.Action)         { g.actions = append(g.actions, a.Kind) }
-func (g *moduleStub) Admit(int64, join.Call) join.Ruling    { return g.ruling }
-func (g *moduleStub) Room(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
-func (g *moduleStub) Status(int64) join.Status              { return join.Status{Module: g.name} }
+func (g *moduleStub) Name() string                             { return g.name }
+func (g *moduleStub) OnEvent(_ int64, ev control.Event)        { g.events = append(g.events, ev.Kind) }
+func (g *moduleStub) OnAction(_ int64, a control.Action)       { g.actions = append(g.actions, a.Kind) }
+func (g *moduleStub) Admit(int64, join.Call) join.Decision     { return g.ruling }
+func (g *moduleStub) HasRoom(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
+func (g *moduleStub) Status(int64) join.Status                 { return join.Status{Module: g.name} }
 
 func newHarnessWithModule(t *testing.T) (*harness, *moduleStub) {
 	g := &moduleStub{name: "gate", full: map[uint64]bool{}}
 	b := newHarness(t)
 	b.modules = join.Chain{g}
-	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.Room(b.now, s); return !ok })
+	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.HasRoom(b.now, s); return !ok })
 	return b, g
 }
 
 func TestModuleRefuses(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Ruling{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.expect("answer a refused  2000ms") // at once, with the wait limited to the settings' greatest
 	if b.unanswered != 0 || len(b.calls) != 0 {
@@ -48,7 +48,7 @@
 // A held call is asked about again. Whatever the module says, package control decides after maxHold at the latest.
 func TestHeldCallReachesControl(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.submitCall("gone", 3*time.Second)
 	b.advance(500 * ms)
@@ -61,14 +61,14 @@
 	if b.heldByModules != 0 {
 		t.Errorf("%d calls still held", b.heldByModules)
 	}
-	g.ruling = join.Ruling{}
+	g.ruling = join.Decision{}
 	b.submitCall("b", 3*time.Second)
 	b.expect("invite b 0 at 10")
 }
 
 func TestHeldCallIsAnsweredInTime(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
 	b.submitCall("a", 300*ms)
 	b.advance(300 * ms)
 	b.expect("answer a failed  0ms")
