--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -157,8 +157,8 @@
 // Submit hands over a set-up. A repeated set-up of the same owner joins the running call or gets the recorded answer.
 func (x *Exchange) Submit(s Setup, caller Caller) { x.post(true, func() { x.core.submit(s, caller) }) }
 
-// GiveUp reports that a caller no longer waits for the answer to its call. If caller is not nil, it has no effect once the
-// call has been joined from another Caller. It never blocks, so it may be called under a lock: the same id may be
+// GiveUp reports that a caller no longer waits for the answer to its call. If caller is not nil, it has no effect once
+// the call has been joined from another Caller. It never blocks, so it may be called under a lock: the same id may be
 // submitted again at once, and that must not overtake this event.
 func (x *Exchange) GiveUp(id, owner string, caller Caller) {
 	x.post(false, func() { x.core.giveUp(id, owner, caller) })
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -33,7 +33,7 @@
 // and preferred pool. A patience beyond the class's deadline is reduced to it: later the call has no value, and what is
 // kept for it must be freed. An invalid set-up must not reach an office, which may close the connection over input that
 // it can't parse, with all other set-ups on it. The tenant may be empty. A nil patience means the class's deadline. The
-// error says what is invalid.
+// error says what is invalid; its text is sent to WebSocket callers.
 func (n Names) Apply(s *Setup, class, tenant string, patienceMS *int64, at time.Time) error {
 	k := slices.IndexFunc(n.Classes, func(c Class) bool { return c.Name == class })
 	if k < 0 {
@@ -43,15 +43,15 @@
 		return fmt.Errorf("unknown tenant %q", tenant)
 	}
 	if len(s.Number) > maxNumberLength || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
-		return errors.New("number is too long or not visible ASCII")
+		return errors.New("number is too long, or no visible ASCII")
 	}
 	if s.Dest != -1 && (s.Dest < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.Dest)) {
-		return fmt.Errorf("preferred pool %d does not exist", s.Dest)
+		return fmt.Errorf("first choice %d is no pool", s.Dest)
 	}
 	patience := n.Classes[k].Deadline
 	if patienceMS != nil {
 		if *patienceMS <= 0 || *patienceMS > maxPatience.Milliseconds() {
-			return errors.New("patience is not between 1 ms and a day")
+			return errors.New("patience is no time between 1 ms and a day")
 		}
 		patience = min(time.Duration(*patienceMS)*time.Millisecond, patience)
 	}
