--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -19,7 +19,7 @@
 	Ending
 )
 
-// String returns the phase as logs and operators' pages name it.
+// String returns the phase as logs and the admin interface name it.
 func (p Phase) String() string { return [...]string{"starting", "ready", "draining", "ending"}[p] }
 
 // State is the lifecycle state of one instance. The zero State is in phase Starting.
