--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -215,7 +215,7 @@
 
 // deciding is the core.
 func deciding(in *instance) (p part, err error) {
-	in.options.Stray = func(id string, cut bool) { in.calls.Release(id, cut) }
+	in.options.OnUnknownRelease = func(id string, cut bool) { in.calls.Release(id, cut) }
 	if in.core, err = exchange.New(in.options); err != nil {
 		return p, err
 	}
@@ -225,7 +225,7 @@
 // calling is the platform's front.
 func calling(in *instance) (p part, err error) {
 	in.calls = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.p.Names, Ready: in.state.Ready,
-		MaxOpen: in.descriptors.clientsFront().Places})
+		MaxConnections: in.descriptors.clientsFront().Places})
 	l, err := in.opens("callers", in.p.Listen)
 	if err != nil {
 		return p, err
@@ -253,7 +253,7 @@
 		Listed: func() bool { return in.feed.Heard() },
 		Dials: map[string]office.Dial{"": in.descriptors.dial(office.SIP(in.p.Name, in.p.Settings.Fields)),
 			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.Fields))}})
-	in.core.Connect(offices)
+	in.core.SetOffices(offices)
 	return part{run: offices.Run}, nil
 }
 
@@ -262,7 +262,7 @@
 	in.feed = &journal.Client{Addr: in.p.Journal, Log: in.log.With(logs.Part, "list"), Dial: descriptors.Dialer(in.descriptors.shortage),
 		OnChange: func(changed []exchange.Office, full bool) {
 			in.descriptors.list(changed, full)
-			in.core.Members(changed, full)
+			in.core.UpdateOffices(changed, full)
 		}}
 	in.feed.Start(in.p.Known)
 	if in.known != nil {
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -160,7 +160,7 @@
 	if in.manager, err = notify.Open(os.Getenv); err != nil {
 		log.Warn("service manager not told", "err", err)
 	}
-	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), Memory: p.MemoryMB << 20}
+	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: p.MemoryMB << 20}
 	for _, make := range subsystems {
 		one, err := make(in)
 		if err != nil {
@@ -214,13 +214,13 @@
 			}
 		}
 	})
-	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.Open() }) })
+	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.UnansweredCalls() }) })
 	g.Go(func() error { in.follow(ctx); return nil })
 	if in.p.Admin != "" {
 		in.settle(ctx)
 	}
 	pos, _ := in.feed.Position()
-	in.state.Started() // before the line that tells so
+	in.state.MarkStarted() // before the line that tells so
 	in.log.Info("serving", "listen", in.listen, "pos", pos, "start", in.reason, "snapshot", in.snapshot)
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -241,7 +241,7 @@
 // follow has the fronts and the service manager do what the instance's state asks, until the end.
 func (in *instance) follow(ctx context.Context) {
 	for last := readiness.Starting; ctx.Err() == nil && last != readiness.Ending; {
-		now := in.state.Await(ctx, last)
+		now := in.state.WaitForChange(ctx, last)
 		if now == last {
 			return
 		}
@@ -343,7 +343,7 @@
 // later still, such as the rest of a request that was read in part, is answered or refused, to the last connection.
 func (in *instance) end() {
 	x, began := in.core, time.Now()
-	in.log.Info("ending", "open", x.Open())
+	in.log.Info("ending", "open", x.UnansweredCalls())
 	time.Sleep(acceptFor)
 	for _, l := range in.fronts {
 		l.Drain()
@@ -359,7 +359,7 @@
 		return n
 	}
 	last := refuseAfter(in.p.Names.Classes)
-	for (unfinished() > 0 || x.Open() > 0) && time.Since(began) < last {
+	for (unfinished() > 0 || x.UnansweredCalls() > 0) && time.Since(began) < last {
 		time.Sleep(endStep)
 	}
 	for f := range in.fronts {
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/talking.go
@@ -82,7 +82,7 @@
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
 		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: remember(in.own), Log: log, Module: in.shared,
-		Do: func(f func(int64)) bool { return in.core.Offer(f) }, Handlers: handlers})
+		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return part{}, err
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -65,7 +65,7 @@
 	} {
 		switch step.method {
 		case "start":
-			s.State.Started()
+			s.State.MarkStarted()
 		case "end":
 			s.State.End()
 		default:
@@ -79,7 +79,7 @@
 // Callers that say nothing, or half a call, keep no answer waiting, and are gone after callFor.
 func TestHalfCallsKeepNobodyOut(t *testing.T) {
 	s := New(&readiness.State{}, netcase.Quiet())
-	s.State.Started()
+	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var half []net.Conn
 	for k := range 4 * DefaultMaxOpen {
@@ -112,7 +112,7 @@
 // Honest calls at once, more than there are places: each has its answer, as none is old enough to make room.
 func TestManyCallsAtOnce(t *testing.T) {
 	s := New(&readiness.State{}, netcase.Quiet())
-	s.State.Started()
+	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var wg sync.WaitGroup
 	for range 8 * DefaultMaxOpen {
--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -16,7 +16,7 @@
 }
 
 // Answer implements exchange.Caller.
-func (s *Server) Answer(id string, f exchange.Final) {
+func (s *Server) Answer(id string, f exchange.FinalAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.txns[id]
@@ -24,7 +24,7 @@
 		return // never a second answer
 	}
 	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[f.Verdict]
-	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Desc)), status), t.echo...)
+	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echo...)
 	if f.Verdict == exchange.Stands {
 		t.stood, t.echo = true, nil
 		t.open, t.standing, t.used = t.open-1, t.standing+1, time.Now()
@@ -35,7 +35,7 @@
 	if f.Wait > 0 {
 		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", f.Wait.Milliseconds())
 	}
-	t.Send(sip.AppendBody(b, f.Desc))
+	t.Send(sip.AppendBody(b, f.Description))
 }
 
 // Presence implements exchange.PresenceChecker: a set-up belongs to its connection, and only that may cancel it.
@@ -49,7 +49,7 @@
 	case input == sip.InputEnded, s.waiting(id) != t: // cancelled before the look, which then finds nothing unread
 		return exchange.Gone
 	case input == sip.InputUnread:
-		return exchange.Unheard
+		return exchange.InputPending
 	}
 	return exchange.Connected
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -60,11 +60,11 @@
 
 // Options is what a Server is made from.
 type Options struct {
-	Core    exchange.Desk
-	Log     *slog.Logger
-	Names   exchange.Names
-	Ready   func() bool // whether the readiness test passes
-	MaxOpen int         // connections held at once
+	Core           exchange.CallHandler
+	Log            *slog.Logger
+	Names          exchange.Names
+	Ready          func() bool // whether the readiness test passes
+	MaxConnections int         // connections held at once
 }
 
 // Server takes calls from callers that speak the platform's protocol.
@@ -87,7 +87,7 @@
 		return false
 	}
 	spare.gone, spare.parts = true, true
-	if s.parting++; s.parting > max(s.MaxOpen/evictedShare, 1) {
+	if s.parting++; s.parting > max(s.MaxConnections/evictedShare, 1) {
 		spare.Abort(sip.Evicted)
 	} else {
 		spare.End(sip.Evicted)
@@ -125,7 +125,7 @@
 func (s *Server) SetMaxOpen(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.MaxOpen = n
+	s.MaxConnections = n
 	for len(s.conns)-s.parting > n {
 		spare := s.spare()
 		if spare == nil {
@@ -161,7 +161,7 @@
 		}
 		pause = time.Millisecond
 		s.mu.Lock()
-		over := len(s.conns)-s.parting >= s.MaxOpen && !s.room()
+		over := len(s.conns)-s.parting >= s.MaxConnections && !s.room()
 		cn := newConn(c, s)
 		if !over {
 			s.conns[cn] = true
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -27,7 +27,7 @@
 	away  atomic.Bool // the readiness test fails
 }
 
-func (c *core) Arrive(s exchange.Setup, _ exchange.Caller) {
+func (c *core) Submit(s exchange.Setup, _ exchange.Caller) {
 	c.mu.Lock()
 	c.setup = s
 	c.mu.Unlock()
@@ -35,12 +35,12 @@
 }
 func (c *core) GiveUp(id, _ string, _ exchange.Caller) { c.told <- "give up " + id }
 func (c *core) HangUp(id, _ string)                    { c.told <- "hang up " + id }
-func (c *core) Left(id, _ string)                      { c.told <- "left " + id }
+func (c *core) CallerDisconnected(id, _ string)        { c.told <- "left " + id }
 
 func newServer(most int) (*Server, *core) {
 	c := &core{told: make(chan string, 1000)}
-	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.away.Load() }, MaxOpen: most, Names: exchange.Names{
-		Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}, Cells: []int{0, 1, 2}}}), c
+	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.away.Load() }, MaxConnections: most, Names: exchange.Names{
+		Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}, Pools: []int{0, 1, 2}}}), c
 }
 
 type bed struct {
@@ -113,19 +113,19 @@
 	p.want(200, "", "Call-ID", "ping")
 	p.write(message("INVITE", id, headers))
 	b.expect("arrive " + id)
-	if s := b.setup; string(s.Desc) != "hi" || s.Dest != 2 || !s.Again || !s.Retry || s.Number != "17" || s.Tenant != "acme" ||
-		s.Until.Sub(s.Taken) != 1500*time.Millisecond {
+	if s := b.setup; string(s.Description) != "hi" || s.Dest != 2 || !s.Again || !s.Retry || s.Number != "17" || s.Tenant != "acme" ||
+		s.ExpiresAt.Sub(s.Taken) != 1500*time.Millisecond {
 		t.Errorf("set-up %+v", s)
 	}
-	b.Answer(id, exchange.Final{Verdict: exchange.Stands, Desc: []byte("log")})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log")})
 	p.want(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
-	b.Answer(id, exchange.Final{Verdict: exchange.Failed}) // a second answer goes nowhere
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer goes nowhere
 	p.write(message("BYE", id, ""))
 	p.want(200, "", "Call-ID", id)
 	b.expect("hang up " + id)
 	p.write(message("INVITE", id, headers))
 	b.expect("arrive " + id)
-	b.Answer(id, exchange.Final{Verdict: exchange.Refused, Wait: 200 * time.Millisecond})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 200 * time.Millisecond})
 	p.want(503, "", "X-Later-Ms", "200")
 	p.write(message("BYE", id, ""))
 	p.want(481, "", "Call-ID", id)
@@ -183,7 +183,7 @@
 	stranger.write(message("CANCEL", id, ""))
 	stranger.want(481, "", "Call-ID", id)
 	stranger.Close()
-	b.Answer(id, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	p.want(200, "", "Call-ID", id)
 	if len(b.told) != 0 {
 		t.Errorf("told %s", <-b.told)
@@ -199,7 +199,7 @@
 	p.write(message("INVITE", id, headers) + message("INVITE", other, headers))
 	b.expect("arrive " + id)
 	b.expect("arrive " + other)
-	b.Answer(id, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	p.want(200, "", "Call-ID", id)
 	p.Close()
 	b.expect("give up " + other)
@@ -226,7 +226,7 @@
 	if _, err := b.dial().Next(); err == nil {
 		t.Error("a third connection of two was served")
 	}
-	b.Answer(id, exchange.Final{Verdict: exchange.Refused})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 	good.want(503, "", "Call-ID", id)
 	if b.dial(); !errors.Is(last.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with a set-up open made room")
@@ -267,7 +267,7 @@
 		if !ended(silent) || ended(asked) {
 			t.Errorf("after %v: silent ended %v, asked ended %v", time.Since(began), ended(silent), ended(asked))
 		}
-		s.Answer(id, exchange.Final{Verdict: exchange.Stands})
+		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 		time.Sleep(2 * idleTimeout)
 		synctest.Wait()
 		if ended(asked) {
@@ -387,7 +387,7 @@
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
 	b.expect("arrive " + id)
-	b.Answer(id, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	p.want(200, "", "Call-ID", id)
 	q := b.dial()
 	if _, err := p.Next(); err != io.EOF { // it has made room; its peer has not closed yet
@@ -426,7 +426,7 @@
 	if _, err := q.Next(); err != io.EOF {
 		t.Errorf("at a connection without a set-up: %v", err)
 	}
-	b.Answer(id, exchange.Final{Verdict: exchange.Refused})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 	p.want(503, "", "Call-ID", id)
 	if _, err := p.Next(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
@@ -468,7 +468,7 @@
 				if got := <-core.told; got != "arrive "+id {
 					t.Errorf("told %s", got)
 				}
-				s.Answer(id, exchange.Final{Verdict: exchange.Refused})
+				s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 			}
 			m, err := sip.NewReader(theirs).Next()
 			if want := map[bool]int{true: 503, false: 408}[early]; err != nil || m.Status != want {
@@ -510,7 +510,7 @@
 	fresh.write(message("INVITE", "0000000000000003", headers))
 	b.expect("arrive 0000000000000003")
 	// A call that stands keeps its connection: its release has no other way while no new connection comes.
-	b.Answer(id, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
 	busy.want(200, "", "Call-ID", id)
 	if !errors.Is(busy.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with a standing call was closed")
@@ -519,7 +519,7 @@
 	b.Release(id, false)
 	busy.want(0, "BYE", "Call-ID", id)
 	for id, p := range map[string]peer{other: crossing, "0000000000000003": fresh} {
-		b.Answer(id, exchange.Final{Verdict: exchange.Refused})
+		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 		p.want(503, "", "Call-ID", id)
 	}
 	for _, p := range []peer{busy, crossing, fresh} {
@@ -549,7 +549,7 @@
 	p.write(message("INVITE", "0000000000000003", headers))
 	p.want(503, "", "Call-ID", "0000000000000003")
 	for _, id := range []string{id, "0000000000000002"} {
-		b.Answer(id, exchange.Final{Verdict: exchange.Refused})
+		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 		p.want(503, "", "Call-ID", id)
 	}
 	if _, err := p.Next(); err != io.EOF {
@@ -571,7 +571,7 @@
 		<-core.told
 		s.Drain(0)
 		synctest.Wait()
-		s.Answer(id, exchange.Final{Verdict: exchange.Refused})
+		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
 		synctest.Wait()
 		s.mu.Lock()
 		if !c.gone {
--- a/internal/caller/gone_test.go
+++ b/internal/caller/gone_test.go
@@ -29,7 +29,7 @@
 // withCore is a front over real connections before a real core that the test keeps busy.
 func withCore(t *testing.T) (*bed, *corecase.Core) {
 	c := corecase.New(t)
-	b := &bed{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxOpen: 10,
+	b := &bed{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxConnections: 10,
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}}})}
 	b.addr = netcase.Serve(t, b.Serve)
 	return b, c
@@ -58,7 +58,7 @@
 						for _, other := range []string{"0000000000000001", "0000000000000002"} {
 							p.write(message("INVITE", other, patient))
 						}
-						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(id) == exchange.Unheard })
+						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(id) == exchange.InputPending })
 					}
 					leave(p)
 					if name == stays {
@@ -68,7 +68,7 @@
 					}
 					want := exchange.Gone
 					if unread && name == "cancel" {
-						want = exchange.Unheard
+						want = exchange.InputPending
 					}
 					corecase.Until(t, func() bool { return b.Presence(id) == want && netcase.Arrived(t, p.Conn) })
 					left := time.Now()
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -128,7 +128,7 @@
 		return 413, "description leaves no room for the headers to an office"
 	}
 	number := string(m.User())
-	call := exchange.Setup{ID: id, Owner: owner, Number: number, Desc: bytes.Clone(m.Body), Dest: -1,
+	call := exchange.Setup{ID: id, Owner: owner, Number: number, Description: bytes.Clone(m.Body), Dest: -1,
 		Retry: string(m.Get("X-Retry")) == "1"}
 	var patience *int64
 	if p := m.Get("X-Patience"); p != nil {
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	err := c.server.Names.Fill(&call, string(m.Get("Subject")), string(m.Get("Organization")), patience, m.At)
+	err := c.server.Names.Apply(&call, string(m.Get("Subject")), string(m.Get("Organization")), patience, m.At)
 	if err != nil {
 		return 400, err.Error()
 	}
@@ -163,7 +163,7 @@
 		return 400, "headers that an answer repeats are over 1 KiB"
 	}
 	s := c.server
-	t := &txn{conn: c, id: id, number: number, sum: call.Sum(), echo: echo, seq: seq}
+	t := &txn{conn: c, id: id, number: number, sum: call.Fingerprint(), echo: echo, seq: seq}
 	s.mu.Lock()
 	c.stays()
 	old := s.txns[id]
@@ -183,7 +183,7 @@
 		return 503, "too many set-ups open on the connection"
 	case take:
 		c.MarkHandled() // the core may ask for the client before the reader asks for more
-		s.Core.Arrive(call, s)
+		s.Core.Submit(call, s)
 	case !twice: // joined, the answer to the first would go to whoever names its id
 		return 482, "Call-ID of another set-up"
 	}
--- a/internal/callws/answers.go
+++ b/internal/callws/answers.go
@@ -9,7 +9,7 @@
 
 // Answer implements exchange.Caller. An answer that finds no socket is on record: the caller gets it when it
 // sends the call again.
-func (f *Front) Answer(key string, final exchange.Final) {
+func (f *Front) Answer(key string, final exchange.FinalAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.calls[key]
@@ -26,7 +26,7 @@
 	}
 	if c.socket != nil {
 		c.socket.send(reply{Type: final.Verdict.String(), ID: c.id, LaterMS: final.Wait.Milliseconds(),
-			description: describe(final.Desc)})
+			description: describe(final.Description)})
 	}
 }
 
@@ -46,7 +46,7 @@
 	case input == sip.InputEnded:
 		return exchange.Gone
 	case input == sip.InputUnread:
-		return exchange.Unheard
+		return exchange.InputPending
 	}
 	return exchange.Connected
 }
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -30,7 +30,7 @@
 	away  atomic.Bool // the readiness test fails
 }
 
-func (c *core) Arrive(s exchange.Setup, _ exchange.Caller) {
+func (c *core) Submit(s exchange.Setup, _ exchange.Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[s.ID] = s
@@ -38,7 +38,7 @@
 }
 func (c *core) GiveUp(id, owner string, _ exchange.Caller) { c.told <- "give up " + id + " " + owner }
 func (c *core) HangUp(id, owner string)                    { c.told <- "hang up " + id + " " + owner }
-func (c *core) Left(id, owner string)                      { c.told <- "left " + id + " " + owner }
+func (c *core) CallerDisconnected(id, owner string)        { c.told <- "left " + id + " " + owner }
 
 type bed struct {
 	*core
@@ -106,18 +106,18 @@
 	b.write(ws, setup)
 	b.expect("arrive " + key)
 	s := b.core.calls[key]
-	if string(s.Desc) != "offer" || s.Dest != 1 || s.Owner != "ws/station-7" || s.Until.Sub(s.Taken) != 3*time.Second {
+	if string(s.Description) != "offer" || s.Dest != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.Taken) != 3*time.Second {
 		t.Errorf("set-up %+v", s)
 	}
-	b.Answer(key, exchange.Final{Verdict: exchange.Stands, Desc: []byte("log\r\n")})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log\r\n")})
 	b.read(ws, `{"type":"stands","id":"c1","description":"log\r\n"}`)
 	b.Release(key, true)
 	b.read(ws, `{"type":"released","id":"c1","cut":true}`)
 	b.write(ws, setup)
 	b.expect("arrive " + key)
-	b.Answer(key, exchange.Final{Verdict: exchange.Refused, Wait: 1500 * time.Millisecond})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 1500 * time.Millisecond})
 	b.read(ws, `{"type":"refused","id":"c1","later_ms":1500}`)
-	b.Answer(key, exchange.Final{Verdict: exchange.Failed}) // a second answer finds nobody
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer finds nobody
 	b.write(ws, `{"type":"hangup","id":"c1"}`)
 	b.read(ws, `{"type":"error","id":"c1","code":481,"text":"no such call"}`)
 	b.write(ws, setup)
@@ -217,7 +217,7 @@
 	ws = b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
-	b.Answer(key, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
 	b.read(ws, `{"type":"stands","id":"c1"}`)
 	ws.CloseNow()
 	for b.openSockets() > 0 { // the server has seen the close
@@ -244,7 +244,7 @@
 	b.expect("arrive " + key)
 	b.write(ws, strings.Replace(setup, "offer", "another", 1))
 	b.read(ws, `{"type":"error","id":"c1","code":482,"text":"id of another call"}`)
-	b.Answer(key, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
 	b.read(ws, `{"type":"stands","id":"c1"}`)
 }
 
@@ -264,7 +264,7 @@
 		b.write(ws, strings.Replace(setup, `"c1"`, fmt.Sprintf(`"d%d"`, n), 1))
 	}
 	b.read(ws, fmt.Sprintf(`{"type":"error","id":"d%d","code":503,"text":"too many calls"}`, maxOpenCalls-1))
-	b.Answer(key, exchange.Final{Verdict: exchange.Failed})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed})
 	b.read(ws, `{"type":"failed","id":"c1"}`)
 	b.write(ws, setup)
 	b.write(ws, `{"type":"cancel","id":"c1"}`)
@@ -279,7 +279,7 @@
 	idle, busy := b.open(), b.open()
 	b.write(idle, strings.Replace(setup, "c1", "c0", 1))
 	b.expect("arrive " + Key("station-7", "c0"))
-	b.Answer(Key("station-7", "c0"), exchange.Final{Verdict: exchange.Refused})
+	b.Answer(Key("station-7", "c0"), exchange.FinalAnswer{Verdict: exchange.Refused})
 	b.read(idle, `{"type":"refused","id":"c0"}`)
 	b.write(busy, setup)
 	b.expect("arrive " + key)
@@ -290,9 +290,9 @@
 	fresh := b.open()
 	b.write(fresh, strings.Replace(setup, "c1", "c2", 1))
 	b.expect("arrive " + Key("station-7", "c2"))
-	b.Answer(Key("station-7", "c2"), exchange.Final{Verdict: exchange.Refused})
+	b.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Verdict: exchange.Refused})
 	b.read(fresh, `{"type":"refused","id":"c2"}`)
-	b.Answer(key, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
 	b.read(busy, `{"type":"stands","id":"c1"}`)
 	for _, ws := range []*websocket.Conn{fresh, busy} {
 		if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
@@ -316,7 +316,7 @@
 type heard struct{ lines chan string }
 
 func (h heard) Stood(id string, desc []byte)              { h.lines <- "stood " + id + " " + string(desc) }
-func (h heard) Ended(id string, e exchange.Ending)        { h.line("ended "+id, e) }
+func (h heard) Ended(id string, e exchange.Result)        { h.line("ended "+id, e) }
 func (h heard) Released(id string, cut bool, r []float64) { h.line("released "+id, []any{cut, r}) }
 func (h heard) State(r []float64)                         { h.line("state", r) }
 func (h heard) line(what string, v any) {
@@ -345,7 +345,7 @@
 		ended <- string(reason)
 	}()
 	b := &bed{t: t}
-	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Desc: []byte{0xff}, Wait: time.Second})
+	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Description: []byte{0xff}, Wait: time.Second})
 	b.read(ws, `{"type":"setup","call":"5","class":"open-log","number":"17","patience_ms":1000,"description_base64":"/w=="}`)
 	peer.Cancel("5", 0)
 	b.read(ws, `{"type":"cancel","call":"5"}`)
@@ -401,7 +401,7 @@
 	}
 	b.write(ws, strings.Replace(setup, "c1", "c2", 1))
 	b.read(ws, `{"type":"error","id":"c2","code":401,"text":"the token has changed"}`)
-	b.Answer(key, exchange.Final{Verdict: exchange.Stands})
+	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
 	b.read(ws, `{"type":"stands","id":"c1"}`)
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 		t.Errorf("after the answer: %v", err)
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -46,7 +46,7 @@
 
 // Options is what a Front is made from.
 type Options struct {
-	Core    exchange.Desk
+	Core    exchange.CallHandler
 	Log     *slog.Logger
 	Names   exchange.Names
 	Callers map[string]string // tokens by identity
@@ -291,7 +291,7 @@
 		if c.socket == s {
 			if c.socket, c.since = nil, time.Now(); !c.stands {
 				waiting++
-				f.Core.Left(key, s.owner())
+				f.Core.CallerDisconnected(key, s.owner())
 			}
 		}
 	}
--- a/internal/callws/gone_test.go
+++ b/internal/callws/gone_test.go
@@ -85,7 +85,7 @@
 						for _, other := range []string{"c2", "c3"} {
 							b.write(ws, strings.Replace(patient, "c1", other, 1))
 						}
-						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(key) == exchange.Unheard })
+						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(key) == exchange.InputPending })
 					}
 					leave(b, ws, raw)
 					if name == stays {
@@ -95,7 +95,7 @@
 					}
 					want := exchange.Gone
 					if unread && (name == cancel || name == closeFrame) {
-						want = exchange.Unheard
+						want = exchange.InputPending
 					}
 					corecase.Until(t, func() bool { return b.Presence(key) == want && netcase.Arrived(t, raw) })
 					left := time.Now()
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -67,7 +67,7 @@
 
 func (s *server) Invite(a exchange.Attempt) {
 	s.send(order{Type: "setup", Call: a.ID, Class: a.Class, Number: a.Number,
-		PatienceMS: max(a.Wait.Milliseconds(), 1), description: describe(a.Desc)})
+		PatienceMS: max(a.Wait.Milliseconds(), 1), description: describe(a.Description)})
 }
 
 func (s *server) Cancel(id string, _ int) { s.send(order{Type: "cancel", Call: id}) }
@@ -96,7 +96,7 @@
 		if !ok {
 			outcome = control.Errored
 		}
-		h.Ended(m.Call, exchange.Ending{Outcome: outcome, Note: office.Note(m.Note), WaitMS: max(m.WaitMS, 0),
+		h.Ended(m.Call, exchange.Result{Outcome: outcome, Note: office.Note(m.Note), WaitMS: max(m.WaitMS, 0),
 			Report: report})
 	case "released":
 		h.Released(m.Call, m.Cut, report)
--- a/internal/callws/socket.go
+++ b/internal/callws/socket.go
@@ -97,17 +97,17 @@
 	if len(m.raw()) > maxDescription {
 		return 413, "description leaves no room for the headers to an office"
 	}
-	setup := exchange.Setup{ID: key, Owner: s.owner(), Number: m.Number, Desc: m.raw(), Dest: -1, Retry: m.Retry,
+	setup := exchange.Setup{ID: key, Owner: s.owner(), Number: m.Number, Description: m.raw(), Dest: -1, Retry: m.Retry,
 		Again: m.Again}
 	if m.FirstChoice != nil {
 		setup.Dest = *m.FirstChoice
 	}
-	if err := s.front.Names.Fill(&setup, m.Class, m.Tenant, m.PatienceMS, at); err != nil {
+	if err := s.front.Names.Apply(&setup, m.Class, m.Tenant, m.PatienceMS, at); err != nil {
 		return 400, err.Error()
 	}
 	f := s.front
 	f.mu.Lock()
-	c, sum := f.calls[key], setup.Sum()
+	c, sum := f.calls[key], setup.Fingerprint()
 	if c != nil && c.sum != sum { // joined, it would get the answer to another description
 		f.mu.Unlock()
 		return 482, "id of another call"
@@ -136,6 +136,6 @@
 	}
 	c.socket, s.asked = s, true
 	f.mu.Unlock()
-	f.Core.Arrive(setup, f)
+	f.Core.Submit(setup, f)
 	return 0, ""
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -163,7 +163,7 @@
 	}
 	// A class without pools of its own may go to any: then any first choice may be named.
 	if cells := n.Extra.ClassCells; len(cells) > 0 && !slices.ContainsFunc(cells, func(of []int) bool { return len(of) == 0 }) {
-		p.Names.Cells = slices.Concat(cells...)
+		p.Names.Pools = slices.Concat(cells...)
 	}
 	for _, t := range n.Tenants {
 		p.Names.Tenants = append(p.Names.Tenants, t.Name)
--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -23,9 +23,9 @@
 	fmt.Fprintf(t, "listen\t%s\n", s.Listen)
 	fmt.Fprintf(t, "list\tposition %d, heard of %s\n", s.ListPos, age)
 	fmt.Fprintf(t, "calls\t%d open (%d held, %d waiting), %d standing; %d stood, %d refused, %d failed\n", s.Core.Open, s.Core.Held,
-		s.Core.Waiting, s.Core.Standing, s.Core.Stands, s.Core.Refused, s.Core.Failed)
+		s.Core.HeldByModules, s.Core.Standing, s.Core.Stands, s.Core.Refused, s.Core.Failed)
 	fmt.Fprintf(t, "held\t%.1f of %d MB, %d of %d descriptors, %d events waiting\n", s.MemoryMB, s.MemoryMostMB, s.Descriptors,
-		s.SocketsMost, s.Core.Inbox)
+		s.SocketsMost, s.Core.InboxLength)
 	for _, m := range s.Core.Modules {
 		fmt.Fprintf(t, "%s\t%s (%s); held %d, refused %d, %d offices capped", m.Module, m.State, m.Reason, m.Held, m.Turned, m.Capped)
 		if m.Out != "" {
@@ -63,6 +63,6 @@
 		if believed == "" {
 			believed = " well"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.Warmth, believed[1:], o.Out, o.Standing, o.DelayMS)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.Warmth, believed[1:], o.Out, o.Standing, o.ExpectedDelayMS)
 	}
 }
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -43,11 +43,11 @@
 	c.chain.Did(c.now, a)
 	c.afterFor(cl, time.Duration(a.Wait), func(cl *call) {
 		if cl.inFlight && cl.sent == n+1 {
-			c.offices.Suspect(cl.server, time.Unix(0, cl.sentAt), false)
+			c.offices.ReportSilence(cl.server, time.Unix(0, cl.sentAt), false)
 			c.withdraw(cl, control.TimedOut)
 		}
 	})
-	if there == Unheard {
+	if there == InputPending {
 		c.askAgain(cl, a, unheardFirstWait, c.now+int64(min(unheardLimit, time.Duration(a.Wait/2))))
 		return
 	}
@@ -67,7 +67,7 @@
 	c.log.Debug("attempt", "call", cl.ID, "n", cl.sent-1, "server", a.Server, "dest", cl.Dest, "wait_ms", wait.Milliseconds(),
 		"since_ms", (c.now-cl.Taken.UnixNano())/1e6)
 	from, id := cl.from, cl.ID
-	c.offices.Invite(Attempt{ID: cl.ID, Class: cl.Name, Number: cl.Number, Desc: cl.Desc, N: cl.sent - 1, Server: a.Server,
+	c.offices.Invite(Attempt{ID: cl.ID, Class: cl.Name, Number: cl.Number, Description: cl.Description, Index: cl.sent - 1, Server: a.Server,
 		Wait: wait, Presence: func() Presence { return presence(from, id) }})
 }
 
@@ -80,13 +80,13 @@
 			return
 		}
 		switch there := presence(cl.from, cl.ID); {
-		case cl.disconnected || there == Gone || there == Unheard && c.now >= until:
+		case cl.disconnected || there == Gone || there == InputPending && c.now >= until:
 			cl.inFlight = false
 			c.unwanted(cl, a.Server)
-		case there == Unheard:
+		case there == InputPending:
 			c.askAgain(cl, a, 2*wait, until)
 		case !c.serving(a.Server):
-			c.back(cl, Ending{Outcome: control.ConnectionRefused}) // it never ran: another server may take the call
+			c.back(cl, Result{Outcome: control.ConnectionRefused}) // it never ran: another server may take the call
 		default:
 			c.invite(cl, a)
 		}
@@ -99,17 +99,17 @@
 	c.log.Debug("attempt not wanted", "call", cl.ID, "server", server, "away", cl.disconnected)
 	c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
 	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: server, Outcome: control.Canceled, CallEnded: true})
-	c.final(cl, Final{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+	c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
 }
 
 // withdraw gives up the attempt that is out.
 func (c *core) withdraw(cl *call, o control.Outcome) {
 	c.offices.Cancel(cl.server, cl.ID, cl.sent-1)
-	c.back(cl, Ending{Outcome: o})
+	c.back(cl, Result{Outcome: o})
 }
 
 // back takes the end of the attempt that is out.
-func (c *core) back(cl *call, e Ending) {
+func (c *core) back(cl *call, e Result) {
 	c.log.Debug("attempt ended", "call", cl.ID, "n", cl.sent-1, "server", cl.server, "outcome", e.Outcome,
 		"note", e.Note, "wait_ms", e.WaitMS, "report", e.Report, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
@@ -132,12 +132,12 @@
 	}
 	c.log.Debug("attempt stood", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	c.final(cl, Final{Verdict: Stands, Desc: desc})
+	c.final(cl, FinalAnswer{Verdict: Stands, Description: desc})
 	c.pulse()
 	c.tell(control.Event{Kind: control.Stands, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
 }
 
-func (c *core) ended(server uint64, id string, n int, e Ending) {
+func (c *core) ended(server uint64, id string, n int, e Result) {
 	if e.Outcome == control.Errored || e.Outcome == control.Saturated {
 		c.heard[server] = c.now
 	}
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -18,7 +18,7 @@
 
 // dial hands a call of a client over.
 func (b *bed) dial(from Caller, id string) {
-	b.arrive(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.at, Until: b.at.Add(3 * time.Second)}, from)
+	b.arrive(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.at, ExpiresAt: b.at.Add(3 * time.Second)}, from)
 }
 
 // A client that has gone gets no attempt, first or further, whatever the core has heard of it. The refusal is on record.
@@ -30,7 +30,7 @@
 	from.is = Connected
 	b.dial(from, "b")
 	from.is = Gone
-	b.ended(10, "b", 0, Ending{Outcome: control.ConnectionRefused}) // another office would be tried at once
+	b.ended(10, "b", 0, Result{Outcome: control.ConnectionRefused}) // another office would be tried at once
 	b.want("invite b 0 at 10", "answer b refused  2000ms")
 	if b.open != 0 || b.module.Held() != 0 {
 		t.Errorf("%d open, %d held", b.open, b.module.Held())
@@ -40,7 +40,7 @@
 // While input of a client waits to be read, its attempt waits: for that long, and no longer.
 func TestAClientWhoseInputWaits(t *testing.T) {
 	b := newBed(t)
-	from := &client{b, Unheard}
+	from := &client{b, InputPending}
 	b.dial(from, "a")
 	b.pass(20 * ms)
 	b.want()
@@ -53,7 +53,7 @@
 	b.stood(10, "a", 0, nil)
 	b.want("answer a stands  0ms")
 
-	from.is = Unheard
+	from.is = InputPending
 	b.dial(from, "b") // the reader does not come to it
 	b.pass(unheardLimit + 300*ms)
 	b.want("answer b refused  2000ms")
@@ -66,7 +66,7 @@
 		t.Errorf("said %q", b.said)
 	}
 	b.said = nil
-	from.is = Unheard
+	from.is = InputPending
 	b.dial(from, "d")
 	b.pass(20 * ms)
 	from.is = Gone // and the core has not heard of it
@@ -81,7 +81,7 @@
 // A server that drains by the time at which its attempt may begin gets none.
 func TestAServerThatDrainsWhileAnAttemptWaits(t *testing.T) {
 	b := newBed(t)
-	from := &client{b, Unheard}
+	from := &client{b, InputPending}
 	b.dial(from, "a")
 	b.members([]Office{office(10, 0, control.Draining, 0)}, false)
 	from.is = Connected
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -14,7 +14,7 @@
 type kept struct {
 	id, owner string
 	sum       uint64 // of the set-up
-	f         Final
+	f         FinalAnswer
 	over      bool // it stood and is over
 	cut       bool
 	at        int64
@@ -22,19 +22,19 @@
 
 func (c *core) arrive(s Setup, from Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
-		if cl.Owner != s.Owner || cl.Sum() != s.Sum() {
-			from.Answer(s.ID, Final{Verdict: Failed})
+		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
+			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
 		cl.disconnected = false
 		if cl.from = from; cl.established {
-			from.Answer(s.ID, Final{Verdict: Stands, Desc: cl.desc})
+			from.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.desc})
 		}
 		return
 	}
 	if k := c.kept[s.ID]; k != nil {
-		if k.owner != s.Owner || k.sum != s.Sum() { // another call under that id: its answer is not this caller's
-			from.Answer(s.ID, Final{Verdict: Failed})
+		if k.owner != s.Owner || k.sum != s.Fingerprint() { // another call under that id: its answer is not this caller's
+			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
 		if from.Answer(s.ID, k.f); k.over {
@@ -46,11 +46,11 @@
 	cl := &call{Setup: s, serial: c.serial, from: from}
 	c.calls[s.ID] = cl
 	c.open++
-	if c.load += loadBytesEach + len(s.Desc); c.load > c.most/loadShare || c.ending {
-		c.final(cl, Final{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+	if c.load += loadBytesEach + len(s.Description); c.load > c.most/loadShare || c.ending {
+		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
 		return
 	}
-	notAfter := s.Until.Add(-answerLead).UnixNano()
+	notAfter := s.ExpiresAt.Add(-answerLead).UnixNano()
 	cl.notAfter = notAfter
 	// The module ends every call in time by itself. Should it ever not, the caller is still owed an answer.
 	c.afterFor(cl, time.Duration(notAfter-c.now), func(cl *call) {
@@ -62,7 +62,7 @@
 		}
 		if c.calls[cl.ID] == cl {
 			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
-			c.final(cl, Final{Verdict: Failed})
+			c.final(cl, FinalAnswer{Verdict: Failed})
 		}
 	})
 	c.admit(cl)
@@ -85,7 +85,7 @@
 		if !c.set.RetryAfter {
 			r.Wait = 0
 		}
-		c.final(cl, Final{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.set.MaxRetryAfter))})
+		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.set.MaxRetryAfter))})
 	case r.Verdict == join.Hold && waited < int64(maxHold) && c.waits*loadBytesEach < c.most/heldShare:
 		cl.asked++
 		c.waits++
@@ -101,7 +101,7 @@
 }
 
 // final gives a call its one final answer.
-func (c *core) final(cl *call, f Final) {
+func (c *core) final(cl *call, f FinalAnswer) {
 	if c.calls[cl.ID] != cl || cl.established {
 		return
 	}
@@ -111,11 +111,11 @@
 	c.log.Debug("answer", "call", cl.ID, "verdict", f.Verdict, "later_ms", f.Wait.Milliseconds(), "attempts",
 		cl.sent, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
 	if f.Verdict == Stands {
-		cl.established, cl.desc = true, f.Desc
-		c.load += len(f.Desc)
+		cl.established, cl.desc = true, f.Description
+		c.load += len(f.Description)
 	} else {
 		c.drop(cl)
-		c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Sum(), f: f, at: c.now})
+		c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: f, at: c.now})
 	}
 	c.write(cl, Record{Verdict: f.Verdict.String(), Wait: f.Wait})
 	cl.from.Answer(cl.ID, f)
@@ -137,7 +137,7 @@
 		c.waits--
 	}
 	delete(c.calls, cl.ID)
-	c.load -= loadBytesEach + len(cl.Desc) + len(cl.desc)
+	c.load -= loadBytesEach + len(cl.Description) + len(cl.desc)
 }
 
 // write hands a record to the store: one with the answer, and one more when a call that stood is over.
@@ -157,13 +157,13 @@
 func (c *core) keep(k *kept) {
 	c.kept[k.id] = k
 	c.queue = append(c.queue, k)
-	c.bytes += len(k.f.Desc)
+	c.bytes += len(k.f.Description)
 	for len(c.queue) > c.most/retainedShare/retainedBytesEach || c.bytes > c.most/retainedShare ||
 		len(c.queue) > 0 && c.now-c.queue[0].at > int64(retention) {
 		old := c.queue[0]
 		c.queue[0] = nil
 		c.queue = c.queue[1:]
-		c.bytes -= len(old.f.Desc)
+		c.bytes -= len(old.f.Description)
 		if c.kept[old.id] == old {
 			delete(c.kept, old.id)
 		}
@@ -181,7 +181,7 @@
 	}
 	c.drop(cl)
 	c.open--
-	c.keep(&kept{id: id, owner: owner, sum: cl.Sum(), f: Final{Verdict: Failed}, at: c.now})
+	c.keep(&kept{id: id, owner: owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Failed}, at: c.now})
 	c.write(cl, Record{Verdict: "left"})
 	c.tell(control.Event{Kind: control.Aborted, Call: id})
 	if cl.inFlight {
@@ -196,9 +196,9 @@
 }
 
 // over ends a standing call: the module learns it, and the memory of its answer begins.
-func (c *core) over(cl *call, e Ending, cut bool) {
+func (c *core) over(cl *call, e Result, cut bool) {
 	c.drop(cl)
-	c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Sum(), f: Final{Verdict: Stands, Desc: cl.desc}, over: true,
+	c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Stands, Description: cl.desc}, over: true,
 		cut: cut, at: c.now})
 	c.write(cl, Record{Verdict: Stands.String(), Cut: cut})
 	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
@@ -211,7 +211,7 @@
 		return
 	}
 	c.offices.Bye(cl.server, id, cl.sent-1, false)
-	c.over(cl, Ending{Outcome: control.Canceled}, false)
+	c.over(cl, Result{Outcome: control.Canceled}, false)
 }
 
 func (c *core) released(server uint64, id string, cut bool, report []float64) {
@@ -226,7 +226,7 @@
 		}
 		return
 	}
-	e := Ending{Outcome: control.Completed, Report: report}
+	e := Result{Outcome: control.Completed, Report: report}
 	if cut {
 		e.Outcome = control.ConnectionLost
 	}
@@ -247,7 +247,7 @@
 			if cl.inFlight {
 				c.withdraw(cl, control.Canceled)
 			}
-			c.final(cl, Final{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+			c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
 		}
 	}
 }
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -86,13 +86,13 @@
 	if o.Record == nil {
 		o.Record = func(Record) {}
 	}
-	if o.Stray == nil {
-		o.Stray = func(string, bool) {}
+	if o.OnUnknownRelease == nil {
+		o.OnUnknownRelease = func(string, bool) {}
 	}
-	if o.Memory == 0 {
-		o.Memory = 192 << 20
+	if o.MemoryBytes == 0 {
+		o.MemoryBytes = 192 << 20
 	}
-	c := &core{most: o.Memory, chain: o.Join, clock: o.Now, log: o.Log, record: o.Record, stray: o.Stray, module: module, set: o.Settings,
+	c := &core{most: o.MemoryBytes, chain: o.Join, clock: o.Now, log: o.Log, record: o.Record, stray: o.OnUnknownRelease, module: module, set: o.Settings,
 		calls: map[string]*call{}, known: map[uint64]Office{}, heard: map[uint64]int64{}, kept: map[string]*kept{}}
 	if len(o.Join) > 0 {
 		module.ExcludeServers(func(server uint64) bool { ok, _, _ := c.chain.Room(c.now, server); return !ok })
@@ -137,14 +137,14 @@
 		c.send(cl, a)
 	case control.Cancel:
 		if cl.inFlight && cl.sent-1 == a.Attempt {
-			c.offices.Suspect(cl.server, time.Unix(0, cl.sentAt), false)
+			c.offices.ReportSilence(cl.server, time.Unix(0, cl.sentAt), false)
 			c.withdraw(cl, control.Canceled)
 		}
 	case control.Refuse:
 		c.chain.Did(c.now, a)
-		c.final(cl, Final{Verdict: Refused, Wait: time.Duration(a.Wait)})
+		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(a.Wait)})
 	case control.Fail:
 		c.chain.Did(c.now, a)
-		c.final(cl, Final{Verdict: Failed})
+		c.final(cl, FinalAnswer{Verdict: Failed})
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -27,15 +27,15 @@
 
 // Options is what an Exchange is made from.
 type Options struct {
-	Settings control.Settings
-	Seed     uint64
-	Now      func() time.Time
-	Log      *slog.Logger
-	Memory   int          // bytes that the instance may hold; 0: those of the largest
-	Record   func(Record) // called by the core, must not block; nil: no store
+	Settings    control.Settings
+	Seed        uint64
+	Now         func() time.Time
+	Log         *slog.Logger
+	MemoryBytes int          // bytes that the instance may hold; 0: those of the largest
+	Record      func(Record) // called by the core, must not block; nil: no store
 	// Stray takes the release of a call that this process never had: one from before its restart, whose
 	// caller still holds it. Called by the core, must not block.
-	Stray func(id string, cut bool)
+	OnUnknownRelease func(id string, cut bool)
 	// Join are the decision modules that take part beside control, in the order in which they are asked.
 	Join join.Chain
 }
@@ -71,7 +71,7 @@
 }
 
 // Connect names the offices' side. To be called once, before Run.
-func (x *Exchange) Connect(o Offices) { x.core.offices = o }
+func (x *Exchange) SetOffices(o Offices) { x.core.offices = o }
 
 // post hands the core an event. Readers wait while the inbox is full; what the core itself causes must not.
 func (x *Exchange) post(wait bool, f func()) {
@@ -121,7 +121,7 @@
 
 // Drive does all that is due and comes back with the time to the next alarm. It takes the place of Run for whoever has
 // a clock of its own, such as a model: every event that is handed in is to be followed by it.
-func (x *Exchange) Drive() time.Duration {
+func (x *Exchange) RunDue() time.Duration {
 	for {
 		x.core.tick()
 		x.mu.Lock()
@@ -138,10 +138,10 @@
 }
 
 // Peek is Status for whoever drives the exchange.
-func (x *Exchange) Peek() Status { return x.core.status() }
+func (x *Exchange) StatusDirect() Status { return x.core.status() }
 
 // RefuseAllNow is RefuseAll for whoever drives the exchange.
-func (x *Exchange) RefuseAllNow() { x.core.refuseAll() }
+func (x *Exchange) RefuseAllDirect() { x.core.refuseAll() }
 
 // close lets go of all who wait for the core.
 func (x *Exchange) close() {
@@ -154,7 +154,7 @@
 
 // Arrive hands over a set-up. A set-up that the owner sent before joins the running call or gets the recorded
 // answer.
-func (x *Exchange) Arrive(s Setup, from Caller) { x.post(true, func() { x.core.arrive(s, from) }) }
+func (x *Exchange) Submit(s Setup, from Caller) { x.post(true, func() { x.core.arrive(s, from) }) }
 
 // GiveUp tells that a caller no longer waits. With a caller given, only if the call is still that caller's
 // (it may have been joined from elsewhere). It never blocks, so that a side may call it under its lock: the id
@@ -164,7 +164,9 @@
 }
 
 // Left tells that a caller is away and may come back. It never blocks, as GiveUp.
-func (x *Exchange) Left(id, owner string) { x.post(false, func() { x.core.left(id, owner) }) }
+func (x *Exchange) CallerDisconnected(id, owner string) {
+	x.post(false, func() { x.core.left(id, owner) })
+}
 
 // HangUp tells that a caller ended its standing call.
 func (x *Exchange) HangUp(id, owner string) { x.post(true, func() { x.core.hangUp(id, owner) }) }
@@ -175,7 +177,7 @@
 }
 
 // Ended tells that attempt n of a call ended before it stood. It never blocks: the core may have caused it.
-func (x *Exchange) Ended(server uint64, id string, n int, e Ending) {
+func (x *Exchange) Ended(server uint64, id string, n int, e Result) {
 	x.post(false, func() { x.core.ended(server, id, n, e) })
 }
 
@@ -193,12 +195,12 @@
 func (x *Exchange) Lost(server uint64) { x.post(false, func() { x.core.lost(server, x.core.now+1) }) }
 
 // Members tells a change of the list of offices. It never blocks: what is known at the start comes before Run.
-func (x *Exchange) Members(changed []Office, full bool) {
+func (x *Exchange) UpdateOffices(changed []Office, full bool) {
 	x.post(false, func() { x.core.members(changed, full) })
 }
 
 // Open tells how many calls still wait for their answer.
-func (x *Exchange) Open() (n int) {
+func (x *Exchange) UnansweredCalls() (n int) {
 	x.ask(func() { n = x.core.open })
 	return n
 }
@@ -230,7 +232,7 @@
 
 // Offer has the core run something of a module's when it comes to it, and does not wait. It is for what other instances
 // say: while the inbox is half full or more, the core has callers and offices to hear, and it is not taken.
-func (x *Exchange) Offer(f func(now int64)) bool {
+func (x *Exchange) TryRun(f func(now int64)) bool {
 	x.mu.Lock()
 	room := len(x.inbox) < x.most/2 && !x.over
 	x.mu.Unlock()
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -39,12 +39,12 @@
 func newBed(t *testing.T) *bed {
 	b := &bed{t: t, at: time.Unix(1_000_000, 0)}
 	x, err := New(Options{Settings: settings(), Seed: 3, Now: func() time.Time { return b.at }, Log: netcase.Quiet(),
-		Record: func(r Record) { b.recs = append(b.recs, r) },
-		Stray:  func(id string, cut bool) { b.stray = append(b.stray, id) }})
+		Record:           func(r Record) { b.recs = append(b.recs, r) },
+		OnUnknownRelease: func(id string, cut bool) { b.stray = append(b.stray, id) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.Connect(b)
+	x.SetOffices(b)
 	b.core = x.core
 	b.tick()
 	b.members([]Office{office(10, 0, control.Serving, 0), office(11, 1, control.Serving, 0)}, true)
@@ -58,15 +58,15 @@
 
 func (b *bed) say(format string, a ...any) { b.said = append(b.said, fmt.Sprintf(format, a...)) }
 
-func (b *bed) Answer(id string, f Final) {
-	b.say("answer %s %s %s %dms", id, f.Verdict, f.Desc, f.Wait.Milliseconds())
+func (b *bed) Answer(id string, f FinalAnswer) {
+	b.say("answer %s %s %s %dms", id, f.Verdict, f.Description, f.Wait.Milliseconds())
 }
 func (b *bed) Release(id string, cut bool)            { b.say("release %s %v", id, cut) }
-func (b *bed) List([]Office, bool)                    {}
-func (b *bed) Invite(a Attempt)                       { b.say("invite %s %d at %d", a.ID, a.N, a.Server) }
+func (b *bed) UpdateList([]Office, bool)              {}
+func (b *bed) Invite(a Attempt)                       { b.say("invite %s %d at %d", a.ID, a.Index, a.Server) }
 func (b *bed) Cancel(s uint64, id string, n int)      { b.say("cancel %s %d at %d", id, n, s) }
 func (b *bed) Bye(s uint64, id string, n int, c bool) { b.say("bye %s at %d %v", id, s, c) }
-func (b *bed) Suspect(s uint64, _ time.Time, check bool) {
+func (b *bed) ReportSilence(s uint64, _ time.Time, check bool) {
 	if check {
 		b.say("check %d", s)
 	}
@@ -90,7 +90,7 @@
 }
 
 func (b *bed) call(id string, patience time.Duration) {
-	b.arrive(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.at, Until: b.at.Add(patience)}, b)
+	b.arrive(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.at, ExpiresAt: b.at.Add(patience)}, b)
 }
 
 func TestACallFromSetUpToRelease(t *testing.T) {
@@ -129,7 +129,7 @@
 func TestReleaseWaitBetweenAttempts(t *testing.T) {
 	b := newBed(t)
 	b.call("a", 3*time.Second)
-	b.ended(10, "a", 0, Ending{Outcome: control.ConnectionLost})
+	b.ended(10, "a", 0, Result{Outcome: control.ConnectionLost})
 	b.want("invite a 0 at 10")
 	b.pass(300 * ms)
 	b.want() // the margin: the rule counts from the end as it was written
@@ -163,15 +163,15 @@
 func TestWhatIsRefusedIsNotKept(t *testing.T) {
 	b := newBed(t)
 	names := Names{Classes: []Class{{Name: "open-log", Deadline: 9 * time.Second}}}
-	day, s := maxPatience.Milliseconds(), Setup{ID: "a", Number: "17", Dest: -1, Desc: make([]byte, 16<<10)}
-	if err := names.Fill(&s, "open-log", "", &day, b.at); err != nil || s.Until.Sub(s.Taken) != 9*time.Second {
-		t.Fatalf("patience %v, %v", s.Until.Sub(s.Taken), err)
+	day, s := maxPatience.Milliseconds(), Setup{ID: "a", Number: "17", Dest: -1, Description: make([]byte, 16<<10)}
+	if err := names.Apply(&s, "open-log", "", &day, b.at); err != nil || s.ExpiresAt.Sub(s.Taken) != 9*time.Second {
+		t.Fatalf("patience %v, %v", s.ExpiresAt.Sub(s.Taken), err)
 	}
 	s.Owner = "sip"
 	b.arrive(s, b)
 	call := weak.Make(b.calls["a"])
-	b.ended(10, "a", 0, Ending{Outcome: control.Unavailable})
-	b.ended(11, "a", 0, Ending{Outcome: control.Unavailable})
+	b.ended(10, "a", 0, Result{Outcome: control.Unavailable})
+	b.ended(11, "a", 0, Result{Outcome: control.Unavailable})
 	if b.open != 0 {
 		t.Fatalf("said %v", b.said)
 	}
@@ -218,7 +218,7 @@
 	b.want("answer b refused  200ms")
 	b.pass(retention + time.Second)
 	b.call("c", time.Second)
-	b.ended(10, "c", 0, Ending{Outcome: control.Unavailable})
+	b.ended(10, "c", 0, Result{Outcome: control.Unavailable})
 	if b.kept["a"] != nil || len(b.queue) != 1 {
 		t.Errorf("kept for ever: %d", len(b.queue))
 	}
@@ -302,19 +302,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.Connect(b)
+		x.SetOffices(b)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		for range x.most + 1 { // a long list, known before Run takes anything
-			x.Members([]Office{office(10, 0, control.Serving, 0)}, true)
+			x.UpdateOffices([]Office{office(10, 0, control.Serving, 0)}, true)
 		}
 		go func() { done <- x.Run(ctx) }()
 		now := time.Now()
 		for _, id := range []string{"a", "b"} {
-			x.Arrive(Setup{ID: id, Taken: now, Until: now.Add(time.Second)}, b)
+			x.Submit(Setup{ID: id, Taken: now, ExpiresAt: now.Add(time.Second)}, b)
 		}
 		x.Stood(10, "a", 0, nil)
-		if n := x.Open(); n != 1 {
+		if n := x.UnansweredCalls(); n != 1 {
 			t.Errorf("%d open", n)
 		}
 		x.RefuseAll()
@@ -329,7 +329,7 @@
 			x.State(10, nil)
 		}
 		x.RefuseAll()
-		if n := x.Open(); n != 0 {
+		if n := x.UnansweredCalls(); n != 0 {
 			t.Errorf("%d open after the end", n)
 		}
 	})
@@ -378,7 +378,7 @@
 	b.left("a", "another")
 	b.left("a", "o")
 	b.want("invite a 0 at 10")
-	b.ended(10, "a", 0, Ending{Outcome: control.ConnectionRefused}) // another office would be tried at once
+	b.ended(10, "a", 0, Result{Outcome: control.ConnectionRefused}) // another office would be tried at once
 	b.want("answer a refused  2000ms")
 	b.call("a", 3*time.Second)
 	b.want("answer a refused  2000ms")
@@ -388,6 +388,6 @@
 	b.left("b", "o")
 	b.call("b", 3*time.Second) // it is back
 	b.said = nil
-	b.ended(10, "b", 0, Ending{Outcome: control.ConnectionRefused})
+	b.ended(10, "b", 0, Result{Outcome: control.ConnectionRefused})
 	b.want("invite b 1 at 11")
 }
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -116,12 +116,12 @@
 
 // What other instances say waits while the core has much to do, and is never waited for: callers and offices come first.
 func TestOffersLeaveRoomForCallers(t *testing.T) {
-	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), Memory: 64 << 20})
+	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), MemoryBytes: 64 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
 	taken := 0
-	for x.Offer(func(int64) { taken++ }) { // nobody runs the core
+	for x.TryRun(func(int64) { taken++ }) { // nobody runs the core
 		if taken++; taken > 1<<20 {
 			t.Fatal("without a bound")
 		}
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -21,7 +21,7 @@
 type Names struct {
 	Classes []Class
 	Tenants []string
-	Cells   []int // pools that a call may name as its first choice; empty: any
+	Pools   []int // pools that a call may name as its first choice; empty: any
 }
 
 // maxNumber bounds a number called: much more than any plan of numbers, and little in an office's first line.
@@ -31,7 +31,7 @@
 // choice. A patience beyond the class's deadline counts as that: later the call is worth nothing, and what is kept for
 // it must have an end. The error says in plain words what is invalid: that must not reach an office, which may close the connection
 // on what it can't read, under all other set-ups. A tenant may be left out, a patience too (nil): then the class's deadline holds.
-func (n Names) Fill(s *Setup, class, tenant string, patienceMS *int64, at time.Time) error {
+func (n Names) Apply(s *Setup, class, tenant string, patienceMS *int64, at time.Time) error {
 	k := slices.IndexFunc(n.Classes, func(c Class) bool { return c.Name == class })
 	if k < 0 {
 		return fmt.Errorf("unknown class %q", class)
@@ -42,7 +42,7 @@
 	if len(s.Number) > maxNumber || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
 		return errors.New("number is too long, or no visible ASCII")
 	}
-	if s.Dest != -1 && (s.Dest < 0 || len(n.Cells) > 0 && !slices.Contains(n.Cells, s.Dest)) {
+	if s.Dest != -1 && (s.Dest < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.Dest)) {
 		return fmt.Errorf("first choice %d is no pool", s.Dest)
 	}
 	patience := n.Classes[k].Deadline
@@ -52,6 +52,6 @@
 		}
 		patience = min(time.Duration(*patienceMS)*time.Millisecond, patience)
 	}
-	s.Class, s.Name, s.Tenant, s.Taken, s.Until = k, class, tenant, at, at.Add(patience)
+	s.Class, s.Name, s.Tenant, s.Taken, s.ExpiresAt = k, class, tenant, at, at.Add(patience)
 	return nil
 }
--- a/internal/exchange/servers.go
+++ b/internal/exchange/servers.go
@@ -12,7 +12,7 @@
 	c.watch = false
 	for _, cl := range c.calls {
 		if cl.established && c.now-c.heard[cl.server] > int64(silenceLimit) {
-			c.offices.Suspect(cl.server, time.Unix(0, c.now-int64(silenceLimit)), true)
+			c.offices.ReportSilence(cl.server, time.Unix(0, c.now-int64(silenceLimit)), true)
 		}
 	}
 	c.pulse()
@@ -31,7 +31,7 @@
 	for _, cl := range c.inOrder() {
 		if cl.established && cl.server == server && cl.sentAt < before {
 			c.log.Info("call cut with its office", "call", cl.ID, "server", server)
-			c.over(cl, Ending{Outcome: control.ConnectionLost}, true)
+			c.over(cl, Result{Outcome: control.ConnectionLost}, true)
 			cl.from.Release(cl.ID, true)
 		}
 	}
@@ -75,7 +75,7 @@
 			delete(c.heard, id)
 		}
 	}
-	c.offices.List(changed, full)
+	c.offices.UpdateList(changed, full)
 	c.tell(ev)
 	for id, before := range dead {
 		c.lost(id, before)
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -20,45 +20,45 @@
 func (v Verdict) String() string { return [...]string{"stands", "refused", "failed"}[v] }
 
 // Final is a call's one final answer.
-type Final struct {
-	Verdict Verdict
-	Desc    []byte        // of the office, where the call stands
-	Wait    time.Duration // how long the caller shall keep away; 0: no advice
+type FinalAnswer struct {
+	Verdict     Verdict
+	Description []byte        // of the office, where the call stands
+	Wait        time.Duration // how long the caller shall keep away; 0: no advice
 }
 
 // Setup is a call as a caller's side hands it over. Nothing in it may change afterwards.
 type Setup struct {
-	ID     string // 16 hex digits; offices know the call by it
-	Owner  string // who may join the call again or end it
-	Class  int
-	Name   string // of the class
-	Tenant string
-	Number string
-	Desc   []byte
-	Dest   int // pool of first choice
-	Retry  bool
-	Again  bool
-	Taken  time.Time // its last byte
-	Until  time.Time // its caller leaves
+	ID          string // 16 hex digits; offices know the call by it
+	Owner       string // who may join the call again or end it
+	Class       int
+	Name        string // of the class
+	Tenant      string
+	Number      string
+	Description []byte
+	Dest        int // pool of first choice
+	Retry       bool
+	Again       bool
+	Taken       time.Time // its last byte
+	ExpiresAt   time.Time // its caller leaves
 }
 
 var sumSeed = maphash.MakeSeed()
 
 // Sum tells two set-ups under one id apart: it is the same for one that was sent again.
-func (s *Setup) Sum() uint64 {
+func (s *Setup) Fingerprint() uint64 {
 	var h maphash.Hash
 	h.SetSeed(sumSeed)
 	for _, part := range []string{s.Name, s.Tenant, s.Number} {
 		h.WriteString(part)
 		h.WriteByte(0)
 	}
-	h.Write(s.Desc)
+	h.Write(s.Description)
 	return h.Sum64()
 }
 
 // Caller is where a call came from. Its methods are called by the core and must not block.
 type Caller interface {
-	Answer(id string, f Final)
+	Answer(id string, f FinalAnswer)
 	Release(id string, cut bool) // the call stood and is over; cut: before its time
 }
 
@@ -67,9 +67,9 @@
 
 // The states of a client.
 const (
-	Connected Presence = iota // all that it had sent until a moment ago has been handled
-	Unheard                   // older input of it waits to be read: a request to cancel may be among it
-	Gone                      // it has closed its connection, or cancelled the request
+	Connected    Presence = iota // all that it had sent until a moment ago has been handled
+	InputPending                 // older input of it waits to be read: a request to cancel may be among it
+	Gone                         // it has closed its connection, or cancelled the request
 )
 
 // PresenceChecker is a Caller that is asked for a call's client before each attempt: word of a client that has gone may
@@ -79,19 +79,19 @@
 }
 
 // Desk is where a callers' side hands calls in; the Exchange is one.
-type Desk interface {
-	Arrive(s Setup, from Caller)
+type CallHandler interface {
+	Submit(s Setup, from Caller)
 	GiveUp(id, owner string, from Caller)
 	HangUp(id, owner string)
 	// Left tells that a caller is away and may come back to its call by Arrive: until then no attempt is sent.
-	Left(id, owner string)
+	CallerDisconnected(id, owner string)
 }
 
 // Attempt is one set-up on its way to an office.
 type Attempt struct {
 	ID, Class, Number string
-	Desc              []byte
-	N                 int // 0, 1, 2 ... within the call
+	Description       []byte
+	Index             int // 0, 1, 2 ... within the call
 	Server            uint64
 	Wait              time.Duration // how long it is waited for
 	// Presence tells whether the client is still there, for an attempt that waits before it is written. It may be called
@@ -107,16 +107,16 @@
 
 // Offices is the side of the offices. Its methods are called by the core and must not block.
 type Offices interface {
-	List(changed []Office, full bool)
+	UpdateList(changed []Office, full bool)
 	Invite(a Attempt)
 	Cancel(server uint64, id string, n int)
 	Bye(server uint64, id string, n int, cut bool)
 	// Suspect tells that nothing came where something was due since that time; check: calls stand there.
-	Suspect(server uint64, since time.Time, check bool)
+	ReportSilence(server uint64, since time.Time, check bool)
 }
 
 // Ending is how an attempt or a standing call ended at an office.
-type Ending struct {
+type Result struct {
 	Outcome control.Outcome
 	Note    int
 	WaitMS  int64
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -50,18 +50,18 @@
 func New(t *testing.T) *Core {
 	t.Helper()
 	c := &Core{t: t, invited: map[string]int{}, fresh: make(chan exchange.Attempt, 100)}
-	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.Quiet(), Memory: smallMemory,
+	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.Quiet(), MemoryBytes: smallMemory,
 		Now: func() time.Time { return time.Now().Add(time.Duration(c.ahead.Load())) }, Join: join.Chain{&c.gate}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Exchange = x
-	x.Connect(c)
+	x.SetOffices(c)
 	var list []exchange.Office
 	for cell, id := range []uint64{10, 11} {
 		list = append(list, exchange.Office{Addr: "a:1", Entry: control.Entry{Server: id, Cell: cell, Share: 1, State: control.Serving}})
 	}
-	x.Members(list, true)
+	x.UpdateOffices(list, true)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- x.Run(ctx) }()
@@ -90,14 +90,14 @@
 	case First:
 	case ByModule:
 		send()
-		c.until(func() bool { return c.Status().Waiting == 1 })
+		c.until(func() bool { return c.Status().HeldByModules == 1 })
 	default:
 		send()
 		outcome := map[State]control.Outcome{ReleaseWait: control.ConnectionLost, ByPolicy: control.Saturated}[state]
 		c.until(func() bool {
 			select {
 			case a := <-c.fresh:
-				c.Ended(a.Server, a.ID, a.N, exchange.Ending{Outcome: outcome})
+				c.Ended(a.Server, a.ID, a.Index, exchange.Result{Outcome: outcome})
 			default:
 			}
 			return c.Status().Held == 1
@@ -162,7 +162,7 @@
 }
 
 // List implements exchange.Offices.
-func (c *Core) List([]exchange.Office, bool) {}
+func (c *Core) UpdateList([]exchange.Office, bool) {}
 
 // Cancel implements exchange.Offices.
 func (c *Core) Cancel(uint64, string, int) {}
@@ -171,7 +171,7 @@
 func (c *Core) Bye(uint64, string, int, bool) {}
 
 // Suspect implements exchange.Offices.
-func (c *Core) Suspect(uint64, time.Time, bool) {}
+func (c *Core) ReportSilence(uint64, time.Time, bool) {}
 
 // gate is a joined module that holds calls while it is shut.
 type gate struct{ shut atomic.Bool }
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -51,7 +51,7 @@
 // fail ends all attempts that wait for a connection: they never ran.
 func (l *link) fail(o control.Outcome) {
 	for _, a := range l.waiting {
-		l.pool.Core.Ended(l.server, a.ID, a.N, exchange.Ending{Outcome: o})
+		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: o})
 	}
 	l.waiting = nil
 }
@@ -143,12 +143,12 @@
 		presence = a.Presence()
 	}
 	wait := s.copies(a.ID)
-	if presence == exchange.Unheard {
+	if presence == exchange.InputPending {
 		wait = max(wait, unheardStep)
 	}
 	switch {
 	case presence == exchange.Gone: // it never ran
-		l.pool.Core.Ended(l.server, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused})
+		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
 	case wait > 0:
 		l.waiting = append(l.waiting, a)
 		time.AfterFunc(wait, l.wake)
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -12,7 +12,7 @@
 // Core is what this side tells the exchange.
 type Core interface {
 	Stood(server uint64, id string, n int, desc []byte)
-	Ended(server uint64, id string, n int, e exchange.Ending)
+	Ended(server uint64, id string, n int, e exchange.Result)
 	Released(server uint64, id string, cut bool, report []float64)
 	State(server uint64, report []float64)
 	Lost(server uint64)
@@ -31,7 +31,7 @@
 // Hearer takes what a peer hears.
 type Hearer interface {
 	Stood(id string, desc []byte)
-	Ended(id string, e exchange.Ending)
+	Ended(id string, e exchange.Result)
 	Released(id string, cut bool, report []float64)
 	State(report []float64)
 }
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -32,7 +32,7 @@
 func (c core) Stood(s uint64, id string, n int, desc []byte) {
 	c.say("stood %s %d %s", id, n, desc)
 }
-func (c core) Ended(s uint64, id string, n int, e exchange.Ending) {
+func (c core) Ended(s uint64, id string, n int, e exchange.Result) {
 	c.say("ended %s %d %d note %d wait %d %v", id, n, e.Outcome, e.Note, e.WaitMS, e.Report)
 }
 func (c core) Released(s uint64, id string, cut bool, r []float64) {
@@ -74,12 +74,12 @@
 		Dials: map[string]Dial{"": dial}, Listed: func() bool { return !b.unheard.Load() }})
 	go b.Run(t.Context())
 	synctest.Wait()
-	b.List([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: "a:1"}}, true)
+	b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: "a:1"}}, true)
 	return b
 }
 
 func (b *bed) invite(n int) {
-	b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Desc: []byte("offer"), N: n,
+	b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Description: []byte("offer"), Index: n,
 		Server: 10, Wait: time.Second})
 }
 
@@ -195,9 +195,9 @@
 	}{
 		{"there", []exchange.Presence{exchange.Connected}, ""},
 		{"gone", []exchange.Presence{exchange.Gone}, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []"},
-		{"unheard, then gone", []exchange.Presence{exchange.Unheard, exchange.Unheard, exchange.Gone},
+		{"unheard, then gone", []exchange.Presence{exchange.InputPending, exchange.InputPending, exchange.Gone},
 			"ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []"},
-		{"unheard, then there", []exchange.Presence{exchange.Unheard, exchange.Connected}, ""},
+		{"unheard, then there", []exchange.Presence{exchange.InputPending, exchange.Connected}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -266,7 +266,7 @@
 		b.invite(0)
 		time.Sleep(time.Second)
 		b.Cancel(10, "9b1f03aa5c7e2d41", 0)
-		b.Suspect(10, sent, false)
+		b.ReportSilence(10, sent, false)
 		b.invite(1)
 		expect(t, b.told, "lost") // found by the first attempt's silence
 		expect(t, b.told, "ended 9b1f03aa5c7e2d41 1 4 note 0 wait 0 []")
@@ -288,7 +288,7 @@
 		b.refuse.Store(true)
 		for range 12 {
 			time.Sleep(time.Second)
-			b.Suspect(10, time.Now().Add(-3*time.Second), true)
+			b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 			synctest.Wait()
 		}
 		if len(b.told) != 0 {
@@ -316,7 +316,7 @@
 				time.Sleep(100 * time.Millisecond)
 				b.unheard.Store(time.Since(began) >= unheard)
 				if k%10 == 0 {
-					b.Suspect(10, time.Now().Add(-3*time.Second), true)
+					b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				}
 				synctest.Wait()
 			}
@@ -347,7 +347,7 @@
 			time.AfterFunc(open, func() { server.Close() })
 			for len(b.told) == 0 && time.Since(lastWord) < 20*time.Second {
 				time.Sleep(500 * time.Millisecond)
-				b.Suspect(10, time.Now().Add(-3*time.Second), true)
+				b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				synctest.Wait()
 			}
 			expect(t, b.told, "lost")
@@ -369,7 +369,7 @@
 	pool := NewPool(Options{Core: core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
 		Dials: map[string]Dial{"": SIP("n0", fields)}})
 	go pool.Run(t.Context())
-	pool.List([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: listener.Addr().String()}}, true)
+	pool.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: listener.Addr().String()}}, true)
 	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -390,7 +390,7 @@
 			}
 			return
 		case <-suspect.C:
-			pool.Suspect(10, time.Now().Add(-3*time.Second), true)
+			pool.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 		}
 	}
 }
@@ -570,7 +570,7 @@
 			sentAt := time.Now()
 			b.invite(n)
 			time.Sleep(each)
-			b.Suspect(10, sentAt, false)
+			b.ReportSilence(10, sentAt, false)
 			b.Cancel(10, "9b1f03aa5c7e2d41", n)
 		}
 		b.invite(4)
@@ -588,7 +588,7 @@
 		go io.Copy(io.Discard, office)
 		b.silent.Store(true)
 		time.Sleep(time.Second)
-		b.Suspect(10, time.Now(), false)
+		b.ReportSilence(10, time.Now(), false)
 		io.WriteString(office, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
 		expect(t, b.told, "state [3 -1 -1 -1]")
 		b.invite(0)
@@ -602,26 +602,26 @@
 		b := newBed(t)
 		first := <-b.dialled
 		draining := exchange.Office{Entry: control.Entry{Server: 10, State: control.Draining}, Addr: "a:1"}
-		b.List([]exchange.Office{draining}, false)
+		b.UpdateList([]exchange.Office{draining}, false)
 		synctest.Wait()
 		b.Bye(10, "x", 0, false) // calls stand there: the connection stays
 		if m, err := sip.NewReader(first).Next(); err != nil || string(m.Method) != "BYE" {
 			t.Errorf("%+v, %v", m, err)
 		}
 		old := exchange.Office{Entry: control.Entry{Server: 10, ReadyAt: time.Now().Add(-time.Second).UnixNano()}, Addr: "a:1"}
-		b.List([]exchange.Office{old}, false)
+		b.UpdateList([]exchange.Office{old}, false)
 		b.Bye(10, "x", 0, false) // the connection is newer than the start: it stays
 		if m, err := sip.NewReader(first).Next(); err != nil || string(m.Method) != "BYE" {
 			t.Errorf("%+v, %v", m, err)
 		}
 		time.Sleep(time.Second)
 		old.ReadyAt = time.Now().UnixNano()
-		b.List([]exchange.Office{old}, false)
+		b.UpdateList([]exchange.Office{old}, false)
 		<-b.dialled // a new processor gets a new connection
 		if _, err := io.ReadAll(first); err != nil {
 			t.Errorf("old connection: %v", err)
 		}
-		b.List(nil, true)
+		b.UpdateList(nil, true)
 		b.invite(0)
 		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
 	})
@@ -643,7 +643,7 @@
 type deaf struct{}
 
 func (deaf) Stood(string, []byte)             {}
-func (deaf) Ended(string, exchange.Ending)    {}
+func (deaf) Ended(string, exchange.Result)    {}
 func (deaf) Released(string, bool, []float64) {}
 func (deaf) State([]float64)                  {}
 
@@ -724,14 +724,14 @@
 			<-goOn
 			return &sipPeer{Conn: sip.NewConn(ours, limits), name: "n0", fields: fields}, nil
 		}
-		b.List([]exchange.Office{{Entry: control.Entry{Server: 11}, Addr: "b:1"}}, false)
+		b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 11}, Addr: "b:1"}}, false)
 		a := exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 11, Wait: time.Second}
 		b.Invite(a)
 		b.Cancel(11, a.ID, 0)
 		a.ID = "0000000000000002"
 		b.Invite(a)
 		synctest.Wait()
-		b.List([]exchange.Office{{Entry: control.Entry{Server: 11, State: control.Removed}}}, false)
+		b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 11, State: control.Removed}}}, false)
 		expect(t, b.told, "ended 0000000000000002 0 4 note 0 wait 0 []")
 		close(goOn)
 		if got, err := io.ReadAll(theirs); len(got) != 0 || err != nil {
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -68,7 +68,7 @@
 
 // List takes a change of the list. An office at a new address or with a new processor gets a new connection;
 // one that drains keeps its own, as calls stand there.
-func (p *Pool) List(changed []exchange.Office, full bool) {
+func (p *Pool) UpdateList(changed []exchange.Office, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	on := map[uint64]bool{}
@@ -110,7 +110,7 @@
 	l := p.links[a.Server]
 	switch {
 	case l == nil || len(l.waiting) >= waitingMost:
-		p.Core.Ended(a.Server, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused})
+		p.Core.Ended(a.Server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
 	case l.cur != nil && !l.cur.stale && l.cur.copies(a.ID) <= 0:
 		l.cur.invite(a)
 	default:
@@ -128,7 +128,7 @@
 		return
 	}
 	for k, a := range l.waiting {
-		if a.ID == id && a.N == n {
+		if a.ID == id && a.Index == n {
 			l.waiting = append(l.waiting[:k:k], l.waiting[k+1:]...)
 			return
 		}
@@ -162,7 +162,7 @@
 // Suspect is told of an office from which something was due since that time. A connection on which nothing at
 // all was heard since then may lead to a machine that has vanished: it stays open and silent for ever, also
 // when the machine is back. With check, a new connection is tried even if nothing waits to be sent.
-func (p *Pool) Suspect(server uint64, since time.Time, check bool) {
+func (p *Pool) ReportSilence(server uint64, since time.Time, check bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[server]
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -84,7 +84,7 @@
 
 func (s *session) invite(a exchange.Attempt) {
 	now := time.Now()
-	s.out[a.ID] = sent{a.N, now}
+	s.out[a.ID] = sent{a.Index, now}
 	if s.silentAt.IsZero() {
 		s.silentAt = now
 	}
@@ -171,7 +171,7 @@
 	s.pool.Log.Info("office connection ended", "reason", reason, "server", s.server, "addr", s.addr,
 		"open", len(out), "age_ms", time.Since(s.began).Milliseconds(), "err", err)
 	for id, a := range out {
-		p.Core.Ended(s.server, id, a.n, exchange.Ending{Outcome: control.ConnectionLost})
+		p.Core.Ended(s.server, id, a.n, exchange.Result{Outcome: control.ConnectionLost})
 	}
 	// A reset alone tells nothing of the calls: connections are reset on their way too, new, idle or in use. A
 	// process that died refuses what comes next, and the list tells of one that started; only a machine that had
@@ -234,7 +234,7 @@
 }
 
 // Ended implements Hearer.
-func (s *session) Ended(id string, e exchange.Ending) {
+func (s *session) Ended(id string, e exchange.Result) {
 	s.pool.Core.Ended(s.server, id, s.hear(id), e)
 }
 
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -100,10 +100,10 @@
 }
 
 func (p *sipPeer) Invite(a exchange.Attempt) {
-	b := p.request("INVITE", a.Number, a.ID, a.N)
+	b := p.request("INVITE", a.Number, a.ID, a.Index)
 	b = sip.AppendHeader(b, "Subject", a.Class)
 	b = fmt.Appendf(b, "X-Patience: %d\r\n", max(a.Wait.Milliseconds(), 1))
-	p.Send(sip.AppendBody(b, a.Desc))
+	p.Send(sip.AppendBody(b, a.Description))
 }
 
 func (p *sipPeer) Cancel(id string, n int) {
@@ -165,8 +165,8 @@
 }
 
 // ending maps a refusal to an outcome.
-func (p *sipPeer) ending(m *sip.Message) exchange.Ending {
-	e := exchange.Ending{Outcome: control.Errored, Note: Note(string(m.Get("X-Note"))),
+func (p *sipPeer) ending(m *sip.Message) exchange.Result {
+	e := exchange.Result{Outcome: control.Errored, Note: Note(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
 	switch m.Status {
 	case 503:
--- a/internal/readiness/readiness.go
+++ b/internal/readiness/readiness.go
@@ -37,7 +37,7 @@
 func (s *State) Ready() bool { return s.Phase() == Ready }
 
 // Started tells that the instance serves. A drain that was asked for before holds.
-func (s *State) Started() { s.change(func() { s.started = true }) }
+func (s *State) MarkStarted() { s.change(func() { s.started = true }) }
 
 // Drain sends callers away; Resume has them come again. Both may be repeated, come before the start, and cross: the last
 // one holds. They tell the phase that follows.
@@ -74,7 +74,7 @@
 }
 
 // Await waits until the phase is another one than that, or ctx ends, and gives the present one.
-func (s *State) Await(ctx context.Context, not Phase) Phase {
+func (s *State) WaitForChange(ctx context.Context, not Phase) Phase {
 	for {
 		s.mu.Lock()
 		now := s.Phase()
--- a/internal/readiness/readiness_test.go
+++ b/internal/readiness/readiness_test.go
@@ -16,7 +16,7 @@
 		for _, step := range steps {
 			switch step {
 			case 's':
-				s.Started()
+				s.MarkStarted()
 			case 'd':
 				s.Drain()
 			case 'r':
@@ -38,12 +38,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			for last := Starting; ctx.Err() == nil; {
-				last = s.Await(ctx, last)
+				last = s.WaitForChange(ctx, last)
 				got <- last
 			}
 		}()
 		synctest.Wait()
-		for _, do := range []func(){s.Started, func() { s.Drain() }, func() { s.Resume() }, s.End, cancel} {
+		for _, do := range []func(){s.MarkStarted, func() { s.Drain() }, func() { s.Resume() }, s.End, cancel} {
 			do()
 			synctest.Wait()
 		}
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -64,8 +64,8 @@
 	c.id = id
 	m.callers[id], c.at = c, open[0]
 	m.ledger.Offered(id, m.time())
-	open[0].x.Arrive(exchange.Setup{ID: id, Owner: "model", Name: "open-log", Tenant: c.tenant, Number: c.number, Dest: c.dest, Retry: c.tries > 1,
-		Taken: m.time(), Until: time.Unix(0, m.now+patience)}, m)
+	open[0].x.Submit(exchange.Setup{ID: id, Owner: "model", Name: "open-log", Tenant: c.tenant, Number: c.number, Dest: c.dest, Retry: c.tries > 1,
+		Taken: m.time(), ExpiresAt: time.Unix(0, m.now+patience)}, m)
 	open[0].drive()
 	m.after(patience+50e6, func() {
 		if c.id == id && c.stoodAt == 0 {
@@ -85,7 +85,7 @@
 }
 
 // Answer implements exchange.Caller for all callers.
-func (m *model) Answer(id string, f exchange.Final) {
+func (m *model) Answer(id string, f exchange.FinalAnswer) {
 	m.ledger.Answered(id)
 	c := m.callers[id]
 	if c == nil || c.id != id {
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -32,8 +32,8 @@
 	c.gen++
 	set := c.m.settings(c.n)
 	seed := c.rng.Uint64()
-	o := exchange.Options{Settings: set, Seed: seed, Now: c.m.time, Log: c.m.discard, Memory: 32 << 20,
-		Stray: func(id string, cut bool) { c.m.over(id, cut) }}
+	o := exchange.Options{Settings: set, Seed: seed, Now: c.m.time, Log: c.m.discard, MemoryBytes: 32 << 20,
+		OnUnknownRelease: func(id string, cut bool) { c.m.over(id, cut) }}
 	if c.m.Join != nil {
 		o.Join = c.m.Join(set, c.m.Planned, seed, c.m.now)
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	x.Connect(c)
+	x.SetOffices(c)
 	if c.list == nil {
 		c.list = map[uint64]exchange.Office{}
 		for _, s := range c.m.listed {
@@ -55,7 +55,7 @@
 		}
 	}
 	c.x, c.open = x, true
-	x.Members(first, true)
+	x.UpdateOffices(first, true)
 	c.drive()
 	c.talk(o.Join)
 	return nil
@@ -71,11 +71,11 @@
 	began := c.m.now
 	var wait func()
 	wait = func() {
-		if c.x.Peek().Open > 0 && c.m.now-began < 3300e6 {
+		if c.x.StatusDirect().Open > 0 && c.m.now-began < 3300e6 {
 			c.m.after(50e6, wait)
 			return
 		}
-		c.x.RefuseAllNow()
+		c.x.RefuseAllDirect()
 		c.drive()
 		c.x = nil
 		c.m.after(down, func() { c.up() })
@@ -121,7 +121,7 @@
 		c.m.ledger.Listed(c.name(), fmt.Sprint(o.Server))
 	}
 	if c.x != nil {
-		c.x.Members([]exchange.Office{o}, false)
+		c.x.UpdateOffices([]exchange.Office{o}, false)
 		c.drive()
 	}
 }
@@ -131,7 +131,7 @@
 	if c.x == nil {
 		return
 	}
-	at := c.m.now + int64(max(c.x.Drive(), 1))
+	at := c.m.now + int64(max(c.x.RunDue(), 1))
 	if c.woke > c.m.now && c.woke <= at {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // List implements exchange.Offices.
-func (c *controller) List([]exchange.Office, bool) {}
+func (c *controller) UpdateList([]exchange.Office, bool) {}
 
 // Invite implements exchange.Offices.
 func (c *controller) Invite(a exchange.Attempt) {
@@ -186,4 +186,4 @@
 }
 
 // Suspect implements exchange.Offices. Connections here never hang by themselves.
-func (c *controller) Suspect(uint64, time.Time, bool) {}
+func (c *controller) ReportSilence(uint64, time.Time, bool) {}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -236,7 +236,7 @@
 	var all []exchange.Status
 	for _, c := range m.controllers {
 		if c.x != nil {
-			all = append(all, c.x.Peek())
+			all = append(all, c.x.StatusDirect())
 		}
 	}
 	m.Look(at, all)
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -75,7 +75,7 @@
 // setup takes an attempt that has reached the server.
 func (s *server) setup(c *controller, gen int, a exchange.Attempt) {
 	if s.gone {
-		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused}) })
+		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused}) })
 		return
 	}
 	s.m.ledger.Sent(a.ID, c.name(), s.name(), s.m.time())
@@ -91,20 +91,20 @@
 	}
 	if s.drains {
 		s.m.ledger.Ended(a.ID, s.name(), false, s.m.time())
-		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.Unavailable}) })
+		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.Unavailable}) })
 		return
 	}
 	taken, wait, done := s.proc.Offer(s.m.now, a.ID)
 	s.done(done)
 	if taken {
-		s.calls[a.ID] = &atServer{id: a.ID, n: a.N, from: c, gen: gen}
+		s.calls[a.ID] = &atServer{id: a.ID, n: a.Index, from: c, gen: gen}
 		s.wake()
 		return
 	}
 	s.wake()
 	s.m.ledger.Ended(a.ID, s.name(), false, s.m.time())
-	e := exchange.Ending{Outcome: control.Saturated, Note: 3, WaitMS: min(wait, 10e9) / 1e6, Report: s.state()}
-	c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, e) })
+	e := exchange.Result{Outcome: control.Saturated, Note: 3, WaitMS: min(wait, 10e9) / 1e6, Report: s.state()}
+	c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, e) })
 }
 
 func (s *server) cancel(id string) {
@@ -181,7 +181,7 @@
 		a := s.calls[id]
 		if !a.stands {
 			s.m.ledger.Ended(id, s.name(), true, s.m.time())
-			a.from.later(a.gen, s.cell, func() { a.from.x.Ended(s.id, a.id, a.n, exchange.Ending{Outcome: control.ConnectionLost}) })
+			a.from.later(a.gen, s.cell, func() { a.from.x.Ended(s.id, a.id, a.n, exchange.Result{Outcome: control.ConnectionLost}) })
 		}
 		if !told[a.from] {
 			told[a.from] = true
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -19,13 +19,13 @@
 	sent   int
 }
 
-func (p *placed) List([]exchange.Office, bool)    {}
-func (p *placed) Invite(a exchange.Attempt)       { p.server, p.sent = a.Server, p.sent+1 }
-func (p *placed) Cancel(uint64, string, int)      {}
-func (p *placed) Bye(uint64, string, int, bool)   {}
-func (p *placed) Suspect(uint64, time.Time, bool) {}
-func (p *placed) Answer(string, exchange.Final)   {}
-func (p *placed) Release(string, bool)            {}
+func (p *placed) UpdateList([]exchange.Office, bool)    {}
+func (p *placed) Invite(a exchange.Attempt)             { p.server, p.sent = a.Server, p.sent+1 }
+func (p *placed) Cancel(uint64, string, int)            {}
+func (p *placed) Bye(uint64, string, int, bool)         {}
+func (p *placed) ReportSilence(uint64, time.Time, bool) {}
+func (p *placed) Answer(string, exchange.FinalAnswer)   {}
+func (p *placed) Release(string, bool)                  {}
 
 // BenchmarkCallByServers is what the core and its decisions cost for a call from its arrival to its release, by the number
 // of servers on the list, at 234 calls a second that last half a second each. Sockets come on top.
@@ -64,7 +64,7 @@
 		b.Fatal(err)
 	}
 	now := time.Unix(1e9, 0)
-	o := exchange.Options{Settings: p.Settings, Seed: 1, Now: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), Memory: 192 << 20}
+	o := exchange.Options{Settings: p.Settings, Seed: 1, Now: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), MemoryBytes: 192 << 20}
 	peer := shared.New(shared.Config{Control: p.Settings, Name: "n3", Machine: "machine-n3", Epoch: 1, Tenants: tenants, DetectOutliers: true}, 1, now.UnixNano(), shared.Callbacks{})
 	if among {
 		o.Join = []joined{peer}
@@ -74,13 +74,13 @@
 		b.Fatal(err)
 	}
 	side := &placed{}
-	x.Connect(side)
+	x.SetOffices(side)
 	var list []exchange.Office
 	for k := range servers {
 		list = append(list, exchange.Office{Addr: "127.0.0.1:9", Entry: control.Entry{Server: uint64(listedFirst + k), Cell: k, Share: 1, State: control.Serving}})
 	}
-	x.Members(list, true)
-	x.Drive()
+	x.UpdateOffices(list, true)
+	x.RunDue()
 	type standing struct {
 		id     string
 		server uint64
@@ -95,17 +95,17 @@
 	for n := 0; b.Loop(); n++ {
 		now = now.Add(time.Second / plannedEach)
 		if among && n%2 == 0 {
-			x.Offer(func(at int64) { peer.Receive(at, messages[n/2%len(messages)]) })
+			x.TryRun(func(at int64) { peer.Receive(at, messages[n/2%len(messages)]) })
 		}
 		id := fmt.Sprintf("%016x", n)
-		x.Arrive(exchange.Setup{ID: id, Owner: "o", Name: "open-log", Tenant: tenants[n%3], Number: "17", Dest: n % servers, Taken: now, Until: now.Add(3 * time.Second)}, side)
-		x.Drive()
+		x.Submit(exchange.Setup{ID: id, Owner: "o", Name: "open-log", Tenant: tenants[n%3], Number: "17", Dest: n % servers, Taken: now, ExpiresAt: now.Add(3 * time.Second)}, side)
+		x.RunDue()
 		x.Stood(side.server, id, 0, nil)
-		x.Drive()
+		x.RunDue()
 		open = append(open, standing{id, side.server, now.Add(time.Second / 2)})
 		for len(open) > 0 && !now.Before(open[0].until) {
 			x.Released(open[0].server, open[0].id, false, nil)
-			x.Drive()
+			x.RunDue()
 			open = open[1:]
 		}
 	}
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -88,7 +88,7 @@
 		if due -= float64(n); n == 0 || len(servers) == 0 {
 			continue
 		}
-		m.core.Offer(func(now int64) {
+		m.core.TryRun(func(now int64) {
 			for range n {
 				call := f.calls.Add(1)
 				f.call(now, m, call, servers[(call*7+uint64(m.k))%uint64(len(servers))])
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -158,11 +158,11 @@
 // noServers is the servers' side of a core without calls.
 type noServers struct{}
 
-func (noServers) List([]exchange.Office, bool)    {}
-func (noServers) Invite(exchange.Attempt)         {}
-func (noServers) Cancel(uint64, string, int)      {}
-func (noServers) Bye(uint64, string, int, bool)   {}
-func (noServers) Suspect(uint64, time.Time, bool) {}
+func (noServers) UpdateList([]exchange.Office, bool)    {}
+func (noServers) Invite(exchange.Attempt)               {}
+func (noServers) Cancel(uint64, string, int)            {}
+func (noServers) Bye(uint64, string, int, bool)         {}
+func (noServers) ReportSilence(uint64, time.Time, bool) {}
 
 // NewMember assembles a hollow member as the program assembles itself, and opens its address.
 func NewMember(s *Spec, k int) (*Member, error) {
@@ -188,19 +188,19 @@
 		Decision: func(v outlier.Decision) { m.claims.judged(now(), v) },
 	})
 	log := slog.New(slog.DiscardHandler)
-	m.core, err = exchange.New(exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: now, Log: log, Memory: p.MemoryMB << 20, Join: []joined{m.shared}})
+	m.core, err = exchange.New(exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: now, Log: log, MemoryBytes: p.MemoryMB << 20, Join: []joined{m.shared}})
 	if err != nil {
 		return nil, err
 	}
-	m.core.Connect(noServers{})
+	m.core.SetOffices(noServers{})
 	m.list = &journal.Client{Addr: p.Journal, Log: log, OnChange: func(changed []exchange.Office, full bool) {
 		m.feed.listed(changed, full)
-		m.core.Members(changed, full)
+		m.core.UpdateOffices(changed, full)
 	}}
 	m.list.Start(p.Known)
 	m.ear = &ear{Shared: m.shared, without: s.Without, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
-		Seeds: own.Peers.Seeds, Keys: own.Peers.Secrets, Log: log, Module: m.ear, Do: m.core.Offer, Reach: m.reach, Slow: s.Slow})
+		Seeds: own.Peers.Seeds, Keys: own.Peers.Secrets, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.Slow})
 	return m, err
 }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -158,7 +158,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s tells no status: %w", r.Name, err)
 		}
-		if l.taken = s.Core.Taken; s.Peers == nil { // it knows of no others
+		if l.taken = s.Core.ReceivedTotal; s.Peers == nil { // it knows of no others
 			all = append(all, l)
 			continue
 		}
