--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -25,7 +25,7 @@
 	// that stopped would have told counts as told 4 s later, and the reconnect takes its time too.
 	silenceTimeout = 2500 * time.Millisecond
 	// heardWithin is how old the last line may be for the service to count as heard: a comment comes every second.
-	heardWithin = 1500 * time.Millisecond
+	maxLiveAge = 1500 * time.Millisecond
 	// headTimeout is how long a connect and the head of its answer may take at first, doubled with each that fails in a row
 	// up to silenceTimeout: after a silence, two that hang must leave the third in time for what counts as told 7 s after.
 	headTimeout = time.Second
@@ -46,31 +46,31 @@
 	// Dial connects to the service; nil: over TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	position atomic.Int64 // position told, for who looks from outside
-	heard    atomic.Int64 // when the service last said anything, Unix nanoseconds; 0: never
+	position  atomic.Int64 // position told, for who looks from outside
+	lastHeard atomic.Int64 // when the service last said anything, Unix nanoseconds; 0: never
 
-	mu     sync.Mutex
-	moved  string             // where it is now, once Move was called
-	cancel context.CancelFunc // ends the stream or the pause under way
+	mu      sync.Mutex
+	newAddr string             // where it is now, once Move was called
+	cancel  context.CancelFunc // ends the stream or the pause under way
 }
 
 // Move has the client follow the service at another address from now on, on from the last event taken.
 func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moved = addr
+	c.newAddr = addr
 	if c.cancel != nil {
 		c.cancel()
 	}
 }
 
 // attempt begins one stream with the pause after it: its address, and a context that a move ends.
-func (c *Client) attempt(ctx context.Context) (string, context.Context, context.CancelFunc) {
+func (c *Client) beginStream(ctx context.Context) (string, context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	addr := c.Addr
-	if c.moved != "" {
-		addr = c.moved
+	if c.newAddr != "" {
+		addr = c.newAddr
 	}
 	ctx, c.cancel = context.WithCancel(ctx)
 	return addr, ctx, c.cancel
@@ -88,7 +88,7 @@
 // Position tells how far the list goes, and when the service last said anything (zero: never). An old time means that
 // the list may be behind, whatever its position.
 func (c *Client) Position() (pos int64, heard time.Time) {
-	if at := c.heard.Load(); at > 0 {
+	if at := c.lastHeard.Load(); at > 0 {
 		heard = time.Unix(0, at)
 	}
 	return c.position.Load(), heard
@@ -97,7 +97,7 @@
 // Heard tells whether the service is heard: what it has to tell has come, but for the last moment.
 func (c *Client) IsLive() bool {
 	_, at := c.Position()
-	return time.Since(at) < heardWithin
+	return time.Since(at) < maxLiveAge
 }
 
 // Run follows the service until ctx ends; broken streams are opened again where they ended.
@@ -105,9 +105,9 @@
 	failures := 0
 	for ctx.Err() == nil {
 		began := time.Now()
-		addr, turn, end := c.attempt(ctx)
-		heard, err := c.follow(turn, addr, min(headTimeout<<min(failures, 5), silenceTimeout))
-		if turn.Err() != nil { // the program ends, or the service has moved
+		addr, streamCtx, cancelStream := c.beginStream(ctx)
+		heard, err := c.follow(streamCtx, addr, min(headTimeout<<min(failures, 5), silenceTimeout))
+		if streamCtx.Err() != nil { // the program ends, or the service has moved
 			c.Log.Info("journal connection ended", "reason", "closed", "addr", addr, "pos", c.Pos)
 			failures = 0
 			continue
@@ -123,11 +123,11 @@
 		}
 		wait := time.NewTimer(pause)
 		select {
-		case <-turn.Done():
+		case <-streamCtx.Done():
 		case <-wait.C:
 		}
 		wait.Stop()
-		end()
+		cancelStream()
 	}
 	return nil
 }
@@ -186,5 +186,5 @@
 	silence.Reset(silenceTimeout)
 	line := time.AfterFunc(lineTimeout, cancel)
 	defer line.Stop()
-	return c.read(alive{resp.Body, func() { silence.Reset(silenceTimeout) }}, func() { line.Reset(lineTimeout) })
+	return c.readEvents(activityReader{resp.Body, func() { silence.Reset(silenceTimeout) }}, func() { line.Reset(lineTimeout) })
 }
--- a/internal/journal/connect.go
+++ b/internal/journal/connect.go
@@ -10,8 +10,8 @@
 const (
 	// connectEvery is how long a connect may hang before the next one begins beside it, as the kernel sends its SYN again
 	// at growing intervals; connectTimeout is how long each may take, so that at most MaxConnects are under way.
-	connectEvery   = 500 * time.Millisecond
-	connectTimeout = MaxConnects*connectEvery - 100*time.Millisecond
+	connectInterval = 500 * time.Millisecond
+	connectTimeout  = MaxConnects*connectInterval - 100*time.Millisecond
 	// MaxConnects bounds the connects that are under way at once, and so the descriptors that they hold.
 	MaxConnects = 3
 )
@@ -36,21 +36,21 @@
 			}
 		}
 	}
-	next := time.NewTicker(connectEvery)
+	next := time.NewTicker(connectInterval)
 	defer next.Stop()
 	go begin()
-	underway := 1
+	pending := 1
 	for {
 		select {
 		case r := <-results:
-			var late net.Error
-			if !errors.As(r.err, &late) || !late.Timeout() {
+			var timeoutErr net.Error
+			if !errors.As(r.err, &timeoutErr) || !timeoutErr.Timeout() {
 				return r.Conn, r.err
 			}
-			underway--
+			pending--
 		case <-next.C:
-			if underway < MaxConnects {
-				underway++
+			if pending < MaxConnects {
+				pending++
 				go begin()
 			}
 		case <-ctx.Done():
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -30,19 +30,19 @@
 		`"cell":2,"state":"` + state + `","weight":4}]}}`
 }
 
-type told struct {
+type update struct {
 	changed []exchange.Office
 	full    bool
 }
 
-func client(tell func(told)) *Client {
+func newClient(tell func(update)) *Client {
 	return &Client{Log: netcase.Quiet(), Backoff: func(int) time.Duration { return time.Millisecond },
-		OnChange: func(changed []exchange.Office, full bool) { tell(told{changed, full}) }}
+		OnChange: func(changed []exchange.Office, full bool) { tell(update{changed, full}) }}
 }
 
 func TestKnown(t *testing.T) {
-	var got []told
-	c := client(func(x told) { got = append(got, x) })
+	var got []update
+	c := newClient(func(x update) { got = append(got, x) })
 	c.LoadInitial(Known{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
 	if len(got) != 2 || c.Pos != 42 || !got[0].full || got[1].full {
 		t.Fatalf("%+v at %d", got, c.Pos)
@@ -75,8 +75,8 @@
 		"\n\nid: 43\ndata: " + delta("DELETED") + "\n\nid: 44\ndata: " + delta("SERVING")
 	netcase.Check(t, func(t *rapid.T) {
 		n := 0
-		c := client(func(told) { n++ })
-		if heard, err := c.read(netcase.Cut(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
+		c := newClient(func(update) { n++ })
+		if heard, err := c.readEvents(netcase.Cut(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
 			t.Fatalf("%d events, at %d, %v", n, c.Pos, err)
 		}
 	})
@@ -84,9 +84,9 @@
 
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
-		c := client(func(told) {})
+		c := newClient(func(update) {})
 		data := netcase.Garbage(t, []byte("id: 41\ndata: "+full+"\n\n"))
-		if _, err := c.read(netcase.Cut(t, data), func() {}); err == nil {
+		if _, err := c.readEvents(netcase.Cut(t, data), func() {}); err == nil {
 			t.Fatal("no end")
 		}
 	})
@@ -107,8 +107,8 @@
 			fmt.Fprint(w, "id: 3\ndata: {bad\n\n") // and the stream breaks
 		}
 	})
-	got := make(chan told, 1)
-	c := client(func(x told) { got <- x })
+	got := make(chan update, 1)
+	c := newClient(func(x update) { got <- x })
 	c.Addr, c.Pos = addr, 1
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -138,8 +138,8 @@
 			<-r.Context().Done()
 		})
 	}
-	got := make(chan told, 1)
-	c := client(func(x told) { got <- x })
+	got := make(chan update, 1)
+	c := newClient(func(x update) { got <- x })
 	c.Addr, c.Pos = serve("old "), 6
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -177,7 +177,7 @@
 }
 
 // stream is a service on pipes: each connect goes to the next of the handlers, and the last one takes all that follow.
-func stream(t *testing.T, c *Client, handlers ...func(t *testing.T, peer net.Conn)) {
+func servePipes(t *testing.T, c *Client, handlers ...func(t *testing.T, peer net.Conn)) {
 	n := 0
 	c.Addr = "journal:1"
 	c.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -194,7 +194,7 @@
 }
 
 // serves answers a request with a stream, which it hands on.
-func serves(say func(w io.Writer)) func(*testing.T, net.Conn) {
+func streamHandler(say func(w io.Writer)) func(*testing.T, net.Conn) {
 	return func(t *testing.T, peer net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(peer)); err != nil {
 			return
@@ -205,16 +205,16 @@
 	}
 }
 
-func hangs(_ *testing.T, peer net.Conn) { io.Copy(io.Discard, peer) }
+func hang(_ *testing.T, peer net.Conn) { io.Copy(io.Discard, peer) }
 
 // A long event over a slow way was taken for silence, as the limit counted whole lines, and each reconnect had it come
 // again from its start.
 func TestALongEventOverASlowWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 1)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 1)
+		c := newClient(func(x update) { got <- x })
 		connects := 0
-		stream(t, c, serves(func(w io.Writer) {
+		servePipes(t, c, streamHandler(func(w io.Writer) {
 			connects++
 			for _, b := range []byte("id: 41\ndata: " + full + "\n\n") {
 				time.Sleep(silenceTimeout / 100)
@@ -235,13 +235,13 @@
 // A stream that falls silent is left, and so is a connect that hangs, twice in a row: news counts as told 7 s after.
 func TestSilenceAndConnectsThatHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 1)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 1)
+		c := newClient(func(x update) { got <- x })
 		var last time.Time
-		stream(t, c, serves(func(w io.Writer) {
+		servePipes(t, c, streamHandler(func(w io.Writer) {
 			io.WriteString(w, ":\n\n")
 			last = time.Now()
-		}), hangs, hangs, serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }))
+		}), hang, hang, streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }))
 		go c.Run(t.Context())
 		<-got
 		if took := time.Since(last); took > 6*time.Second {
@@ -253,15 +253,15 @@
 // Two moves in a row, one of them between two events and one in the pause before a reconnect: the client follows the last.
 func TestMovesInARow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 10)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 10)
+		c := newClient(func(x update) { got <- x })
 		c.Backoff = func(int) time.Duration { return time.Hour } // only a move ends a pause
 		var asked []string
 		handlers := map[string]func(*testing.T, net.Conn){
-			"first:1":  serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }),
-			"second:1": hangs,
+			"first:1":  streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }),
+			"second:1": hang,
 			"third:1":  func(_ *testing.T, peer net.Conn) {}, // closes at once: a pause follows
-			"fourth:1": serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\nid: 42\ndata: "+full+"\n\n") }),
+			"fourth:1": streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\nid: 42\ndata: "+full+"\n\n") }),
 		}
 		c.Dial = func(_ context.Context, _, addr string) (net.Conn, error) {
 			asked = append(asked, addr)
--- a/internal/journal/return_test.go
+++ b/internal/journal/reconnect_test.go
@@ -13,11 +13,11 @@
 
 // outage is a service that is down until a moment, and serves one event from then on.
 type outage struct {
-	t                        *testing.T
-	until                    time.Time
-	down                     func(ctx context.Context) error // a connect while it is down
-	mu                       sync.Mutex
-	underway, most, connects int // connects under way, at most, and in all
+	t                               *testing.T
+	until                           time.Time
+	down                            func(ctx context.Context) error // a connect while it is down
+	mu                              sync.Mutex
+	underway, maxUnderway, connects int // connects under way, at most, and in all
 }
 
 func (o *outage) count(step int) {
@@ -25,7 +25,7 @@
 	defer o.mu.Unlock()
 	o.connects += max(step, 0)
 	o.underway += step
-	o.most = max(o.most, o.underway)
+	o.maxUnderway = max(o.maxUnderway, o.underway)
 }
 
 func (o *outage) dial(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -38,7 +38,7 @@
 	go func() {
 		defer theirs.Close()
 		defer context.AfterFunc(o.t.Context(), func() { theirs.Close() })()
-		serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") })(o.t, theirs)
+		streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") })(o.t, theirs)
 	}()
 	return ours, nil
 }
@@ -52,7 +52,7 @@
 		limit time.Duration
 	}{
 		"refuses": {func(context.Context) error { return syscall.ECONNREFUSED }, maxBackoff},
-		"hangs":   {func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, connectEvery + minPause},
+		"hangs":   {func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }, connectInterval + minPause},
 		"is cut off by a router": {func(ctx context.Context) error {
 			select {
 			case <-time.After(700 * time.Millisecond):
@@ -64,8 +64,8 @@
 	} {
 		for _, lasts := range []time.Duration{100 * time.Millisecond, 3 * time.Second, 61 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
-				got := make(chan told, 1)
-				c := client(func(x told) { got <- x })
+				got := make(chan update, 1)
+				c := newClient(func(x update) { got <- x })
 				c.Addr, c.Backoff = "journal:1", nil // the waits of the program
 				o := &outage{t: t, until: time.Now().Add(lasts), down: tc.down}
 				c.Dial = o.dial
@@ -76,8 +76,8 @@
 				if late := time.Since(o.until); late > tc.limit {
 					t.Errorf("%s for %v: followed %v after it was back", name, lasts, late)
 				}
-				if o.most > MaxConnects {
-					t.Errorf("%s for %v: %d connects under way", name, lasts, o.most)
+				if o.maxUnderway > MaxConnects {
+					t.Errorf("%s for %v: %d connects under way", name, lasts, o.maxUnderway)
 				}
 				if most := 3 + int(2*lasts/maxBackoff)*2; o.connects > most {
 					t.Errorf("%s for %v: %d connects, over %d", name, lasts, o.connects, most)
@@ -90,8 +90,8 @@
 // What comes up late is waited for: the connects beside it don't end it.
 func TestAConnectThatComesUpLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 1)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 1)
+		c := newClient(func(x update) { got <- x })
 		o := &outage{t: t}
 		c.Addr, c.Dial = "journal:1", func(ctx context.Context, network, addr string) (net.Conn, error) {
 			select {
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -13,29 +13,29 @@
 
 // alive notes that something came, be it a part of a line: a long event over a slow way is no silence, and the next
 // connect would only have it come again from its start.
-type alive struct {
-	from io.Reader
-	note func()
+type activityReader struct {
+	source io.Reader
+	onRead func()
 }
 
-func (a alive) Read(b []byte) (int, error) {
-	n, err := a.from.Read(b)
+func (a activityReader) Read(b []byte) (int, error) {
+	n, err := a.source.Read(b)
 	if n > 0 {
-		a.note()
+		a.onRead()
 	}
 	return n, err
 }
 
 // read takes a stream of events; whole is called for each line.
-func (c *Client) read(r io.Reader, whole func()) (heard bool, err error) {
+func (c *Client) readEvents(r io.Reader, onLine func()) (heard bool, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
 	var data []byte
 	var id string
 	for lines.Scan() {
-		whole()
+		onLine()
 		heard = true
-		c.heard.Store(time.Now().UnixNano())
+		c.lastHeard.Store(time.Now().UnixNano())
 		line := bytes.TrimSuffix(lines.Bytes(), []byte("\r"))
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/office/delay_test.go
+++ b/internal/office/delay_test.go
@@ -12,18 +12,18 @@
 		delays      []time.Duration
 		least, most time.Duration
 	}{
-		{"none yet", nil, silenceLeast, silenceLeast},
-		{"quick", []time.Duration{quick, quick, quick, quick}, silenceLeast, silenceLeast},
-		{"one straggler among quick ones", []time.Duration{quick, quick, quick, quick, straggler}, silenceLeast, 400 * time.Millisecond},
-		{"slow", []time.Duration{slow, slow, slow, slow}, 2 * slow * 9 / 10, silenceMost},
-		{"stragglers alone", []time.Duration{straggler, straggler, straggler, straggler}, silenceMost * 8 / 10, silenceMost},
+		{"none yet", nil, minAnswerTimeout, minAnswerTimeout},
+		{"quick", []time.Duration{quick, quick, quick, quick}, minAnswerTimeout, minAnswerTimeout},
+		{"one straggler among quick ones", []time.Duration{quick, quick, quick, quick, straggler}, minAnswerTimeout, 400 * time.Millisecond},
+		{"slow", []time.Duration{slow, slow, slow, slow}, 2 * slow * 9 / 10, maxAnswerTimeout},
+		{"stragglers alone", []time.Duration{straggler, straggler, straggler, straggler}, maxAnswerTimeout * 8 / 10, maxAnswerTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var d answerDelay
 			for _, delay := range tc.delays {
 				d.add(delay)
 			}
-			if got := d.silence(); got < tc.least || got > tc.most {
+			if got := d.timeout(); got < tc.least || got > tc.most {
 				t.Errorf("a silence of %v counts as dead, want %v to %v", got, tc.least, tc.most)
 			}
 		})
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -16,28 +16,28 @@
 const (
 	// redialFirst and redialMost bound the wait between two connects that nothing but the list asks for, lest
 	// a dead office see a connect storm from the fleet. An attempt connects at once.
-	redialFirst, redialMost = 200 * time.Millisecond, 3 * time.Second
+	minRedialDelay, maxRedialDelay = 200 * time.Millisecond, 3 * time.Second
 	// unheardStep is the wait until a client whose input waits to be read is asked for again.
-	unheardStep = 2 * time.Millisecond
+	presencePollInterval = 2 * time.Millisecond
 )
 
 // link is one office on the list and the connections to it.
 type link struct {
-	pool    *Pool
-	server  uint64
-	addr    string
-	cancel  context.CancelFunc
-	kick    chan struct{} // an attempt waits, or the session has gone
-	cur     *session
-	prev    *session // the one before, while attempts are out on it
-	waiting []exchange.Attempt
-	byes    []bye
-	check   bool // calls stand there and nothing is heard: a connect will tell
-	silence silence
-	probe   *time.Timer // the next connect that may prove the server dead; nil: none is due
+	pool            *Pool
+	server          uint64
+	addr            string
+	cancel          context.CancelFunc
+	wakeup          chan struct{} // an attempt waits, or the session has gone
+	current         *session
+	previous        *session // the one before, while attempts are out on it
+	waiting         []exchange.Attempt
+	pendingReleases []release
+	forceConnect    bool // calls stand there and nothing is heard: a connect will tell
+	liveness        liveness
+	probe           *time.Timer // the next connect that may prove the server dead; nil: none is due
 }
 
-type bye struct {
+type release struct {
 	id  string
 	n   int
 	cut bool
@@ -46,10 +46,12 @@
 
 // olderThan tells whether the connection leads to a process before the one that started then. The list tells of
 // a start late: a connection that is newer already leads to the new process, and set-ups are out on it.
-func (l *link) olderThan(start int64) bool { return l.cur != nil && l.cur.began.UnixNano() < start }
+func (l *link) connectedBefore(start int64) bool {
+	return l.current != nil && l.current.connectedAt.UnixNano() < start
+}
 
 // fail ends all attempts that wait for a connection: they never ran.
-func (l *link) fail(o control.Outcome) {
+func (l *link) failWaiting(o control.Outcome) {
 	for _, a := range l.waiting {
 		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: o})
 	}
@@ -58,7 +60,7 @@
 
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -66,32 +68,32 @@
 // run keeps the link connected: at once when an attempt waits, else at growing intervals, also where an office
 // takes connections only to end them.
 func (l *link) run(ctx context.Context) {
-	pause := redialFirst
-	rest := func() {
+	pause := minRedialDelay
+	waitToRedial := func() {
 		wait := time.NewTimer(pause/2 + rand.N(pause/2))
 		defer wait.Stop()
 		select {
 		case <-ctx.Done():
-		case <-l.kick:
+		case <-l.wakeup:
 		case <-wait.C:
 		}
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, maxRedialDelay)
 	}
 	var latest *session
 	for ctx.Err() == nil {
 		if latest.hasEnded() {
-			if time.Since(latest.began) > redialMost {
-				pause = redialFirst
+			if time.Since(latest.connectedAt) > maxRedialDelay {
+				pause = minRedialDelay
 			}
 			latest = nil
-			rest()
+			waitToRedial()
 			continue
 		}
-		if s := l.useful(); s != nil {
+		if s := l.usableSession(); s != nil {
 			select {
 			case <-ctx.Done():
-			case <-l.kick:
-			case <-s.ended:
+			case <-l.wakeup:
+			case <-s.done:
 			}
 			continue
 		}
@@ -99,38 +101,38 @@
 		peer, err := l.pool.dial(dialCtx, l.addr)
 		cancel()
 		if err != nil {
-			l.down(err)
-			rest()
+			l.onConnectFailure(err)
+			waitToRedial()
 			continue
 		}
 		s := newSession(l, peer)
 		latest = s
-		l.pool.up(s)
+		l.pool.onConnected(s)
 		l.pool.group.Go(func() error { return s.serve(ctx) })
 	}
 }
 
 // useful gives the session in use, or nil where a new connection is wanted. One that spoke again after it had
 // been stale gets what waited.
-func (l *link) useful() *session {
+func (l *link) usableSession() *session {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	if l.cur == nil || l.cur.stale && (len(l.waiting) > 0 || l.check) {
+	if l.current == nil || l.current.stale && (len(l.waiting) > 0 || l.forceConnect) {
 		return nil
 	}
-	if !l.cur.stale {
-		l.flush(l.cur)
+	if !l.current.stale {
+		l.flush(l.current)
 	}
-	return l.cur
+	return l.current
 }
 
 // flush sends what waited for a connection.
 func (l *link) flush(s *session) {
-	for _, b := range l.byes {
-		s.bye(b)
+	for _, b := range l.pendingReleases {
+		s.release(b)
 	}
 	waiting := l.waiting
-	l.waiting, l.byes, l.check = nil, nil, false
+	l.waiting, l.pendingReleases, l.forceConnect = nil, nil, false
 	for _, a := range waiting {
 		l.sendWaiting(s, a)
 	}
@@ -142,9 +144,9 @@
 	if a.Presence != nil {
 		presence = a.Presence()
 	}
-	wait := s.copies(a.ID)
+	wait := s.duplicateWait(a.ID)
 	if presence == exchange.InputPending {
-		wait = max(wait, unheardStep)
+		wait = max(wait, presencePollInterval)
 	}
 	switch {
 	case presence == exchange.Gone: // it never ran
@@ -171,31 +173,31 @@
 
 // down takes a connect that failed. What it proves of the calls there is decided by silence.dead; where it proves nothing
 // yet, the next connect comes when it may.
-func (l *link) down(err error) {
+func (l *link) onConnectFailure(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	if descriptors.Exhausted(err) || errors.Is(err, descriptors.ErrShareTaken) {
-		l.notTried(err)
+		l.onNoDescriptor(err)
 		return
 	}
 	now := time.Now()
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	l.pool.mu.Lock()
-	l.fail(control.ConnectionRefused)
-	l.silence.connectFailed(now, refused, l.cur != nil)
-	dead := l.silence.dead(now, l.cur != nil, l.pool.ListLive())
-	switch s := l.cur; {
+	l.failWaiting(control.ConnectionRefused)
+	l.liveness.recordConnectFailure(now, refused, l.current != nil)
+	dead := l.liveness.dead(now, l.current != nil, l.pool.ListLive())
+	switch s := l.current; {
 	case s == nil:
 	case refused: // the machine is there; whether the process is, a connection that was ever heard would tell
-		s.asked, s.stale, l.check = now, false, false
+		s.lastRefused, s.stale, l.forceConnect = now, false, false
 	default:
-		l.check = s.stale // tried again until one of the two connections speaks
+		l.forceConnect = s.stale // tried again until one of the two connections speaks
 	}
 	if dead {
 		l.cancelProbe()
 	} else {
-		l.probeAt(now)
+		l.scheduleProbe(now)
 	}
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", dead, "err", err)
@@ -205,19 +207,19 @@
 }
 
 // notTried takes a connect for which this process had no descriptor. It tells nothing of the server.
-func (l *link) notTried(err error) {
+func (l *link) onNoDescriptor(err error) {
 	l.pool.mu.Lock()
-	l.fail(control.ConnectionRefused)
+	l.failWaiting(control.ConnectionRefused)
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", false, "err", err)
 }
 
 // probeAt arranges for the connect that may prove the server dead. It does not wait for the growing pause between
 // connects, as clients are owed the release of their calls in a fixed time. Called under the lock.
-func (l *link) probeAt(now time.Time) {
+func (l *link) scheduleProbe(now time.Time) {
 	l.cancelProbe()
-	wait := l.silence.nextProbe(l.cur != nil).Sub(now)
-	l.probe = time.AfterFunc(max(wait, listStep), l.probeNow)
+	wait := l.liveness.nextProbeAt(l.current != nil).Sub(now)
+	l.probe = time.AfterFunc(max(wait, listPollInterval), l.runProbe)
 }
 
 func (l *link) cancelProbe() {
@@ -228,20 +230,20 @@
 }
 
 // probeNow connects, or waits on while the server list would tell of the server's end.
-func (l *link) probeNow() {
+func (l *link) runProbe() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	now := time.Now()
 	switch {
 	case l.probe == nil || l.pool.links[l.server] != l:
-	case !l.silence.failing(): // a connection came up or spoke since
-	case !l.silence.dead(now, l.cur != nil, l.pool.ListLive()):
-		l.probeAt(now)
+	case !l.liveness.failing(): // a connection came up or spoke since
+	case !l.liveness.dead(now, l.current != nil, l.pool.ListLive()):
+		l.scheduleProbe(now)
 	default:
-		if l.cur != nil {
-			l.cur.stale = true
+		if l.current != nil {
+			l.current.stale = true
 		}
-		l.check = true
+		l.forceConnect = true
 		l.wake()
 	}
 }
@@ -249,18 +251,18 @@
 // up takes a new connection into use. The one before stays as long as attempts are out on it: it may only be slow.
 // Once a later attempt stands over the new one it is known to be dead, as a processor takes set-ups in turn; and
 // once a report came over the new one alone, as offices send those on all connections.
-func (p *Pool) up(s *session) {
+func (p *Pool) onConnected(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := s.cur
-	s.cur = s
-	s.silence.connected(s.began)
+	old := s.current
+	s.current = s
+	s.liveness.recordConnected(s.connectedAt)
 	s.cancelProbe()
-	if s.prev != nil {
-		s.prev.peer.Close()
+	if s.previous != nil {
+		s.previous.peer.Close()
 	}
-	if s.prev = old; old != nil {
-		old.spent()
+	if s.previous = old; old != nil {
+		old.closeIfUnused()
 	}
 	s.flush(s)
 }
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -26,35 +26,35 @@
 var fields = Fields{"spare", "total", "cpu", "waiting"}
 
 // core notes what the pool tells the exchange.
-type core struct{ told chan string }
+type core struct{ events chan string }
 
-func (c core) say(format string, a ...any) { c.told <- fmt.Sprintf(format, a...) }
+func (c core) record(format string, a ...any) { c.events <- fmt.Sprintf(format, a...) }
 func (c core) Accepted(s uint64, id string, n int, desc []byte) {
-	c.say("stood %s %d %s", id, n, desc)
+	c.record("stood %s %d %s", id, n, desc)
 }
 func (c core) Ended(s uint64, id string, n int, e exchange.Result) {
-	c.say("ended %s %d %d note %d wait %d %v", id, n, e.Outcome, e.Note, e.WaitMS, e.Report)
+	c.record("ended %s %d %d note %d wait %d %v", id, n, e.Outcome, e.Note, e.WaitMS, e.Report)
 }
 func (c core) Released(s uint64, id string, cut bool, r []float64) {
-	c.say("released %s %v %v", id, cut, r)
+	c.record("released %s %v %v", id, cut, r)
 }
-func (c core) State(s uint64, r []float64) { c.say("state %v", r) }
-func (c core) ServerLost(s uint64)         { c.say("lost") }
+func (c core) State(s uint64, r []float64) { c.record("state %v", r) }
+func (c core) ServerLost(s uint64)         { c.record("lost") }
 
 // bed is a pool with one office behind pipes; dialled gives the office's ends.
-type bed struct {
+type testPool struct {
 	core
 	*Pool
-	dialled chan net.Conn
-	refuse  atomic.Bool           // connects are refused
-	silent  atomic.Bool           // connects do not come up
-	reset   atomic.Bool           // connections that end do so by a reset
-	unheard atomic.Bool           // the list is not heard
-	failure atomic.Pointer[error] // of connects, beside the others; nil: none
+	connections chan net.Conn
+	refuse      atomic.Bool           // connects are refused
+	silent      atomic.Bool           // connects do not come up
+	reset       atomic.Bool           // connections that end do so by a reset
+	listStale   atomic.Bool           // the list is not heard
+	failure     atomic.Pointer[error] // of connects, beside the others; nil: none
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{core: core{make(chan string, 100)}, dialled: make(chan net.Conn, 10)}
+func newTestPool(t *testing.T) *testPool {
+	b := &testPool{core: core{make(chan string, 100)}, connections: make(chan net.Conn, 10)}
 	dial := func(ctx context.Context, addr string) (Peer, error) {
 		if b.silent.Load() {
 			<-ctx.Done()
@@ -67,23 +67,23 @@
 			return nil, syscall.ECONNREFUSED
 		}
 		ours, theirs := net.Pipe()
-		b.dialled <- theirs
+		b.connections <- theirs
 		return &sipPeer{Conn: sip.NewConn(resettable{ours, &b.reset}, limits), name: "n0", fields: fields}, nil
 	}
 	b.Pool = NewPool(Options{Core: b.core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
-		Dials: map[string]Dial{"": dial}, ListLive: func() bool { return !b.unheard.Load() }})
+		Dials: map[string]Dial{"": dial}, ListLive: func() bool { return !b.listStale.Load() }})
 	go b.Run(t.Context())
 	synctest.Wait()
 	b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: "a:1"}}, true)
 	return b
 }
 
-func (b *bed) invite(n int) {
+func (b *testPool) invite(n int) {
 	b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Description: []byte("offer"), Index: n,
 		Server: 10, Wait: time.Second})
 }
 
-func expect(t *testing.T, told chan string, want string) {
+func expectEvent(t *testing.T, told chan string, want string) {
 	t.Helper()
 	if got := <-told; got != want {
 		t.Errorf("told %q, want %q", got, want)
@@ -91,7 +91,7 @@
 }
 
 // hear reads messages at the office until one of that method.
-func hear(t *testing.T, r *sip.Reader, method string) *sip.Message {
+func readUntil(t *testing.T, r *sip.Reader, method string) *sip.Message {
 	t.Helper()
 	for {
 		m, err := r.Next()
@@ -104,36 +104,36 @@
 	}
 }
 
-const reply = "Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n"
+const answerHeaders = "Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n"
 
 // An office numbers its answers as it likes: only the Call-ID and the method count. Matched by the CSeq number,
 // second attempts were never answered, and each call that stood at one was released at once.
 func TestAnswerToASecondAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		r := sip.NewReader(office)
 		b.invite(1)
-		m := hear(t, r, "INVITE")
+		m := readUntil(t, r, "INVITE")
 		if string(m.User()) != "17" || string(m.Get("Subject")) != "open-log" || string(m.Body) != "offer" ||
 			string(m.Get("X-Patience")) != "1000" {
 			t.Errorf("set-up %+v", m)
 		}
-		io.WriteString(office, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 4\r\n\r\ndesc")
-		expect(t, b.told, "stood 9b1f03aa5c7e2d41 1 desc")
-		hear(t, r, "ACK")
+		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 4\r\n\r\ndesc")
+		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 desc")
+		readUntil(t, r, "ACK")
 	})
 }
 
 func TestAnswersToOutcomes(t *testing.T) {
 	for _, tc := range []struct{ in, want string }{
-		{"SIP/2.0 503 X\r\n" + reply + "X-Note: cpu_full\r\nX-Delay: 2300\r\nX-State: x0:12;util:0.5;zz:1\r\n",
+		{"SIP/2.0 503 X\r\n" + answerHeaders + "X-Note: cpu_full\r\nX-Delay: 2300\r\nX-State: x0:12;util:0.5;zz:1\r\n",
 			"ended 9b1f03aa5c7e2d41 0 2 note 3 wait 2300 [12 -1 0.5 -1]"},
-		{"SIP/2.0 503 X\r\n" + reply + "X-Note: all_trunks_busy\r\n", "ended 9b1f03aa5c7e2d41 0 2 note 1 wait 0 []"},
-		{"SIP/2.0 486 X\r\n" + reply + "X-Note: number_busy\r\n", "ended 9b1f03aa5c7e2d41 0 1 note 4 wait 0 []"},
-		{"SIP/2.0 500 X\r\n" + reply, "ended 9b1f03aa5c7e2d41 0 1 note 0 wait 0 []"},
-		{"SIP/2.0 480 X\r\n" + reply, "ended 9b1f03aa5c7e2d41 0 7 note 0 wait 0 []"},
-		{"SIP/2.0 504 X\r\n" + reply, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"},
+		{"SIP/2.0 503 X\r\n" + answerHeaders + "X-Note: all_trunks_busy\r\n", "ended 9b1f03aa5c7e2d41 0 2 note 1 wait 0 []"},
+		{"SIP/2.0 486 X\r\n" + answerHeaders + "X-Note: number_busy\r\n", "ended 9b1f03aa5c7e2d41 0 1 note 4 wait 0 []"},
+		{"SIP/2.0 500 X\r\n" + answerHeaders, "ended 9b1f03aa5c7e2d41 0 1 note 0 wait 0 []"},
+		{"SIP/2.0 480 X\r\n" + answerHeaders, "ended 9b1f03aa5c7e2d41 0 7 note 0 wait 0 []"},
+		{"SIP/2.0 504 X\r\n" + answerHeaders, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"},
 		{"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=41\r\nX-State: x0:1\r\n",
 			"released 5 true [1 -1 -1 -1]"},
 		{"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n", "released 5 false []"},
@@ -141,44 +141,44 @@
 		{"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n", "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"}, // unreadable: closed
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			office := <-b.dialled
+			b := newTestPool(t)
+			office := <-b.connections
 			r := sip.NewReader(office)
 			b.invite(0)
-			hear(t, r, "INVITE")
+			readUntil(t, r, "INVITE")
 			go io.Copy(io.Discard, office)
 			io.WriteString(office, tc.in+"Content-Length: 0\r\n\r\n")
-			expect(t, b.told, tc.want)
+			expectEvent(t, b.events, tc.want)
 		})
 	}
 }
 
 func TestConnectFailuresAreRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		(<-b.dialled).Close()
+		b := newTestPool(t)
+		(<-b.connections).Close()
 		synctest.Wait()
 		b.refuse.Store(true)
-		time.Sleep(redialFirst) // its own reconnect fails, and so does an attempt's
+		time.Sleep(minRedialDelay) // its own reconnect fails, and so does an attempt's
 		synctest.Wait()
 		b.invite(0)
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
-		expect(t, b.told, "lost") // after a while of that: nothing runs there
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
+		expectEvent(t, b.events, "lost") // after a while of that: nothing runs there
 		b.Invite(exchange.Attempt{ID: "x", Server: 11})
-		for told := range b.told { // the reconnects go on
+		for told := range b.events { // the reconnects go on
 			if told != "lost" {
-				b.told <- told
+				b.events <- told
 				break
 			}
 		}
-		expect(t, b.told, "ended x 0 4 note 0 wait 0 []")
+		expectEvent(t, b.events, "ended x 0 4 note 0 wait 0 []")
 		// Cancelled before the connect: never sent.
 		b.refuse.Store(false)
 		b.silent.Store(true)
 		b.invite(1)
 		b.Cancel(10, "9b1f03aa5c7e2d41", 1)
 		b.silent.Store(false)
-		office := <-b.dialled
+		office := <-b.connections
 		b.Bye(10, "x", 0, true)
 		if m, err := sip.NewReader(office).Next(); err != nil || string(m.Method) != "BYE" {
 			t.Errorf("%+v, %v", m, err)
@@ -201,9 +201,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t)
+				b := newTestPool(t)
 				b.reset.Store(true)
-				(<-b.dialled).Close()
+				(<-b.connections).Close()
 				synctest.Wait()
 				looks := 0
 				b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 10, Wait: time.Second,
@@ -211,9 +211,9 @@
 						looks++
 						return tc.seen[min(looks, len(tc.seen))-1]
 					}})
-				server := <-b.dialled
+				server := <-b.connections
 				if tc.want == "" {
-					hear(t, sip.NewReader(server), "INVITE")
+					readUntil(t, sip.NewReader(server), "INVITE")
 					return
 				}
 				written := make(chan bool, 1)
@@ -221,7 +221,7 @@
 					_, err := server.Read(make([]byte, 1))
 					written <- err == nil
 				}()
-				expect(t, b.told, tc.want)
+				expectEvent(t, b.events, tc.want)
 				time.Sleep(100 * time.Millisecond)
 				synctest.Wait()
 				if len(written) > 0 {
@@ -236,19 +236,19 @@
 func TestALackOfDescriptorsIsNoDeath(t *testing.T) {
 	for _, failure := range []error{descriptors.ErrShareTaken, fmt.Errorf("socket: %w", syscall.EMFILE)} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			server := <-b.dialled
+			b := newTestPool(t)
+			server := <-b.connections
 			b.failure.Store(&failure)
 			server.Close()
 			time.Sleep(time.Minute)
 			b.invite(0)
-			expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
+			expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
 			synctest.Wait()
-			if len(b.told) > 0 {
-				t.Errorf("%v: told %q", failure, <-b.told)
+			if len(b.events) > 0 {
+				t.Errorf("%v: told %q", failure, <-b.events)
 			}
 			b.failure.Store(nil)
-			<-b.dialled // the connects go on
+			<-b.connections // the connects go on
 		})
 	}
 }
@@ -257,21 +257,21 @@
 // that does not come up, what stood there is cut: nothing else would tell its callers.
 func TestVanishedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		go io.Copy(io.Discard, office)
 		b.silent.Store(true)
-		time.Sleep(silentFor + time.Second)
+		time.Sleep(silentMachineTimeout + time.Second)
 		sent := time.Now()
 		b.invite(0)
 		time.Sleep(time.Second)
 		b.Cancel(10, "9b1f03aa5c7e2d41", 0)
 		b.ReportSilence(10, sent, false)
 		b.invite(1)
-		expect(t, b.told, "lost") // found by the first attempt's silence
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 1 4 note 0 wait 0 []")
+		expectEvent(t, b.events, "lost") // found by the first attempt's silence
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 1 4 note 0 wait 0 []")
 		b.silent.Store(false)
-		<-b.dialled // and a new connection replaces the dead one
+		<-b.connections // and a new connection replaces the dead one
 		if _, err := io.ReadAll(bufio.NewReader(office)); err != nil {
 			t.Errorf("old connection: %v", err)
 		}
@@ -282,8 +282,8 @@
 // for dead, 29 calls were cut on one day.
 func TestDrainingOfficeIsNotDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		go io.Copy(io.Discard, office)
 		b.refuse.Store(true)
 		for range 12 {
@@ -291,11 +291,11 @@
 			b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 			synctest.Wait()
 		}
-		if len(b.told) != 0 {
-			t.Errorf("told %q", <-b.told)
+		if len(b.events) != 0 {
+			t.Errorf("told %q", <-b.events)
 		}
 		office.Close() // and now no connection is left
-		expect(t, b.told, "lost")
+		expectEvent(t, b.events, "lost")
 	})
 }
 
@@ -304,25 +304,25 @@
 func TestAnOfficeThatStopsUnheard(t *testing.T) {
 	for _, unheard := range []time.Duration{0, 3 * time.Second, 7600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			office := <-b.dialled
+			b := newTestPool(t)
+			office := <-b.connections
 			go io.Copy(io.Discard, office)
 			b.refuse.Store(true)
 			time.Sleep(time.Second)
 			io.WriteString(office, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
-			expect(t, b.told, "state [3 -1 -1 -1]")
+			expectEvent(t, b.events, "state [3 -1 -1 -1]")
 			began := time.Now()
-			for k := 1; len(b.told) == 0 && k < 200; k++ {
+			for k := 1; len(b.events) == 0 && k < 200; k++ {
 				time.Sleep(100 * time.Millisecond)
-				b.unheard.Store(time.Since(began) >= unheard)
+				b.listStale.Store(time.Since(began) >= unheard)
 				if k%10 == 0 {
 					b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				}
 				synctest.Wait()
 			}
-			expect(t, b.told, "lost")
-			took, least := time.Since(began), max(unheardFor, unheard)
-			if took < least || took > least+2*listStep {
+			expectEvent(t, b.events, "lost")
+			took, least := time.Since(began), max(unheardTimeout, unheard)
+			if took < least || took > least+2*listPollInterval {
 				t.Errorf("after %v, want %v", took, least)
 			}
 		})
@@ -335,22 +335,22 @@
 func TestAnEndOfTheConnectionForgetsNoSilence(t *testing.T) {
 	for _, open := range []time.Duration{3500 * time.Millisecond, 5 * time.Second, 7100 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			server := <-b.dialled
+			b := newTestPool(t)
+			server := <-b.connections
 			go io.Copy(io.Discard, server)
 			time.Sleep(time.Second)
 			io.WriteString(server, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
-			expect(t, b.told, "state [3 -1 -1 -1]")
+			expectEvent(t, b.events, "state [3 -1 -1 -1]")
 			lastWord := time.Now()
 			b.refuse.Store(true)
 			b.reset.Store(true)
 			time.AfterFunc(open, func() { server.Close() })
-			for len(b.told) == 0 && time.Since(lastWord) < 20*time.Second {
+			for len(b.events) == 0 && time.Since(lastWord) < 20*time.Second {
 				time.Sleep(500 * time.Millisecond)
 				b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				synctest.Wait()
 			}
-			expect(t, b.told, "lost")
+			expectEvent(t, b.events, "lost")
 			if took := time.Since(lastWord); took > 8*time.Second {
 				t.Errorf("connection reset after %v: lost after %v", open, took)
 			}
@@ -375,7 +375,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(server, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
-	expect(t, core.told, "state [3 -1 -1 -1]")
+	expectEvent(t, core.events, "state [3 -1 -1 -1]")
 	lastWord := time.Now()
 	listener.Close()
 	server.(*net.TCPConn).SetLinger(0)
@@ -384,7 +384,7 @@
 	defer suspect.Stop()
 	for {
 		select {
-		case told := <-core.told:
+		case told := <-core.events:
 			if took := time.Since(lastWord); told != "lost" || took > 8*time.Second {
 				t.Errorf("told %q after %v", told, took)
 			}
@@ -398,16 +398,16 @@
 // Connections are reset on their way too: taken for the death of the process, 419 standing calls were released on one
 // day. One that was silent is another matter: the machine had vanished and is back.
 func TestAResetIsNotADeath(t *testing.T) {
-	for want, quiet := range map[string]time.Duration{"state [3 -1 -1 -1]": 0, "lost": silentFor + time.Second} {
+	for want, quiet := range map[string]time.Duration{"state [3 -1 -1 -1]": 0, "lost": silentMachineTimeout + time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			office := <-b.dialled
+			b := newTestPool(t)
+			office := <-b.connections
 			time.Sleep(quiet)
 			b.reset.Store(true)
 			office.Close()
-			office = <-b.dialled
+			office = <-b.connections
 			go io.WriteString(office, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
-			expect(t, b.told, want)
+			expectEvent(t, b.events, want)
 		})
 	}
 }
@@ -430,17 +430,17 @@
 // time, and the office was left out for seconds.
 func TestAnAnswerThatStopsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		go io.Copy(io.Discard, office)
 		b.invite(0)
 		began := time.Now()
-		io.WriteString(office, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 400\r\n\r\ndesc")
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
-		if took := time.Since(began); took > wholeFor {
+		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 400\r\n\r\ndesc")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
+		if took := time.Since(began); took > messageTimeout {
 			t.Errorf("after %v", took)
 		}
-		<-b.dialled // and a new connection replaces it
+		<-b.connections // and a new connection replaces it
 	})
 }
 
@@ -448,27 +448,27 @@
 // time was up, a trial was lost on it too, and the office passed for down and cold.
 func TestAMuteConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		mute := <-b.dialled
+		b := newTestPool(t)
+		mute := <-b.connections
 		go io.Copy(io.Discard, mute)
 		b.invite(0)
-		time.Sleep(silenceLeast + muteEvery)
+		time.Sleep(minAnswerTimeout + silenceCheckInterval)
 		b.Invite(exchange.Attempt{ID: "2", Server: 10, Wait: time.Second})
-		office := <-b.dialled
+		office := <-b.connections
 		r := sip.NewReader(office)
 		go func() {
-			hear(t, r, "INVITE")
+			readUntil(t, r, "INVITE")
 			io.WriteString(office, "SIP/2.0 200 OK\r\nCall-ID: 2\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, office)
 		}()
-		expect(t, b.told, "stood 2 0 ")
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
+		expectEvent(t, b.events, "stood 2 0 ")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
 		// One that is only slow keeps its attempts, and goes when the last of them has ended.
 		b.invite(1)
-		third := <-b.dialled // at once: no attempt need be lost for it
+		third := <-b.connections // at once: no attempt need be lost for it
 		go io.Copy(io.Discard, third)
-		io.WriteString(office, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 0\r\n\r\n")
-		expect(t, b.told, "stood 9b1f03aa5c7e2d41 1 ")
+		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
+		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 ")
 		synctest.Wait()
 		if _, err := office.Write([]byte("\r\n")); err == nil {
 			t.Error("the replaced connection stays open")
@@ -479,21 +479,21 @@
 // Reports come on all connections: one that comes over the new alone proves the old one dead, before any attempt.
 func TestAReportProvesAMuteConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		mute := <-b.dialled
+		b := newTestPool(t)
+		mute := <-b.connections
 		go io.Copy(io.Discard, mute)
 		b.invite(0)
-		office := <-b.dialled
+		office := <-b.connections
 		const report = "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n"
 		io.WriteString(office, report)
-		expect(t, b.told, "state [3 -1 -1 -1]")
-		time.Sleep(2 * muteEvery)
-		if len(b.told) != 0 {
-			t.Errorf("given up by the first report: %s", <-b.told)
+		expectEvent(t, b.events, "state [3 -1 -1 -1]")
+		time.Sleep(2 * silenceCheckInterval)
+		if len(b.events) != 0 {
+			t.Errorf("given up by the first report: %s", <-b.events)
 		}
 		go io.WriteString(office, report)
-		expect(t, b.told, "state [3 -1 -1 -1]")
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
+		expectEvent(t, b.events, "state [3 -1 -1 -1]")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
 	})
 }
 
@@ -501,27 +501,27 @@
 // that, though its office was only slow.
 func TestAReportThatComesOverTheNewConnectionFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		slow := <-b.dialled
+		b := newTestPool(t)
+		slow := <-b.connections
 		go io.Copy(io.Discard, slow)
 		b.invite(0)
-		replacement := <-b.dialled
+		replacement := <-b.connections
 		go io.Copy(io.Discard, replacement)
-		time.Sleep(2 * muteEvery)
+		time.Sleep(2 * silenceCheckInterval)
 		const report = "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n"
 		for _, connection := range []net.Conn{replacement, slow} {
 			if _, err := io.WriteString(connection, report); err != nil {
 				t.Fatal("closed before its report could come:", err)
 			}
-			expect(t, b.told, "state [3 -1 -1 -1]")
-			time.Sleep(reportLag / 5)
+			expectEvent(t, b.events, "state [3 -1 -1 -1]")
+			time.Sleep(maxReportSkew / 5)
 		}
-		time.Sleep(2 * reportLag)
-		if len(b.told) != 0 {
-			t.Errorf("given up though its connection was heard: %s", <-b.told)
+		time.Sleep(2 * maxReportSkew)
+		if len(b.events) != 0 {
+			t.Errorf("given up though its connection was heard: %s", <-b.events)
 		}
-		io.WriteString(slow, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 0\r\n\r\n")
-		expect(t, b.told, "stood 9b1f03aa5c7e2d41 0 ")
+		io.WriteString(slow, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
+		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 0 ")
 	})
 }
 
@@ -535,23 +535,23 @@
 	}{{"quick", 20 * time.Millisecond, true, true}, {"slow", 230 * time.Millisecond, false, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t)
-				office := <-b.dialled
+				b := newTestPool(t)
+				office := <-b.connections
 				go io.Copy(io.Discard, office)
 				for n := range 5 {
 					b.invite(n)
 					time.Sleep(tc.delay)
-					io.WriteString(office, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 0\r\n\r\n")
-					expect(t, b.told, fmt.Sprintf("stood 9b1f03aa5c7e2d41 %d ", n))
-					time.Sleep(copyFor)
+					io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
+					expectEvent(t, b.events, fmt.Sprintf("stood 9b1f03aa5c7e2d41 %d ", n))
+					time.Sleep(duplicateWindow)
 				}
 				b.invite(5)
-				time.Sleep(silenceLeast + 2*muteEvery)
-				if got := len(b.dialled) > 0; got != tc.replaced {
+				time.Sleep(minAnswerTimeout + 2*silenceCheckInterval)
+				if got := len(b.connections) > 0; got != tc.replaced {
 					t.Errorf("replaced %v within the least silence", got)
 				}
-				time.Sleep(silenceMost)
-				if got := len(b.dialled) > 0; got != tc.replacedLast {
+				time.Sleep(maxAnswerTimeout)
+				if got := len(b.connections) > 0; got != tc.replacedLast {
 					t.Errorf("replaced %v within the longest silence", got)
 				}
 			})
@@ -562,10 +562,10 @@
 // Set-ups that are called off early leave a mute connection no less mute: the next ones don't begin its silence anew.
 func TestCalledOffSetUpsCountTowardsSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		mute := <-b.dialled
+		b := newTestPool(t)
+		mute := <-b.connections
 		go io.Copy(io.Discard, mute)
-		const each = silenceLeast / 2
+		const each = minAnswerTimeout / 2
 		for n := range 4 {
 			sentAt := time.Now()
 			b.invite(n)
@@ -575,7 +575,7 @@
 		}
 		b.invite(4)
 		synctest.Wait()
-		if len(b.dialled) == 0 {
+		if len(b.connections) == 0 {
 			t.Error("the mute connection is still in use")
 		}
 	})
@@ -583,24 +583,24 @@
 
 func TestSuspicionEndsWithAnySign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		go io.Copy(io.Discard, office)
 		b.silent.Store(true)
 		time.Sleep(time.Second)
 		b.ReportSilence(10, time.Now(), false)
 		io.WriteString(office, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
-		expect(t, b.told, "state [3 -1 -1 -1]")
+		expectEvent(t, b.events, "state [3 -1 -1 -1]")
 		b.invite(0)
 		office.Close()
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []") // it was out on the old connection
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []") // it was out on the old connection
 	})
 }
 
 func TestListChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		first := <-b.dialled
+		b := newTestPool(t)
+		first := <-b.connections
 		draining := exchange.Office{Entry: control.Entry{Server: 10, State: control.Draining}, Addr: "a:1"}
 		b.UpdateList([]exchange.Office{draining}, false)
 		synctest.Wait()
@@ -617,13 +617,13 @@
 		time.Sleep(time.Second)
 		old.ReadyAt = time.Now().UnixNano()
 		b.UpdateList([]exchange.Office{old}, false)
-		<-b.dialled // a new processor gets a new connection
+		<-b.connections // a new processor gets a new connection
 		if _, err := io.ReadAll(first); err != nil {
 			t.Errorf("old connection: %v", err)
 		}
 		b.UpdateList(nil, true)
 		b.invite(0)
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
 	})
 }
 
@@ -640,16 +640,16 @@
 }
 
 // deaf is a Hearer that takes anything.
-type deaf struct{}
+type discardHandler struct{}
 
-func (deaf) Accepted(string, []byte)          {}
-func (deaf) Ended(string, exchange.Result)    {}
-func (deaf) Released(string, bool, []float64) {}
-func (deaf) State([]float64)                  {}
+func (discardHandler) Accepted(string, []byte)          {}
+func (discardHandler) Ended(string, exchange.Result)    {}
+func (discardHandler) Released(string, bool, []float64) {}
+func (discardHandler) State([]float64)                  {}
 
 // Whatever an office sends, it is taken or ends the connection, and there is never a panic.
 func TestMessagesFromGarbage(t *testing.T) {
-	valid := []byte("SIP/2.0 503 X\r\n" + reply + "X-Note: cpu_full\r\nX-Delay: 2300\r\nX-State: x0:12\r\nContent-Length: 0\r\n\r\n" +
+	valid := []byte("SIP/2.0 503 X\r\n" + answerHeaders + "X-Note: cpu_full\r\nX-Delay: 2300\r\nX-State: x0:12\r\nContent-Length: 0\r\n\r\n" +
 		"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=41\r\nContent-Length: 0\r\n\r\n")
 	netcase.Check(t, func(t *rapid.T) {
 		ours, theirs := net.Pipe()
@@ -660,7 +660,7 @@
 			if err != nil {
 				return
 			}
-			if err := p.take(m, deaf{}); err != nil && err != errNoCall {
+			if err := p.handle(m, discardHandler{}); err != nil && err != errNoTransaction {
 				t.Fatal(err)
 			}
 		}
@@ -671,28 +671,28 @@
 // went to another one while the first still worked on it.
 func TestACopyOfAnAnswerAndTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		r := sip.NewReader(office)
-		full := "SIP/2.0 503 X\r\n" + reply + "Content-Length: 0\r\n\r\n"
+		full := "SIP/2.0 503 X\r\n" + answerHeaders + "Content-Length: 0\r\n\r\n"
 		b.invite(0)
-		hear(t, r, "INVITE")
+		readUntil(t, r, "INVITE")
 		io.WriteString(office, full)
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 0 2 note 0 wait 0 []")
-		hear(t, r, "ACK")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 2 note 0 wait 0 []")
+		readUntil(t, r, "ACK")
 		b.invite(1)
-		time.Sleep(copyFor / 2)
+		time.Sleep(duplicateWindow / 2)
 		io.WriteString(office, full) // the copy
-		expect(t, b.told, "ended 9b1f03aa5c7e2d41 -1 2 note 0 wait 0 []")
-		hear(t, r, "ACK")
-		hear(t, r, "INVITE")
-		io.WriteString(office, "SIP/2.0 200 OK\r\n"+reply+"Content-Length: 4\r\n\r\ndesc")
-		expect(t, b.told, "stood 9b1f03aa5c7e2d41 1 desc")
-		hear(t, r, "ACK")
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 -1 2 note 0 wait 0 []")
+		readUntil(t, r, "ACK")
+		readUntil(t, r, "INVITE")
+		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 4\r\n\r\ndesc")
+		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 desc")
+		readUntil(t, r, "ACK")
 
 		b.invite(2) // and one that is given up while it waits is never sent
 		b.Cancel(10, "9b1f03aa5c7e2d41", 2)
-		time.Sleep(2 * copyFor)
+		time.Sleep(2 * duplicateWindow)
 		b.Bye(10, "9b1f03aa5c7e2d41", 2, true)
 		if m, err := r.Next(); err != nil || string(m.Method) != "BYE" {
 			t.Errorf("heard %+v, %v", m, err)
@@ -703,12 +703,12 @@
 // A release that was written to a connection in the moment of its reset was lost; it goes out on the next one too.
 func TestAReleaseOnAConnectionThatEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		office := <-b.dialled
+		b := newTestPool(t)
+		office := <-b.connections
 		b.Bye(10, "9b1f03aa5c7e2d41", 0, false)
 		office.Close()
-		hear(t, sip.NewReader(<-b.dialled), "BYE")
-		time.Sleep(2 * byeFor)
+		readUntil(t, sip.NewReader(<-b.connections), "BYE")
+		time.Sleep(2 * releaseResendAge)
 	})
 }
 
@@ -716,12 +716,12 @@
 // list is closed.
 func TestAConnectThatComesUpLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		<-b.dialled
-		goOn := make(chan bool)
+		b := newTestPool(t)
+		<-b.connections
+		proceed := make(chan bool)
 		ours, theirs := net.Pipe()
 		b.Dials[""] = func(context.Context, string) (Peer, error) {
-			<-goOn
+			<-proceed
 			return &sipPeer{Conn: sip.NewConn(ours, limits), name: "n0", fields: fields}, nil
 		}
 		b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 11}, Addr: "b:1"}}, false)
@@ -732,8 +732,8 @@
 		b.Invite(a)
 		synctest.Wait()
 		b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 11, State: control.Removed}}}, false)
-		expect(t, b.told, "ended 0000000000000002 0 4 note 0 wait 0 []")
-		close(goOn)
+		expectEvent(t, b.events, "ended 0000000000000002 0 4 note 0 wait 0 []")
+		close(proceed)
 		if got, err := io.ReadAll(theirs); len(got) != 0 || err != nil {
 			t.Errorf("sent %q, %v", got, err)
 		}
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -14,7 +14,7 @@
 
 const (
 	// waitingMost bounds the attempts that wait for one connect, byesMost the releases.
-	waitingMost, byesMost = 256, 256
+	maxWaitingAttempts, maxPendingReleases = 256, 256
 )
 
 // Options is what a Pool is made from.
@@ -71,16 +71,16 @@
 func (p *Pool) UpdateList(changed []exchange.Office, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	on := map[uint64]bool{}
+	listed := map[uint64]bool{}
 	for _, o := range changed {
-		on[o.Server] = o.State != control.Removed
+		listed[o.Server] = o.State != control.Removed
 		l := p.links[o.Server]
-		if l != nil && (o.State == control.Removed || o.Addr != l.addr || l.olderThan(o.ReadyAt)) {
+		if l != nil && (o.State == control.Removed || o.Addr != l.addr || l.connectedBefore(o.ReadyAt)) {
 			p.drop(l)
 			l = nil
 		}
 		if l == nil && o.State == control.Serving {
-			l = &link{pool: p, server: o.Server, addr: o.Addr, kick: make(chan struct{}, 1)}
+			l = &link{pool: p, server: o.Server, addr: o.Addr, wakeup: make(chan struct{}, 1)}
 			p.links[o.Server] = l
 			if p.ctx != nil {
 				p.start(l)
@@ -88,7 +88,7 @@
 		}
 	}
 	for id, l := range p.links {
-		if full && !on[id] {
+		if full && !listed[id] {
 			p.drop(l)
 		}
 	}
@@ -100,7 +100,7 @@
 	if l.cancel != nil {
 		l.cancel()
 	}
-	l.fail(control.ConnectionRefused)
+	l.failWaiting(control.ConnectionRefused)
 }
 
 // Invite sends an attempt, over a new connection if need be.
@@ -109,10 +109,10 @@
 	defer p.mu.Unlock()
 	l := p.links[a.Server]
 	switch {
-	case l == nil || len(l.waiting) >= waitingMost:
+	case l == nil || len(l.waiting) >= maxWaitingAttempts:
 		p.Core.Ended(a.Server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
-	case l.cur != nil && !l.cur.stale && l.cur.copies(a.ID) <= 0:
-		l.cur.invite(a)
+	case l.current != nil && !l.current.stale && l.current.duplicateWait(a.ID) <= 0:
+		l.current.invite(a)
 	default:
 		l.waiting = append(l.waiting, a)
 		l.wake()
@@ -133,14 +133,14 @@
 			return
 		}
 	}
-	for _, s := range []*session{l.cur, l.prev} {
+	for _, s := range []*session{l.current, l.previous} {
 		if s == nil {
 			continue
 		}
-		if a, ok := s.out[id]; ok && a.n == n {
-			delete(s.out, id)
+		if a, ok := s.outstanding[id]; ok && a.n == n {
+			delete(s.outstanding, id)
 			s.peer.Cancel(id, n)
-			s.spent()
+			s.closeIfUnused()
 		}
 	}
 }
@@ -152,25 +152,25 @@
 	l := p.links[server]
 	switch {
 	case l == nil:
-	case l.cur != nil:
-		l.cur.bye(bye{id: id, n: n, cut: cut})
-	case len(l.byes) < byesMost:
-		l.byes = append(l.byes, bye{id: id, n: n, cut: cut})
+	case l.current != nil:
+		l.current.release(release{id: id, n: n, cut: cut})
+	case len(l.pendingReleases) < maxPendingReleases:
+		l.pendingReleases = append(l.pendingReleases, release{id: id, n: n, cut: cut})
 	}
 }
 
 // Suspect is told of an office from which something was due since that time. A connection on which nothing at
 // all was heard since then may lead to a machine that has vanished: it stays open and silent for ever, also
 // when the machine is back. With check, a new connection is tried even if nothing waits to be sent.
-func (p *Pool) ReportSilence(server uint64, since time.Time, check bool) {
+func (p *Pool) ReportSilence(server uint64, since time.Time, forceConnect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[server]
-	if l == nil || l.cur == nil || !check && !l.cur.mute() {
+	if l == nil || l.current == nil || !forceConnect && !l.current.answerTimedOut() {
 		return
 	}
-	if l.cur.heard.Before(since) && l.cur.asked.Before(since) {
-		l.cur.stale, l.check = true, l.check || check
+	if l.current.lastHeard.Before(since) && l.current.lastRefused.Before(since) {
+		l.current.stale, l.forceConnect = true, l.forceConnect || forceConnect
 		l.wake()
 	}
 }
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -18,10 +18,10 @@
 const (
 	// writeFor is the deadline of a write to an office: with the connect time it stays well inside the second
 	// in which a draining office may still get an attempt.
-	writeFor = 300 * time.Millisecond
+	writeTimeout = 300 * time.Millisecond
 	// wholeFor is how long an answer may take from its first byte to its last: many times what the network takes,
 	// and short against the time in which a call wants to stand.
-	wholeFor = 300 * time.Millisecond
+	messageTimeout = 300 * time.Millisecond
 )
 
 // Fields reads load reports: the names that an office uses, in the order of the settings' fields.
@@ -64,11 +64,11 @@
 }
 
 // notes are the words of X-Note, by the module's numbers.
-var notes = map[string]int{"all_trunks_busy": 1, "via_said_no": 2, "cpu_full": 3, "number_busy": 4,
+var noteNumbers = map[string]int{"all_trunks_busy": 1, "via_said_no": 2, "cpu_full": 3, "number_busy": 4,
 	"far_cpu_full": 18}
 
 // Note gives the module's number of a note; 0 for none or an unknown one.
-func Note(word string) int { return notes[word] }
+func Note(word string) int { return noteNumbers[word] }
 
 // SIP connects to offices that speak the platform's protocol.
 func DialSIP(name string, fields Fields) Dial {
@@ -83,7 +83,7 @@
 
 // limits are what an office is allowed. An answer that stops short, or whose length promises more than comes,
 // holds up all answers behind it: such a connection is of no more use. Offices write a message whole.
-var limits = sip.Limits{Write: writeFor, MessageTimeout: func() time.Duration { return wholeFor }, Strict: true}
+var limits = sip.Limits{Write: writeTimeout, MessageTimeout: func() time.Duration { return messageTimeout }, Strict: true}
 
 type sipPeer struct {
 	*sip.Conn
@@ -124,13 +124,13 @@
 }
 
 func (p *sipPeer) Run(ctx context.Context, h Handler) (sip.Reason, error) {
-	return p.Conn.Run(ctx, func(m *sip.Message) error { return p.take(m, h) })
+	return p.Conn.Run(ctx, func(m *sip.Message) error { return p.handle(m, h) })
 }
 
-var errNoCall = fmt.Errorf("%w: an answer without Call-ID or CSeq", sip.ErrMissingHeader)
+var errNoTransaction = fmt.Errorf("%w: an answer without Call-ID or CSeq", sip.ErrMissingHeader)
 
 // take handles one message of an office. Strings and descriptions that outlive the read buffer are copied.
-func (p *sipPeer) take(m *sip.Message, h Handler) error {
+func (p *sipPeer) handle(m *sip.Message, h Handler) error {
 	id := string(m.Get("Call-ID"))
 	if m.Status == 0 {
 		switch string(m.Method) {
@@ -149,7 +149,7 @@
 	}
 	seq, method, ok := m.CSeq()
 	if !ok || id == "" {
-		return errNoCall
+		return errNoTransaction
 	}
 	if string(method) != "INVITE" || m.Status < 200 || seq == 0 {
 		return nil
@@ -160,12 +160,12 @@
 		h.Accepted(id, bytes.Clone(m.Body))
 		return nil
 	}
-	h.Ended(id, p.ending(m))
+	h.Ended(id, p.refusal(m))
 	return nil
 }
 
 // ending maps a refusal to an outcome.
-func (p *sipPeer) ending(m *sip.Message) exchange.Result {
+func (p *sipPeer) refusal(m *sip.Message) exchange.Result {
 	e := exchange.Result{Outcome: control.Errored, Note: Note(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
 	switch m.Status {
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -65,26 +65,26 @@
 // Conn is one connection with a reader, a bounded write queue and a deadline on each write.
 type Conn struct {
 	Limits
-	net     net.Conn
-	in      *Input
-	reader  *Reader
-	out     *Queue
-	full    atomic.Bool
-	half    chan struct{} // closed by the reader: write what is queued, then nothing more
-	flushed chan struct{} // closed by the writer, when it has
-	closing chan struct{} // End was called
-	closed  atomic.Pointer[Reason]
-	woken   atomic.Bool  // the limits are to be asked again
-	begun   atomic.Bool  // a message is read in part
-	heard   atomic.Int64 // when the last bytes came, and the last were written, in Unix nanoseconds
-	wrote   atomic.Int64
+	netConn       net.Conn
+	in            *Input
+	reader        *Reader
+	out           *Queue
+	queueFull     atomic.Bool
+	finishing     chan struct{} // closed by the reader: write what is queued, then nothing more
+	flushed       chan struct{} // closed by the writer, when it has
+	closing       chan struct{} // End was called
+	closeReason   atomic.Pointer[Reason]
+	limitsChanged atomic.Bool  // the limits are to be asked again
+	partial       atomic.Bool  // a message is read in part
+	lastReadAt    atomic.Int64 // when the last bytes came, and the last were written, in Unix nanoseconds
+	lastWrittenAt atomic.Int64
 }
 
 // NewConn wraps a connection.
 func NewConn(c net.Conn, limits Limits) *Conn {
-	conn := &Conn{Limits: limits, net: c, in: NewInput(c), reader: NewReader(nil), out: NewQueue(), half: make(chan struct{}),
+	conn := &Conn{Limits: limits, netConn: c, in: NewInput(c), reader: NewReader(nil), out: NewQueue(), finishing: make(chan struct{}),
 		flushed: make(chan struct{}), closing: make(chan struct{})}
-	conn.reader.from, conn.reader.strict = &patient{Conn: conn, r: conn.reader}, limits.Strict
+	conn.reader.source, conn.reader.strict = &limitedReader{Conn: conn, r: conn.reader}, limits.Strict
 	return conn
 }
 
@@ -92,7 +92,7 @@
 func (c *Conn) Input() InputState { return c.in.State() }
 
 // left tells that a peer whose answers wait to be read has gone.
-func (c *Conn) left() bool { return c.HalfCloseEnds && c.in.PeerClosed() }
+func (c *Conn) peerLeft() bool { return c.HalfCloseEnds && c.in.PeerClosed() }
 
 // MarkHandled tells, from within handle, that the present message has been handled but for what it starts.
 func (c *Conn) MarkHandled() {
@@ -102,7 +102,7 @@
 }
 
 // Remote is the peer's address.
-func (c *Conn) Remote() string { return c.net.RemoteAddr().String() }
+func (c *Conn) Remote() string { return c.netConn.RemoteAddr().String() }
 
 // Send queues one message and never blocks. A full queue means a peer that does not read: it loses its
 // connection.
@@ -110,8 +110,8 @@
 	if c.out.Put(b) {
 		return true
 	}
-	c.full.Store(true)
-	c.net.Close()
+	c.queueFull.Store(true)
+	c.netConn.Close()
 	return false
 }
 
@@ -120,34 +120,34 @@
 func (c *Conn) Close() { c.CloseWithReason(Closed) }
 
 // past is a deadline that wakes a reader.
-var past = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // End is Close with a reason.
 func (c *Conn) CloseWithReason(why Reason) {
-	if c.closed.CompareAndSwap(nil, &why) {
+	if c.closeReason.CompareAndSwap(nil, &why) {
 		close(c.closing)
-		c.net.SetReadDeadline(past)
+		c.netConn.SetReadDeadline(pastDeadline)
 	}
 }
 
 // Wake has the reader ask its limits again.
 func (c *Conn) RecheckLimits() {
-	c.woken.Store(true)
-	c.net.SetReadDeadline(past)
+	c.limitsChanged.Store(true)
+	c.netConn.SetReadDeadline(pastDeadline)
 }
 
 // Abort closes the connection at once, for who needs its descriptor.
 func (c *Conn) Abort(why Reason) {
 	c.CloseWithReason(why)
-	c.net.Close()
+	c.netConn.Close()
 }
 
 // Begun tells whether a message is read in part, and when its last bytes came.
-func (c *Conn) PartialMessage() (at time.Time, begun bool) {
-	return time.Unix(0, c.heard.Load()), c.begun.Load()
+func (c *Conn) PartialMessage() (at time.Time, partial bool) {
+	return time.Unix(0, c.lastReadAt.Load()), c.partial.Load()
 }
 
-func (c *Conn) ending() bool {
+func (c *Conn) isClosing() bool {
 	select {
 	case <-c.closing:
 		return true
@@ -160,7 +160,7 @@
 // returns; an error from it ends the connection as bad framing does.
 func (c *Conn) Run(ctx context.Context, handle func(*Message) error) (Reason, error) {
 	g, ctx := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(ctx, func() { c.net.Close() })
+	stop := context.AfterFunc(ctx, func() { c.netConn.Close() })
 	defer stop()
 	g.Go(func() error {
 		for {
@@ -169,98 +169,98 @@
 				err = handle(m)
 			}
 			if err == nil {
-				err = c.out.WaitForRoom(ctx, c.left)
+				err = c.out.WaitForRoom(ctx, c.peerLeft)
 			}
 			if err != nil {
-				c.part(ctx, c.reader, err)
+				c.finish(ctx, c.reader, err)
 				return err
 			}
 		}
 	})
 	g.Go(func() error { return c.write(ctx) })
 	err := g.Wait()
-	c.net.Close()
+	c.netConn.Close()
 	return c.reason(err), err
 }
 
 // patient reads from a connection as long as its limits allow.
-type patient struct {
+type limitedReader struct {
 	*Conn
-	r     *Reader
-	taken uint64    // messages so far when the wait began
-	began time.Time // the present message; zero: none
-	limit time.Time // for it
-	late  int       // bytes that were read after a deadline
+	r                  *Reader
+	countAtStart       uint64    // messages so far when the wait began
+	messageStart       time.Time // the present message; zero: none
+	messageDeadline    time.Time // for it
+	bytesAfterDeadline int       // bytes that were read after a deadline
 }
 
-func (p *patient) Read(b []byte) (int, error) {
-	n, err := p.wait(b)
+func (p *limitedReader) Read(b []byte) (int, error) {
+	n, err := p.readWithinLimits(b)
 	if n > 0 {
-		p.heard.Store(time.Now().UnixNano())
+		p.lastReadAt.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-func (p *patient) wait(b []byte) (int, error) {
+func (p *limitedReader) readWithinLimits(b []byte) (int, error) {
 	for {
-		p.woken.Store(false)
+		p.limitsChanged.Store(false)
 		until := time.Time{}
-		begun := p.r.end > p.r.start
-		p.begun.Store(begun)
+		partial := p.r.end > p.r.start
+		p.partial.Store(partial)
 		switch {
-		case begun && p.MessageTimeout != nil:
-			if p.began.IsZero() || p.taken != p.r.count {
-				p.began, p.taken = time.Now(), p.r.count
-				p.limit = p.began.Add(p.MessageTimeout())
+		case partial && p.MessageTimeout != nil:
+			if p.messageStart.IsZero() || p.countAtStart != p.r.messageCount {
+				p.messageStart, p.countAtStart = time.Now(), p.r.messageCount
+				p.messageDeadline = p.messageStart.Add(p.MessageTimeout())
 			}
-			until = p.limit
-		case !begun:
-			p.began = time.Time{}
+			until = p.messageDeadline
+		case !partial:
+			p.messageStart = time.Time{}
 			if p.Idle != nil {
 				wait := p.Idle()
 				if wait <= 0 {
-					return p.rest(b, errIdle)
+					return p.readPending(b, errIdle)
 				}
 				until = time.Now().Add(wait)
 			}
 		}
-		p.net.SetReadDeadline(until)      // where that fails, the read tells why
-		if p.ending() || p.woken.Load() { // their deadline may have come before this one
-			p.net.SetReadDeadline(past)
+		p.netConn.SetReadDeadline(until)             // where that fails, the read tells why
+		if p.isClosing() || p.limitsChanged.Load() { // their deadline may have come before this one
+			p.netConn.SetReadDeadline(pastDeadline)
 		}
 		n, err := p.in.Read(b)
 		switch {
 		case n > 0 || !errors.Is(err, os.ErrDeadlineExceeded):
 			return n, err
-		case p.ending():
-			return p.rest(b, errClosed)
-		case !p.began.IsZero() && !time.Now().Before(until):
-			return p.rest(b, errStalled)
+		case p.isClosing():
+			return p.readPending(b, errClosed)
+		case !p.messageStart.IsZero() && !time.Now().Before(until):
+			return p.readPending(b, errStalled)
 		}
 	}
 }
 
 // rest gives what has come already, or the reason for which no more is waited for. A read after its deadline does not
 // look: on a core that others share, a message may have come long before, and a close over it would lose it.
-func (p *patient) rest(b []byte, why error) (n int, err error) {
-	if p.late > maxLingerBytes { // a peer that never stops sending
+func (p *limitedReader) readPending(b []byte, why error) (n int, err error) {
+	if p.bytesAfterDeadline > maxLingerBytes { // a peer that never stops sending
 		return 0, why
 	}
 	n, err = p.in.ReadNow(b)
 	if errors.Is(err, syscall.EAGAIN) {
 		return 0, why
 	}
-	p.late += n
+	p.bytesAfterDeadline += n
 	return n, err
 }
 
 // part ends a connection that this side gives up, in an order that loses nothing: what is queued is written, then its
 // peer reads the end, and what it still sends is read on, as a close over unread input is a reset, which may destroy
 // what was written before the peer has read it.
-func (c *Conn) part(ctx context.Context, r *Reader, why error) {
+func (c *Conn) finish(ctx context.Context, r *Reader, why error) {
 	linger := c.Linger
 	switch {
-	case c.ErrorResponse != nil && (framing(why) || errors.Is(why, errStalled)):
+	case c.ErrorResponse != nil && (isFramingError(why) || errors.Is(why, errStalled)):
 		if !c.Send(c.ErrorResponse(why)) {
 			return
 		}
@@ -268,22 +268,22 @@
 	case !errors.Is(why, errClosed) && !errors.Is(why, errIdle):
 		return
 	}
-	close(c.half)
+	close(c.finishing)
 	select {
 	case <-c.flushed:
 	case <-ctx.Done():
 		return
 	}
 	until := time.Now().Add(linger)
-	if time.Since(time.Unix(0, c.wrote.Load())) > lingerTimeout || c.net.SetReadDeadline(until) != nil {
+	if time.Since(time.Unix(0, c.lastWrittenAt.Load())) > lingerTimeout || c.netConn.SetReadDeadline(until) != nil {
 		return
 	}
 	for read := 0; read < maxLingerBytes; {
-		n, err := c.net.Read(r.buf)
+		n, err := c.netConn.Read(r.buf)
 		read += n
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until):
-			c.net.SetReadDeadline(until) // that of End or Wake came after this one
+			c.netConn.SetReadDeadline(until) // that of End or Wake came after this one
 		case err != nil:
 			return
 		}
@@ -300,12 +300,12 @@
 		select {
 		case <-ctx.Done():
 			return nil // the reader has the reason
-		case <-c.half:
+		case <-c.finishing:
 			defer close(c.flushed)
 			if err := c.flush(); err != nil {
 				return nil // the reader has the reason
 			}
-			if tcp, ok := c.net.(interface{ CloseWrite() error }); ok {
+			if tcp, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 				tcp.CloseWrite()
 			}
 			return nil
@@ -320,31 +320,31 @@
 // flush writes all that is queued, in one system call where it can.
 func (c *Conn) flush() error {
 	return c.out.Write(func(batch [][]byte) error {
-		if err := c.net.SetWriteDeadline(time.Now().Add(c.Write)); err != nil {
+		if err := c.netConn.SetWriteDeadline(time.Now().Add(c.Write)); err != nil {
 			return err
 		}
 		buffers := net.Buffers(batch)
-		_, err := buffers.WriteTo(c.net)
-		c.wrote.Store(time.Now().UnixNano())
+		_, err := buffers.WriteTo(c.netConn)
+		c.lastWrittenAt.Store(time.Now().UnixNano())
 		return err
 	})
 }
 
-func framing(err error) bool {
+func isFramingError(err error) bool {
 	return errors.Is(err, ErrTooLong) || errors.Is(err, ErrStartLine) || errors.Is(err, ErrHeader) ||
 		errors.Is(err, ErrLength) || errors.Is(err, ErrMissingHeader)
 }
 
 func (c *Conn) reason(err error) Reason {
-	why := c.closed.Load()
+	why := c.closeReason.Load()
 	switch {
-	case c.full.Load():
+	case c.queueFull.Load():
 		return QueueFull
 	case errors.Is(err, io.EOF):
 		return PeerClosed
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return CutShort
-	case framing(err):
+	case isFramingError(err):
 		return BadFraming
 	case errors.Is(err, errStalled):
 		return Stalled
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -11,7 +11,7 @@
 )
 
 // run serves one end of a pipe and gives the other.
-func run(t *testing.T, ctx context.Context) (net.Conn, *Conn, chan Reason) {
+func servePipe(t *testing.T, ctx context.Context) (net.Conn, *Conn, chan Reason) {
 	a, b := net.Pipe()
 	c, reason := NewConn(a, Limits{Write: time.Second}), make(chan Reason, 1)
 	go func() {
@@ -48,7 +48,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			peer, c, reason := run(t, ctx)
+			peer, c, reason := servePipe(t, ctx)
 			tc.do(peer, c, cancel)
 			if got := <-reason; got != tc.want {
 				t.Errorf("reason %s, want %s", got, tc.want)
@@ -87,7 +87,7 @@
 
 func TestCloseWritesWhatIsQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer, c, reason := run(t, t.Context())
+		peer, c, reason := servePipe(t, t.Context())
 		c.Send([]byte("one "))
 		c.Send([]byte("two"))
 		c.Close()
@@ -98,7 +98,7 @@
 }
 
 // pair is a connection over loopback: the peer's end, and this side's, which handles as told.
-func pair(t *testing.T, limits Limits, handle func(c *Conn, m *Message)) (net.Conn, *Conn, chan Reason) {
+func serveLoopback(t *testing.T, limits Limits, handle func(c *Conn, m *Message)) (net.Conn, *Conn, chan Reason) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +124,7 @@
 }
 
 // statuses reads answers to the end of the connection, which must be no reset.
-func statuses(t *testing.T, peer net.Conn) (all []int) {
+func readStatuses(t *testing.T, peer net.Conn) (all []int) {
 	t.Helper()
 	for r := NewReader(peer); ; {
 		m, err := r.Next()
@@ -142,11 +142,11 @@
 // A request that is in the socket when the connection is closed was left unread, and the close became a reset, which
 // took the answer before it along. It is handled, and both answers are read.
 func TestARequestInTheInstantOfTheClose(t *testing.T) {
-	first, goOn := make(chan bool), make(chan bool)
-	peer, c, reason := pair(t, Limits{Linger: time.Second}, func(c *Conn, m *Message) {
+	first, proceed := make(chan bool), make(chan bool)
+	peer, c, reason := serveLoopback(t, Limits{Linger: time.Second}, func(c *Conn, m *Message) {
 		if string(m.User()) == "1" {
 			first <- true
-			<-goOn
+			<-proceed
 		}
 		c.Send(Response(m, 200))
 	})
@@ -154,8 +154,8 @@
 	<-first
 	io.WriteString(peer, invite)
 	c.Close()
-	close(goOn)
-	if got := statuses(t, peer); len(got) != 2 {
+	close(proceed)
+	if got := readStatuses(t, peer); len(got) != 2 {
 		t.Errorf("answers %v, want two", got)
 	}
 	peer.Close()
@@ -166,18 +166,18 @@
 
 // A peer that goes on after this side has closed is read on: it gets the end of the connection, and no reset in its place.
 func TestWhatComesAfterTheCloseResetsNothing(t *testing.T) {
-	peer, c, reason := pair(t, Limits{Linger: time.Minute}, func(*Conn, *Message) {})
+	peer, c, reason := serveLoopback(t, Limits{Linger: time.Minute}, func(*Conn, *Message) {})
 	c.Send([]byte("SIP/2.0 200 OK\r\nl: 0\r\n\r\n"))
 	c.Close()
 	<-c.flushed
 	for range 20 {
-		c.net.SetReadDeadline(past)  // that of a Close whose reader was quicker
-		time.Sleep(time.Millisecond) // a reset has the time to come back
+		c.netConn.SetReadDeadline(pastDeadline) // that of a Close whose reader was quicker
+		time.Sleep(time.Millisecond)            // a reset has the time to come back
 		if _, err := io.WriteString(peer, invite); err != nil {
 			t.Fatalf("reset: %v", err)
 		}
 	}
-	if got := statuses(t, peer); len(got) != 1 {
+	if got := readStatuses(t, peer); len(got) != 1 {
 		t.Errorf("answers %v, want one", got)
 	}
 	peer.Close()
@@ -189,7 +189,7 @@
 func TestARequestInTheInstantOfTheIdleLimit(t *testing.T) {
 	var peer net.Conn
 	came, asked := make(chan bool), 0
-	peer, _, reason := pair(t, Limits{Idle: func() time.Duration {
+	peer, _, reason := serveLoopback(t, Limits{Idle: func() time.Duration {
 		if asked++; asked == 1 {
 			<-came // it has come, and is looked at late
 		}
@@ -197,7 +197,7 @@
 	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite)
 	close(came)
-	if got := statuses(t, peer); len(got) != 1 {
+	if got := readStatuses(t, peer); len(got) != 1 {
 		t.Errorf("answers %v, want one", got)
 	}
 	if r := <-reason; r != Idle {
@@ -208,7 +208,7 @@
 // A request whose rest had come in time, but was looked at late, was refused as stalled.
 func TestTheRestOfARequestThatIsLookedAtLate(t *testing.T) {
 	came, begun := make(chan bool), make(chan bool, 10)
-	peer, c, reason := pair(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
+	peer, c, reason := serveLoopback(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
 		begun <- true
 		<-came
 		return -1
--- a/internal/sip/input.go
+++ b/internal/sip/input.go
@@ -14,7 +14,7 @@
 
 // freshness is how old input may be that nobody has handled yet, for its peer still to count as heard. What a peer asks
 // for is to have its effect within 0.1 s; the rest of that is for what follows the look.
-const freshness = 50 * time.Millisecond
+const maxInputAge = 50 * time.Millisecond
 
 // InputState is what is known of a peer's input.
 type InputState int
@@ -30,31 +30,31 @@
 // close or a request to cancel stands unread in the kernel. One goroutine reads; it asks for more once it has handled
 // all whole messages that it was given. Look may be called from any goroutine.
 type Input struct {
-	net     net.Conn
-	raw     syscall.RawConn // nil: no socket, nothing can be known
-	ended   atomic.Bool
-	waiting atomic.Bool // nothing is taken from the kernel that has not been handled
+	netConn       net.Conn
+	raw           syscall.RawConn // nil: no socket, nothing can be known
+	ended         atomic.Bool
+	readerWaiting atomic.Bool // nothing is taken from the kernel that has not been handled
 	// In Unix nanoseconds: when the kernel last had nothing, not even a close, and all that had come has been handled; and
 	// the same for what was sent alone, as a read that takes the last of it does not tell of a close behind it.
-	idle, handled atomic.Int64
+	emptyAt, handledAt atomic.Int64
 	// Of the reader: the read under way, its result, when it began, and whether it took all that there was.
-	buffer []byte
-	n      int
-	err    error
-	began  int64
-	all    bool
-	take   func(fd uintptr) bool
+	buffer    []byte
+	n         int
+	err       error
+	readStart int64
+	drained   bool
+	readFunc  func(fd uintptr) bool
 }
 
 // NewInput makes the input of a connection.
 func NewInput(c net.Conn) *Input {
-	i := &Input{net: c}
+	i := &Input{netConn: c}
 	if socket, ok := c.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
 			i.raw = raw
 		}
 	}
-	i.take = i.takeNow // made once, as each read needs it
+	i.readFunc = i.readAvailable // made once, as each read needs it
 	return i
 }
 
@@ -62,19 +62,19 @@
 func (i *Input) Read(b []byte) (int, error) {
 	i.MarkHandled()
 	if i.raw == nil {
-		n, err := i.net.Read(b)
-		i.end(err)
+		n, err := i.netConn.Read(b)
+		i.recordEnd(err)
 		return n, err
 	}
 	i.buffer = b
-	err := i.raw.Read(i.take)
+	err := i.raw.Read(i.readFunc)
 	i.buffer = nil
 	if err == nil {
 		err = i.err
 	} else {
 		i.n = 0
 	}
-	i.end(err)
+	i.recordEnd(err)
 	return i.n, err
 }
 
@@ -86,7 +86,7 @@
 	}
 	i.buffer, i.n = b, 0
 	came := false
-	err := i.raw.Control(func(fd uintptr) { came = i.takeNow(fd) })
+	err := i.raw.Control(func(fd uintptr) { came = i.readAvailable(fd) })
 	i.buffer = nil
 	switch {
 	case err != nil:
@@ -95,21 +95,21 @@
 	default:
 		err = i.err
 	}
-	i.end(err)
+	i.recordEnd(err)
 	return i.n, err
 }
 
 // MarkHandled tells that all that was read has been handled. To be called by the reader.
 func (i *Input) MarkHandled() {
-	if i.all {
-		i.handled.Store(i.began)
+	if i.drained {
+		i.handledAt.Store(i.readStart)
 	}
 }
 
 // takeNow takes what has come from the kernel, and tells whether anything has.
-func (i *Input) takeNow(fd uintptr) bool {
-	i.began, i.all = time.Now().UnixNano(), false
-	i.waiting.Store(false)
+func (i *Input) readAvailable(fd uintptr) bool {
+	i.readStart, i.drained = time.Now().UnixNano(), false
+	i.readerWaiting.Store(false)
 	for {
 		if i.n, i.err = syscall.Read(int(fd), i.buffer); i.err != syscall.EINTR {
 			break
@@ -117,23 +117,23 @@
 	}
 	switch {
 	case i.err == syscall.EAGAIN:
-		i.n, i.all = 0, true
-		i.idle.Store(i.began)
-		i.handled.Store(i.began)
-		i.waiting.Store(true)
+		i.n, i.drained = 0, true
+		i.emptyAt.Store(i.readStart)
+		i.handledAt.Store(i.readStart)
+		i.readerWaiting.Store(true)
 		return false
 	case i.err != nil:
 		i.n, i.err = 0, os.NewSyscallError("read", i.err)
 	case i.n == 0 && len(i.buffer) > 0:
 		i.err = io.EOF
 	default:
-		i.all = i.n < len(i.buffer)
+		i.drained = i.n < len(i.buffer)
 	}
 	return true
 }
 
 // end notes an error after which nothing more is read.
-func (i *Input) end(err error) {
+func (i *Input) recordEnd(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		i.ended.Store(true)
 	}
@@ -145,14 +145,14 @@
 	switch {
 	case i.ended.Load():
 		return InputEnded
-	case i.raw == nil || fresh(&i.idle):
+	case i.raw == nil || isFresh(&i.emptyAt):
 		return InputHandled
 	}
 	came, closed := i.poll()
 	switch {
 	case closed:
 		return InputEnded
-	case !came && i.waiting.Load(), fresh(&i.handled): // in this order: the reader says that it waits only after it found nothing
+	case !came && i.readerWaiting.Load(), isFresh(&i.handledAt): // in this order: the reader says that it waits only after it found nothing
 		return InputHandled
 	}
 	return InputUnread
@@ -167,10 +167,10 @@
 	return closed
 }
 
-func fresh(at *atomic.Int64) bool { return time.Now().UnixNano()-at.Load() <= int64(freshness) }
+func isFresh(at *atomic.Int64) bool { return time.Now().UnixNano()-at.Load() <= int64(maxInputAge) }
 
 // poll asks the kernel whether unread input is there, and whether the peer has closed its side or reset the connection.
-func (i *Input) poll() (came, closed bool) {
+func (i *Input) poll() (readable, closed bool) {
 	set := []unix.PollFd{{Events: unix.POLLIN | unix.POLLRDHUP}}
 	var got error
 	err := i.raw.Control(func(fd uintptr) {
--- a/internal/sip/input_test.go
+++ b/internal/sip/input_test.go
@@ -8,7 +8,7 @@
 )
 
 // until waits for a condition, for which the machine may take its time.
-func until(t *testing.T, met func() bool) {
+func waitFor(t *testing.T, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -26,7 +26,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			busy, goOn := make(chan bool, 10), make(chan bool)
-			peer, c, reason := pair(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
+			peer, c, reason := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
 			if c.Input() == InputEnded {
 				t.Error("ended before anything came")
 			}
@@ -35,9 +35,9 @@
 			if io.WriteString(peer, invite); c.Input() == InputEnded {
 				t.Error("input taken for an end")
 			}
-			until(t, func() bool { return c.Input() == InputUnread })
+			waitFor(t, func() bool { return c.Input() == InputUnread })
 			leave(peer)
-			until(t, func() bool { return c.Input() == InputEnded })
+			waitFor(t, func() bool { return c.Input() == InputEnded })
 			close(goOn)
 			if why := <-reason; why != PeerClosed && why != PeerReset {
 				t.Errorf("reason %s", why)
@@ -49,16 +49,16 @@
 // Input that waited is handled once its reader has come to it, and a peer that says nothing for long is still heard.
 func TestInputIsHandledAgain(t *testing.T) {
 	busy, goOn := make(chan bool), make(chan bool)
-	peer, c, _ := pair(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
+	peer, c, _ := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
 	io.WriteString(peer, invite)
 	<-busy
 	io.WriteString(peer, invite)
-	until(t, func() bool { return c.Input() == InputUnread })
+	waitFor(t, func() bool { return c.Input() == InputUnread })
 	goOn <- true
 	<-busy
 	goOn <- true
-	until(t, func() bool { return c.Input() == InputHandled })
-	until(t, func() bool { return !fresh(&c.in.idle) && c.in.waiting.Load() })
+	waitFor(t, func() bool { return c.Input() == InputHandled })
+	waitFor(t, func() bool { return !isFresh(&c.in.emptyAt) && c.in.readerWaiting.Load() })
 	if got := c.Input(); got != InputHandled {
 		t.Errorf("after a silence: %d", got)
 	}
@@ -72,18 +72,18 @@
 		want   Reason
 	}{"a client's": {Limits{HalfCloseEnds: true}, PeerClosed}, "a server's": {Limits{}, WriteTimeout}} {
 		t.Run(name, func(t *testing.T) {
-			answer := make([]byte, pauseBytes/2)
+			answer := make([]byte, readPauseBytes/2)
 			asked := make(chan bool, 1000)
-			peer, c, reason := pair(t, tc.limits, func(c *Conn, m *Message) { c.Send(answer); asked <- true })
+			peer, c, reason := serveLoopback(t, tc.limits, func(c *Conn, m *Message) { c.Send(answer); asked <- true })
 			peer.(*net.TCPConn).SetReadBuffer(4 << 10)
-			c.net.(*net.TCPConn).SetWriteBuffer(4 << 10)
-			until(t, func() bool { // what the buffers hold is not known; then the reader waits
-				if c.out.low() {
+			c.netConn.(*net.TCPConn).SetWriteBuffer(4 << 10)
+			waitFor(t, func() bool { // what the buffers hold is not known; then the reader waits
+				if c.out.hasRoom() {
 					io.WriteString(peer, invite)
 					<-asked
 				}
 				time.Sleep(time.Millisecond)
-				return !c.out.low()
+				return !c.out.hasRoom()
 			})
 			io.WriteString(peer, invite)
 			peer.(*net.TCPConn).CloseWrite()
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -18,7 +18,7 @@
 	MaxMessage = 16 << 10
 	// firstBuffer is where a read buffer starts: most messages are a few hundred bytes, and a caller's
 	// connection shall not cost 16 KiB before it needs them.
-	firstBuffer = 4 << 10
+	initialBuffer = 4 << 10
 	// maxHeaders keeps one message from costing more in slices than in bytes.
 	maxHeaders = 128
 )
@@ -45,7 +45,7 @@
 }
 
 // compact are the one-letter names of RFC 3261 for headers that this program looks at.
-var compact = map[byte]string{'i': "Call-ID", 'l': "Content-Length", 'v': "Via", 'f': "From", 't': "To",
+var compactNames = map[byte]string{'i': "Call-ID", 'l': "Content-Length", 'v': "Via", 'f': "From", 't': "To",
 	's': "Subject"}
 
 // Get gives the first header of that name, or nil.
@@ -60,7 +60,7 @@
 
 func (h Header) is(name string) bool {
 	if len(h.Name) == 1 {
-		return compact[h.Name[0]|0x20] == name
+		return compactNames[h.Name[0]|0x20] == name
 	}
 	return len(h.Name) == len(name) && bytes.EqualFold(h.Name, []byte(name))
 }
@@ -87,32 +87,32 @@
 
 // Reader cuts a stream into messages.
 type Reader struct {
-	from       io.Reader
-	buf        []byte
-	start, end int
-	count      uint64 // messages so far
-	strict     bool   // no line ends between messages
-	at         time.Time
-	msg        Message
+	source       io.Reader
+	buf          []byte
+	start, end   int
+	messageCount uint64 // messages so far
+	strict       bool   // no line ends between messages
+	lastReadAt   time.Time
+	msg          Message
 }
 
 // NewReader reads messages from r.
-func NewReader(r io.Reader) *Reader { return &Reader{from: r, buf: make([]byte, firstBuffer)} }
+func NewReader(r io.Reader) *Reader { return &Reader{source: r, buf: make([]byte, initialBuffer)} }
 
 // Next gives the next message. The error is io.EOF where the stream ends between two messages,
 // io.ErrUnexpectedEOF inside one, a framing error, or what the stream itself returned.
 func (r *Reader) Next() (*Message, error) {
 	for {
 		r.skipBlank()
-		if size, err := r.whole(); err != nil {
+		if size, err := r.parse(); err != nil {
 			return nil, err
 		} else if size > 0 {
-			if !r.begins(r.buf[r.start+size : r.end]) {
+			if !r.startsMessage(r.buf[r.start+size : r.end]) {
 				return nil, ErrStartLine
 			}
 			r.start += size
-			r.count++
-			r.msg.ReceivedAt = r.at
+			r.messageCount++
+			r.msg.ReceivedAt = r.lastReadAt
 			return &r.msg, nil
 		}
 		if err := r.fill(); err != nil {
@@ -124,16 +124,16 @@
 // begins tells whether what was read behind a message can begin another. A length that does not fit cuts a
 // message short or has it swallow the head of the next one; what is left behind then is no first line. Passed
 // on, such a message would be one that nobody sent.
-func (r *Reader) begins(rest []byte) bool {
+func (r *Reader) startsMessage(rest []byte) bool {
 	trimmed := bytes.TrimLeft(rest, "\r\n")
 	if len(trimmed) == 0 || r.strict && len(trimmed) < len(rest) {
 		return len(rest) == 0 || !r.strict
 	}
 	line, _, whole := bytes.Cut(trimmed, []byte("\r\n"))
 	if whole {
-		return new(Message).first(line) == nil
+		return new(Message).parseFirstLine(line) == nil
 	}
-	return !control(line)
+	return !hasControlChars(line)
 }
 
 // skipBlank drops line ends before a message: keep-alives that RFC 3261 tells to ignore.
@@ -154,9 +154,9 @@
 		}
 		r.buf = append(r.buf, make([]byte, min(len(r.buf), MaxMessage-len(r.buf)))...)
 	}
-	n, err := r.from.Read(r.buf[r.end:])
+	n, err := r.source.Read(r.buf[r.end:])
 	r.end += n
-	r.at = time.Now()
+	r.lastReadAt = time.Now()
 	if n > 0 {
 		return nil
 	}
@@ -170,7 +170,7 @@
 }
 
 // whole parses the message at the start of the buffer; a size of 0 tells that more bytes are needed.
-func (r *Reader) whole() (size int, err error) {
+func (r *Reader) parse() (size int, err error) {
 	data := r.buf[r.start:r.end]
 	head := bytes.Index(data, []byte("\r\n\r\n"))
 	if head < 0 {
@@ -179,10 +179,10 @@
 	m := &r.msg
 	*m = Message{Headers: m.Headers[:0]}
 	line, rest, _ := bytes.Cut(data[:head+2], []byte("\r\n"))
-	if err := m.first(line); err != nil {
+	if err := m.parseFirstLine(line); err != nil {
 		return 0, err
 	}
-	if err := m.headers(rest); err != nil {
+	if err := m.parseHeaders(rest); err != nil {
 		return 0, err
 	}
 	length, err := m.length()
@@ -200,18 +200,18 @@
 	return size, nil
 }
 
-func (m *Message) first(line []byte) error {
+func (m *Message) parseFirstLine(line []byte) error {
 	a, rest, ok := bytes.Cut(line, []byte(" "))
 	b, c, _ := bytes.Cut(rest, []byte(" "))
 	switch {
 	case !ok || len(a) == 0 || len(b) == 0:
 	case string(a) == "SIP/2.0":
 		n, err := strconv.ParseUint(string(b), 10, 16)
-		if err == nil && len(b) == 3 && n >= 100 && n < 700 && !control(c) {
+		if err == nil && len(b) == 3 && n >= 100 && n < 700 && !hasControlChars(c) {
 			m.Status = int(n)
 			return nil
 		}
-	case string(c) == "SIP/2.0" && token(a) && visible(b):
+	case string(c) == "SIP/2.0" && isToken(a) && isPrintable(b):
 		m.Method, m.URI = a, b
 		return nil
 	}
@@ -219,24 +219,24 @@
 }
 
 // token tells whether a word is a method or the name of a header (RFC 3261, 25.1).
-func token(word []byte) bool {
+func isToken(word []byte) bool {
 	return len(word) > 0 && bytes.IndexFunc(word, func(c rune) bool {
 		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-.!%*_+`'~", c))
 	}) < 0
 }
 
-func visible(word []byte) bool {
+func isPrintable(word []byte) bool {
 	return bytes.IndexFunc(word, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
 // control tells whether a header's value holds what no text does: noise.
-func control(value []byte) bool {
+func hasControlChars(value []byte) bool {
 	return bytes.IndexFunc(value, func(c rune) bool {
 		return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f || c == utf8.RuneError
 	}) >= 0
 }
 
-func (m *Message) headers(lines []byte) error {
+func (m *Message) parseHeaders(lines []byte) error {
 	for len(lines) > 0 {
 		end := bytes.Index(lines, []byte("\r\n"))
 		// A line that starts with a blank continues the one before.
@@ -245,7 +245,7 @@
 		}
 		name, value, ok := bytes.Cut(lines[:end], []byte(":"))
 		name = bytes.TrimRight(name, " \t")
-		if !ok || !token(name) || control(value) || len(m.Headers) == maxHeaders {
+		if !ok || !isToken(name) || hasControlChars(value) || len(m.Headers) == maxHeaders {
 			return ErrHeader
 		}
 		m.Headers = append(m.Headers, Header{name, bytes.TrimSpace(value)})
@@ -280,10 +280,10 @@
 
 // AppendStatus starts an answer.
 func AppendStatus(b []byte, status int) []byte {
-	return fmt.Appendf(b, "SIP/2.0 %d %s\r\n", status, phrase(status))
+	return fmt.Appendf(b, "SIP/2.0 %d %s\r\n", status, reasonPhrase(status))
 }
 
-func phrase(status int) string {
+func reasonPhrase(status int) string {
 	phrases := map[int]string{200: "OK", 400: "Bad Request", 405: "Method Not Allowed", 408: "Request Timeout", 413: "Request Entity Too Large",
 		480: "Temporarily Unavailable", 481: "Call Does Not Exist", 482: "Loop Detected", 500: "Server Error",
 		503: "Service Unavailable"}
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -18,7 +18,7 @@
 const answer = "SIP/2.0 503 Busy now\r\nv: SIP/2.0/TCP peer\r\ni: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n" +
 	"X-Folded: one\r\n two\r\nl: 0\r\n\r\n"
 
-func all(r io.Reader) (got []Message, err error) {
+func readAll(r io.Reader) (got []Message, err error) {
 	reader := NewReader(r)
 	for {
 		m, err := reader.Next()
@@ -58,7 +58,7 @@
 func TestValidMessagesInAnyCuts(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "n")
-		got, err := all(netcase.Cut(t, []byte(strings.Repeat(invite+"\r\n"+answer, n))))
+		got, err := readAll(netcase.Cut(t, []byte(strings.Repeat(invite+"\r\n"+answer, n))))
 		if err != io.EOF || len(got) != 2*n {
 			t.Fatalf("%d messages of %d, then %v", len(got), 2*n, err)
 		}
@@ -74,7 +74,7 @@
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		data := netcase.Garbage(t, []byte(invite+answer))
-		if got, err := all(netcase.Cut(t, data)); err == nil || len(got) > len(data)/20 {
+		if got, err := readAll(netcase.Cut(t, data)); err == nil || len(got) > len(data)/20 {
 			t.Fatalf("%d messages from %d bytes, error %v", len(got), len(data), err)
 		}
 	})
@@ -99,7 +99,7 @@
 		{"BYE sip:1@net SIP/2.0\r\nno colon\r\nContent-Length: 0\r\n\r\n", ErrHeader},
 		{"BYE sip:1@net SIP/2.0\r\nX: " + long, ErrTooLong},
 	} {
-		if got, err := all(strings.NewReader(tc.in)); !errors.Is(err, tc.want) || len(got) != 0 {
+		if got, err := readAll(strings.NewReader(tc.in)); !errors.Is(err, tc.want) || len(got) != 0 {
 			t.Errorf("%.40q: %d messages, error %v, want %v", tc.in, len(got), err, tc.want)
 		}
 	}
@@ -107,7 +107,7 @@
 
 func TestWritersMakeWhatTheReaderTakes(t *testing.T) {
 	b := AppendHeader(AppendRequest(nil, "BYE", "17"), "Reason", "a\r\nX-Forged: 1")
-	got, err := all(bytes.NewReader(AppendBody(b, []byte("body"))))
+	got, err := readAll(bytes.NewReader(AppendBody(b, []byte("body"))))
 	if err != io.EOF || len(got) != 1 || string(got[0].Body) != "body" {
 		t.Fatalf("%+v, %v", got, err)
 	}
--- a/internal/sip/queue.go
+++ b/internal/sip/queue.go
@@ -13,9 +13,9 @@
 	maxQueueBytes = 512 << 10
 	// pauseBytes is what may wait while more is read from the same peer: one that asks faster than it reads its
 	// answers waits itself.
-	pauseBytes = 64 << 10
+	readPauseBytes = 64 << 10
 	// closedInterval is how often a reader that waits for its peer to read looks whether that has closed its side.
-	closedInterval = 25 * time.Millisecond
+	closeCheckInterval = 25 * time.Millisecond
 )
 
 // Queue holds the messages that wait for a peer to read, bounded in bytes.
@@ -23,13 +23,13 @@
 	mu      sync.Mutex
 	waiting [][]byte
 	size    int           // bytes waiting or being written
-	kick    chan struct{} // something waits
+	ready   chan struct{} // something waits
 	drained chan struct{} // something was written
 }
 
 // NewQueue makes an empty queue.
 func NewQueue() *Queue {
-	return &Queue{kick: make(chan struct{}, 1), drained: make(chan struct{}, 1)}
+	return &Queue{ready: make(chan struct{}, 1), drained: make(chan struct{}, 1)}
 }
 
 // Put queues one message and never blocks; false: the peer does not read.
@@ -41,13 +41,13 @@
 	}
 	q.mu.Unlock()
 	if fits {
-		signal(q.kick)
+		signal(q.ready)
 	}
 	return fits
 }
 
 // Ready gets a signal when something waits.
-func (q *Queue) Ready() <-chan struct{} { return q.kick }
+func (q *Queue) Ready() <-chan struct{} { return q.ready }
 
 // Write has all that waits written, in the order it was put. A batch counts as waiting until it is written.
 func (q *Queue) Write(write func(batch [][]byte) error) error {
@@ -77,17 +77,17 @@
 // Room waits until the peer has read most of what was put. It gives io.EOF as soon as closed tells that the peer has
 // closed its side: that stands unread behind what the peer sent before.
 func (q *Queue) WaitForRoom(ctx context.Context, closed func() bool) error {
-	if q.low() {
+	if q.hasRoom() {
 		return nil
 	}
-	look := time.NewTicker(closedInterval)
-	defer look.Stop()
-	for !q.low() {
+	ticker := time.NewTicker(closeCheckInterval)
+	defer ticker.Stop()
+	for !q.hasRoom() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-q.drained:
-		case <-look.C:
+		case <-ticker.C:
 			if closed() {
 				return io.EOF
 			}
@@ -97,10 +97,10 @@
 }
 
 // low tells whether little enough waits for the peer to be asked for more.
-func (q *Queue) low() bool {
+func (q *Queue) hasRoom() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.size <= pauseBytes
+	return q.size <= readPauseBytes
 }
 
 func signal(c chan struct{}) {
