--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -1,5 +1,5 @@
-// Package journal is service discovery: it follows the list of servers, from the part known at the start on, as
-// server-sent events of the journal service.
+// Package journal is service discovery. It starts with the part of the server list in the configuration, and follows
+// the changes of the list that the journal service sends as server-sent events.
 package journal
 
 import (
@@ -21,40 +21,42 @@
 )
 
 const (
-	// silenceTimeout is how long nothing may come, of which the service sends a comment every second. What a service
-	// that stopped would have told counts as told 4 s later, and the reconnect takes its time too.
+	// silenceTimeout is how long a stream may be silent; the service sends a comment every second. What a stopped service
+	// would have reported is taken as known 4 s later, and the reconnect takes part of that time.
 	silenceTimeout = 2500 * time.Millisecond
-	// heardWithin is how old the last line may be for the service to count as heard: a comment comes every second.
+	// maxLiveAge is the greatest age of the last line for the list to count as up to date; a comment comes every second.
 	maxLiveAge = 1500 * time.Millisecond
-	// headTimeout is how long a connect and the head of its answer may take at first, doubled with each that fails in a row
-	// up to silenceTimeout: after a silence, two that hang must leave the third in time for what counts as told 7 s after.
+	// headTimeout is how long a connect and the response header may take at first. It doubles with each consecutive
+	// failure, up to silenceTimeout: after a silence, two connects may hang, and the third must still be in time for what
+	// is taken as known after 7 s.
 	headTimeout = time.Second
-	// lineTimeout bounds one line that keeps coming: the longest event over a slow way.
+	// lineTimeout bounds the transfer of one line: the longest event over a slow link.
 	lineTimeout = time.Minute
-	// initialBackoff and maxBackoff bound the time from the begin of one connect to the next, but for minPause after one that
-	// took long. A service that comes back is to be followed at once, however long it was down.
+	// initialBackoff and maxBackoff bound the time from the start of one connect to the start of the next; after a connect
+	// that took longer, the client waits up to minPause. A service that comes back must be followed at once, however long
+	// it was down.
 	initialBackoff, maxBackoff, minPause = 100 * time.Millisecond, 500 * time.Millisecond, 50 * time.Millisecond
 )
 
-// Client follows the journal service.
+// Client follows the journal service. The exported fields must be set before Run.
 type Client struct {
-	Addr     string // where the service was at the start; Move changes it
+	Addr     string // initial address of the service; SetAddr changes it
 	Log      *slog.Logger
 	OnChange func(changed []exchange.Office, full bool)
-	Pos      int64 // of the last event taken
+	Pos      int64 // number of the last event received
 	Backoff  func(failures int) time.Duration
-	// Dial connects to the service; nil: over TCP.
+	// Dial opens a connection to the service; nil: over TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	position  atomic.Int64 // position told, for who looks from outside
-	lastHeard atomic.Int64 // when the service last said anything, Unix nanoseconds; 0: never
+	position  atomic.Int64 // copy of Pos for other goroutines
+	lastHeard atomic.Int64 // when a line was last received, in Unix nanoseconds; 0: never
 
 	mu      sync.Mutex
-	newAddr string             // where it is now, once Move was called
-	cancel  context.CancelFunc // ends the stream or the pause under way
+	newAddr string             // the address set by SetAddr; empty: none was
+	cancel  context.CancelFunc // ends the present stream, or the pause after it
 }
 
-// Move has the client follow the service at another address from now on, on from the last event taken.
+// SetAddr has the client follow the service at another address from now on, continuing after the last event received.
 func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +66,8 @@
 	}
 }
 
-// attempt begins one stream with the pause after it: its address, and a context that a move ends.
+// beginStream returns the address for the next stream, and a context for the stream and the pause after it, which
+// SetAddr ends.
 func (c *Client) beginStream(ctx context.Context) (string, context.Context, context.CancelFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +79,7 @@
 	return addr, ctx, c.cancel
 }
 
-// Start takes what the configuration holds.
+// LoadInitial applies the part of the list in the configuration. It must be called before Run.
 func (c *Client) LoadInitial(k Known) {
 	for _, raw := range k.Entries {
 		c.apply(raw)
@@ -85,8 +88,8 @@
 	c.position.Store(c.Pos)
 }
 
-// Position tells how far the list goes, and when the service last said anything (zero: never). An old time means that
-// the list may be behind, whatever its position.
+// Position returns the number of the last event received, and when a line was last received from the service (zero:
+// never). If that is long ago, the list may be out of date, whatever its position.
 func (c *Client) Position() (pos int64, heard time.Time) {
 	if at := c.lastHeard.Load(); at > 0 {
 		heard = time.Unix(0, at)
@@ -94,20 +97,20 @@
 	return c.position.Load(), heard
 }
 
-// Heard tells whether the service is heard: what it has to tell has come, but for the last moment.
+// IsLive tells whether the service was received so recently that the list is up to date, but for the last moment.
 func (c *Client) IsLive() bool {
 	_, at := c.Position()
 	return time.Since(at) < maxLiveAge
 }
 
-// Run follows the service until ctx ends; broken streams are opened again where they ended.
+// Run follows the service until ctx ends. Broken streams are opened again after the last event received.
 func (c *Client) Run(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
 		began := time.Now()
 		addr, streamCtx, cancelStream := c.beginStream(ctx)
 		heard, err := c.follow(streamCtx, addr, min(headTimeout<<min(failures, 5), silenceTimeout))
-		if streamCtx.Err() != nil { // the program ends, or the service has moved
+		if streamCtx.Err() != nil { // the program ends, or SetAddr was called
 			c.Log.Info("journal connection ended", "reason", "closed", "addr", addr, "pos", c.Pos)
 			failures = 0
 			continue
@@ -134,7 +137,7 @@
 
 var errStatus = errors.New("no event stream")
 
-// reason is the reason code of a stream's end.
+// reason returns the reason code for the end of a stream.
 func reason(heard bool, err error) string {
 	switch {
 	case errors.Is(err, errStatus):
@@ -159,11 +162,12 @@
 	return wait/2 + rand.N(wait/2)
 }
 
-// follow reads one stream, whose head may take that long; heard tells whether anything came.
+// follow reads one stream until it ends. head is the timeout for the connect and the response header; heard tells
+// whether any line was received.
 func (c *Client) follow(ctx context.Context, addr string, head time.Duration) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The silence of a service that has vanished ends the stream: its comments stop.
+	// If the service vanishes, its comments stop, and this timer ends the stream.
 	silence := time.AfterFunc(head, cancel)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/journal", nil)
@@ -172,7 +176,7 @@
 	}
 	req.Header.Set("Last-Event-ID", strconv.FormatInt(c.Pos, 10))
 	req.Header.Set("Accept", "text/event-stream")
-	// The transport leaves a connect that hangs to itself when its request ends; this one ends with the stream.
+	// The transport does not cancel a pending connect when its request ends, so connects run under the stream's context.
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(_ context.Context, network, addr string) (net.Conn, error) { return c.connect(ctx, network, addr) }}}
 	resp, err := client.Do(req)
--- a/internal/journal/connect.go
+++ b/internal/journal/connect.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// connectEvery is how long a connect may hang before the next one begins beside it, as the kernel sends its SYN again
-	// at growing intervals; connectTimeout is how long each may take, so that at most MaxConnects are under way.
+	// connectInterval is how long a connect may hang before the next one is started in parallel, as the kernel repeats its
+	// SYN only at growing intervals. connectTimeout is how long each may take, so that at most MaxConnects are pending.
 	connectInterval = 500 * time.Millisecond
 	connectTimeout  = MaxConnects*connectInterval - 100*time.Millisecond
-	// MaxConnects bounds the connects that are under way at once, and so the descriptors that they hold.
+	// MaxConnects bounds the number of pending connects, and so the file descriptors that they hold.
 	MaxConnects = 3
 )
 
-// connect opens a connection. While it does not come up, another connect begins beside it every connectEvery, and the
-// first one that is up is taken. One that fails tells enough.
+// connect opens a connection. While none is established, it starts another connect in parallel every connectInterval,
+// and returns the first connection that is established. An error other than a timeout ends it at once.
 func (c *Client) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +59,7 @@
 	}
 }
 
-// dial makes one connect.
+// dial opens one connection within connectTimeout.
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -13,7 +13,7 @@
 	"masthill/internal/exchange"
 )
 
-// Known is the part of the list that the configuration holds.
+// Known is the part of the server list in the configuration: events of the journal, and the number of the last one.
 type Known struct {
 	Pos     int64             `json:"pos"`
 	Entries []json.RawMessage `json:"entries"`
@@ -39,7 +39,7 @@
 
 var states = map[string]control.EntryState{"SERVING": control.Serving, "DRAINING": control.Draining, "DELETED": control.Removed}
 
-// Decode reads one event.
+// Decode decodes one event; full: it holds the whole list.
 func Decode(data []byte) (changed []exchange.Office, full bool, err error) {
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
@@ -62,8 +62,8 @@
 	return changed, e.Hosts.Full, nil
 }
 
-// Number makes an office's id the number that the module knows it by: the hex digits after the dash, or a
-// hash of an id of another form.
+// ServerNumber returns the number by which the control module knows a server: the hex digits after the dash of its id,
+// or a hash of an id of another form.
 func ServerNumber(id string) uint64 {
 	_, hex, _ := strings.Cut(id, "-")
 	if n, err := strconv.ParseUint(hex, 16, 64); err == nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// A stream in any cuts gives the same events; a malformed one is passed over, and its number still counts, lest
-// every reconnect ask for it again.
+// A stream gives the same events however it is split into reads. A malformed event is skipped, and its number is
+// recorded, so that it is not requested again with each reconnect.
 func TestStreamInAnyCuts(t *testing.T) {
 	text := ": hello\n\nid: 41\ndata: " + full + "\n\n:\n\nid: 42\r\ndata: {bad\r\n\r\nid: 42\ndata: " + full +
 		"\n\nid: 43\ndata: " + delta("DELETED") + "\n\nid: 44\ndata: " + delta("SERVING")
@@ -92,7 +92,7 @@
 	})
 }
 
-// A broken stream is opened again with the number of the last event taken.
+// A broken stream is opened again with the number of the last event received.
 func TestReconnectGoesOnWhereItWas(t *testing.T) {
 	asked := make(chan string, 100)
 	addr := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// A new configuration moves the client at once, also from a service that only stays silent, and the position goes on.
+// SetAddr takes effect at once, even if the old service is silent but still connected, and the position is kept.
 func TestMoveKeepsThePosition(t *testing.T) {
 	asked := make(chan string, 10)
 	serve := func(name string) string {
@@ -176,7 +176,8 @@
 	}
 }
 
-// stream is a service on pipes: each connect goes to the next of the handlers, and the last one takes all that follow.
+// servePipes makes a service on pipes for the client: each connect is served by the next handler, and all further ones
+// by the last.
 func servePipes(t *testing.T, c *Client, handlers ...func(t *testing.T, peer net.Conn)) {
 	n := 0
 	c.Addr = "journal:1"
@@ -193,7 +194,7 @@
 	}
 }
 
-// serves answers a request with a stream, which it hands on.
+// streamHandler answers a request with a stream, whose content say writes.
 func streamHandler(say func(w io.Writer)) func(*testing.T, net.Conn) {
 	return func(t *testing.T, peer net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(peer)); err != nil {
@@ -207,8 +208,8 @@
 
 func hang(_ *testing.T, peer net.Conn) { io.Copy(io.Discard, peer) }
 
-// A long event over a slow way was taken for silence, as the limit counted whole lines, and each reconnect had it come
-// again from its start.
+// A long event over a slow link was taken for silence, as the timeout was reset by whole lines only, and each reconnect
+// had it sent again from its start.
 func TestALongEventOverASlowWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
@@ -232,7 +233,7 @@
 	})
 }
 
-// A stream that falls silent is left, and so is a connect that hangs, twice in a row: news counts as told 7 s after.
+// A silent stream and two hanging connects in a row are given up in time: changes are taken as known after 7 s.
 func TestSilenceAndConnectsThatHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
@@ -245,22 +246,23 @@
 		go c.Run(t.Context())
 		<-got
 		if took := time.Since(last); took > 6*time.Second {
-			t.Errorf("back %v after the last sign of life", took)
+			t.Errorf("event received %v after the last line of the silent stream", took)
 		}
 	})
 }
 
-// Two moves in a row, one of them between two events and one in the pause before a reconnect: the client follows the last.
+// After several calls of SetAddr, during a stream and during the pause before a reconnect, the client follows the last
+// address.
 func TestMovesInARow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 10)
 		c := newClient(func(x update) { got <- x })
-		c.Backoff = func(int) time.Duration { return time.Hour } // only a move ends a pause
+		c.Backoff = func(int) time.Duration { return time.Hour } // only SetAddr ends a pause
 		var asked []string
 		handlers := map[string]func(*testing.T, net.Conn){
 			"first:1":  streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }),
 			"second:1": hang,
-			"third:1":  func(_ *testing.T, peer net.Conn) {}, // closes at once: a pause follows
+			"third:1":  func(_ *testing.T, peer net.Conn) {}, // closes at once, so that a pause follows
 			"fourth:1": streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\nid: 42\ndata: "+full+"\n\n") }),
 		}
 		c.Dial = func(_ context.Context, _, addr string) (net.Conn, error) {
@@ -278,7 +280,7 @@
 		<-got
 		c.SetAddr("second:1")
 		c.SetAddr("third:1")
-		synctest.Wait() // in the pause
+		synctest.Wait() // until the client is in the pause
 		c.SetAddr("fourth:1")
 		<-got
 		synctest.Wait()
--- a/internal/journal/reconnect_test.go
+++ b/internal/journal/reconnect_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// outage is a service that is down until a moment, and serves one event from then on.
+// outage is a service that is down until a given time, and sends one event from then on.
 type outage struct {
 	t                               *testing.T
 	until                           time.Time
-	down                            func(ctx context.Context) error // a connect while it is down
+	down                            func(ctx context.Context) error // the error of a connect while it is down
 	mu                              sync.Mutex
-	underway, maxUnderway, connects int // connects under way, at most, and in all
+	underway, maxUnderway, connects int // pending connects, the most of them at once, and all connects
 }
 
 func (o *outage) count(step int) {
@@ -43,9 +43,9 @@
 	return ours, nil
 }
 
-// A service that was down for long is followed at once when it is back. The wait before a reconnect had grown to 1.5 s, and
-// a connect that hung was waited for until 2.5 s after its begin; beyond that the transport left it to the kernel, which held
-// its descriptor for two minutes.
+// A service that was down for long is followed at once when it is back. The delay before a reconnect used to grow to
+// 1.5 s, and a hanging connect was given up only 2.5 s after its start, and even then the transport left it to the
+// kernel, which held its file descriptor for two minutes.
 func TestAServiceThatIsBackIsFollowedAtOnce(t *testing.T) {
 	for name, tc := range map[string]struct {
 		down  func(ctx context.Context) error
@@ -66,7 +66,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				got := make(chan update, 1)
 				c := newClient(func(x update) { got <- x })
-				c.Addr, c.Backoff = "journal:1", nil // the waits of the program
+				c.Addr, c.Backoff = "journal:1", nil // the default backoff
 				o := &outage{t: t, until: time.Now().Add(lasts), down: tc.down}
 				c.Dial = o.dial
 				go c.Run(t.Context())
@@ -74,20 +74,20 @@
 				o.mu.Lock()
 				defer o.mu.Unlock()
 				if late := time.Since(o.until); late > tc.limit {
-					t.Errorf("%s for %v: followed %v after it was back", name, lasts, late)
+					t.Errorf("%s for %v: reconnected %v after it was back", name, lasts, late)
 				}
 				if o.maxUnderway > MaxConnects {
-					t.Errorf("%s for %v: %d connects under way", name, lasts, o.maxUnderway)
+					t.Errorf("%s for %v: %d connects pending", name, lasts, o.maxUnderway)
 				}
 				if most := 3 + int(2*lasts/maxBackoff)*2; o.connects > most {
-					t.Errorf("%s for %v: %d connects, over %d", name, lasts, o.connects, most)
+					t.Errorf("%s for %v: %d connects, want at most %d", name, lasts, o.connects, most)
 				}
 			})
 		}
 	}
 }
 
-// What comes up late is waited for: the connects beside it don't end it.
+// A connect that takes long is waited for; the parallel connects must not cancel it.
 func TestAConnectThatComesUpLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxLine bounds one event: a list of a few thousand offices.
+// maxLine bounds the size of an event, which may be a list of a few thousand offices.
 const maxLine = 1 << 20
 
-// alive notes that something came, be it a part of a line: a long event over a slow way is no silence, and the next
-// connect would only have it come again from its start.
+// activityReader calls onRead whenever something is received, even part of a line: a long event over a slow link is not
+// a silence, and after a reconnect it would only be sent again from its start.
 type activityReader struct {
 	source io.Reader
 	onRead func()
@@ -26,7 +26,7 @@
 	return n, err
 }
 
-// read takes a stream of events; whole is called for each line.
+// readEvents reads a stream of events and calls onLine for each line; heard tells whether there was any.
 func (c *Client) readEvents(r io.Reader, onLine func()) (heard bool, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
@@ -63,8 +63,8 @@
 	return heard, err
 }
 
-// dispatch takes one whole event. Its number counts even where the event itself can't be read, lest every
-// reconnect ask for it again; one that was taken before is passed over.
+// dispatch handles a complete event. Its number is recorded even if the event can't be decoded, so that it is not
+// requested again with each reconnect. An event that was received before is ignored.
 func (c *Client) dispatch(id string, data []byte) {
 	pos, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
@@ -78,7 +78,7 @@
 	c.apply(data)
 }
 
-// apply handles one event. A malformed one is logged and passed over: what comes after it still counts.
+// apply decodes an event and calls OnChange. A malformed one is logged and skipped, as later events are still valid.
 func (c *Client) apply(data []byte) {
 	changed, full, err := Decode(data)
 	if err != nil {
--- a/internal/office/delay_test.go
+++ b/internal/office/delay_test.go
@@ -12,11 +12,11 @@
 		delays      []time.Duration
 		least, most time.Duration
 	}{
-		{"none yet", nil, minAnswerTimeout, minAnswerTimeout},
+		{"no answer yet", nil, minAnswerTimeout, minAnswerTimeout},
 		{"quick", []time.Duration{quick, quick, quick, quick}, minAnswerTimeout, minAnswerTimeout},
-		{"one straggler among quick ones", []time.Duration{quick, quick, quick, quick, straggler}, minAnswerTimeout, 400 * time.Millisecond},
+		{"one slow answer among quick ones", []time.Duration{quick, quick, quick, quick, straggler}, minAnswerTimeout, 400 * time.Millisecond},
 		{"slow", []time.Duration{slow, slow, slow, slow}, 2 * slow * 9 / 10, maxAnswerTimeout},
-		{"stragglers alone", []time.Duration{straggler, straggler, straggler, straggler}, maxAnswerTimeout * 8 / 10, maxAnswerTimeout},
+		{"very slow", []time.Duration{straggler, straggler, straggler, straggler}, maxAnswerTimeout * 8 / 10, maxAnswerTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var d answerDelay
@@ -24,7 +24,7 @@
 				d.add(delay)
 			}
 			if got := d.timeout(); got < tc.least || got > tc.most {
-				t.Errorf("a silence of %v counts as dead, want %v to %v", got, tc.least, tc.most)
+				t.Errorf("timeout %v, want %v to %v", got, tc.least, tc.most)
 			}
 		})
 	}
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -14,29 +14,31 @@
 )
 
 const (
-	// redialFirst and redialMost bound the wait between two connects that nothing but the list asks for, lest
-	// a dead office see a connect storm from the fleet. An attempt connects at once.
+	// minRedialDelay and maxRedialDelay bound the delay between two connects that no attempt waits for, so that the fleet
+	// does not flood a dead office with connects. A waiting attempt connects at once.
 	minRedialDelay, maxRedialDelay = 200 * time.Millisecond, 3 * time.Second
-	// unheardStep is the wait until a client whose input waits to be read is asked for again.
+	// presencePollInterval is how often the presence of a client with unread input is checked again.
 	presencePollInterval = 2 * time.Millisecond
 )
 
-// link is one office on the list and the connections to it.
+// link holds the connections to one office on the list, and what waits to be sent there.
 type link struct {
 	pool            *Pool
 	server          uint64
 	addr            string
 	cancel          context.CancelFunc
-	wakeup          chan struct{} // an attempt waits, or the session has gone
+	wakeup          chan struct{} // wakes run: an attempt waits, or the current session was found stale
 	current         *session
-	previous        *session // the one before, while attempts are out on it
+	previous        *session // the replaced one, as long as attempts are outstanding on it
 	waiting         []exchange.Attempt
 	pendingReleases []release
-	forceConnect    bool // calls stand there and nothing is heard: a connect will tell
+	forceConnect    bool // connect even if nothing waits to be sent, to learn whether the office is there
 	liveness        liveness
-	probe           *time.Timer // the next connect that may prove the server dead; nil: none is due
+	probe           *time.Timer // starts the next connect that may prove the server dead; nil: none is scheduled
 }
 
+// release is a request to the office to release a call.
+// release is a request to the office to release a call.
 type release struct {
 	id  string
 	n   int
@@ -44,13 +46,14 @@
 	at  time.Time // when it was sent
 }
 
-// olderThan tells whether the connection leads to a process before the one that started then. The list tells of
-// a start late: a connection that is newer already leads to the new process, and set-ups are out on it.
+// connectedBefore tells whether the current connection was opened before start, and so leads to a process older than
+// the one that started then. The list reports a start with a delay: a newer connection already leads to the new
+// process, with set-ups outstanding on it, and must be kept.
 func (l *link) connectedBefore(start int64) bool {
 	return l.current != nil && l.current.connectedAt.UnixNano() < start
 }
 
-// fail ends all attempts that wait for a connection: they never ran.
+// failWaiting ends all attempts that wait for a connection with the given outcome. They were never sent.
 func (l *link) failWaiting(o control.Outcome) {
 	for _, a := range l.waiting {
 		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: o})
@@ -65,8 +68,8 @@
 	}
 }
 
-// run keeps the link connected: at once when an attempt waits, else at growing intervals, also where an office
-// takes connections only to end them.
+// run keeps the link connected. It redials at once when an attempt waits, else at growing intervals, also where an
+// office accepts connections only to close them.
 func (l *link) run(ctx context.Context) {
 	pause := minRedialDelay
 	waitToRedial := func() {
@@ -112,8 +115,8 @@
 	}
 }
 
-// useful gives the session in use, or nil where a new connection is wanted. One that spoke again after it had
-// been stale gets what waited.
+// usableSession returns the current session, or nil if a new connection is needed. What waits is sent if the session is
+// not stale, or no longer.
 func (l *link) usableSession() *session {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
@@ -126,7 +129,7 @@
 	return l.current
 }
 
-// flush sends what waited for a connection.
+// flush sends all that waited for a connection.
 func (l *link) flush(s *session) {
 	for _, b := range l.pendingReleases {
 		s.release(b)
@@ -138,7 +141,9 @@
 	}
 }
 
-// sendWaiting sends an attempt that waited, for a client that is still there.
+// sendWaiting sends an attempt that waited for a connection. It ends the attempt if the client has left meanwhile, and
+// keeps it waiting while the client has unread input, or a duplicate of the previous answer to the call may still
+// arrive.
 func (l *link) sendWaiting(s *session, a exchange.Attempt) {
 	presence := exchange.Connected
 	if a.Presence != nil {
@@ -149,7 +154,7 @@
 		wait = max(wait, presencePollInterval)
 	}
 	switch {
-	case presence == exchange.Gone: // it never ran
+	case presence == exchange.Gone: // the attempt was never sent
 		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
 	case wait > 0:
 		l.waiting = append(l.waiting, a)
@@ -166,13 +171,13 @@
 	}
 	dial := p.Dials[scheme]
 	if dial == nil {
-		return nil, errors.New("no way to speak to " + addr)
+		return nil, errors.New("no protocol for address " + addr)
 	}
 	return dial(ctx, addr)
 }
 
-// down takes a connect that failed. What it proves of the calls there is decided by silence.dead; where it proves nothing
-// yet, the next connect comes when it may.
+// onConnectFailure handles a failed connect. liveness.dead decides whether it proves that the server's process, and all
+// calls there, have ended; if not, a connect is scheduled for the moment at which it may prove it.
 func (l *link) onConnectFailure(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -189,10 +194,10 @@
 	dead := l.liveness.dead(now, l.current != nil, l.pool.ListLive())
 	switch s := l.current; {
 	case s == nil:
-	case refused: // the machine is there; whether the process is, a connection that was ever heard would tell
+	case refused: // the machine is up and would reset the open connection if the process had ended
 		s.lastRefused, s.stale, l.forceConnect = now, false, false
 	default:
-		l.forceConnect = s.stale // tried again until one of the two connections speaks
+		l.forceConnect = s.stale // retried until a new connection is up or something is received on the current one
 	}
 	if dead {
 		l.cancelProbe()
@@ -206,7 +211,7 @@
 	}
 }
 
-// notTried takes a connect for which this process had no descriptor. It tells nothing of the server.
+// onNoDescriptor handles a connect for which this process had no file descriptor. It proves nothing about the server.
 func (l *link) onNoDescriptor(err error) {
 	l.pool.mu.Lock()
 	l.failWaiting(control.ConnectionRefused)
@@ -214,8 +219,8 @@
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", false, "err", err)
 }
 
-// probeAt arranges for the connect that may prove the server dead. It does not wait for the growing pause between
-// connects, as clients are owed the release of their calls in a fixed time. Called under the lock.
+// scheduleProbe schedules the connect that may prove the server dead. It is independent of the growing delay between
+// redials, as the calls of clients must be released within a fixed time. The caller holds the lock.
 func (l *link) scheduleProbe(now time.Time) {
 	l.cancelProbe()
 	wait := l.liveness.nextProbeAt(l.current != nil).Sub(now)
@@ -229,14 +234,15 @@
 	}
 }
 
-// probeNow connects, or waits on while the server list would tell of the server's end.
+// runProbe has run connect, or schedules the probe again if a failed connect would not yet prove the server dead, such
+// as while the server list would report its end.
 func (l *link) runProbe() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	now := time.Now()
 	switch {
 	case l.probe == nil || l.pool.links[l.server] != l:
-	case !l.liveness.failing(): // a connection came up or spoke since
+	case !l.liveness.failing(): // a connection came up, or something was received, since then
 	case !l.liveness.dead(now, l.current != nil, l.pool.ListLive()):
 		l.scheduleProbe(now)
 	default:
@@ -248,9 +254,10 @@
 	}
 }
 
-// up takes a new connection into use. The one before stays as long as attempts are out on it: it may only be slow.
-// Once a later attempt stands over the new one it is known to be dead, as a processor takes set-ups in turn; and
-// once a report came over the new one alone, as offices send those on all connections.
+// onConnected makes a new connection the current one. The previous one stays as long as attempts are outstanding on it,
+// as it may only be slow. It is known to be dead once the office has accepted a later attempt over the new one, as an
+// office handles set-ups in order, or once a report has arrived over the new one only, as offices send reports on all
+// connections.
 func (p *Pool) onConnected(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -1,5 +1,5 @@
-// Package office is the client side: it holds lasting connections to the offices on the list, sends them the
-// attempts of the exchange, and turns what they say into outcomes and reports.
+// Package office connects to the offices: it keeps a persistent connection to each office on the server list, sends the
+// attempts of the exchange over it, and translates what the offices send into outcomes and load reports.
 package office
 
 import (
@@ -9,26 +9,29 @@
 	"masthill/internal/sip"
 )
 
-// Core is what this side tells the exchange.
+// Core receives the events of all offices; the exchange implements it. n is the index of the attempt within its call,
+// -1 if none was outstanding on the connection. The reports are load reports in the order of Fields; nil: none.
 type Core interface {
 	Accepted(server uint64, id string, n int, desc []byte)
 	Ended(server uint64, id string, n int, e exchange.Result)
 	Released(server uint64, id string, cut bool, report []float64)
 	State(server uint64, report []float64)
+	// ServerLost tells that the server's process has ended, and with it all calls there.
+	// ServerLost tells that the server's process has ended, and with it all calls there.
 	ServerLost(server uint64)
 }
 
-// Peer is one open connection to an office, in whatever form the office speaks. Its sends never block.
+// Peer is one open connection to an office, in whatever protocol the office uses. Its sends never block.
 type Peer interface {
 	Invite(a exchange.Attempt)
 	Cancel(id string, n int)
 	Bye(id string, n int, cut bool)
 	Close()
-	// Run reads until the connection ends; what it hears goes to h.
+	// Run reads until the connection ends and passes each message to h.
 	Run(ctx context.Context, h Handler) (sip.Reason, error)
 }
 
-// Hearer takes what a peer hears.
+// Handler receives the messages of an office that a Peer reads. id is the call's.
 type Handler interface {
 	Accepted(id string, desc []byte)
 	Ended(id string, e exchange.Result)
@@ -36,5 +39,5 @@
 	State(report []float64)
 }
 
-// Dial opens a connection to an office's address.
+// Dial opens a connection to an office at an address of the server list.
 type Dial func(ctx context.Context, addr string) (Peer, error)
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -25,7 +25,7 @@
 
 var fields = Fields{"spare", "total", "cpu", "waiting"}
 
-// core notes what the pool tells the exchange.
+// core records what the pool reports to the exchange, one line for each event.
 type core struct{ events chan string }
 
 func (c core) record(format string, a ...any) { c.events <- fmt.Sprintf(format, a...) }
@@ -41,16 +41,16 @@
 func (c core) State(s uint64, r []float64) { c.record("state %v", r) }
 func (c core) ServerLost(s uint64)         { c.record("lost") }
 
-// bed is a pool with one office behind pipes; dialled gives the office's ends.
+// testPool is a pool with one office that it reaches over pipes; connections delivers the office's ends.
 type testPool struct {
 	core
 	*Pool
 	connections chan net.Conn
 	refuse      atomic.Bool           // connects are refused
-	silent      atomic.Bool           // connects do not come up
-	reset       atomic.Bool           // connections that end do so by a reset
-	listStale   atomic.Bool           // the list is not heard
-	failure     atomic.Pointer[error] // of connects, beside the others; nil: none
+	silent      atomic.Bool           // connects get no response
+	reset       atomic.Bool           // connections that end do so with a reset
+	listStale   atomic.Bool           // the server list is not up to date
+	failure     atomic.Pointer[error] // the error of all connects; nil: none
 }
 
 func newTestPool(t *testing.T) *testPool {
@@ -86,11 +86,11 @@
 func expectEvent(t *testing.T, told chan string, want string) {
 	t.Helper()
 	if got := <-told; got != want {
-		t.Errorf("told %q, want %q", got, want)
+		t.Errorf("reported %q, want %q", got, want)
 	}
 }
 
-// hear reads messages at the office until one of that method.
+// readUntil reads messages at the office up to one of the given method, and returns that one.
 func readUntil(t *testing.T, r *sip.Reader, method string) *sip.Message {
 	t.Helper()
 	for {
@@ -106,8 +106,9 @@
 
 const answerHeaders = "Call-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n"
 
-// An office numbers its answers as it likes: only the Call-ID and the method count. Matched by the CSeq number,
-// second attempts were never answered, and each call that stood at one was released at once.
+// An answer is matched to its attempt by the Call-ID and the method only, as offices choose the CSeq number of their
+// answers freely. When it was matched by the CSeq number, answers to second attempts were never recognized, and each
+// call accepted by one was released at once.
 func TestAnswerToASecondAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -138,7 +139,7 @@
 			"released 5 true [1 -1 -1 -1]"},
 		{"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n", "released 5 false []"},
 		{"NOTIFY sip:1@net SIP/2.0\r\nX-State: x1:40;queue:NaN;x0:3\r\n", "state [3 40 -1 -1]"},
-		{"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n", "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"}, // unreadable: closed
+		{"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n", "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"}, // unreadable: the connection is closed
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -159,20 +160,20 @@
 		(<-b.connections).Close()
 		synctest.Wait()
 		b.refuse.Store(true)
-		time.Sleep(minRedialDelay) // its own reconnect fails, and so does an attempt's
+		time.Sleep(minRedialDelay) // the pool's own reconnect fails, and so does that of the attempt
 		synctest.Wait()
 		b.invite(0)
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
-		expectEvent(t, b.events, "lost") // after a while of that: nothing runs there
+		expectEvent(t, b.events, "lost") // after some time of that, the server counts as dead
 		b.Invite(exchange.Attempt{ID: "x", Server: 11})
-		for told := range b.events { // the reconnects go on
+		for told := range b.events { // the pool goes on connecting
 			if told != "lost" {
 				b.events <- told
 				break
 			}
 		}
 		expectEvent(t, b.events, "ended x 0 4 note 0 wait 0 []")
-		// Cancelled before the connect: never sent.
+		// An attempt that is cancelled before the connect is never sent.
 		b.refuse.Store(false)
 		b.silent.Store(true)
 		b.invite(1)
@@ -186,12 +187,12 @@
 	})
 }
 
-// A client may leave while its attempt waits for a connect, and the word of it may still be on its way to the core.
+// A client may leave while its attempt waits for a connect, before the core has been told.
 func TestAClientThatLeavesDuringTheConnect(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		seen []exchange.Presence // at each look; the last one stays
-		want string              // told; empty: the attempt is sent
+		seen []exchange.Presence // at each check; the last one is repeated
+		want string              // the event reported; empty: the attempt is sent
 	}{
 		{"there", []exchange.Presence{exchange.Connected}, ""},
 		{"gone", []exchange.Presence{exchange.Gone}, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []"},
@@ -232,7 +233,8 @@
 	}
 }
 
-// A process that has no descriptor for a connect learns nothing of the server: its calls there go on.
+// A connect that fails because this process has no file descriptor proves nothing about the server: the calls there go
+// on.
 func TestALackOfDescriptorsIsNoDeath(t *testing.T) {
 	for _, failure := range []error{descriptors.ErrShareTaken, fmt.Errorf("socket: %w", syscall.EMFILE)} {
 		synctest.Test(t, func(t *testing.T) {
@@ -245,16 +247,16 @@
 			expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
 			synctest.Wait()
 			if len(b.events) > 0 {
-				t.Errorf("%v: told %q", failure, <-b.events)
+				t.Errorf("%v: reported %q", failure, <-b.events)
 			}
 			b.failure.Store(nil)
-			<-b.connections // the connects go on
+			<-b.connections // the pool goes on connecting
 		})
 	}
 }
 
-// A machine that vanishes leaves its connections open and silent. Attempts must go over a new one, and where
-// that does not come up, what stood there is cut: nothing else would tell its callers.
+// A machine that vanishes leaves its connections open and silent. Attempts must go over a new connection, and if that
+// can't be opened, the server is reported lost: nothing else would release the calls that were established there.
 func TestVanishedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -268,18 +270,18 @@
 		b.Cancel(10, "9b1f03aa5c7e2d41", 0)
 		b.ReportSilence(10, sent, false)
 		b.invite(1)
-		expectEvent(t, b.events, "lost") // found by the first attempt's silence
+		expectEvent(t, b.events, "lost") // found as the first attempt got no answer
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 1 4 note 0 wait 0 []")
 		b.silent.Store(false)
-		<-b.connections // and a new connection replaces the dead one
+		<-b.connections // a new connection replaces the dead one
 		if _, err := io.ReadAll(bufio.NewReader(office)); err != nil {
 			t.Errorf("old connection: %v", err)
 		}
 	})
 }
 
-// An office that drains refuses new connections and goes on with its calls on the old one, without reports. Taken
-// for dead, 29 calls were cut on one day.
+// A draining office refuses new connections and goes on with its calls on the old one, without sending reports. When
+// this counted as dead, 29 calls were cut in one day.
 func TestDrainingOfficeIsNotDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -299,8 +301,9 @@
 	})
 }
 
-// A draining office stopped as it sent a release, its connection stayed open, and the list fell silent before it told of
-// the end: the call was over for 8 s without a release. One that speaks, or of which the list would tell, is waited for.
+// A draining office stopped while it sent a release, its connection stayed open, and the server list stopped being
+// updated before it reported the end: the call was not released for 8 s. While the list is up to date, the office is
+// not given up.
 func TestAnOfficeThatStopsUnheard(t *testing.T) {
 	for _, unheard := range []time.Duration{0, 3 * time.Second, 7600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -323,15 +326,15 @@
 			expectEvent(t, b.events, "lost")
 			took, least := time.Since(began), max(unheardTimeout, unheard)
 			if took < least || took > least+2*listPollInterval {
-				t.Errorf("after %v, want %v", took, least)
+				t.Errorf("lost after %v, want %v", took, least)
 			}
 		})
 	}
 }
 
-// A draining server stopped as a call ended, and refused connects from then on; its connection was reset 4 s later, and
-// with that its silence began anew: failed connects had to go on for 2 s more, at pauses of up to 3 s, and the call was
-// over for 8 s without a release.
+// A draining server stopped as a call ended, and refused connects from then on; its connection was reset 4 s later. The
+// reset restarted the measurement of its silence, so connects had to fail for 2 s more, at intervals of up to 3 s, and
+// the call was not released for 8 s.
 func TestAnEndOfTheConnectionForgetsNoSilence(t *testing.T) {
 	for _, open := range []time.Duration{3500 * time.Millisecond, 5 * time.Second, 7100 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -358,7 +361,7 @@
 	}
 }
 
-// The same over real connections, where a reset and a refused connect are the kernel's own.
+// As TestAnEndOfTheConnectionForgetsNoSilence, over TCP connections, with resets and refusals by the kernel.
 func TestASilentServerWhoseRealConnectionIsReset(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -386,7 +389,7 @@
 		select {
 		case told := <-core.events:
 			if took := time.Since(lastWord); told != "lost" || took > 8*time.Second {
-				t.Errorf("told %q after %v", told, took)
+				t.Errorf("reported %q after %v", told, took)
 			}
 			return
 		case <-suspect.C:
@@ -395,8 +398,8 @@
 	}
 }
 
-// Connections are reset on their way too: taken for the death of the process, 419 standing calls were released on one
-// day. One that was silent is another matter: the machine had vanished and is back.
+// Connections are also reset by the network. When each reset counted as the end of the process, 419 established calls
+// were released in one day. The reset of a silent connection does count: the machine had vanished and is back.
 func TestAResetIsNotADeath(t *testing.T) {
 	for want, quiet := range map[string]time.Duration{"state [3 -1 -1 -1]": 0, "lost": silentMachineTimeout + time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -412,7 +415,7 @@
 	}
 }
 
-// resettable is a connection whose end may show as a reset.
+// resettable is a connection whose end is seen as a reset if reset is set.
 type resettable struct {
 	net.Conn
 	reset *atomic.Bool
@@ -426,8 +429,8 @@
 	return n, err
 }
 
-// An answer that stops short holds up all answers behind it: they were waited for until their calls had run out of
-// time, and the office was left out for seconds.
+// A truncated answer blocks all answers behind it. They were waited for until their calls had timed out, and the office
+// was avoided for seconds.
 func TestAnAnswerThatStopsShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -440,12 +443,12 @@
 		if took := time.Since(began); took > messageTimeout {
 			t.Errorf("after %v", took)
 		}
-		<-b.connections // and a new connection replaces it
+		<-b.connections // a new connection replaces it
 	})
 }
 
-// A spoilt connection stays open and mute, with the office well behind it. Its attempts were waited for until their
-// time was up, a trial was lost on it too, and the office passed for down and cold.
+// A connection may fail silently and stay open while its office is well. Its attempts were waited for until they timed
+// out, a trial was lost on it too, and the office was taken for down and cold.
 func TestAMuteConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -463,9 +466,9 @@
 		}()
 		expectEvent(t, b.events, "stood 2 0 ")
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
-		// One that is only slow keeps its attempts, and goes when the last of them has ended.
+		// A connection that is only slow keeps its attempts, and is closed when the last of them has ended.
 		b.invite(1)
-		third := <-b.connections // at once: no attempt need be lost for it
+		third := <-b.connections // at once, without the loss of an attempt
 		go io.Copy(io.Discard, third)
 		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
 		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 ")
@@ -476,7 +479,8 @@
 	})
 }
 
-// Reports come on all connections: one that comes over the new alone proves the old one dead, before any attempt.
+// Reports are sent on all connections: one that arrives over the new connection only proves the old one dead, before any
+// attempt does.
 func TestAReportProvesAMuteConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -489,7 +493,7 @@
 		expectEvent(t, b.events, "state [3 -1 -1 -1]")
 		time.Sleep(2 * silenceCheckInterval)
 		if len(b.events) != 0 {
-			t.Errorf("given up by the first report: %s", <-b.events)
+			t.Errorf("given up on the first report: %s", <-b.events)
 		}
 		go io.WriteString(office, report)
 		expectEvent(t, b.events, "state [3 -1 -1 -1]")
@@ -497,8 +501,8 @@
 	})
 }
 
-// A report goes out on all connections and comes over one of them first. The set-up that was out on the other was cut for
-// that, though its office was only slow.
+// A report is sent on all connections and arrives over one of them first. The set-up outstanding on the other
+// connection was given up for that, although its office was only slow.
 func TestAReportThatComesOverTheNewConnectionFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -511,21 +515,21 @@
 		const report = "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n"
 		for _, connection := range []net.Conn{replacement, slow} {
 			if _, err := io.WriteString(connection, report); err != nil {
-				t.Fatal("closed before its report could come:", err)
+				t.Fatal("closed before its report could arrive:", err)
 			}
 			expectEvent(t, b.events, "state [3 -1 -1 -1]")
 			time.Sleep(maxReportSkew / 5)
 		}
 		time.Sleep(2 * maxReportSkew)
 		if len(b.events) != 0 {
-			t.Errorf("given up though its connection was heard: %s", <-b.events)
+			t.Errorf("given up although a report arrived on its connection: %s", <-b.events)
 		}
 		io.WriteString(slow, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
 		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 0 ")
 	})
 }
 
-// Where set-ups take long, a silence of that length replaces no connection.
+// Where servers are slow to answer set-ups, a silence of the usual delay must not replace the connection.
 func TestSlowAnswersAreNoMuteConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -548,18 +552,19 @@
 				b.invite(5)
 				time.Sleep(minAnswerTimeout + 2*silenceCheckInterval)
 				if got := len(b.connections) > 0; got != tc.replaced {
-					t.Errorf("replaced %v within the least silence", got)
+					t.Errorf("replaced %v within the shortest timeout", got)
 				}
 				time.Sleep(maxAnswerTimeout)
 				if got := len(b.connections) > 0; got != tc.replacedLast {
-					t.Errorf("replaced %v within the longest silence", got)
+					t.Errorf("replaced %v within the longest timeout", got)
 				}
 			})
 		})
 	}
 }
 
-// Set-ups that are called off early leave a mute connection no less mute: the next ones don't begin its silence anew.
+// The silence of a connection counts from its first unanswered set-up. Set-ups that are cancelled early don't restart
+// it.
 func TestCalledOffSetUpsCountTowardsSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -576,7 +581,7 @@
 		b.invite(4)
 		synctest.Wait()
 		if len(b.connections) == 0 {
-			t.Error("the mute connection is still in use")
+			t.Error("the silent connection is still in use")
 		}
 	})
 }
@@ -593,7 +598,7 @@
 		expectEvent(t, b.events, "state [3 -1 -1 -1]")
 		b.invite(0)
 		office.Close()
-		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []") // it was out on the old connection
+		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []") // it was outstanding on the old connection
 	})
 }
 
@@ -604,7 +609,7 @@
 		draining := exchange.Office{Entry: control.Entry{Server: 10, State: control.Draining}, Addr: "a:1"}
 		b.UpdateList([]exchange.Office{draining}, false)
 		synctest.Wait()
-		b.Bye(10, "x", 0, false) // calls stand there: the connection stays
+		b.Bye(10, "x", 0, false) // calls are established there: the connection stays
 		if m, err := sip.NewReader(first).Next(); err != nil || string(m.Method) != "BYE" {
 			t.Errorf("%+v, %v", m, err)
 		}
@@ -617,7 +622,7 @@
 		time.Sleep(time.Second)
 		old.ReadyAt = time.Now().UnixNano()
 		b.UpdateList([]exchange.Office{old}, false)
-		<-b.connections // a new processor gets a new connection
+		<-b.connections // a new process gets a new connection
 		if _, err := io.ReadAll(first); err != nil {
 			t.Errorf("old connection: %v", err)
 		}
@@ -639,7 +644,7 @@
 	}
 }
 
-// deaf is a Hearer that takes anything.
+// discardHandler is a Handler that ignores all messages.
 type discardHandler struct{}
 
 func (discardHandler) Accepted(string, []byte)          {}
@@ -647,7 +652,7 @@
 func (discardHandler) Released(string, bool, []float64) {}
 func (discardHandler) State([]float64)                  {}
 
-// Whatever an office sends, it is taken or ends the connection, and there is never a panic.
+// Any input from an office is either handled or ends the connection, and never causes a panic.
 func TestMessagesFromGarbage(t *testing.T) {
 	valid := []byte("SIP/2.0 503 X\r\n" + answerHeaders + "X-Note: cpu_full\r\nX-Delay: 2300\r\nX-State: x0:12\r\nContent-Length: 0\r\n\r\n" +
 		"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=41\r\nContent-Length: 0\r\n\r\n")
@@ -667,8 +672,8 @@
 	})
 }
 
-// A second copy of an answer, some milliseconds late, ended the call's next attempt at the same office: the call then
-// went to another one while the first still worked on it.
+// A duplicate of an answer, some milliseconds late, ended the call's next attempt at the same office. The call was then
+// sent to another office while the first one was still setting it up.
 func TestACopyOfAnAnswerAndTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -682,7 +687,7 @@
 		readUntil(t, r, "ACK")
 		b.invite(1)
 		time.Sleep(duplicateWindow / 2)
-		io.WriteString(office, full) // the copy
+		io.WriteString(office, full) // the duplicate
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 -1 2 note 0 wait 0 []")
 		readUntil(t, r, "ACK")
 		readUntil(t, r, "INVITE")
@@ -690,17 +695,17 @@
 		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 desc")
 		readUntil(t, r, "ACK")
 
-		b.invite(2) // and one that is given up while it waits is never sent
+		b.invite(2) // an attempt that is cancelled while it waits is never sent
 		b.Cancel(10, "9b1f03aa5c7e2d41", 2)
 		time.Sleep(2 * duplicateWindow)
 		b.Bye(10, "9b1f03aa5c7e2d41", 2, true)
 		if m, err := r.Next(); err != nil || string(m.Method) != "BYE" {
-			t.Errorf("heard %+v, %v", m, err)
+			t.Errorf("received %+v, %v", m, err)
 		}
 	})
 }
 
-// A release that was written to a connection in the moment of its reset was lost; it goes out on the next one too.
+// A release written to a connection at the moment of its reset was lost. It is sent again on the next connection.
 func TestAReleaseOnAConnectionThatEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
@@ -712,8 +717,8 @@
 	})
 }
 
-// A connect that comes up after its attempt was given up sends nothing, and one that comes up after its office left the
-// list is closed.
+// A connection that is established after its attempt was cancelled sends nothing, and one that is established after its
+// office was removed from the list is closed.
 func TestAConnectThatComesUpLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// waitingMost bounds the attempts that wait for one connect, byesMost the releases.
+	// maxWaitingAttempts and maxPendingReleases bound the attempts and the releases that wait for one connect.
 	maxWaitingAttempts, maxPendingReleases = 256, 256
 )
 
-// Options is what a Pool is made from.
+// Options configures a Pool.
 type Options struct {
 	Core        Core
 	Log         *slog.Logger
-	ConnectWait time.Duration   // a connection not up by then is refused
-	Dials       map[string]Dial // by scheme; "" for an address without one
-	ListLive    func() bool     // whether the list of offices is heard: what it would tell of has not happened
+	ConnectWait time.Duration   // a connect that takes longer counts as refused
+	Dials       map[string]Dial // by the scheme of the address; "": an address without one
+	ListLive    func() bool     // whether the server list is up to date, so that it would report the end of a server
 }
 
 // Pool holds the links to all offices on the list.
@@ -31,12 +31,12 @@
 	Options
 	mu    sync.Mutex
 	links map[uint64]*link
-	ctx   context.Context // of Run; nil before
+	ctx   context.Context // of Run; nil before and after
 	group *errgroup.Group
-	delay answerDelay // of all servers: one instance has few calls at each
+	delay answerDelay // of all servers together, as one instance has few calls at each
 }
 
-// NewPool makes a pool; Run starts it.
+// NewPool creates a pool. Its links connect once Run is called.
 func NewPool(o Options) *Pool {
 	if o.ListLive == nil {
 		o.ListLive = func() bool { return true }
@@ -44,7 +44,7 @@
 	return &Pool{Options: o, links: map[uint64]*link{}}
 }
 
-// Run serves the links until ctx ends.
+// Run keeps the links connected until ctx ends.
 func (p *Pool) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	p.mu.Lock()
@@ -55,7 +55,7 @@
 	p.mu.Unlock()
 	<-ctx.Done()
 	p.mu.Lock()
-	p.ctx = nil // no link starts from here on
+	p.ctx = nil // no link is started from here on
 	p.mu.Unlock()
 	return g.Wait()
 }
@@ -66,8 +66,9 @@
 	p.group.Go(func() error { l.run(ctx); return nil })
 }
 
-// List takes a change of the list. An office at a new address or with a new processor gets a new connection;
-// one that drains keeps its own, as calls stand there.
+// UpdateList applies a change of the server list; full: the change holds the whole list. An office at a new address, or
+// with a process started since the connection was opened, gets a new connection. One that drains keeps its connection,
+// as calls are established there.
 func (p *Pool) UpdateList(changed []exchange.Office, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,7 @@
 	l.failWaiting(control.ConnectionRefused)
 }
 
-// Invite sends an attempt, over a new connection if need be.
+// Invite sends an attempt, over a new connection if there is no usable one.
 func (p *Pool) Invite(a exchange.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Cancel gives up an attempt. One that still waits for a connection is never sent.
+// Cancel cancels an attempt. One that still waits for a connection is never sent.
 func (p *Pool) Cancel(server uint64, id string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// Bye releases a call at its office, on any connection; without one, on the next.
+// Bye releases a call at its office over the current connection, or over the next one if there is none.
 func (p *Pool) Bye(server uint64, id string, n int, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,9 +160,10 @@
 	}
 }
 
-// Suspect is told of an office from which something was due since that time. A connection on which nothing at
-// all was heard since then may lead to a machine that has vanished: it stays open and silent for ever, also
-// when the machine is back. With check, a new connection is tried even if nothing waits to be sent.
+// ReportSilence tells that something has been due from an office since that time. If nothing at all was received on its
+// connection since then, the connection may lead to a machine that has vanished: it would stay open and silent for
+// ever, even after the machine is back. Attempts then go over a new connection. With forceConnect, it is opened even if
+// nothing waits to be sent.
 func (p *Pool) ReportSilence(server uint64, since time.Time, forceConnect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// muteEvery is how often connections with attempts out are looked at: one that has brought nothing for
-	// answerDelay.silence is replaced.
+	// silenceCheckInterval is how often connections with outstanding attempts are checked. One on which nothing was
+	// received for answerDelay.timeout is replaced.
 	silenceCheckInterval = 50 * time.Millisecond
-	// reportLag is how much later a report may come over one connection than over another of the same server.
+	// maxReportSkew is how much later a report may arrive over one connection than over another of the same server.
 	maxReportSkew = 50 * time.Millisecond
-	// copyFor is how long after an answer a copy of it may still come: it names its call and no attempt, and would end
-	// the next one that is out on the same connection. That long the next one waits, of answersMost calls at most.
+	// duplicateWindow is how long after an answer a duplicate of it may still arrive. An answer identifies its call but no
+	// attempt, so a duplicate would end the call's next attempt on the same connection. The next attempt therefore waits
+	// for that long. This is tracked for at most maxRecentAnswers calls.
 	duplicateWindow, maxRecentAnswers = 50 * time.Millisecond, 1024
-	// byeFor is how long ago a release may have been sent on a connection that ended to be sent again on the next: it may
-	// have been lost on its way, and a call that is released twice is released.
+	// releaseResendAge is the greatest age at which a release sent on a connection that has ended is sent again on the next
+	// one. It may have been lost, and releasing a call twice does no harm.
 	releaseResendAge = time.Second
 )
 
-// session is one connection of a link, with the attempts out on it, by call. An office's answer names its call and
-// no attempt (PROTOCOL: the Call-ID and the method of CSeq), so it ends the one that is out.
+// session is one connection of a link, with the attempts outstanding on it, by call. An office's answer identifies its
+// call but no attempt (PROTOCOL: the Call-ID and the method of CSeq), so it ends the attempt that is outstanding.
 type session struct {
 	*link
 	peer           Peer
@@ -33,12 +34,12 @@
 	connectedAt    time.Time
 	done           chan struct{}
 	lastHeard      time.Time
-	awaitingSince  time.Time // when the first set-up went out since anything was heard; zero: none did
-	lastRefused    time.Time // when a connect beside it was last refused
-	stale          bool      // silent where an answer was due: new attempts go over a new connection
-	watching       bool      // for that
+	awaitingSince  time.Time // when the first set-up was sent since anything was last received; zero: none was
+	lastRefused    time.Time // when another connect was last refused while this connection was open
+	stale          bool      // nothing was received although something was due: new attempts go over a new connection
+	watching       bool      // checkSilence is scheduled
 	recentAnswers  []answer
-	recentReleases []release // of late
+	recentReleases []release // to be sent again if the connection ends
 }
 
 // answer is when a call's attempt was answered.
@@ -52,7 +53,7 @@
 	at time.Time
 }
 
-// copies tells how long a copy of the last answer to a call may still come.
+// duplicateWait is how long a duplicate of the last answer to a call may still arrive; 0 or less: no longer.
 func (s *session) duplicateWait(id string) time.Duration {
 	for k := len(s.recentAnswers) - 1; k >= 0; k-- {
 		if s.recentAnswers[k].id == id {
@@ -62,7 +63,7 @@
 	return 0
 }
 
-// note keeps an answer that a copy may follow.
+// recordAnswer remembers an answer, as a duplicate of it may follow.
 func (s *session) recordAnswer(id string) {
 	now := time.Now()
 	late := 0
@@ -72,7 +73,7 @@
 	s.recentAnswers = append(slices.Delete(s.recentAnswers, 0, late), answer{id, now})
 }
 
-// bye sends a release, and keeps it for the case that the connection ends under it.
+// release sends a release, and keeps it in case the connection ends before it has arrived.
 func (s *session) release(b release) {
 	b.at = time.Now()
 	s.recentReleases = slices.DeleteFunc(s.recentReleases, func(old release) bool { return b.at.Sub(old.at) > releaseResendAge })
@@ -95,8 +96,8 @@
 	}
 }
 
-// watch finds a connection that has gone mute: a spoilt one stays open and serves no further use, and its attempts
-// would be waited for until their time was up.
+// checkSilence marks the connection stale if the office has stopped answering on it. A connection that has failed may
+// stay open without carrying anything, and its attempts would otherwise run until they time out.
 func (s *session) checkSilence() {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -110,13 +111,14 @@
 	time.AfterFunc(silenceCheckInterval, s.checkSilence)
 }
 
-// mute tells whether nothing at all has come for longer than set-ups take, counted from the first one that nothing was
-// heard after: the next ones would begin the silence anew, where each is called off early.
+// answerTimedOut tells whether nothing at all was received for longer than set-ups take. The time counts from the first
+// set-up that was sent since something was last received: counted from the latest one, it would start again with each
+// set-up, and never expire if each is cancelled early.
 func (s *session) answerTimedOut() bool {
 	return !s.awaitingSince.IsZero() && time.Since(s.awaitingSince) >= s.pool.delay.timeout()
 }
 
-// spent closes a connection that has been replaced, once nothing is out on it any more.
+// closeIfUnused closes a connection that has been replaced, once no attempt is outstanding on it.
 func (s *session) closeIfUnused() {
 	if s == s.previous && len(s.outstanding) == 0 {
 		s.peer.Close()
@@ -128,7 +130,7 @@
 	return &session{link: l, peer: peer, outstanding: map[string]sentAttempt{}, connectedAt: now, lastHeard: now, done: make(chan struct{})}
 }
 
-// hasEnded tells whether there was a connection and it has ended.
+// hasEnded tells whether there was a connection and it has ended. The session may be nil.
 func (s *session) hasEnded() bool {
 	if s == nil {
 		return false
@@ -149,7 +151,7 @@
 	if s.current == s {
 		s.current = nil
 		s.liveness.recordDisconnected()
-		if s.probe != nil { // it was due for a server with a connection
+		if s.probe != nil { // it was scheduled for a server with an open connection
 			s.scheduleProbe(time.Now())
 		}
 	}
@@ -173,17 +175,17 @@
 	for id, a := range out {
 		p.Core.Ended(s.server, id, a.n, exchange.Result{Outcome: control.ConnectionLost})
 	}
-	// A reset alone tells nothing of the calls: connections are reset on their way too, new, idle or in use. A
-	// process that died refuses what comes next, and the list tells of one that started; only a machine that had
-	// vanished and is back resets what was silent.
+	// A reset alone proves nothing about the calls: the network resets connections too, whether new, idle or in use. If
+	// the process has died, the next connect is refused, and the list reports a process that has started. Only a reset
+	// after a silence proves that the calls are gone: the machine had vanished and is back.
 	if reason == sip.PeerReset && silent {
 		p.Core.ServerLost(s.server)
 	}
 	return nil
 }
 
-// hear notes that the office speaks; it gives the attempt of the call that was out on this connection, -1 for
-// none.
+// onMessage records that something was received from the office. It removes the outstanding attempt of the call, if
+// any, and returns its index, or -1.
 func (s *session) onMessage(id string) int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -204,8 +206,8 @@
 	return a.n
 }
 
-// outlive ends the connection before, where it stays silent: what came over this one was due there too, though perhaps
-// a moment later.
+// closeStalePrevious closes the previous connection unless something is received on it within maxReportSkew. What was
+// received on this one was due there too, though perhaps a little later.
 func (s *session) closeStalePrevious() {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// endUnlessHeard closes a connection that has brought nothing since.
+// closeUnlessHeard closes the connection if nothing was received on it since then.
 func (s *session) closeUnlessHeard(since time.Time) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -223,8 +225,8 @@
 	}
 }
 
-// Stood implements Hearer. An answer to an attempt that has ended goes on all the same: the exchange releases
-// what nobody waits for.
+// Accepted implements Handler. An answer to an attempt that has already ended is passed on too, as the exchange has to
+// release a call that nobody waits for.
 func (s *session) Accepted(id string, desc []byte) {
 	n := s.onMessage(id)
 	if n >= 0 {
@@ -247,7 +249,7 @@
 // State implements Hearer.
 func (s *session) State(report []float64) {
 	s.onMessage("")
-	if time.Since(s.connectedAt) > silenceCheckInterval { // not the first one, which comes on a new connection alone
+	if time.Since(s.connectedAt) > silenceCheckInterval { // the first report comes on a new connection only
 		s.closeStalePrevious()
 	}
 	if report != nil {
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// writeFor is the deadline of a write to an office: with the connect time it stays well inside the second
-	// in which a draining office may still get an attempt.
+	// writeTimeout bounds a write to an office. Together with the connect timeout it stays well within the second in which
+	// a draining office may still receive an attempt.
 	writeTimeout = 300 * time.Millisecond
-	// wholeFor is how long an answer may take from its first byte to its last: many times what the network takes,
-	// and short against the time in which a call wants to stand.
+	// messageTimeout is how long an answer may take from its first byte to its last: many times the network delay, and
+	// short compared with the time within which a call is to be established.
 	messageTimeout = 300 * time.Millisecond
 )
 
-// Fields reads load reports: the names that an office uses, in the order of the settings' fields.
+// Fields are the names of the values of a load report, in the order of the settings' fields.
 type Fields []string
 
-// aliases are the names on the platform's sockets for what the settings name.
+// aliases maps the names that offices send to the names in the settings.
 var aliases = map[string]string{"x0": "spare", "x1": "total", "util": "cpu", "queue": "waiting",
 	"latency_ms": "avg_ms", "qps": "allowed", "eps": "cut_by", "inflight": "active"}
 
-// Parse reads a report such as x0:12;x1:40. What is absent or no number is -1; without anything known it is
-// nil.
+// Parse parses a report such as x0:12;x1:40. A value that is absent or no number is -1. The result is nil if the report
+// has no known value.
 func (f Fields) Parse(text []byte) []float64 {
 	var report []float64
 	for _, part := range strings.Split(string(text), ";") {
@@ -46,7 +46,7 @@
 	return report
 }
 
-// Set puts one value in its place in a report, which it makes if need be; unknown names are left out.
+// Set stores one value in a report, which is created if nil, and returns the report. Unknown names are ignored.
 func (f Fields) Set(report []float64, name string, x float64) []float64 {
 	for k, field := range f {
 		if name != field && aliases[name] != field {
@@ -63,14 +63,14 @@
 	return report
 }
 
-// notes are the words of X-Note, by the module's numbers.
+// noteNumbers maps the words of the X-Note header to the numbers of the control module.
 var noteNumbers = map[string]int{"all_trunks_busy": 1, "via_said_no": 2, "cpu_full": 3, "number_busy": 4,
 	"far_cpu_full": 18}
 
-// Note gives the module's number of a note; 0 for none or an unknown one.
+// Note returns the control module's number for a note; 0 for none or an unknown one.
 func Note(word string) int { return noteNumbers[word] }
 
-// SIP connects to offices that speak the platform's protocol.
+// DialSIP connects to offices that use SIP. name is this instance's name in the Via header.
 func DialSIP(name string, fields Fields) Dial {
 	return func(ctx context.Context, addr string) (Peer, error) {
 		c, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
@@ -81,8 +81,8 @@
 	}
 }
 
-// limits are what an office is allowed. An answer that stops short, or whose length promises more than comes,
-// holds up all answers behind it: such a connection is of no more use. Offices write a message whole.
+// limits bound a connection to an office. An answer that is truncated, or has a Content-Length greater than what was
+// sent, blocks all answers behind it, so such a connection is ended. Offices write each message in one piece.
 var limits = sip.Limits{Write: writeTimeout, MessageTimeout: func() time.Duration { return messageTimeout }, Strict: true}
 
 type sipPeer struct {
@@ -115,7 +115,7 @@
 	p.Send(sip.AppendBody(sip.AppendHeader(b, "Reason", ReasonHeader(cut)), nil))
 }
 
-// Reason is the header of a release: cause 16 is the regular end, 41 a cut.
+// ReasonHeader is the value of the Reason header of a release: cause 16 is the regular end of a call, 41 an early one.
 func ReasonHeader(cut bool) string {
 	if cut {
 		return "Q.850;cause=41"
@@ -127,9 +127,10 @@
 	return p.Conn.Run(ctx, func(m *sip.Message) error { return p.handle(m, h) })
 }
 
-var errNoTransaction = fmt.Errorf("%w: an answer without Call-ID or CSeq", sip.ErrMissingHeader)
+var errNoTransaction = fmt.Errorf("%w: answer without Call-ID or CSeq", sip.ErrMissingHeader)
 
-// take handles one message of an office. Strings and descriptions that outlive the read buffer are copied.
+// handle handles one message of an office. It copies strings and descriptions that are used beyond the lifetime of the
+// read buffer.
 func (p *sipPeer) handle(m *sip.Message, h Handler) error {
 	id := string(m.Get("Call-ID"))
 	if m.Status == 0 {
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// ending maps a refusal to an outcome.
+// refusal maps a response of status 300 or more to the result of the attempt.
 func (p *sipPeer) refusal(m *sip.Message) exchange.Result {
 	e := exchange.Result{Outcome: control.Errored, Note: Note(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes bound the end of a connection whose peer was told something of late: its input is read
-	// on that long.
+	// lingerTimeout and maxLingerBytes bound how long, and for how many bytes, input is still read at the end of a
+	// connection whose peer was written to recently.
 	lingerTimeout, maxLingerBytes = 700 * time.Millisecond, 1 << 20
 )
 
-// Reason says in one code why a connection ended.
+// Reason is the code for why a connection ended.
 type Reason string
 
-// The reason codes; docs/oncall.md tells what each one means.
+// The reason codes; docs/oncall.md explains each one.
 const (
 	PeerClosed   Reason = "peer_closed"
 	PeerReset    Reason = "peer_reset"
@@ -40,29 +40,29 @@
 
 var (
 	errClosed  = errors.New("closed by this side")
-	errStalled = errors.New("message not whole in time")
-	errIdle    = errors.New("nothing asked in time")
+	errStalled = errors.New("message incomplete at its deadline")
+	errIdle    = errors.New("no request within the idle timeout")
 )
 
-// Limits are what a connection allows its peer.
+// Limits bound what a peer may do on a connection, and say how the connection ends.
 type Limits struct {
-	Write          time.Duration        // for one write
-	MessageTimeout func() time.Duration // from the first byte of a message that begins now to its last; nil: any time
-	// Idle tells how long nothing need come from now on; it is asked again then. 0 ends the connection. nil: for
-	// ever. It is called where messages are handled, so that the two can't cross.
+	Write          time.Duration        // timeout of one write
+	MessageTimeout func() time.Duration // from the first byte of a message to its last, asked when it begins; nil: none
+	// Idle returns how long the connection may be idle from now on; it is called again after that time. 0 ends the
+	// connection. nil: no limit. It is called by the goroutine that handles messages, so never at the same time.
 	Idle func() time.Duration
-	// Farewell makes the last message to a peer that can't be read any further; nil: none.
+	// ErrorResponse returns the last message to a peer whose input can't be read any further; nil: none is sent.
 	ErrorResponse func(err error) []byte
-	// Strict: a message follows the one before without a line end between them.
+	// Strict: line ends between messages are an error.
 	Strict bool
-	// Linger is how long a peer that was written to of late may take to close after this side has; 0: none.
+	// Linger is how long a peer that was written to recently may take to close after this side has closed; 0: no time.
 	Linger time.Duration
-	// HalfCloseEnds: a peer that has closed its side has gone, also where that stands behind what it sent before while
-	// it does not read. Else that is handled first.
+	// HalfCloseEnds: a peer that has closed its side has gone, even if what it sent before is still unread because the
+	// peer does not read its answers. Otherwise that input is handled first.
 	HalfCloseEnds bool
 }
 
-// Conn is one connection with a reader, a bounded write queue and a deadline on each write.
+// Conn is a connection with a reader, a bounded write queue and a timeout for each write.
 type Conn struct {
 	Limits
 	netConn       net.Conn
@@ -70,17 +70,17 @@
 	reader        *Reader
 	out           *Queue
 	queueFull     atomic.Bool
-	finishing     chan struct{} // closed by the reader: write what is queued, then nothing more
-	flushed       chan struct{} // closed by the writer, when it has
-	closing       chan struct{} // End was called
+	finishing     chan struct{} // closed by the reader: write what is queued, then close for writing
+	flushed       chan struct{} // closed by the writer once that is done
+	closing       chan struct{} // closed by CloseWithReason
 	closeReason   atomic.Pointer[Reason]
-	limitsChanged atomic.Bool  // the limits are to be asked again
-	partial       atomic.Bool  // a message is read in part
-	lastReadAt    atomic.Int64 // when the last bytes came, and the last were written, in Unix nanoseconds
+	limitsChanged atomic.Bool  // the limits are to be checked again
+	partial       atomic.Bool  // part of a message has been read
+	lastReadAt    atomic.Int64 // when bytes were last read, and last written, in Unix nanoseconds
 	lastWrittenAt atomic.Int64
 }
 
-// NewConn wraps a connection.
+// NewConn wraps a network connection. Run serves it.
 func NewConn(c net.Conn, limits Limits) *Conn {
 	conn := &Conn{Limits: limits, netConn: c, in: NewInput(c), reader: NewReader(nil), out: NewQueue(), finishing: make(chan struct{}),
 		flushed: make(chan struct{}), closing: make(chan struct{})}
@@ -88,24 +88,25 @@
 	return conn
 }
 
-// Input tells whether the peer is still there and how far what it sent has been handled. It does not block.
+// Input tells whether the peer is still connected and whether what it sent has been handled. It does not block.
 func (c *Conn) Input() InputState { return c.in.State() }
 
-// left tells that a peer whose answers wait to be read has gone.
+// peerLeft tells whether a peer that does not read its answers has gone.
 func (c *Conn) peerLeft() bool { return c.HalfCloseEnds && c.in.PeerClosed() }
 
-// MarkHandled tells, from within handle, that the present message has been handled but for what it starts.
+// MarkHandled may be called by a message handler once it has handled its message, before it returns: the input then
+// counts as handled if no more of it has been read.
 func (c *Conn) MarkHandled() {
-	if c.reader.start == c.reader.end { // nothing came behind it
+	if c.reader.start == c.reader.end { // nothing has been read behind the message
 		c.in.MarkHandled()
 	}
 }
 
-// Remote is the peer's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.netConn.RemoteAddr().String() }
 
-// Send queues one message and never blocks. A full queue means a peer that does not read: it loses its
-// connection.
+// Send queues one message and never blocks. If the queue is full, as the peer does not read, the connection is closed
+// and Send returns false.
 func (c *Conn) Send(b []byte) bool {
 	if c.out.Put(b) {
 		return true
@@ -115,14 +116,14 @@
 	return false
 }
 
-// Close ends the connection in order: the reader handles what has come already, what is queued is written, and the peer
-// gets the time to read it.
+// Close ends the connection gracefully: what has already arrived is handled, what is queued is written, and the peer is
+// given time to read it.
 func (c *Conn) Close() { c.CloseWithReason(Closed) }
 
-// past is a deadline that wakes a reader.
+// pastDeadline interrupts a blocked read.
 var pastDeadline = time.Unix(1, 0)
 
-// End is Close with a reason.
+// CloseWithReason is Close with a reason; the first reason given is reported.
 func (c *Conn) CloseWithReason(why Reason) {
 	if c.closeReason.CompareAndSwap(nil, &why) {
 		close(c.closing)
@@ -130,19 +131,19 @@
 	}
 }
 
-// Wake has the reader ask its limits again.
+// RecheckLimits has the reader call Limits.Idle again.
 func (c *Conn) RecheckLimits() {
 	c.limitsChanged.Store(true)
 	c.netConn.SetReadDeadline(pastDeadline)
 }
 
-// Abort closes the connection at once, for who needs its descriptor.
+// Abort closes the connection at once, to free its file descriptor.
 func (c *Conn) Abort(why Reason) {
 	c.CloseWithReason(why)
 	c.netConn.Close()
 }
 
-// Begun tells whether a message is read in part, and when its last bytes came.
+// PartialMessage tells whether part of a message has been read, and when bytes were last read.
 func (c *Conn) PartialMessage() (at time.Time, partial bool) {
 	return time.Unix(0, c.lastReadAt.Load()), c.partial.Load()
 }
@@ -156,8 +157,8 @@
 	}
 }
 
-// Run serves the connection until it ends and tells why. Handle gets each message, which holds only until it
-// returns; an error from it ends the connection as bad framing does.
+// Run serves the connection until it ends and returns the reason. handle is called for each message, which is valid only
+// until handle returns. An error from handle ends the connection, as a framing error does if it wraps one.
 func (c *Conn) Run(ctx context.Context, handle func(*Message) error) (Reason, error) {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { c.netConn.Close() })
@@ -183,14 +184,14 @@
 	return c.reason(err), err
 }
 
-// patient reads from a connection as long as its limits allow.
+// limitedReader reads from a connection within its limits.
 type limitedReader struct {
 	*Conn
 	r                  *Reader
-	countAtStart       uint64    // messages so far when the wait began
-	messageStart       time.Time // the present message; zero: none
-	messageDeadline    time.Time // for it
-	bytesAfterDeadline int       // bytes that were read after a deadline
+	countAtStart       uint64    // messages read before the present one
+	messageStart       time.Time // when the present message began; zero: none has
+	messageDeadline    time.Time // of the present message
+	bytesAfterDeadline int       // bytes read after a deadline
 }
 
 func (p *limitedReader) Read(b []byte) (int, error) {
@@ -224,8 +225,8 @@
 				until = time.Now().Add(wait)
 			}
 		}
-		p.netConn.SetReadDeadline(until)             // where that fails, the read tells why
-		if p.isClosing() || p.limitsChanged.Load() { // their deadline may have come before this one
+		p.netConn.SetReadDeadline(until)             // if that fails, the read returns the reason
+		if p.isClosing() || p.limitsChanged.Load() { // their deadline may have been overwritten by this one
 			p.netConn.SetReadDeadline(pastDeadline)
 		}
 		n, err := p.in.Read(b)
@@ -240,8 +241,8 @@
 	}
 }
 
-// rest gives what has come already, or the reason for which no more is waited for. A read after its deadline does not
-// look: on a core that others share, a message may have come long before, and a close over it would lose it.
+// readPending returns what has already arrived, or why if nothing has. A read after its deadline fails without looking
+// for input. On a busy core a message may have arrived long before the deadline was noticed, and closing would lose it.
 func (p *limitedReader) readPending(b []byte, why error) (n int, err error) {
 	if p.bytesAfterDeadline > maxLingerBytes { // a peer that never stops sending
 		return 0, why
@@ -254,9 +255,9 @@
 	return n, err
 }
 
-// part ends a connection that this side gives up, in an order that loses nothing: what is queued is written, then its
-// peer reads the end, and what it still sends is read on, as a close over unread input is a reset, which may destroy
-// what was written before the peer has read it.
+// finish ends a connection that this side closes, without losing data: what is queued is written, then the connection
+// is closed for writing, and what the peer still sends is read and discarded. Closing with unread input would reset the
+// connection, which may destroy what was written before the peer has read it.
 func (c *Conn) finish(ctx context.Context, r *Reader, why error) {
 	linger := c.Linger
 	switch {
@@ -283,12 +284,12 @@
 		read += n
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(until):
-			c.netConn.SetReadDeadline(until) // that of End or Wake came after this one
+			c.netConn.SetReadDeadline(until) // it was overwritten by CloseWithReason or RecheckLimits
 		case err != nil:
 			return
 		}
 	}
-	// It goes on and on: left unread, it waits to write and has the time to read.
+	// The peer keeps sending. If nothing more is read, its writes block, and it has time to read.
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Until(until)):
@@ -299,11 +300,11 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return nil // the reader has the reason
+			return nil // the reader reports the reason
 		case <-c.finishing:
 			defer close(c.flushed)
 			if err := c.flush(); err != nil {
-				return nil // the reader has the reason
+				return nil // the reader reports the reason
 			}
 			if tcp, ok := c.netConn.(interface{ CloseWrite() error }); ok {
 				tcp.CloseWrite()
@@ -317,7 +318,7 @@
 	}
 }
 
-// flush writes all that is queued, in one system call where it can.
+// flush writes all that is queued, in one system call if possible.
 func (c *Conn) flush() error {
 	return c.out.Write(func(batch [][]byte) error {
 		if err := c.netConn.SetWriteDeadline(time.Now().Add(c.Write)); err != nil {
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// run serves one end of a pipe and gives the other.
+// servePipe serves one end of a pipe and returns the other, with the served connection and its reason to end.
 func servePipe(t *testing.T, ctx context.Context) (net.Conn, *Conn, chan Reason) {
 	a, b := net.Pipe()
 	c, reason := NewConn(a, Limits{Write: time.Second}), make(chan Reason, 1)
@@ -38,7 +38,7 @@
 		{BadFraming, func(p net.Conn, _ *Conn, _ func()) { io.WriteString(p, "BAD x SIP/2.0\r\nl: 0\r\n\r\n") }},
 		{Closed, func(_ net.Conn, c *Conn, _ func()) { c.Close() }},
 		{Closed, func(_ net.Conn, _ *Conn, cancel func()) { cancel() }},
-		// A peer that does not read: after a second the write ends the connection, and so does a full queue.
+		// A peer that does not read: the write times out after a second, and a full queue ends the connection as well.
 		{WriteTimeout, func(p net.Conn, _ *Conn, _ func()) { io.WriteString(p, invite) }},
 		{QueueFull, func(_ net.Conn, c *Conn, _ func()) {
 			for c.Send(make([]byte, 1000)) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// A message that stops short holds up all that comes behind it, and a peer that says nothing its place.
+// A truncated message, and a peer that sends nothing, must end the connection within their timeouts: the one blocks all
+// input behind it, the other occupies a connection.
 func TestPatience(t *testing.T) {
 	for text, want := range map[string]Reason{"": Idle, invite[:30]: Stalled, invite + invite[:30]: Stalled, invite: Idle} {
 		synctest.Test(t, func(t *testing.T) {
@@ -71,12 +72,12 @@
 				r, _ := c.Run(t.Context(), func(*Message) error { return nil })
 				reason <- r
 			}()
-			if text != "" { // a pipe makes an empty read of it
+			if text != "" { // on a pipe, an empty write is an empty read
 				io.WriteString(b, text)
 			}
 			got, _ := io.ReadAll(b)
 			if r := <-reason; r != want || (r == Stalled) != strings.HasPrefix(string(got), "SIP/2.0 408 ") {
-				t.Errorf("%.40q: reason %s, want %s; told %q", text, r, want, got)
+				t.Errorf("%.40q: reason %s, want %s; received %q", text, r, want, got)
 			}
 			if took := time.Since(began); took > 3*time.Second {
 				t.Errorf("took %v", took)
@@ -97,7 +98,7 @@
 	})
 }
 
-// pair is a connection over loopback: the peer's end, and this side's, which handles as told.
+// serveLoopback returns a connection over loopback: the peer's end, and this side's, which is served with handle.
 func serveLoopback(t *testing.T, limits Limits, handle func(c *Conn, m *Message)) (net.Conn, *Conn, chan Reason) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +124,7 @@
 	return peer, c, reason
 }
 
-// statuses reads answers to the end of the connection, which must be no reset.
+// readStatuses reads responses up to the end of the connection, which must not be a reset.
 func readStatuses(t *testing.T, peer net.Conn) (all []int) {
 	t.Helper()
 	for r := NewReader(peer); ; {
@@ -139,8 +140,8 @@
 	}
 }
 
-// A request that is in the socket when the connection is closed was left unread, and the close became a reset, which
-// took the answer before it along. It is handled, and both answers are read.
+// A request that was in the socket when the connection was closed stayed unread, and the close became a reset, which
+// destroyed the previous response. The request must be handled, and both responses must arrive.
 func TestARequestInTheInstantOfTheClose(t *testing.T) {
 	first, proceed := make(chan bool), make(chan bool)
 	peer, c, reason := serveLoopback(t, Limits{Linger: time.Second}, func(c *Conn, m *Message) {
@@ -156,7 +157,7 @@
 	c.Close()
 	close(proceed)
 	if got := readStatuses(t, peer); len(got) != 2 {
-		t.Errorf("answers %v, want two", got)
+		t.Errorf("responses %v, want two", got)
 	}
 	peer.Close()
 	if r := <-reason; r != Closed {
@@ -164,48 +165,49 @@
 	}
 }
 
-// A peer that goes on after this side has closed is read on: it gets the end of the connection, and no reset in its place.
+// A peer that goes on after this side has closed is read on: it gets the end of the connection, and no reset in its
+// place.
 func TestWhatComesAfterTheCloseResetsNothing(t *testing.T) {
 	peer, c, reason := serveLoopback(t, Limits{Linger: time.Minute}, func(*Conn, *Message) {})
 	c.Send([]byte("SIP/2.0 200 OK\r\nl: 0\r\n\r\n"))
 	c.Close()
 	<-c.flushed
 	for range 20 {
-		c.netConn.SetReadDeadline(pastDeadline) // that of a Close whose reader was quicker
-		time.Sleep(time.Millisecond)            // a reset has the time to come back
+		c.netConn.SetReadDeadline(pastDeadline) // as by a Close that sets the deadline after the reader has
+		time.Sleep(time.Millisecond)            // time for a reset to arrive
 		if _, err := io.WriteString(peer, invite); err != nil {
 			t.Fatalf("reset: %v", err)
 		}
 	}
 	if got := readStatuses(t, peer); len(got) != 1 {
-		t.Errorf("answers %v, want one", got)
+		t.Errorf("responses %v, want one", got)
 	}
 	peer.Close()
 	<-reason
 }
 
-// A request that had come before the idle limit was looked at, on a core that others share, was lost with the
+// On a busy core, a request may arrive before the reader checks the idle timeout. Such a request was lost with the
 // connection.
 func TestARequestInTheInstantOfTheIdleLimit(t *testing.T) {
 	var peer net.Conn
 	came, asked := make(chan bool), 0
 	peer, _, reason := serveLoopback(t, Limits{Idle: func() time.Duration {
 		if asked++; asked == 1 {
-			<-came // it has come, and is looked at late
+			<-came // the request arrives before the check
 		}
 		return 0
 	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite)
 	close(came)
 	if got := readStatuses(t, peer); len(got) != 1 {
-		t.Errorf("answers %v, want one", got)
+		t.Errorf("responses %v, want one", got)
 	}
 	if r := <-reason; r != Idle {
 		t.Errorf("reason %s", r)
 	}
 }
 
-// A request whose rest had come in time, but was looked at late, was refused as stalled.
+// A request whose rest had arrived in time but was read late was refused as stalled.
 func TestTheRestOfARequestThatIsLookedAtLate(t *testing.T) {
 	came, begun := make(chan bool), make(chan bool, 10)
 	peer, c, reason := serveLoopback(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
@@ -219,7 +221,7 @@
 	close(came)
 	m, err := NewReader(peer).Next()
 	if err != nil || m.Status != 200 {
-		t.Errorf("answer %+v, %v", m, err)
+		t.Errorf("response %+v, %v", m, err)
 	}
 	c.Close()
 	if r := <-reason; r != Closed {
--- a/internal/sip/input.go
+++ b/internal/sip/input.go
@@ -12,32 +12,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// freshness is how old input may be that nobody has handled yet, for its peer still to count as heard. What a peer asks
-// for is to have its effect within 0.1 s; the rest of that is for what follows the look.
+// maxInputAge is how long input may stay unhandled while the state still counts as InputHandled. A peer's request is to
+// take effect within 0.1 s; the remaining time is for what happens after the check.
 const maxInputAge = 50 * time.Millisecond
 
-// InputState is what is known of a peer's input.
+// InputState tells whether a peer's input has been handled.
 type InputState int
 
 // The states of a peer's input.
 const (
-	InputHandled InputState = iota // all that had come until a moment ago has been handled
-	InputUnread                    // older input waits to be read or handled
+	InputHandled InputState = iota // all that had arrived until shortly before has been handled
+	InputUnread                    // older input still has to be read or handled
 	InputEnded                     // the peer has closed its side, or the connection has ended
 )
 
-// Input reads what a peer sends and knows how far it has been handled: on a busy core, and while its reader waits, a
-// close or a request to cancel stands unread in the kernel. One goroutine reads; it asks for more once it has handled
-// all whole messages that it was given. Look may be called from any goroutine.
+// Input reads what a peer sends and tracks how far it has been handled: on a busy core, or while the reader is blocked,
+// a close or a request to cancel may be waiting in the kernel. One goroutine reads; it must read again only once it has
+// handled all whole messages that it has. State and PeerClosed may be called from any goroutine.
 type Input struct {
 	netConn       net.Conn
-	raw           syscall.RawConn // nil: no socket, nothing can be known
+	raw           syscall.RawConn // nil: not a socket, so the kernel can't be asked
 	ended         atomic.Bool
-	readerWaiting atomic.Bool // nothing is taken from the kernel that has not been handled
-	// In Unix nanoseconds: when the kernel last had nothing, not even a close, and all that had come has been handled; and
-	// the same for what was sent alone, as a read that takes the last of it does not tell of a close behind it.
+	readerWaiting atomic.Bool // the last read found nothing, so all that was read has been handled
+	// In Unix nanoseconds. emptyAt: when the kernel last had no input, not even a close, and all input had been handled.
+	// handledAt: up to when all data has been handled; there may have been a close behind it, which a read that returns the
+	// last of the data does not show.
 	emptyAt, handledAt atomic.Int64
-	// Of the reader: the read under way, its result, when it began, and whether it took all that there was.
+	// Used by the reader only: the buffer and the result of the present read, when it began, and whether it emptied the
+	// kernel's buffer.
 	buffer    []byte
 	n         int
 	err       error
@@ -46,7 +48,7 @@
 	readFunc  func(fd uintptr) bool
 }
 
-// NewInput makes the input of a connection.
+// NewInput creates the input of a connection.
 func NewInput(c net.Conn) *Input {
 	i := &Input{netConn: c}
 	if socket, ok := c.(syscall.Conn); ok {
@@ -54,11 +56,11 @@
 			i.raw = raw
 		}
 	}
-	i.readFunc = i.readAvailable // made once, as each read needs it
+	i.readFunc = i.readAvailable // created once, as a method value allocates
 	return i
 }
 
-// Read implements io.Reader. Deadlines of the connection hold.
+// Read implements io.Reader. It observes the deadlines of the connection.
 func (i *Input) Read(b []byte) (int, error) {
 	i.MarkHandled()
 	if i.raw == nil {
@@ -78,7 +80,7 @@
 	return i.n, err
 }
 
-// ReadNow is Read that neither waits nor heeds a deadline; syscall.EAGAIN tells that nothing has come.
+// ReadNow is Read without blocking and without regard to deadlines; it returns syscall.EAGAIN if nothing has arrived.
 func (i *Input) ReadNow(b []byte) (int, error) {
 	i.MarkHandled()
 	if i.raw == nil {
@@ -99,14 +101,14 @@
 	return i.n, err
 }
 
-// MarkHandled tells that all that was read has been handled. To be called by the reader.
+// MarkHandled records that all that was read has been handled. It must be called by the reader.
 func (i *Input) MarkHandled() {
 	if i.drained {
 		i.handledAt.Store(i.readStart)
 	}
 }
 
-// takeNow takes what has come from the kernel, and tells whether anything has.
+// readAvailable reads what the kernel has, and tells whether there was anything: data, a close or an error.
 func (i *Input) readAvailable(fd uintptr) bool {
 	i.readStart, i.drained = time.Now().UnixNano(), false
 	i.readerWaiting.Store(false)
@@ -132,15 +134,15 @@
 	return true
 }
 
-// end notes an error after which nothing more is read.
+// recordEnd records an error after which nothing more is read.
 func (i *Input) recordEnd(err error) {
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		i.ended.Store(true)
 	}
 }
 
-// Look tells how far the input has been handled. It does not block, and asks the kernel only where the reader has
-// not done so of late.
+// State tells whether the input has been handled. It does not block, and asks the kernel only if the reader has not
+// done so recently.
 func (i *Input) State() InputState {
 	switch {
 	case i.ended.Load():
@@ -152,13 +154,13 @@
 	switch {
 	case closed:
 		return InputEnded
-	case !came && i.readerWaiting.Load(), isFresh(&i.handledAt): // in this order: the reader says that it waits only after it found nothing
+	case !came && i.readerWaiting.Load(), isFresh(&i.handledAt): // in this order, as the reader sets readerWaiting after its read
 		return InputHandled
 	}
 	return InputUnread
 }
 
-// Closed tells whether the peer has closed its side, also behind input that has not been read.
+// PeerClosed tells whether the peer has closed its side, even if there is unread input before the close.
 func (i *Input) PeerClosed() bool {
 	if i.ended.Load() || i.raw == nil {
 		return i.ended.Load()
@@ -169,7 +171,7 @@
 
 func isFresh(at *atomic.Int64) bool { return time.Now().UnixNano()-at.Load() <= int64(maxInputAge) }
 
-// poll asks the kernel whether unread input is there, and whether the peer has closed its side or reset the connection.
+// poll asks the kernel whether there is unread input, and whether the peer has closed its side or reset the connection.
 func (i *Input) poll() (readable, closed bool) {
 	set := []unix.PollFd{{Events: unix.POLLIN | unix.POLLRDHUP}}
 	var got error
@@ -181,10 +183,10 @@
 			}
 		}
 	})
-	if err != nil { // closed on this side
+	if err != nil { // closed by this side
 		return false, true
 	}
-	if got != nil { // the system does not tell
+	if got != nil { // unknown
 		return false, false
 	}
 	events := set[0].Revents
--- a/internal/sip/input_test.go
+++ b/internal/sip/input_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// until waits for a condition, for which the machine may take its time.
+// waitFor waits for a condition, with a long limit for busy machines.
 func waitFor(t *testing.T, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never came to it")
+			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
 
-// What is known of a peer whose reader is busy with something else: input that grows old, a close behind it, a reset.
+// While the reader is busy, input that grows old, a close behind it and a reset must all be noticed.
 func TestInputOfABusyReader(t *testing.T) {
 	for name, leave := range map[string]func(peer net.Conn){
 		"close":      func(p net.Conn) { p.Close() },
@@ -28,12 +28,12 @@
 			busy, goOn := make(chan bool, 10), make(chan bool)
 			peer, c, reason := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
 			if c.Input() == InputEnded {
-				t.Error("ended before anything came")
+				t.Error("ended before anything was sent")
 			}
 			io.WriteString(peer, invite)
 			<-busy
 			if io.WriteString(peer, invite); c.Input() == InputEnded {
-				t.Error("input taken for an end")
+				t.Error("input mistaken for the end")
 			}
 			waitFor(t, func() bool { return c.Input() == InputUnread })
 			leave(peer)
@@ -46,7 +46,8 @@
 	}
 }
 
-// Input that waited is handled once its reader has come to it, and a peer that says nothing for long is still heard.
+// Unread input counts as handled once the reader has handled it, and the input of a peer that is silent for long stays
+// handled.
 func TestInputIsHandledAgain(t *testing.T) {
 	busy, goOn := make(chan bool), make(chan bool)
 	peer, c, _ := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
@@ -64,8 +65,8 @@
 	}
 }
 
-// The close of a peer that does not read its answers stands behind the requests that wait unread for that: it was
-// noticed only when the write had run out of time.
+// If a peer does not read its answers, its further requests stay unread, and a close behind them was only noticed when
+// the write had timed out.
 func TestACloseBehindUnreadRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
 		limits Limits
@@ -77,7 +78,7 @@
 			peer, c, reason := serveLoopback(t, tc.limits, func(c *Conn, m *Message) { c.Send(answer); asked <- true })
 			peer.(*net.TCPConn).SetReadBuffer(4 << 10)
 			c.netConn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-			waitFor(t, func() bool { // what the buffers hold is not known; then the reader waits
+			waitFor(t, func() bool { // fill the socket buffers, whose size is unknown, until the reader waits
 				if c.out.hasRoom() {
 					io.WriteString(peer, invite)
 					<-asked
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -1,5 +1,5 @@
-// Package sip frames, reads and writes SIP messages over TCP. It knows the format only: what a message means
-// belongs to the callers' and the offices' sides.
+// Package sip reads and writes SIP messages over TCP. It handles framing and syntax only; the packages for callers and
+// offices interpret the messages.
 package sip
 
 import (
@@ -14,41 +14,41 @@
 )
 
 const (
-	// MaxMessage is the longest message either side may send (PROTOCOL: 16 KiB).
+	// MaxMessage is the greatest size of a message from either side (PROTOCOL: 16 KiB).
 	MaxMessage = 16 << 10
-	// firstBuffer is where a read buffer starts: most messages are a few hundred bytes, and a caller's
-	// connection shall not cost 16 KiB before it needs them.
+	// initialBuffer is the initial size of a read buffer. Most messages are a few hundred bytes, and a caller's connection
+	// should not cost 16 KiB before it needs them.
 	initialBuffer = 4 << 10
-	// maxHeaders keeps one message from costing more in slices than in bytes.
+	// maxHeaders bounds the headers of a message, so that their slices cost no more memory than its bytes.
 	maxHeaders = 128
 )
 
-// Framing errors: the stream can't be read any further, so the connection has to end.
+// Framing errors: the stream can't be read any further, so the connection must end.
 var (
 	ErrTooLong       = errors.New("message over 16 KiB")
-	ErrStartLine     = errors.New("unreadable first line")
-	ErrHeader        = errors.New("unreadable header line")
-	ErrLength        = errors.New("missing or unreadable Content-Length")
-	ErrMissingHeader = errors.New("message lacks what its kind needs") // for those who handle messages
+	ErrStartLine     = errors.New("malformed start line")
+	ErrHeader        = errors.New("malformed header line")
+	ErrLength        = errors.New("missing or malformed Content-Length")
+	ErrMissingHeader = errors.New("required header missing") // returned by message handlers
 )
 
-// Header is one header line; both parts are slices of the read buffer.
+// Header is a header field; both parts are slices of the read buffer.
 type Header struct{ Name, Value []byte }
 
-// Message is one request or answer. All slices point into the read buffer and hold until the next Next.
+// Message is a request or a response. All slices point into the read buffer and are valid until the next call of Next.
 type Message struct {
 	Method, URI []byte // of a request
-	Status      int    // of an answer; 0: a request
+	Status      int    // of a response; 0: a request
 	Headers     []Header
 	Body        []byte
 	ReceivedAt  time.Time // when its last byte was read
 }
 
-// compact are the one-letter names of RFC 3261 for headers that this program looks at.
+// compactNames are the one-letter forms (RFC 3261) of headers that this program reads.
 var compactNames = map[byte]string{'i': "Call-ID", 'l': "Content-Length", 'v': "Via", 'f': "From", 't': "To",
 	's': "Subject"}
 
-// Get gives the first header of that name, or nil.
+// Get returns the value of the first header of that name, or nil.
 func (m *Message) Get(name string) []byte {
 	for _, h := range m.Headers {
 		if h.is(name) {
@@ -65,7 +65,7 @@
 	return len(h.Name) == len(name) && bytes.EqualFold(h.Name, []byte(name))
 }
 
-// CSeq gives the number and the method of the CSeq header.
+// CSeq returns the number and the method of the CSeq header.
 func (m *Message) CSeq() (n uint64, method []byte, ok bool) {
 	num, rest, found := bytes.Cut(m.Get("CSeq"), []byte(" "))
 	n, err := strconv.ParseUint(string(num), 10, 31)
@@ -73,7 +73,7 @@
 	return n, method, found && err == nil && len(method) > 0
 }
 
-// User gives the user part of the request's address: the number called.
+// User returns the user part of the request URI, which is the number called.
 func (m *Message) User() []byte {
 	uri := m.URI
 	if k := bytes.IndexByte(uri, ':'); k >= 0 {
@@ -85,22 +85,22 @@
 	return nil
 }
 
-// Reader cuts a stream into messages.
+// Reader splits a stream into messages.
 type Reader struct {
 	source       io.Reader
 	buf          []byte
 	start, end   int
-	messageCount uint64 // messages so far
-	strict       bool   // no line ends between messages
+	messageCount uint64 // messages read
+	strict       bool   // line ends between messages are an error
 	lastReadAt   time.Time
 	msg          Message
 }
 
-// NewReader reads messages from r.
+// NewReader creates a Reader that reads messages from r.
 func NewReader(r io.Reader) *Reader { return &Reader{source: r, buf: make([]byte, initialBuffer)} }
 
-// Next gives the next message. The error is io.EOF where the stream ends between two messages,
-// io.ErrUnexpectedEOF inside one, a framing error, or what the stream itself returned.
+// Next returns the next message. The error is io.EOF if the stream ends between two messages, io.ErrUnexpectedEOF if it
+// ends within one, a framing error, or the error of the stream.
 func (r *Reader) Next() (*Message, error) {
 	for {
 		r.skipBlank()
@@ -121,9 +121,9 @@
 	}
 }
 
-// begins tells whether what was read behind a message can begin another. A length that does not fit cuts a
-// message short or has it swallow the head of the next one; what is left behind then is no first line. Passed
-// on, such a message would be one that nobody sent.
+// startsMessage tells whether what was read behind a message can be the start of another one. A wrong Content-Length
+// truncates the message or makes it include the head of the next one, and what follows is then no start line. Such a
+// message must not be returned, as nobody sent it.
 func (r *Reader) startsMessage(rest []byte) bool {
 	trimmed := bytes.TrimLeft(rest, "\r\n")
 	if len(trimmed) == 0 || r.strict && len(trimmed) < len(rest) {
@@ -136,7 +136,7 @@
 	return !hasControlChars(line)
 }
 
-// skipBlank drops line ends before a message: keep-alives that RFC 3261 tells to ignore.
+// skipBlank skips line ends before a message: keep-alives, which RFC 3261 requires to be ignored.
 func (r *Reader) skipBlank() {
 	for r.start < r.end && (r.buf[r.start] == '\r' || r.buf[r.start] == '\n') {
 		r.start++
@@ -169,7 +169,7 @@
 	return err
 }
 
-// whole parses the message at the start of the buffer; a size of 0 tells that more bytes are needed.
+// parse parses the message at the start of the buffer; a size of 0 means that more bytes are needed.
 func (r *Reader) parse() (size int, err error) {
 	data := r.buf[r.start:r.end]
 	head := bytes.Index(data, []byte("\r\n\r\n"))
@@ -218,7 +218,7 @@
 	return ErrStartLine
 }
 
-// token tells whether a word is a method or the name of a header (RFC 3261, 25.1).
+// isToken tells whether a word is a valid method or header name (token in RFC 3261, 25.1).
 func isToken(word []byte) bool {
 	return len(word) > 0 && bytes.IndexFunc(word, func(c rune) bool {
 		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-.!%*_+`'~", c))
@@ -229,7 +229,7 @@
 	return bytes.IndexFunc(word, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-// control tells whether a header's value holds what no text does: noise.
+// hasControlChars tells whether a value has control characters or invalid UTF-8, which no text has.
 func hasControlChars(value []byte) bool {
 	return bytes.IndexFunc(value, func(c rune) bool {
 		return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f || c == utf8.RuneError
@@ -239,7 +239,7 @@
 func (m *Message) parseHeaders(lines []byte) error {
 	for len(lines) > 0 {
 		end := bytes.Index(lines, []byte("\r\n"))
-		// A line that starts with a blank continues the one before.
+		// A line that starts with a space or tab continues the previous one.
 		for end+2 < len(lines) && (lines[end+2] == ' ' || lines[end+2] == '\t') {
 			end += 2 + bytes.Index(lines[end+2:], []byte("\r\n"))
 		}
@@ -254,7 +254,8 @@
 	return nil
 }
 
-// length is the Content-Length, which every message must have; two that differ leave the framing open.
+// length returns the Content-Length. Every message must have one, and two that differ are an error, as the framing
+// would be ambiguous.
 func (m *Message) length() (int, error) {
 	length := -1
 	for _, h := range m.Headers {
@@ -273,12 +274,12 @@
 	return length, nil
 }
 
-// AppendRequest starts a request to the number at the platform's one host.
+// AppendRequest appends the start line of a request to a number. The platform has a single host.
 func AppendRequest(b []byte, method, number string) []byte {
 	return fmt.Appendf(b, "%s sip:%s@net SIP/2.0\r\n", method, number)
 }
 
-// AppendStatus starts an answer.
+// AppendStatus appends the start line of a response.
 func AppendStatus(b []byte, status int) []byte {
 	return fmt.Appendf(b, "SIP/2.0 %d %s\r\n", status, reasonPhrase(status))
 }
@@ -293,7 +294,8 @@
 	return "Status"
 }
 
-// Farewell is the answer to what can't be read: it belongs to no request that could be named.
+// ErrorResponse returns the response to input that can't be read. It has no headers that identify a request, as none is
+// known.
 func ErrorResponse(err error) []byte {
 	status := 400
 	switch {
@@ -305,8 +307,8 @@
 	return AppendBody(AppendStatus(nil, status), nil)
 }
 
-// AppendHeader adds a header line. Line ends inside the value would forge further headers, so they become
-// blanks.
+// AppendHeader appends a header line. Line ends in the value are replaced by spaces, as they would allow further
+// headers to be forged.
 func AppendHeader(b []byte, name, value string) []byte {
 	b = append(append(b, name...), ": "...)
 	for k := range len(value) {
@@ -319,13 +321,13 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody ends the headers with the length and adds the body.
+// AppendBody appends the Content-Length, the end of the headers and the body.
 func AppendBody(b, body []byte) []byte {
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(body))
 	return append(b, body...)
 }
 
-// Echo copies from a request what RFC 3261 has its answers repeat.
+// EchoHeaders returns the headers of a request that RFC 3261 requires its responses to repeat.
 func EchoHeaders(m *Message) []byte {
 	b := make([]byte, 0, 256)
 	for _, h := range m.Headers {
@@ -338,7 +340,7 @@
 	return b
 }
 
-// Answer is a whole answer without a body.
+// Response returns a complete response without a body.
 func Response(m *Message, status int) []byte {
 	return AppendBody(append(AppendStatus(nil, status), EchoHeaders(m)...), nil)
 }
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A length that does not fit: taken as it stands, the message has a body that nobody sent.
+// A message with a wrong Content-Length must not be returned, as its body is not what was sent.
 func TestLengthThatDoesNotFit(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -70,7 +70,7 @@
 	})
 }
 
-// Garbage must end in an error or in messages, and never in a panic or an endless loop.
+// Garbage must result in an error or in messages, and never in a panic or an endless loop.
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		data := netcase.Garbage(t, []byte(invite+answer))
@@ -122,6 +122,6 @@
 	want := "SIP/2.0 400 Bad Request\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n" +
 		"Content-Length: 0\r\n\r\n"
 	if got := string(Response(m, 400)); got != want {
-		t.Errorf("answer %q", got)
+		t.Errorf("response %q", got)
 	}
 }
--- a/internal/sip/queue.go
+++ b/internal/sip/queue.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// maxQueueBytes bounds what waits for a peer to read: some thousand answers or set-ups, as hundreds may be due
-	// in one moment, and little beside the 32 MB of the smallest instance. Beyond it the peer does not read.
+	// maxQueueBytes bounds the data queued for a peer. It holds some thousand answers or set-ups, as hundreds may be due at
+	// the same moment, and is little compared with the 32 MB of the smallest instance. A peer with more queued counts as
+	// not reading.
 	maxQueueBytes = 512 << 10
-	// pauseBytes is what may wait while more is read from the same peer: one that asks faster than it reads its
-	// answers waits itself.
+	// readPauseBytes is how much may be queued while more input is read from the same peer: a peer that sends requests
+	// faster than it reads the answers is not read from.
 	readPauseBytes = 64 << 10
-	// closedInterval is how often a reader that waits for its peer to read looks whether that has closed its side.
+	// closeCheckInterval is how often a reader that waits for its peer to read checks whether the peer has closed its side.
 	closeCheckInterval = 25 * time.Millisecond
 )
 
-// Queue holds the messages that wait for a peer to read, bounded in bytes.
+// Queue holds the messages to be written to a peer, bounded in bytes.
 type Queue struct {
 	mu      sync.Mutex
 	waiting [][]byte
 	size    int           // bytes waiting or being written
-	ready   chan struct{} // something waits
+	ready   chan struct{} // a message was queued
 	drained chan struct{} // something was written
 }
 
-// NewQueue makes an empty queue.
+// NewQueue creates an empty queue.
 func NewQueue() *Queue {
 	return &Queue{ready: make(chan struct{}, 1), drained: make(chan struct{}, 1)}
 }
 
-// Put queues one message and never blocks; false: the peer does not read.
+// Put queues one message and never blocks. It returns false if the queue is full, as the peer does not read.
 func (q *Queue) Put(b []byte) bool {
 	q.mu.Lock()
 	fits := q.size+len(b) <= maxQueueBytes
@@ -46,10 +47,11 @@
 	return fits
 }
 
-// Ready gets a signal when something waits.
+// Ready receives a value when messages have been queued.
 func (q *Queue) Ready() <-chan struct{} { return q.ready }
 
-// Write has all that waits written, in the order it was put. A batch counts as waiting until it is written.
+// Write passes all queued messages to write, in batches and in order. A batch counts as queued until it has been
+// written.
 func (q *Queue) Write(write func(batch [][]byte) error) error {
 	for {
 		q.mu.Lock()
@@ -74,8 +76,8 @@
 	}
 }
 
-// Room waits until the peer has read most of what was put. It gives io.EOF as soon as closed tells that the peer has
-// closed its side: that stands unread behind what the peer sent before.
+// WaitForRoom waits until at most readPauseBytes are queued. It returns io.EOF as soon as closed tells that the peer
+// has closed its side, which no read shows while there is unread input before the close.
 func (q *Queue) WaitForRoom(ctx context.Context, closed func() bool) error {
 	if q.hasRoom() {
 		return nil
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// low tells whether little enough waits for the peer to be asked for more.
+// hasRoom tells whether so little is queued that more may be read from the peer.
 func (q *Queue) hasRoom() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
