--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -165,8 +165,7 @@
 	}
 }
 
-// A peer that goes on after this side has closed is read on: it gets the end of the connection, and no reset in its
-// place.
+// A peer that goes on sending after this side has closed must see the end of the connection, and not a reset.
 func TestWhatComesAfterTheCloseResetsNothing(t *testing.T) {
 	peer, c, reason := serveLoopback(t, Limits{Linger: time.Minute}, func(*Conn, *Message) {})
 	c.Send([]byte("SIP/2.0 200 OK\r\nl: 0\r\n\r\n"))
