--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -42,9 +42,9 @@
 type Client struct {
 	Addr     string // initial address of the service; SetAddr changes it
 	Log      *slog.Logger
-	OnChange func(changed []exchange.Office, full bool)
-	Pos      int64 // number of the last event received
-	Backoff  func(failures int) time.Duration
+	OnChange func(changed []exchange.Office, full bool) // called for each event; full: it holds the whole list
+	Pos      int64                                      // number of the last event received
+	Backoff  func(failures int) time.Duration           // the delay before a reconnect; nil: the default
 	// Dial opens a connection to the service; nil: over TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
@@ -124,12 +124,12 @@
 		if !heard {
 			pause = max(pause-time.Since(began), minPause/2+rand.N(minPause/2))
 		}
-		wait := time.NewTimer(pause)
+		timer := time.NewTimer(pause)
 		select {
 		case <-streamCtx.Done():
-		case <-wait.C:
+		case <-timer.C:
 		}
-		wait.Stop()
+		timer.Stop()
 		cancelStream()
 	}
 	return nil
--- a/internal/journal/connect.go
+++ b/internal/journal/connect.go
@@ -26,7 +26,7 @@
 		err error
 	}
 	results := make(chan result)
-	begin := func() {
+	startConnect := func() {
 		conn, err := c.dial(ctx, network, addr)
 		select {
 		case results <- result{conn, err}:
@@ -36,9 +36,9 @@
 			}
 		}
 	}
-	next := time.NewTicker(connectInterval)
-	defer next.Stop()
-	go begin()
+	ticker := time.NewTicker(connectInterval)
+	defer ticker.Stop()
+	go startConnect()
 	pending := 1
 	for {
 		select {
@@ -48,10 +48,10 @@
 				return r.Conn, r.err
 			}
 			pending--
-		case <-next.C:
+		case <-ticker.C:
 			if pending < MaxConnects {
 				pending++
-				go begin()
+				go startConnect()
 			}
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestUnreadableEventsNameWhatIsWrong(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for in, want := range map[string]string{
 		`{`: "JSON", `{"pos":1}`: "no hosts", delta("UP"): "servers[0].state",
 		strings.Replace(full, "10.1.0.9:2905", "", 1): "no addr", strings.Replace(full, "s-00c41f7a", "", 1): "no id",
@@ -70,7 +70,7 @@
 
 // A stream gives the same events however it is split into reads. A malformed event is skipped, and its number is
 // recorded, so that it is not requested again with each reconnect.
-func TestStreamInAnyCuts(t *testing.T) {
+func TestStreamInAnySplit(t *testing.T) {
 	text := ": hello\n\nid: 41\ndata: " + full + "\n\n:\n\nid: 42\r\ndata: {bad\r\n\r\nid: 42\ndata: " + full +
 		"\n\nid: 43\ndata: " + delta("DELETED") + "\n\nid: 44\ndata: " + delta("SERVING")
 	netcase.Check(t, func(t *rapid.T) {
@@ -93,7 +93,7 @@
 }
 
 // A broken stream is opened again with the number of the last event received.
-func TestReconnectGoesOnWhereItWas(t *testing.T) {
+func TestReconnectContinues(t *testing.T) {
 	asked := make(chan string, 100)
 	addr := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Last-Event-ID")
@@ -128,7 +128,7 @@
 }
 
 // SetAddr takes effect at once, even if the old service is silent but still connected, and the position is kept.
-func TestMoveKeepsThePosition(t *testing.T) {
+func TestSetAddrKeepsPosition(t *testing.T) {
 	asked := make(chan string, 10)
 	serve := func(name string) string {
 		return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -210,7 +210,7 @@
 
 // A long event over a slow link was taken for silence, as the timeout was reset by whole lines only, and each reconnect
 // had it sent again from its start.
-func TestALongEventOverASlowWay(t *testing.T) {
+func TestLongEventOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
 		c := newClient(func(x update) { got <- x })
@@ -234,7 +234,7 @@
 }
 
 // A silent stream and two hanging connects in a row are given up in time: changes are taken as known after 7 s.
-func TestSilenceAndConnectsThatHang(t *testing.T) {
+func TestSilenceAndHangingConnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
 		c := newClient(func(x update) { got <- x })
@@ -253,7 +253,7 @@
 
 // After several calls of SetAddr, during a stream and during the pause before a reconnect, the client follows the last
 // address.
-func TestMovesInARow(t *testing.T) {
+func TestRepeatedSetAddr(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 10)
 		c := newClient(func(x update) { got <- x })
--- a/internal/journal/reconnect_test.go
+++ b/internal/journal/reconnect_test.go
@@ -46,7 +46,7 @@
 // A service that was down for long is followed at once when it is back. The delay before a reconnect used to grow to
 // 1.5 s, and a hanging connect was given up only 2.5 s after its start, and even then the transport left it to the
 // kernel, which held its file descriptor for two minutes.
-func TestAServiceThatIsBackIsFollowedAtOnce(t *testing.T) {
+func TestReconnectAtOnceAfterOutage(t *testing.T) {
 	for name, tc := range map[string]struct {
 		down  func(ctx context.Context) error
 		limit time.Duration
@@ -88,7 +88,7 @@
 }
 
 // A connect that takes long is waited for; the parallel connects must not cancel it.
-func TestAConnectThatComesUpLate(t *testing.T) {
+func TestSlowConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
 		c := newClient(func(x update) { got <- x })
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -18,6 +18,7 @@
 	onRead func()
 }
 
+// Read implements io.Reader.
 func (a activityReader) Read(b []byte) (int, error) {
 	n, err := a.source.Read(b)
 	if n > 0 {
--- a/internal/office/delay_test.go
+++ b/internal/office/delay_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestSilenceGoesByTheDelayOfAnswers(t *testing.T) {
+func TestAnswerTimeoutFollowsDelay(t *testing.T) {
 	const quick, slow, straggler = 60 * time.Millisecond, 470 * time.Millisecond, 2 * time.Second
 	for _, tc := range []struct {
 		name        string
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -37,7 +37,6 @@
 	probe           *time.Timer // starts the next connect that may prove the server dead; nil: none is scheduled
 }
 
-// release is a request to the office to release a call.
 // release is a request to the office to release a call.
 type release struct {
 	id  string
@@ -73,12 +72,12 @@
 func (l *link) run(ctx context.Context) {
 	pause := minRedialDelay
 	waitToRedial := func() {
-		wait := time.NewTimer(pause/2 + rand.N(pause/2))
-		defer wait.Stop()
+		timer := time.NewTimer(pause/2 + rand.N(pause/2))
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
 		case <-l.wakeup:
-		case <-wait.C:
+		case <-timer.C:
 		}
 		pause = min(2*pause, maxRedialDelay)
 	}
--- a/internal/office/liveness.go
+++ b/internal/office/liveness.go
@@ -66,9 +66,9 @@
 // dead tells whether a connect that fails now proves that the server's process has ended, and with it all calls there.
 //
 //   - No connection is open: connects have failed for failureTimeout, or the server has been silent for unheardTimeout.
-//   - A connection is open and the machine refuses: a draining server accepts no connects, goes on with its calls and still
-//     sends reports. After a silence of unheardTimeout, a call that ends there can't be noticed any more, unless the list
-//     is up to date and would report the server's end.
+//   - A connection is open and the machine refuses: a draining server accepts no connects, goes on with its calls and
+//     still sends reports. After a silence of unheardTimeout, a call that ends there can't be noticed any more, unless
+//     the list is up to date and would report the server's end.
 //   - A connection is open and the machine does not respond: it has vanished if the connection is silent too.
 func (s *liveness) dead(now time.Time, open, listed bool) bool {
 	if !s.lastConnectFailed {
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -12,9 +12,13 @@
 // Core receives the events of all offices; the exchange implements it. n is the index of the attempt within its call,
 // -1 if none was outstanding on the connection. The reports are load reports in the order of Fields; nil: none.
 type Core interface {
+	// Accepted tells that the office has accepted the call.
 	Accepted(server uint64, id string, n int, desc []byte)
+	// Ended tells that an attempt has ended without being accepted.
 	Ended(server uint64, id string, n int, e exchange.Result)
+	// Released tells that the office has released a call; cut: before its regular end.
 	Released(server uint64, id string, cut bool, report []float64)
+	// State passes on a load report.
 	State(server uint64, report []float64)
 	// ServerLost tells that the server's process has ended, and with it all calls there.
 	// ServerLost tells that the server's process has ended, and with it all calls there.
@@ -23,9 +27,13 @@
 
 // Peer is one open connection to an office, in whatever protocol the office uses. Its sends never block.
 type Peer interface {
+	// Invite sends the set-up of an attempt.
 	Invite(a exchange.Attempt)
+	// Cancel cancels attempt n of a call.
 	Cancel(id string, n int)
+	// Bye releases a call that attempt n established; cut: before its regular end.
 	Bye(id string, n int, cut bool)
+	// Close ends the connection after what was sent before has been written.
 	Close()
 	// Run reads until the connection ends and passes each message to h.
 	Run(ctx context.Context, h Handler) (sip.Reason, error)
@@ -33,9 +41,13 @@
 
 // Handler receives the messages of an office that a Peer reads. id is the call's.
 type Handler interface {
+	// Accepted handles the acceptance of a call, with the office's description.
 	Accepted(id string, desc []byte)
+	// Ended handles a refusal.
 	Ended(id string, e exchange.Result)
+	// Released handles the release of a call by the office; cut: before its regular end.
 	Released(id string, cut bool, report []float64)
+	// State handles a load report; nil: it held no known value.
 	State(report []float64)
 }
 
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -83,9 +83,9 @@
 		Server: 10, Wait: time.Second})
 }
 
-func expectEvent(t *testing.T, told chan string, want string) {
+func expectEvent(t *testing.T, events chan string, want string) {
 	t.Helper()
-	if got := <-told; got != want {
+	if got := <-events; got != want {
 		t.Errorf("reported %q, want %q", got, want)
 	}
 }
@@ -139,7 +139,7 @@
 			"released 5 true [1 -1 -1 -1]"},
 		{"BYE sip:1@net SIP/2.0\r\nCall-ID: 5\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n", "released 5 false []"},
 		{"NOTIFY sip:1@net SIP/2.0\r\nX-State: x1:40;queue:NaN;x0:3\r\n", "state [3 40 -1 -1]"},
-		{"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n", "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"}, // unreadable: the connection is closed
+		{"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n", "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []"}, // unreadable: closed
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -166,9 +166,9 @@
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []")
 		expectEvent(t, b.events, "lost") // after some time of that, the server counts as dead
 		b.Invite(exchange.Attempt{ID: "x", Server: 11})
-		for told := range b.events { // the pool goes on connecting
-			if told != "lost" {
-				b.events <- told
+		for event := range b.events { // the pool goes on connecting
+			if event != "lost" {
+				b.events <- event
 				break
 			}
 		}
@@ -188,7 +188,7 @@
 }
 
 // A client may leave while its attempt waits for a connect, before the core has been told.
-func TestAClientThatLeavesDuringTheConnect(t *testing.T) {
+func TestClientLeavesDuringConnect(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		seen []exchange.Presence // at each check; the last one is repeated
@@ -206,11 +206,11 @@
 				b.reset.Store(true)
 				(<-b.connections).Close()
 				synctest.Wait()
-				looks := 0
+				checks := 0
 				b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 10, Wait: time.Second,
 					Presence: func() exchange.Presence {
-						looks++
-						return tc.seen[min(looks, len(tc.seen))-1]
+						checks++
+						return tc.seen[min(checks, len(tc.seen))-1]
 					}})
 				server := <-b.connections
 				if tc.want == "" {
@@ -235,7 +235,7 @@
 
 // A connect that fails because this process has no file descriptor proves nothing about the server: the calls there go
 // on.
-func TestALackOfDescriptorsIsNoDeath(t *testing.T) {
+func TestDescriptorShortageProvesNothing(t *testing.T) {
 	for _, failure := range []error{descriptors.ErrShareTaken, fmt.Errorf("socket: %w", syscall.EMFILE)} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -304,7 +304,7 @@
 // A draining office stopped while it sent a release, its connection stayed open, and the server list stopped being
 // updated before it reported the end: the call was not released for 8 s. While the list is up to date, the office is
 // not given up.
-func TestAnOfficeThatStopsUnheard(t *testing.T) {
+func TestOfficeStopsWhileListIsStale(t *testing.T) {
 	for _, unheard := range []time.Duration{0, 3 * time.Second, 7600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -335,7 +335,7 @@
 // A draining server stopped as a call ended, and refused connects from then on; its connection was reset 4 s later. The
 // reset restarted the measurement of its silence, so connects had to fail for 2 s more, at intervals of up to 3 s, and
 // the call was not released for 8 s.
-func TestAnEndOfTheConnectionForgetsNoSilence(t *testing.T) {
+func TestConnectionEndKeepsSilence(t *testing.T) {
 	for _, open := range []time.Duration{3500 * time.Millisecond, 5 * time.Second, 7100 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -344,25 +344,25 @@
 			time.Sleep(time.Second)
 			io.WriteString(server, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
 			expectEvent(t, b.events, "state [3 -1 -1 -1]")
-			lastWord := time.Now()
+			lastMessage := time.Now()
 			b.refuse.Store(true)
 			b.reset.Store(true)
 			time.AfterFunc(open, func() { server.Close() })
-			for len(b.events) == 0 && time.Since(lastWord) < 20*time.Second {
+			for len(b.events) == 0 && time.Since(lastMessage) < 20*time.Second {
 				time.Sleep(500 * time.Millisecond)
 				b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				synctest.Wait()
 			}
 			expectEvent(t, b.events, "lost")
-			if took := time.Since(lastWord); took > 8*time.Second {
+			if took := time.Since(lastMessage); took > 8*time.Second {
 				t.Errorf("connection reset after %v: lost after %v", open, took)
 			}
 		})
 	}
 }
 
-// As TestAnEndOfTheConnectionForgetsNoSilence, over TCP connections, with resets and refusals by the kernel.
-func TestASilentServerWhoseRealConnectionIsReset(t *testing.T) {
+// As TestConnectionEndKeepsSilence, over TCP connections, with resets and refusals by the kernel.
+func TestResetOfSilentTCPConnection(t *testing.T) {
 	t.Parallel()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -379,7 +379,7 @@
 	}
 	io.WriteString(server, "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n")
 	expectEvent(t, core.events, "state [3 -1 -1 -1]")
-	lastWord := time.Now()
+	lastMessage := time.Now()
 	listener.Close()
 	server.(*net.TCPConn).SetLinger(0)
 	time.AfterFunc(7100*time.Millisecond, func() { server.Close() })
@@ -387,9 +387,9 @@
 	defer suspect.Stop()
 	for {
 		select {
-		case told := <-core.events:
-			if took := time.Since(lastWord); told != "lost" || took > 8*time.Second {
-				t.Errorf("reported %q after %v", told, took)
+		case event := <-core.events:
+			if took := time.Since(lastMessage); event != "lost" || took > 8*time.Second {
+				t.Errorf("reported %q after %v", event, took)
 			}
 			return
 		case <-suspect.C:
@@ -400,7 +400,7 @@
 
 // Connections are also reset by the network. When each reset counted as the end of the process, 419 established calls
 // were released in one day. The reset of a silent connection does count: the machine had vanished and is back.
-func TestAResetIsNotADeath(t *testing.T) {
+func TestResetDoesNotProveDeath(t *testing.T) {
 	for want, quiet := range map[string]time.Duration{"state [3 -1 -1 -1]": 0, "lost": silentMachineTimeout + time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
@@ -431,7 +431,7 @@
 
 // A truncated answer blocks all answers behind it. They were waited for until their calls had timed out, and the office
 // was avoided for seconds.
-func TestAnAnswerThatStopsShort(t *testing.T) {
+func TestTruncatedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		office := <-b.connections
@@ -449,11 +449,11 @@
 
 // A connection may fail silently and stay open while its office is well. Its attempts were waited for until they timed
 // out, a trial was lost on it too, and the office was taken for down and cold.
-func TestAMuteConnectionIsReplaced(t *testing.T) {
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
-		mute := <-b.connections
-		go io.Copy(io.Discard, mute)
+		silent := <-b.connections
+		go io.Copy(io.Discard, silent)
 		b.invite(0)
 		time.Sleep(minAnswerTimeout + silenceCheckInterval)
 		b.Invite(exchange.Attempt{ID: "2", Server: 10, Wait: time.Second})
@@ -481,11 +481,11 @@
 
 // Reports are sent on all connections: one that arrives over the new connection only proves the old one dead, before any
 // attempt does.
-func TestAReportProvesAMuteConnection(t *testing.T) {
+func TestReportOverNewConnectionEndsSilentOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
-		mute := <-b.connections
-		go io.Copy(io.Discard, mute)
+		silent := <-b.connections
+		go io.Copy(io.Discard, silent)
 		b.invite(0)
 		office := <-b.connections
 		const report = "NOTIFY sip:1@net SIP/2.0\r\nX-State: x0:3\r\nContent-Length: 0\r\n\r\n"
@@ -503,7 +503,7 @@
 
 // A report is sent on all connections and arrives over one of them first. The set-up outstanding on the other
 // connection was given up for that, although its office was only slow.
-func TestAReportThatComesOverTheNewConnectionFirst(t *testing.T) {
+func TestReportArrivesFirstOverNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		slow := <-b.connections
@@ -530,7 +530,7 @@
 }
 
 // Where servers are slow to answer set-ups, a silence of the usual delay must not replace the connection.
-func TestSlowAnswersAreNoMuteConnection(t *testing.T) {
+func TestSlowAnswersKeepConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		delay        time.Duration
@@ -565,11 +565,11 @@
 
 // The silence of a connection counts from its first unanswered set-up. Set-ups that are cancelled early don't restart
 // it.
-func TestCalledOffSetUpsCountTowardsSilence(t *testing.T) {
+func TestCancelledSetUpsCountTowardsSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
-		mute := <-b.connections
-		go io.Copy(io.Discard, mute)
+		silent := <-b.connections
+		go io.Copy(io.Discard, silent)
 		const each = minAnswerTimeout / 2
 		for n := range 4 {
 			sentAt := time.Now()
@@ -586,7 +586,7 @@
 	})
 }
 
-func TestSuspicionEndsWithAnySign(t *testing.T) {
+func TestAnyMessageEndsStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		office := <-b.connections
@@ -674,7 +674,7 @@
 
 // A duplicate of an answer, some milliseconds late, ended the call's next attempt at the same office. The call was then
 // sent to another office while the first one was still setting it up.
-func TestACopyOfAnAnswerAndTheNextAttempt(t *testing.T) {
+func TestDuplicateAnswerAndNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		office := <-b.connections
@@ -706,7 +706,7 @@
 }
 
 // A release written to a connection at the moment of its reset was lost. It is sent again on the next connection.
-func TestAReleaseOnAConnectionThatEnds(t *testing.T) {
+func TestReleaseOnEndingConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		office := <-b.connections
@@ -719,7 +719,7 @@
 
 // A connection that is established after its attempt was cancelled sends nothing, and one that is established after its
 // office was removed from the list is closed.
-func TestAConnectThatComesUpLate(t *testing.T) {
+func TestLateConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
 		<-b.connections
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -235,18 +235,18 @@
 	s.pool.Core.Accepted(s.server, id, n, desc)
 }
 
-// Ended implements Hearer.
+// Ended implements Handler.
 func (s *session) Ended(id string, e exchange.Result) {
 	s.pool.Core.Ended(s.server, id, s.onMessage(id), e)
 }
 
-// Released implements Hearer.
+// Released implements Handler.
 func (s *session) Released(id string, cut bool, report []float64) {
 	s.onMessage("")
 	s.pool.Core.Released(s.server, id, cut, report)
 }
 
-// State implements Hearer.
+// State implements Handler.
 func (s *session) State(report []float64) {
 	s.onMessage("")
 	if time.Since(s.connectedAt) > silenceCheckInterval { // the first report comes on a new connection only
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -91,6 +91,7 @@
 	fields Fields
 }
 
+// request starts a request of attempt n, without its Content-Length and body.
 func (p *sipPeer) request(method, number, id string, n int) []byte {
 	b := make([]byte, 0, 512)
 	b = sip.AppendRequest(b, method, number)
@@ -99,6 +100,7 @@
 	return fmt.Appendf(b, "CSeq: %d %s\r\n", n+1, method)
 }
 
+// Invite implements Peer.
 func (p *sipPeer) Invite(a exchange.Attempt) {
 	b := p.request("INVITE", a.Number, a.ID, a.Index)
 	b = sip.AppendHeader(b, "Subject", a.Class)
@@ -106,10 +108,12 @@
 	p.Send(sip.AppendBody(b, a.Description))
 }
 
+// Cancel implements Peer.
 func (p *sipPeer) Cancel(id string, n int) {
 	p.Send(sip.AppendBody(p.request("CANCEL", id, id, n), nil))
 }
 
+// Bye implements Peer.
 func (p *sipPeer) Bye(id string, n int, cut bool) {
 	b := p.request("BYE", id, id, n+1)
 	p.Send(sip.AppendBody(sip.AppendHeader(b, "Reason", ReasonHeader(cut)), nil))
@@ -123,6 +127,7 @@
 	return "Q.850;cause=16"
 }
 
+// Run implements Peer.
 func (p *sipPeer) Run(ctx context.Context, h Handler) (sip.Reason, error) {
 	return p.Conn.Run(ctx, func(m *sip.Message) error { return p.handle(m, h) })
 }
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -124,8 +124,8 @@
 var pastDeadline = time.Unix(1, 0)
 
 // CloseWithReason is Close with a reason; the first reason given is reported.
-func (c *Conn) CloseWithReason(why Reason) {
-	if c.closeReason.CompareAndSwap(nil, &why) {
+func (c *Conn) CloseWithReason(reason Reason) {
+	if c.closeReason.CompareAndSwap(nil, &reason) {
 		close(c.closing)
 		c.netConn.SetReadDeadline(pastDeadline)
 	}
@@ -138,8 +138,8 @@
 }
 
 // Abort closes the connection at once, to free its file descriptor.
-func (c *Conn) Abort(why Reason) {
-	c.CloseWithReason(why)
+func (c *Conn) Abort(reason Reason) {
+	c.CloseWithReason(reason)
 	c.netConn.Close()
 }
 
@@ -194,6 +194,7 @@
 	bytesAfterDeadline int       // bytes read after a deadline
 }
 
+// Read implements io.Reader.
 func (p *limitedReader) Read(b []byte) (int, error) {
 	n, err := p.readWithinLimits(b)
 	if n > 0 {
@@ -241,15 +242,16 @@
 	}
 }
 
-// readPending returns what has already arrived, or why if nothing has. A read after its deadline fails without looking
-// for input. On a busy core a message may have arrived long before the deadline was noticed, and closing would lose it.
-func (p *limitedReader) readPending(b []byte, why error) (n int, err error) {
+// readPending returns what has already arrived, or cause as the error if nothing has. A read after its deadline fails
+// without looking for input. On a busy core a message may have arrived long before the deadline was noticed, and
+// closing would lose it.
+func (p *limitedReader) readPending(b []byte, cause error) (n int, err error) {
 	if p.bytesAfterDeadline > maxLingerBytes { // a peer that never stops sending
-		return 0, why
+		return 0, cause
 	}
 	n, err = p.in.ReadNow(b)
 	if errors.Is(err, syscall.EAGAIN) {
-		return 0, why
+		return 0, cause
 	}
 	p.bytesAfterDeadline += n
 	return n, err
@@ -258,15 +260,15 @@
 // finish ends a connection that this side closes, without losing data: what is queued is written, then the connection
 // is closed for writing, and what the peer still sends is read and discarded. Closing with unread input would reset the
 // connection, which may destroy what was written before the peer has read it.
-func (c *Conn) finish(ctx context.Context, r *Reader, why error) {
+func (c *Conn) finish(ctx context.Context, r *Reader, cause error) {
 	linger := c.Linger
 	switch {
-	case c.ErrorResponse != nil && (isFramingError(why) || errors.Is(why, errStalled)):
-		if !c.Send(c.ErrorResponse(why)) {
+	case c.ErrorResponse != nil && (isFramingError(cause) || errors.Is(cause, errStalled)):
+		if !c.Send(c.ErrorResponse(cause)) {
 			return
 		}
 		linger = lingerTimeout
-	case !errors.Is(why, errClosed) && !errors.Is(why, errIdle):
+	case !errors.Is(cause, errClosed) && !errors.Is(cause, errIdle):
 		return
 	}
 	close(c.finishing)
@@ -337,7 +339,7 @@
 }
 
 func (c *Conn) reason(err error) Reason {
-	why := c.closeReason.Load()
+	requested := c.closeReason.Load()
 	switch {
 	case c.queueFull.Load():
 		return QueueFull
@@ -355,8 +357,8 @@
 		return WriteTimeout
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return PeerReset
-	case why != nil:
-		return *why
+	case requested != nil:
+		return *requested
 	case errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrClosedPipe), errors.Is(err, context.Canceled):
 		return Closed
 	}
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -59,7 +59,7 @@
 
 // A truncated message, and a peer that sends nothing, must end the connection within their timeouts: the one blocks all
 // input behind it, the other occupies a connection.
-func TestPatience(t *testing.T) {
+func TestTimeouts(t *testing.T) {
 	for text, want := range map[string]Reason{"": Idle, invite[:30]: Stalled, invite + invite[:30]: Stalled, invite: Idle} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := net.Pipe()
@@ -142,7 +142,7 @@
 
 // A request that was in the socket when the connection was closed stayed unread, and the close became a reset, which
 // destroyed the previous response. The request must be handled, and both responses must arrive.
-func TestARequestInTheInstantOfTheClose(t *testing.T) {
+func TestRequestDuringClose(t *testing.T) {
 	first, proceed := make(chan bool), make(chan bool)
 	peer, c, reason := serveLoopback(t, Limits{Linger: time.Second}, func(c *Conn, m *Message) {
 		if string(m.User()) == "1" {
@@ -166,7 +166,7 @@
 }
 
 // A peer that goes on sending after this side has closed must see the end of the connection, and not a reset.
-func TestWhatComesAfterTheCloseResetsNothing(t *testing.T) {
+func TestInputAfterCloseDoesNotReset(t *testing.T) {
 	peer, c, reason := serveLoopback(t, Limits{Linger: time.Minute}, func(*Conn, *Message) {})
 	c.Send([]byte("SIP/2.0 200 OK\r\nl: 0\r\n\r\n"))
 	c.Close()
@@ -187,17 +187,17 @@
 
 // On a busy core, a request may arrive before the reader checks the idle timeout. Such a request was lost with the
 // connection.
-func TestARequestInTheInstantOfTheIdleLimit(t *testing.T) {
+func TestRequestAtIdleTimeout(t *testing.T) {
 	var peer net.Conn
-	came, asked := make(chan bool), 0
+	arrived, asked := make(chan bool), 0
 	peer, _, reason := serveLoopback(t, Limits{Idle: func() time.Duration {
 		if asked++; asked == 1 {
-			<-came // the request arrives before the check
+			<-arrived // the request arrives before the check
 		}
 		return 0
 	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite)
-	close(came)
+	close(arrived)
 	if got := readStatuses(t, peer); len(got) != 1 {
 		t.Errorf("responses %v, want one", got)
 	}
@@ -207,17 +207,17 @@
 }
 
 // A request whose rest had arrived in time but was read late was refused as stalled.
-func TestTheRestOfARequestThatIsLookedAtLate(t *testing.T) {
-	came, begun := make(chan bool), make(chan bool, 10)
+func TestLateReadOfRequestInTime(t *testing.T) {
+	arrived, begun := make(chan bool), make(chan bool, 10)
 	peer, c, reason := serveLoopback(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
 		begun <- true
-		<-came
+		<-arrived
 		return -1
 	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite[:30])
 	<-begun
 	io.WriteString(peer, invite[30:])
-	close(came)
+	close(arrived)
 	m, err := NewReader(peer).Next()
 	if err != nil || m.Status != 200 {
 		t.Errorf("response %+v, %v", m, err)
--- a/internal/sip/input.go
+++ b/internal/sip/input.go
@@ -87,12 +87,12 @@
 		return 0, syscall.EAGAIN
 	}
 	i.buffer, i.n = b, 0
-	came := false
-	err := i.raw.Control(func(fd uintptr) { came = i.readAvailable(fd) })
+	available := false
+	err := i.raw.Control(func(fd uintptr) { available = i.readAvailable(fd) })
 	i.buffer = nil
 	switch {
 	case err != nil:
-	case !came:
+	case !available:
 		return 0, syscall.EAGAIN
 	default:
 		err = i.err
@@ -150,11 +150,11 @@
 	case i.raw == nil || isFresh(&i.emptyAt):
 		return InputHandled
 	}
-	came, closed := i.poll()
+	readable, closed := i.poll()
 	switch {
 	case closed:
 		return InputEnded
-	case !came && i.readerWaiting.Load(), isFresh(&i.handledAt): // in this order, as the reader sets readerWaiting after its read
+	case !readable && i.readerWaiting.Load(), isFresh(&i.handledAt): // in this order: the reader sets readerWaiting after an empty read
 		return InputHandled
 	}
 	return InputUnread
@@ -173,12 +173,12 @@
 
 // poll asks the kernel whether there is unread input, and whether the peer has closed its side or reset the connection.
 func (i *Input) poll() (readable, closed bool) {
-	set := []unix.PollFd{{Events: unix.POLLIN | unix.POLLRDHUP}}
+	pollFds := []unix.PollFd{{Events: unix.POLLIN | unix.POLLRDHUP}}
 	var got error
 	err := i.raw.Control(func(fd uintptr) {
-		set[0].Fd = int32(fd)
+		pollFds[0].Fd = int32(fd)
 		for {
-			if _, got = unix.Poll(set, 0); got != unix.EINTR {
+			if _, got = unix.Poll(pollFds, 0); got != unix.EINTR {
 				return
 			}
 		}
@@ -189,6 +189,6 @@
 	if got != nil { // unknown
 		return false, false
 	}
-	events := set[0].Revents
+	events := pollFds[0].Revents
 	return events&unix.POLLIN != 0, events&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR|unix.POLLNVAL) != 0
 }
--- a/internal/sip/input_test.go
+++ b/internal/sip/input_test.go
@@ -25,8 +25,8 @@
 		"reset":      func(p net.Conn) { p.(*net.TCPConn).SetLinger(0); p.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			busy, goOn := make(chan bool, 10), make(chan bool)
-			peer, c, reason := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
+			busy, proceed := make(chan bool, 10), make(chan bool)
+			peer, c, reason := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-proceed })
 			if c.Input() == InputEnded {
 				t.Error("ended before anything was sent")
 			}
@@ -38,7 +38,7 @@
 			waitFor(t, func() bool { return c.Input() == InputUnread })
 			leave(peer)
 			waitFor(t, func() bool { return c.Input() == InputEnded })
-			close(goOn)
+			close(proceed)
 			if why := <-reason; why != PeerClosed && why != PeerReset {
 				t.Errorf("reason %s", why)
 			}
@@ -49,15 +49,15 @@
 // Unread input counts as handled once the reader has handled it, and the input of a peer that is silent for long stays
 // handled.
 func TestInputIsHandledAgain(t *testing.T) {
-	busy, goOn := make(chan bool), make(chan bool)
-	peer, c, _ := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-goOn })
+	busy, proceed := make(chan bool), make(chan bool)
+	peer, c, _ := serveLoopback(t, Limits{}, func(*Conn, *Message) { busy <- true; <-proceed })
 	io.WriteString(peer, invite)
 	<-busy
 	io.WriteString(peer, invite)
 	waitFor(t, func() bool { return c.Input() == InputUnread })
-	goOn <- true
+	proceed <- true
 	<-busy
-	goOn <- true
+	proceed <- true
 	waitFor(t, func() bool { return c.Input() == InputHandled })
 	waitFor(t, func() bool { return !isFresh(&c.in.emptyAt) && c.in.readerWaiting.Load() })
 	if got := c.Input(); got != InputHandled {
@@ -67,7 +67,7 @@
 
 // If a peer does not read its answers, its further requests stay unread, and a close behind them was only noticed when
 // the write had timed out.
-func TestACloseBehindUnreadRequests(t *testing.T) {
+func TestCloseBehindUnreadRequests(t *testing.T) {
 	for name, tc := range map[string]struct {
 		limits Limits
 		want   Reason
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -51,14 +51,14 @@
 // Get returns the value of the first header of that name, or nil.
 func (m *Message) Get(name string) []byte {
 	for _, h := range m.Headers {
-		if h.is(name) {
+		if h.hasName(name) {
 			return h.Value
 		}
 	}
 	return nil
 }
 
-func (h Header) is(name string) bool {
+func (h Header) hasName(name string) bool {
 	if len(h.Name) == 1 {
 		return compactNames[h.Name[0]|0x20] == name
 	}
@@ -129,8 +129,8 @@
 	if len(trimmed) == 0 || r.strict && len(trimmed) < len(rest) {
 		return len(rest) == 0 || !r.strict
 	}
-	line, _, whole := bytes.Cut(trimmed, []byte("\r\n"))
-	if whole {
+	line, _, complete := bytes.Cut(trimmed, []byte("\r\n"))
+	if complete {
 		return new(Message).parseFirstLine(line) == nil
 	}
 	return !hasControlChars(line)
@@ -259,7 +259,7 @@
 func (m *Message) length() (int, error) {
 	length := -1
 	for _, h := range m.Headers {
-		if !h.is("Content-Length") {
+		if !h.hasName("Content-Length") {
 			continue
 		}
 		n, err := strconv.ParseUint(string(h.Value), 10, 31)
@@ -332,7 +332,7 @@
 	b := make([]byte, 0, 256)
 	for _, h := range m.Headers {
 		for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
-			if h.is(name) {
+			if h.hasName(name) {
 				b = AppendHeader(b, name, string(h.Value))
 			}
 		}
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -33,7 +33,7 @@
 }
 
 // A message with a wrong Content-Length must not be returned, as its body is not what was sent.
-func TestLengthThatDoesNotFit(t *testing.T) {
+func TestWrongContentLength(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
 		strict, ok bool
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestValidMessagesInAnyCuts(t *testing.T) {
+func TestValidMessagesInAnySplit(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "n")
 		got, err := readAll(netcase.Cut(t, []byte(strings.Repeat(invite+"\r\n"+answer, n))))
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestWritersMakeWhatTheReaderTakes(t *testing.T) {
+func TestWrittenMessagesAreReadable(t *testing.T) {
 	b := AppendHeader(AppendRequest(nil, "BYE", "17"), "Reason", "a\r\nX-Forged: 1")
 	got, err := readAll(bytes.NewReader(AppendBody(b, []byte("body"))))
 	if err != io.EOF || len(got) != 1 || string(got[0].Body) != "body" {
