--- a/internal/office/liveness.go
+++ b/internal/office/liveness.go
@@ -74,28 +74,28 @@
 	if !s.lastConnectFailed {
 		return false
 	}
-	unheard := now.Sub(s.lastHeard)
+	silence := now.Sub(s.lastHeard)
 	switch {
 	case !open && s.unreachableSince.IsZero():
-		return unheard >= unheardTimeout
+		return silence >= unheardTimeout
 	case !open:
-		return unheard >= unheardTimeout || now.Sub(s.unreachableSince) >= s.failureTimeout()
+		return silence >= unheardTimeout || now.Sub(s.unreachableSince) >= s.failureTimeout()
 	case s.connectRefused:
-		return unheard >= unheardTimeout && !listed
+		return silence >= unheardTimeout && !listed
 	default:
-		return unheard > silentMachineTimeout
+		return silence > silentMachineTimeout
 	}
 }
 
 // nextProbeAt is when a failed connect may first prove the server dead.
 func (s *liveness) nextProbeAt(open bool) time.Time {
-	unheard := s.lastHeard.Add(unheardTimeout)
+	unheardDeadline := s.lastHeard.Add(unheardTimeout)
 	if open || s.unreachableSince.IsZero() {
-		return unheard
+		return unheardDeadline
 	}
-	unreachable := s.unreachableSince.Add(s.failureTimeout())
-	if unreachable.Before(unheard) {
-		return unreachable
+	unreachableDeadline := s.unreachableSince.Add(s.failureTimeout())
+	if unreachableDeadline.Before(unheardDeadline) {
+		return unreachableDeadline
 	}
-	return unheard
+	return unheardDeadline
 }
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -30,7 +30,7 @@
 
 func (c core) record(format string, a ...any) { c.events <- fmt.Sprintf(format, a...) }
 func (c core) Accepted(s uint64, id string, n int, desc []byte) {
-	c.record("stood %s %d %s", id, n, desc)
+	c.record("accepted %s %d %s", id, n, desc)
 }
 func (c core) Ended(s uint64, id string, n int, e exchange.Result) {
 	c.record("ended %s %d %d note %d wait %d %v", id, n, e.Outcome, e.Note, e.WaitMS, e.Report)
@@ -121,7 +121,7 @@
 			t.Errorf("set-up %+v", m)
 		}
 		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 4\r\n\r\ndesc")
-		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 desc")
+		expectEvent(t, b.events, "accepted 9b1f03aa5c7e2d41 1 desc")
 		readUntil(t, r, "ACK")
 	})
 }
@@ -196,9 +196,9 @@
 	}{
 		{"there", []exchange.Presence{exchange.Connected}, ""},
 		{"gone", []exchange.Presence{exchange.Gone}, "ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []"},
-		{"unheard, then gone", []exchange.Presence{exchange.InputPending, exchange.InputPending, exchange.Gone},
+		{"input pending, then gone", []exchange.Presence{exchange.InputPending, exchange.InputPending, exchange.Gone},
 			"ended 9b1f03aa5c7e2d41 0 4 note 0 wait 0 []"},
-		{"unheard, then there", []exchange.Presence{exchange.InputPending, exchange.Connected}, ""},
+		{"input pending, then there", []exchange.Presence{exchange.InputPending, exchange.Connected}, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -305,7 +305,7 @@
 // updated before it reported the end: the call was not released for 8 s. While the list is up to date, the office is
 // not given up.
 func TestOfficeStopsWhileListIsStale(t *testing.T) {
-	for _, unheard := range []time.Duration{0, 3 * time.Second, 7600 * time.Millisecond} {
+	for _, staleAfter := range []time.Duration{0, 3 * time.Second, 7600 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
 			office := <-b.connections
@@ -317,16 +317,16 @@
 			began := time.Now()
 			for k := 1; len(b.events) == 0 && k < 200; k++ {
 				time.Sleep(100 * time.Millisecond)
-				b.listStale.Store(time.Since(began) >= unheard)
+				b.listStale.Store(time.Since(began) >= staleAfter)
 				if k%10 == 0 {
 					b.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 				}
 				synctest.Wait()
 			}
 			expectEvent(t, b.events, "lost")
-			took, least := time.Since(began), max(unheardTimeout, unheard)
-			if took < least || took > least+2*listPollInterval {
-				t.Errorf("lost after %v, want %v", took, least)
+			elapsed, earliest := time.Since(began), max(unheardTimeout, staleAfter)
+			if elapsed < earliest || elapsed > earliest+2*listPollInterval {
+				t.Errorf("lost after %v, want %v", elapsed, earliest)
 			}
 		})
 	}
@@ -383,8 +383,8 @@
 	listener.Close()
 	server.(*net.TCPConn).SetLinger(0)
 	time.AfterFunc(7100*time.Millisecond, func() { server.Close() })
-	suspect := time.NewTicker(time.Second)
-	defer suspect.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case event := <-core.events:
@@ -392,7 +392,7 @@
 				t.Errorf("reported %q after %v", event, took)
 			}
 			return
-		case <-suspect.C:
+		case <-ticker.C:
 			pool.ReportSilence(10, time.Now().Add(-3*time.Second), true)
 		}
 	}
@@ -464,14 +464,14 @@
 			io.WriteString(office, "SIP/2.0 200 OK\r\nCall-ID: 2\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, office)
 		}()
-		expectEvent(t, b.events, "stood 2 0 ")
+		expectEvent(t, b.events, "accepted 2 0 ")
 		expectEvent(t, b.events, "ended 9b1f03aa5c7e2d41 0 5 note 0 wait 0 []")
 		// A connection that is only slow keeps its attempts, and is closed when the last of them has ended.
 		b.invite(1)
 		third := <-b.connections // at once, without the loss of an attempt
 		go io.Copy(io.Discard, third)
 		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
-		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 ")
+		expectEvent(t, b.events, "accepted 9b1f03aa5c7e2d41 1 ")
 		synctest.Wait()
 		if _, err := office.Write([]byte("\r\n")); err == nil {
 			t.Error("the replaced connection stays open")
@@ -525,7 +525,7 @@
 			t.Errorf("given up although a report arrived on its connection: %s", <-b.events)
 		}
 		io.WriteString(slow, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
-		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 0 ")
+		expectEvent(t, b.events, "accepted 9b1f03aa5c7e2d41 0 ")
 	})
 }
 
@@ -546,7 +546,7 @@
 					b.invite(n)
 					time.Sleep(tc.delay)
 					io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 0\r\n\r\n")
-					expectEvent(t, b.events, fmt.Sprintf("stood 9b1f03aa5c7e2d41 %d ", n))
+					expectEvent(t, b.events, fmt.Sprintf("accepted 9b1f03aa5c7e2d41 %d ", n))
 					time.Sleep(duplicateWindow)
 				}
 				b.invite(5)
@@ -692,7 +692,7 @@
 		readUntil(t, r, "ACK")
 		readUntil(t, r, "INVITE")
 		io.WriteString(office, "SIP/2.0 200 OK\r\n"+answerHeaders+"Content-Length: 4\r\n\r\ndesc")
-		expectEvent(t, b.events, "stood 9b1f03aa5c7e2d41 1 desc")
+		expectEvent(t, b.events, "accepted 9b1f03aa5c7e2d41 1 desc")
 		readUntil(t, r, "ACK")
 
 		b.invite(2) // an attempt that is cancelled while it waits is never sent
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -208,14 +208,14 @@
 
 // A request whose rest had arrived in time but was read late was refused as stalled.
 func TestLateReadOfRequestInTime(t *testing.T) {
-	arrived, begun := make(chan bool), make(chan bool, 10)
+	arrived, started := make(chan bool), make(chan bool, 10)
 	peer, c, reason := serveLoopback(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
-		begun <- true
+		started <- true
 		<-arrived
 		return -1
 	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite[:30])
-	<-begun
+	<-started
 	io.WriteString(peer, invite[30:])
 	close(arrived)
 	m, err := NewReader(peer).Next()
