--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -5,56 +5,56 @@
 	"strconv"
 )
 
-// status is a look at everything, for operators. It changes nothing.
+// status returns the state for operators. It changes nothing.
 func (c *core) status() Status {
-	s := Status{Open: c.open, Held: c.module.Held(), HeldByModules: c.waits, Standing: len(c.calls) - c.open, ReceivedTotal: c.serial,
-		Stands: c.given[Stands], Refused: c.given[Refused], Failed: c.given[Failed], LoadBytes: c.load, Modules: c.chain.Status(c.now)}
-	for _, b := range c.module.ServerStatuses(c.now) {
+	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, Standing: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
+		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.modules.Status(c.now)}
+	for _, server := range c.controller.ServerStatuses(c.now) {
 		listed := "serving"
-		if !b.Available {
+		if !server.Available {
 			listed = "draining"
 		}
-		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(b.Server, 16), Addr: c.known[b.Server].Addr, Listed: listed,
-			Warmth: b.Warmth, Cold: b.Cold, Down: b.Down, Marked: b.Marked, Pressed: b.Pressed, Out: b.Out, Standing: b.Standing,
-			ExpectedDelayMS: float64(b.ExpectedDelay) / 1e6})
+		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(server.Server, 16), Addr: c.knownOffices[server.Server].Addr, Listed: listed,
+			Warmth: server.Warmth, Cold: server.Cold, Down: server.Down, Marked: server.Marked, Pressed: server.Pressed, Out: server.Out, Standing: server.Standing,
+			ExpectedDelayMS: float64(server.ExpectedDelay) / 1e6})
 	}
 	return s
 }
 
-// Status is what the core tells operators.
+// Status is the state of the core for operators.
 type Status struct {
-	Open          int           `json:"open"`     // calls that wait for their answer
-	Held          int           `json:"held"`     // of these, held for a later try
+	Open          int           `json:"open"`     // calls without a final answer
+	Held          int           `json:"held"`     // of these, held by control for a later attempt
 	HeldByModules int           `json:"waiting"`  // of these, held by joined modules
-	Standing      int           `json:"standing"` // calls
-	ReceivedTotal uint64        `json:"taken"`    // calls, since the start
-	Stands        uint64        `json:"stands"`   // final answers, since the start
+	Standing      int           `json:"standing"` // established calls
+	ReceivedTotal uint64        `json:"taken"`    // calls submitted since the start
+	Stands        uint64        `json:"stands"`   // final answers since the start, by verdict
 	Refused       uint64        `json:"refused"`
 	Failed        uint64        `json:"failed"`
-	LoadBytes     int           `json:"load_bytes"` // what the calls in hand hold
-	InboxLength   int           `json:"inbox"`      // events that wait for the core
+	LoadBytes     int           `json:"load_bytes"` // memory that all present calls are counted with
+	InboxLength   int           `json:"inbox"`      // queued events
 	Offices       []OfficeState `json:"offices"`
 	Modules       []join.Status `json:"modules"`
 }
 
-// OfficeState is one office as listed and as believed.
+// OfficeState is one office as listed and as the controller sees it.
 type OfficeState struct {
 	ID              string  `json:"id"` // hex
 	Addr            string  `json:"addr"`
 	Listed          string  `json:"listed"` // serving, draining
-	Warmth          float64 `json:"warmth"` // part of its capacity that it is taken to have
+	Warmth          float64 `json:"warmth"` // estimated fraction of its full capacity while it warms up
 	Cold            bool    `json:"cold"`
 	Down            bool    `json:"down"`
-	Marked          bool    `json:"marked"`
-	Pressed         bool    `json:"pressed"`
-	Out             int     `json:"out"`
-	Standing        int     `json:"standing"`
-	ExpectedDelayMS float64 `json:"delay_ms"` // to be expected
+	Marked          bool    `json:"marked"`   // an answer marked it as unfit for now
+	Pressed         bool    `json:"pressed"`  // its expected delay is above the reference
+	Out             int     `json:"out"`      // attempts without an answer
+	Standing        int     `json:"standing"` // established calls
+	ExpectedDelayMS float64 `json:"delay_ms"` // expected
 }
 
-// Status asks the core; the zero Status after its end.
+// Status returns the state of the core; the zero Status after its end.
 func (x *Exchange) Status() (s Status) {
-	x.ask(func() { s = x.core.status() })
+	x.runAndWait(func() { s = x.core.status() })
 	x.mu.Lock()
 	s.InboxLength = len(x.inbox)
 	x.mu.Unlock()
