--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -102,7 +102,7 @@
 		clear(a.listed)
 	}
 	for _, s := range changed {
-		if s.State == control.Out {
+		if s.State == control.Removed {
 			delete(a.listed, s.Server)
 		} else {
 			a.listed[s.Server] = true
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -360,7 +360,7 @@
 	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.Quiet())
 	var servers []exchange.Office
 	for k := range 200 {
-		servers = append(servers, exchange.Office{Entry: control.Entry{Server: uint64(k), State: control.In}})
+		servers = append(servers, exchange.Office{Entry: control.Entry{Server: uint64(k), State: control.Serving}})
 	}
 	a.list(servers, true)
 	if f := a.clientsFront(); f.Descriptors < fewDescriptors/3 {
--- a/control/calls.go
+++ b/control/calls.go
@@ -30,7 +30,7 @@
 	// redial storms of any cause; a second caller to that number within the span counts as a redial too.
 	if at, ok := c.turned[cl.key]; ok && cl.key != "" && c.now-at < turnedSpan {
 		cl.first = min(cl.first, at)
-	} else if ev.Resent {
+	} else if ev.Redialed {
 		cl.first = c.now - turnedSpan
 	} else {
 		c.offered.n = c.offered.now(c.now, bornSpan) + 1
@@ -97,7 +97,7 @@
 	switch {
 	case c.calls[cl.id] != cl, cl.at != nil, cl.stands, cl.held, cl.attempts >= c.set.MaxAttempts, left <= 0,
 		c.now < cl.clearAt, !c.allowed(s, cl), !c.coldRoom(s),
-		cl.ran && c.set.Classes[cl.class].Effect != Free:
+		cl.ran && c.set.Classes[cl.class].Effect != Idempotent:
 		return false
 	}
 	cl.attempts++
@@ -119,7 +119,7 @@
 		clear(c.turned) // all at once, so that map order decides nothing
 	}
 	c.turned[cl.key] = cl.first
-	if !refuse || cl.ran && c.set.Classes[cl.class].Effect != Free {
+	if !refuse || cl.ran && c.set.Classes[cl.class].Effect != Idempotent {
 		c.acts = append(c.acts, Action{Kind: Fail, Call: cl.id})
 		return
 	}
@@ -150,7 +150,7 @@
 func (c *Controller) remind(id string, wait int64) {
 	c.nextTag++
 	c.timers[c.nextTag] = id
-	c.acts = append(c.acts, Action{Kind: Remind, Tag: c.nextTag, Wait: max(wait, 1)})
+	c.acts = append(c.acts, Action{Kind: StartTimer, Tag: c.nextTag, Wait: max(wait, 1)})
 }
 
 // standing takes a set-up that stood: it ends marks and feeds the load borne.
@@ -188,23 +188,23 @@
 		return
 	}
 	if cl.at = nil; cl.stands && s != nil {
-		if s.calls--; s.calls <= 0 && ev.Outcome == Severed && c.now-cl.stoodAt > cutYoung {
+		if s.calls--; s.calls <= 0 && ev.Outcome == ConnectionLost && c.now-cl.stoodAt > cutYoung {
 			c.fell(s)
 		}
-		c.ended(s, ev.Outcome == Severed && c.now-cl.stoodAt < cutYoung)
+		c.ended(s, ev.Outcome == ConnectionLost && c.now-cl.stoodAt < cutYoung)
 	}
-	if ev.Ended || cl.stands {
+	if ev.CallEnded || cl.stands {
 		c.over(cl)
 		return
 	}
 	switch ev.Outcome {
-	case Overdue, Severed, Recalled:
+	case TimedOut, ConnectionLost, Canceled:
 		cl.ran = true
 		cl.clearAt = c.now + c.set.ClearWait
 		c.hold(cl)
 	case Saturated:
 		c.hold(cl)
-	case RefusedConn:
+	case ConnectionRefused:
 		c.route(cl) // it never ran, and this is no fullness: another unmarked server at once
 	case Errored:
 		cl.ran = true
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		began := f.told - 60*second
-		one.Handle(began, Event{Kind: Members, Full: true, Entries: entries})
+		one.Handle(began, Event{Kind: ListUpdate, FullList: true, Entries: entries})
 		for at := float64(began); ; {
 			at += f.rng.ExpFloat64() / (f.rates[k] * float64(c.servers)) * float64(second)
 			if int64(at) >= f.told {
@@ -72,7 +72,7 @@
 			one.offered.n = one.offered.now(one.now, bornSpan) + 1
 			one.refresh()
 		}
-		one.Handle(f.told, Event{Kind: Members, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: f.told, Share: 1}}})
+		one.Handle(f.told, Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: f.told, Share: 1}}})
 		f.all = append(f.all, one)
 	}
 	return f
--- a/control/control.go
+++ b/control/control.go
@@ -174,15 +174,15 @@
 		c.woke(late)
 	}
 	if c.began == 0 {
-		if c.began = now; c.set.OnRequest {
-			c.acts = append(c.acts, Action{Kind: Listen})
+		if c.began = now; c.set.ListOnRequest {
+			c.acts = append(c.acts, Action{Kind: Subscribe})
 		}
 	}
 	switch ev.Kind {
-	case Members:
+	case ListUpdate:
 		c.members(ev)
 	case ListError:
-		if c.set.OnRequest {
+		if c.set.ListOnRequest {
 			c.remind("", second/2)
 		}
 	case Arrival:
@@ -191,13 +191,13 @@
 		c.over(c.calls[ev.Call])
 	case Stands:
 		c.standing(ev)
-	case Returned:
+	case AttemptEnded:
 		c.returned(ev)
-	case Probed:
+	case LoadReport:
 		if s := c.server(ev.Server); s != nil {
 			c.report(s, ev.Report)
 		}
-	case Ring:
+	case TimerFired:
 		id, ok := c.timers[ev.Tag]
 		delete(c.timers, ev.Tag)
 		if cl := c.calls[id]; ev.Tag == 0 {
@@ -205,7 +205,7 @@
 		} else if ok && cl != nil && cl.held {
 			c.try(cl)
 		} else if ok && id == "" {
-			c.acts = append(c.acts, Action{Kind: Listen})
+			c.acts = append(c.acts, Action{Kind: Subscribe})
 		}
 	}
 	return c.acts
@@ -223,7 +223,7 @@
 // members takes the list. A server that leaves or drains is shut at once: the grace is never used, which also
 // guards a front that restarts with an old list and hears the change late.
 func (c *Controller) members(ev Event) {
-	if ev.Full {
+	if ev.FullList {
 		for _, s := range c.servers {
 			s.in, s.gone = false, true
 		}
@@ -231,7 +231,7 @@
 	for _, e := range ev.Entries {
 		k, ok := slices.BinarySearchFunc(c.servers, e.Server, byID)
 		if !ok {
-			if e.State != In {
+			if e.State != Serving {
 				continue
 			}
 			c.servers = slices.Insert(c.servers, k, &server{id: e.Server, weightAt: c.now,
@@ -242,7 +242,7 @@
 			s.delay, s.down, s.markEnd, s.weight, s.rate, s.out, s.press, s.provenAt = 0, false, 0, 1, 0, nil, 0, 0
 			s.credit, s.creditAt, s.downAt = c.rng.Float64(), c.now, 0
 		}
-		s.cell, s.in, s.gone, s.readyAt, s.share = e.Cell, e.State == In, e.State == Out, e.ReadyAt, max(e.Share, 1e-6)
+		s.cell, s.in, s.gone, s.readyAt, s.share = e.Cell, e.State == Serving, e.State == Removed, e.ReadyAt, max(e.Share, 1e-6)
 	}
 	// Replacements have new ids: kept, the servers that have gone would grow without end.
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool { return s.gone })
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -50,7 +50,7 @@
 	for k := range cells {
 		e = append(e, Entry{Cell: k, Server: uint64(10 + k), Share: 1})
 	}
-	b.do(Event{Kind: Members, Full: true, Entries: e})
+	b.do(Event{Kind: ListUpdate, FullList: true, Entries: e})
 	return b
 }
 
@@ -59,14 +59,14 @@
 	for b.beat > 0 && b.beat <= b.now && !b.still {
 		at := b.beat
 		b.beat = 0
-		b.take(at, Event{Kind: Ring})
+		b.take(at, Event{Kind: TimerFired})
 	}
 	return b.take(b.now, ev)
 }
 
 func (b *bed) take(at int64, ev Event) []Action {
 	return slices.DeleteFunc(b.c.Handle(at, ev), func(a Action) bool {
-		if a.Kind != Remind || a.Tag != 0 {
+		if a.Kind != StartTimer || a.Tag != 0 {
 			return false
 		}
 		b.beat = at + a.Wait
@@ -99,7 +99,7 @@
 }
 
 func (b *bed) back(id string, server uint64, o Outcome, note int) []Action {
-	return b.do(Event{Kind: Returned, Call: id, Server: server, Outcome: o, Note: note, Elapsed: 50 * ms})
+	return b.do(Event{Kind: AttemptEnded, Call: id, Server: server, Outcome: o, Note: note, Elapsed: 50 * ms})
 }
 
 func (b *bed) stands(id string, server uint64, d int64) {
@@ -129,7 +129,7 @@
 	for far := range 2 {
 		id, acts := b.call(far, 0)
 		a := only(b.t, acts, Send)
-		b.do(Event{Kind: Returned, Call: id, Server: a.Server, Outcome: Saturated, Note: 3, WaitMS: 2500,
+		b.do(Event{Kind: AttemptEnded, Call: id, Server: a.Server, Outcome: Saturated, Note: 3, WaitMS: 2500,
 			Elapsed: 50 * ms})
 	}
 }
@@ -173,7 +173,7 @@
 		b.stands(id, uint64(10+far), ms)
 	}
 	id, acts := b.call(0, 0)
-	only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), Remind)
+	only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), StartTimer)
 	for range 20 {
 		id, acts := b.call(0, 0)
 		if only(t, acts, Send).Server != 11 {
@@ -202,7 +202,7 @@
 		b.c.x = float64(ms)
 		early, _ := b.call(0, 0)
 		id, _ := b.call(0, 0)
-		b.do(Event{Kind: Returned, Call: id, Server: 10, Outcome: Saturated, Note: 3, WaitMS: tc.wait,
+		b.do(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: Saturated, Note: 3, WaitMS: tc.wait,
 			Elapsed: 20 * ms})
 		at := b.now
 		if tc.stand {
@@ -232,7 +232,7 @@
 	capD := int(hat / b.c.x)
 	for k := range capD {
 		_, acts := b.call(0, 0)
-		if got, want := only(t, acts, Remind).Wait, int64(k+1)*200*ms; got != want {
+		if got, want := only(t, acts, StartTimer).Wait, int64(k+1)*200*ms; got != want {
 			t.Errorf("held call %d: try after %d, want %d", k, got, want)
 		}
 	}
@@ -245,17 +245,17 @@
 func TestOneLaterTry(t *testing.T) {
 	b := newBed(t, settings(), 2)
 	id, acts := b.call(0, 0)
-	a := only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), Remind)
+	a := only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), StartTimer)
 	b.now += a.Wait
-	s := only(t, b.do(Event{Kind: Ring, Tag: a.Tag}), Send)
+	s := only(t, b.do(Event{Kind: TimerFired, Tag: a.Tag}), Send)
 	only(t, b.back(id, s.Server, Saturated, 3), Refuse)
 
 	b = newBed(t, settings(), 2)
 	id, acts = b.call(0, 0)
-	a = only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), Remind)
+	a = only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), StartTimer)
 	b.c.server(10).markEnd, b.c.server(11).markEnd = b.now+9*second, b.now+9*second
 	b.now += a.Wait
-	only(t, b.do(Event{Kind: Ring, Tag: a.Tag}), Refuse)
+	only(t, b.do(Event{Kind: TimerFired, Tag: a.Tag}), Refuse)
 }
 
 func TestWeightFallsAndReturns(t *testing.T) {
@@ -281,7 +281,7 @@
 		b.c.server(id).delay, b.c.server(id).newsAt = float64(430*ms), b.now
 	}
 	_, acts := b.call(0, 0)
-	only(t, acts, Remind)
+	only(t, acts, StartTimer)
 	low := &call{class: 0, luck: 0.4, first: b.now}
 	dear := &call{class: 1, luck: 0.4, first: b.now}
 	if s := b.c.server(10); !b.c.marked(s, low) || b.c.marked(s, dear) {
@@ -293,7 +293,7 @@
 	b := newBed(t, settings(), 2)
 	id, _ := b.call(0, 0)
 	b.now += 5 * ms
-	b.do(Event{Kind: Returned, Call: id, Server: 10, Outcome: Saturated, Note: 3, Elapsed: 5 * ms})
+	b.do(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: Saturated, Note: 3, Elapsed: 5 * ms})
 	if d := b.c.delayAt(b.c.server(10)); d < 2*b.c.ref {
 		t.Errorf("a full answer after 5 ms left an expected delay of %v", d)
 	}
@@ -332,9 +332,9 @@
 
 func TestNoFreeLineToldMarksForAMoment(t *testing.T) {
 	b := newBed(t, settings(), 1)
-	b.do(Event{Kind: Probed, Server: 10, Report: []float64{0, 90}})
+	b.do(Event{Kind: LoadReport, Server: 10, Report: []float64{0, 90}})
 	_, acts := b.call(0, 0)
-	only(t, acts, Remind)
+	only(t, acts, StartTimer)
 	b.now += markMin
 	_, acts = b.call(0, 0)
 	only(t, acts, Send)
@@ -380,7 +380,7 @@
 	b.c.freshAt = 0
 	b.c.fair(b.c.server(10))
 	b.now += 20 * second // a slump: nearly nothing is borne
-	b.do(Event{Kind: Members, Entries: []Entry{{Cell: 1, Server: 11, ReadyAt: b.now, Share: 1}}})
+	b.do(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 1, Server: 11, ReadyAt: b.now, Share: 1}}})
 	n := b.coldSends(11)
 	if n < 2 || float64(n) > coldPart*3*0.3*10 {
 		t.Errorf("%d sends fit the first window of a cold processor", n)
@@ -405,13 +405,13 @@
 	b.now += 400 * ms // a loss is no silence: the server stays open
 	_, acts := b.call(0, 0)
 	only(t, acts, Send)
-	held := only(t, b.back(lost, 10, Recalled, 0), Remind)
+	held := only(t, b.back(lost, 10, Canceled, 0), StartTimer)
 	if held.Wait < settings().ClearWait {
 		t.Fatalf("later try after %d", held.Wait)
 	}
 	b.now += held.Wait
 	b.c.server(10).out = nil
-	only(t, b.do(Event{Kind: Ring, Tag: held.Tag}), Send)
+	only(t, b.do(Event{Kind: TimerFired, Tag: held.Tag}), Send)
 }
 
 func TestSilenceIsEndedByRareTrials(t *testing.T) {
@@ -436,7 +436,7 @@
 	s, o := b.c.server(10), b.c.server(11)
 	s.share, o.share = 100, 200
 	for range 20 {
-		b.do(Event{Kind: Probed, Server: 10, Report: []float64{50, 100, 40}})
+		b.do(Event{Kind: LoadReport, Server: 10, Report: []float64{50, 100, 40}})
 	}
 	for _, tc := range []struct {
 		s       *server
@@ -452,7 +452,7 @@
 		}
 	}
 	for range 20 { // slow now: at once at present, but known to do better when well
-		b.do(Event{Kind: Probed, Server: 10, Report: []float64{50, 100, 10}})
+		b.do(Event{Kind: LoadReport, Server: 10, Report: []float64{50, 100, 10}})
 	}
 	if now, well := b.c.size(s, true), b.c.size(s, false); now > 11 || well < 35 {
 		t.Errorf("present size %v, when well %v", now, well)
@@ -483,7 +483,7 @@
 func TestLongToldWaitLetsOneTrialThrough(t *testing.T) {
 	b := newBed(t, settings(), 2)
 	id, _ := b.call(0, 0)
-	b.do(Event{Kind: Returned, Call: id, Server: 10, Outcome: Saturated, Note: 3, WaitMS: 5000, Elapsed: 9 * ms})
+	b.do(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: Saturated, Note: 3, WaitMS: 5000, Elapsed: 9 * ms})
 	b.now += trialMax
 	b.c.server(10).delay, b.c.server(10).press = 0, 0
 	for k, want := range []uint64{10, 11} {
@@ -510,7 +510,7 @@
 		}
 		b.now += tc.age
 		for _, id := range ids {
-			b.do(Event{Kind: Returned, Call: id, Server: 10, Outcome: Severed, Ended: true})
+			b.do(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: ConnectionLost, CallEnded: true})
 		}
 		if _, acts := b.call(0, 1); only(t, acts, Send).Server != tc.want {
 			t.Errorf("%s: sent to %d", tc.name, acts[0].Server)
@@ -526,15 +526,15 @@
 	b := newBed(t, settings(), 1)
 	id, acts := b.call(0, 0)
 	only(t, acts, Send)
-	b.do(Event{Kind: Members, Full: true})
+	b.do(Event{Kind: ListUpdate, FullList: true})
 	b.now += 100 * ms
-	held := only(t, b.back(id, 10, Severed, 0), Remind)
+	held := only(t, b.back(id, 10, ConnectionLost, 0), StartTimer)
 	b.now += held.Wait
-	only(t, b.do(Event{Kind: Ring, Tag: held.Tag}), Refuse)
+	only(t, b.do(Event{Kind: TimerFired, Tag: held.Tag}), Refuse)
 	_, acts = b.call(0, 0)
-	held = only(t, acts, Remind)
+	held = only(t, acts, StartTimer)
 	b.now += held.Wait
-	only(t, b.do(Event{Kind: Ring, Tag: held.Tag}), Refuse)
+	only(t, b.do(Event{Kind: TimerFired, Tag: held.Tag}), Refuse)
 }
 
 func TestWildReportDoesNotWidenTheColdBudget(t *testing.T) {
@@ -544,8 +544,8 @@
 	b.c.began, b.c.borne = 1, fading{20 * bornSpan / float64(second), b.now}
 	b.c.freshAt = 0
 	b.c.fair(b.c.server(10))
-	b.do(Event{Kind: Members, Entries: []Entry{{Cell: 1, Server: 11, ReadyAt: b.now, Share: 1}}})
-	b.do(Event{Kind: Probed, Server: 11, Report: []float64{50, 100, 1e9}})
+	b.do(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 1, Server: 11, ReadyAt: b.now, Share: 1}}})
+	b.do(Event{Kind: LoadReport, Server: 11, Report: []float64{50, 100, 1e9}})
 	n := b.coldSends(11)
 	if limit := coldPart*3*0.35*20*(1+1.0/coldBurst) + 1; float64(n) > limit {
 		t.Errorf("%d sends fit one window, limit %v", n, limit)
@@ -618,7 +618,7 @@
 	b := newBed(t, settings(), 2)
 	b.warm(20 * ms)
 	id, _ := b.call(0, 0)
-	b.back(id, 10, Severed, 0)
+	b.back(id, 10, ConnectionLost, 0)
 	b.now += second / 2
 	if _, acts := b.call(0, 0); only(t, acts, Send).Server != 10 {
 		t.Errorf("shut half a second after a cut: expected delay %v ms", b.c.delayAt(b.c.server(10))/1e6)
@@ -641,10 +641,10 @@
 		t.Fatalf("shut by one lost answer: expected delay %v ms", b.c.delayAt(b.c.server(10))/1e6)
 	}
 	b.now += 700 * ms
-	b.back(lost, 10, Overdue, 0)
+	b.back(lost, 10, TimedOut, 0)
 	b.now += markMin
 	for _, cut := range []string{id, "c0"} {
-		b.back(cut, 10, Severed, 0)
+		b.back(cut, 10, ConnectionLost, 0)
 	}
 	if s := b.c.server(10); s.down || b.c.warmth(s) < 1 {
 		t.Errorf("one lost and one cut in a row pass for a server that is down: %+v", s)
@@ -666,7 +666,7 @@
 		if only(t, acts, Send).Server != 10 {
 			shut++
 		}
-		b.back(id, acts[0].Server, RefusedConn, 0)
+		b.back(id, acts[0].Server, ConnectionRefused, 0)
 		b.c.server(10).markEnd, b.c.server(11).markEnd = 0, 0
 		b.c.server(10).down, b.c.server(11).down = false, false
 		b.c.server(10).downAt, b.c.server(11).downAt = 0, 0
@@ -681,9 +681,9 @@
 	b := newBed(t, settings(), 2)
 	id, _ := b.call(0, 0)
 	for k := range 100 {
-		b.do(Event{Kind: Members, Entries: []Entry{{Server: uint64(10 + k), State: Out}, {Server: uint64(12 + k), Share: 1}}})
+		b.do(Event{Kind: ListUpdate, Entries: []Entry{{Server: uint64(10 + k), State: Removed}, {Server: uint64(12 + k), Share: 1}}})
 	}
-	b.back(id, 10, Severed, 0) // of one that has gone
+	b.back(id, 10, ConnectionLost, 0) // of one that has gone
 	if n := len(b.c.servers); n != 2 {
 		t.Errorf("%d servers kept", n)
 	}
@@ -709,14 +709,14 @@
 func TestOneCutSetUpRestsTheServerForAMoment(t *testing.T) {
 	b := newBed(t, settings(), 2)
 	id, _ := b.call(0, 0)
-	b.back(id, 10, Severed, 0)
+	b.back(id, 10, ConnectionLost, 0)
 	s := b.c.server(10)
 	if s.markEnd != b.now+markMin || b.c.delayAt(s) != 0 {
 		t.Errorf("after one: mark %d, expected delay %v", s.markEnd-b.now, b.c.delayAt(s))
 	}
 	b.now += trialFirst + 1
 	id, acts := b.call(0, 0)
-	b.back(id, only(t, acts, Send).Server, Severed, 0)
+	b.back(id, only(t, acts, Send).Server, ConnectionLost, 0)
 	if !s.down || s.downAt != b.now || b.c.warmth(s) >= 1 {
 		t.Errorf("after two: not taken for down: %+v", s)
 	}
@@ -740,10 +740,10 @@
 	b := newBed(t, settings(), 2)
 	b.c.server(10).share = 1e6
 	id, acts := b.call(0, 0)
-	a := only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), Remind)
+	a := only(t, b.back(id, only(t, acts, Send).Server, Saturated, 3), StartTimer)
 	b.c.server(10).markEnd = b.now + 9*second
 	b.now += a.Wait
-	if got := only(t, b.do(Event{Kind: Ring, Tag: a.Tag}), Send); got.Server != 11 {
+	if got := only(t, b.do(Event{Kind: TimerFired, Tag: a.Tag}), Send); got.Server != 11 {
 		t.Errorf("tried marked server %d", got.Server)
 	}
 }
@@ -760,7 +760,7 @@
 func TestFailureMarkEndsByOneTrial(t *testing.T) {
 	b := newBed(t, settings(), 2)
 	id, _ := b.call(0, 0)
-	only(t, b.back(id, 10, RefusedConn, 0), Send) // at once to the other
+	only(t, b.back(id, 10, ConnectionRefused, 0), Send) // at once to the other
 	b.now += trialFirst + ms
 	b.c.server(10).delay, b.c.server(10).credit, b.c.server(10).creditAt = 0, 1, b.now // the mark alone is in question
 	if _, acts := b.call(0, 1); only(t, acts, Send).Server != 10 {
@@ -772,11 +772,11 @@
 }
 
 func TestReleaseWait(t *testing.T) {
-	for _, o := range []Outcome{Overdue, Severed, Recalled} {
+	for _, o := range []Outcome{TimedOut, ConnectionLost, Canceled} {
 		b := newBed(t, settings(), 2)
 		b.c.x = float64(10 * ms)
 		id, _ := b.call(0, 0)
-		a := only(t, b.back(id, 10, o, 0), Remind)
+		a := only(t, b.back(id, 10, o, 0), StartTimer)
 		if a.Wait < settings().ClearWait {
 			t.Errorf("outcome %d: later try after %d", o, a.Wait)
 		}
@@ -809,10 +809,10 @@
 		{"just in time", func(b *bed, cl *call) { b.now = cl.notAfter - b.c.guard() - 1 }, true},
 		{"out of time", func(b *bed, cl *call) { b.now = cl.notAfter - b.c.guard() }, false},
 		{"draining", func(b *bed, _ *call) {
-			b.do(Event{Kind: Members, Entries: []Entry{{Cell: 0, Server: 10, State: Lame}}})
+			b.do(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, State: Draining}}})
 		}, false},
 		{"gone from a full list", func(b *bed, _ *call) {
-			b.do(Event{Kind: Members, Full: true, Entries: []Entry{{Cell: 1, Server: 11}}})
+			b.do(Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Cell: 1, Server: 11}}})
 		}, false},
 		{"cold, a whole credit", func(b *bed, _ *call) { b.cold(1) }, true},
 		{"cold, credit spent", func(b *bed, _ *call) { b.cold(0.99) }, false},
@@ -836,10 +836,10 @@
 	if only(t, acts, Send).Server != 10 {
 		t.Fatal("the stale list is all there is to go by")
 	}
-	if only(t, b.back(id, 10, RefusedConn, 0), Send).Server != 11 {
+	if only(t, b.back(id, 10, ConnectionRefused, 0), Send).Server != 11 {
 		t.Fatal("a failed connect should go on at once")
 	}
-	b.do(Event{Kind: Members, Entries: []Entry{{Cell: 0, Server: 10, State: Out},
+	b.do(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, State: Removed},
 		{Cell: 0, Server: 20, ReadyAt: b.now}}})
 	b.c.server(20).credit = 1 // its first credit is drawn at random
 	for k, want := range []uint64{20, 11} {
@@ -875,10 +875,10 @@
 
 func TestUnknownIdsAreIgnored(t *testing.T) {
 	b := newBed(t, settings(), 2)
-	for _, ev := range []Event{{Kind: Ring, Tag: 99}, {Kind: Aborted, Call: "no"}, {Kind: Stands, Call: "no", Server: 5},
-		{Kind: Returned, Call: "no", Server: 5}, {Kind: Probed, Server: 5}, {Kind: ListError}} {
+	for _, ev := range []Event{{Kind: TimerFired, Tag: 99}, {Kind: Aborted, Call: "no"}, {Kind: Stands, Call: "no", Server: 5},
+		{Kind: AttemptEnded, Call: "no", Server: 5}, {Kind: LoadReport, Server: 5}, {Kind: ListError}} {
 		for _, a := range b.do(ev) {
-			if a.Kind != Remind {
+			if a.Kind != StartTimer {
 				t.Errorf("%+v gave %+v", ev, a)
 			}
 		}
@@ -947,7 +947,7 @@
 					t.Fatalf("seed %d: stray final answer: %+v", seed, a)
 				}
 				st.over = true
-			case Remind:
+			case StartTimer:
 				timers = append(timers, timer{now + a.Wait, a.Tag})
 				if ev.Call != "" {
 					hasRing[ev.Call] = true
@@ -970,13 +970,13 @@
 				tag := timers[k].tag
 				timers = append(timers[:k], timers[k+1:]...)
 				k--
-				run(Event{Kind: Ring, Tag: tag})
+				run(Event{Kind: TimerFired, Tag: tag})
 			}
 		}
 		for _, id := range ids { // a time-out comes by itself
 			if st := calls[id]; st.out && now >= st.notAfter-2*set.Resolution {
 				st.out, st.clearAt = false, now+set.ClearWait
-				run(Event{Kind: Returned, Call: id, Server: st.server, Outcome: Overdue, Elapsed: now - st.sentAt})
+				run(Event{Kind: AttemptEnded, Call: id, Server: st.server, Outcome: TimedOut, Elapsed: now - st.sentAt})
 			}
 		}
 		switch roll := rng.IntN(40); {
@@ -988,7 +988,7 @@
 			}
 			ids = append(ids, id)
 			run(Event{Kind: Arrival, Call: id, Class: rng.IntN(2), Key: fmt.Sprint(rng.IntN(50)),
-				NotAfter: calls[id].notAfter, FarEnd: rng.IntN(2), Resent: rng.IntN(3) == 0})
+				NotAfter: calls[id].notAfter, FarEnd: rng.IntN(2), Redialed: rng.IntN(3) == 0})
 		case roll < 38:
 			var open []string
 			for _, id := range ids {
@@ -1002,7 +1002,7 @@
 			id := open[rng.IntN(len(open))]
 			st := calls[id]
 			st.out = false
-			ev := Event{Kind: Returned, Call: id, Server: st.server, Elapsed: now - st.sentAt}
+			ev := Event{Kind: AttemptEnded, Call: id, Server: st.server, Elapsed: now - st.sentAt}
 			switch rng.IntN(12) {
 			default:
 				st.stands = true
@@ -1010,23 +1010,23 @@
 			case 2:
 				ev.Outcome, ev.Note, ev.WaitMS = Saturated, 3, int64(rng.IntN(500))
 			case 3:
-				ev.Outcome, st.clearAt = Severed, now+set.ClearWait
+				ev.Outcome, st.clearAt = ConnectionLost, now+set.ClearWait
 			case 4:
-				ev.Outcome = RefusedConn
+				ev.Outcome = ConnectionRefused
 			case 5:
 				ev.Outcome, ev.Note = Errored, 4*rng.IntN(2)
 			case 6:
-				ev.Outcome = Superseded
+				ev.Outcome = Unavailable
 			}
 			run(ev)
 		default:
 			id := uint64(10 + rng.IntN(3))
-			e := Entry{Cell: int(id) % 2, Server: id, ReadyAt: ready[id], State: Readiness(max(0, rng.IntN(6)-3))}
-			if e.State == In && rng.IntN(12) == 0 {
+			e := Entry{Cell: int(id) % 2, Server: id, ReadyAt: ready[id], State: EntryState(max(0, rng.IntN(6)-3))}
+			if e.State == Serving && rng.IntN(12) == 0 {
 				e.ReadyAt = now
 			}
-			ready[id], shut[id] = e.ReadyAt, e.State != In
-			run(Event{Kind: Members, Entries: []Entry{e}})
+			ready[id], shut[id] = e.ReadyAt, e.State != Serving
+			run(Event{Kind: ListUpdate, Entries: []Entry{e}})
 		}
 	}
 	for id, log := range coldLog {
@@ -1130,7 +1130,7 @@
 			for _, b := range beds {
 				b.now = now
 				if tc.told && now == began {
-					b.do(Event{Kind: Members, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: now, Share: 1}}})
+					b.do(Event{Kind: ListUpdate, Entries: []Entry{{Cell: 0, Server: 10, ReadyAt: now, Share: 1}}})
 				}
 				if rng.Float64() > capacity*servers/float64(tc.fronts)*0.02 {
 					continue
@@ -1142,11 +1142,11 @@
 						sends = append(sends, now)
 					}
 					if acts = nil; a.Server == 10 && down {
-						acts = b.back(id, a.Server, RefusedConn, 0)
+						acts = b.back(id, a.Server, ConnectionRefused, 0)
 						continue
 					}
 					b.do(Event{Kind: Stands, Call: id, Server: a.Server, Elapsed: 20 * ms})
-					b.do(Event{Kind: Returned, Call: id, Server: a.Server, Ended: true})
+					b.do(Event{Kind: AttemptEnded, Call: id, Server: a.Server, CallEnded: true})
 				}
 			}
 		}
@@ -1170,7 +1170,7 @@
 
 // known makes a controller that has borne rate calls a second on all its servers together.
 func (b *bed) known(rate float64) {
-	b.do(Event{Kind: Ring, Tag: 99}) // brings the controller's clock here
+	b.do(Event{Kind: TimerFired, Tag: 99}) // brings the controller's clock here
 	b.c.began, b.c.stood = 1, littleFrom
 	b.c.borne, b.c.freshAt = fading{rate * bornSpan / float64(second), b.now}, 0
 	b.c.refresh()
@@ -1192,7 +1192,7 @@
 			b.stands(id, 10, 900*ms)
 		}
 		b.now += 4 * second // the tracked delay is forgotten
-		b.do(Event{Kind: Ring, Tag: 99})
+		b.do(Event{Kind: TimerFired, Tag: 99})
 		if got := b.c.delayAt(s) > pressFull*b.c.ref; got != tc.want {
 			t.Errorf("%v calls a second: expected delay %v, pressed %v", tc.rate, b.c.delayAt(s), got)
 		}
@@ -1230,7 +1230,7 @@
 		only(t, acts, Send)
 		cancelled := int64(0)
 		for at := b.now + beatEvery; cancelled == 0 && at < b.now+800*ms; at += beatEvery {
-			for _, a := range b.c.Handle(at, Event{Kind: Ring}) {
+			for _, a := range b.c.Handle(at, Event{Kind: TimerFired}) {
 				if a.Kind == Cancel && a.Call == id {
 					cancelled = at - b.now
 				}
@@ -1271,7 +1271,7 @@
 		b.known(tc.rate)
 		b.c.server(10).out = []attempt{{call: "gone", at: b.now, off: true}}
 		b.now += 3 * second
-		b.do(Event{Kind: Ring, Tag: 99})
+		b.do(Event{Kind: TimerFired, Tag: 99})
 		if d := b.c.delayAt(b.c.server(10)); (d == 0) != tc.open {
 			t.Errorf("%v calls a second: expected delay %v", tc.rate, d)
 		}
@@ -1290,7 +1290,7 @@
 		}
 		b.now += 2 * cutYoung
 		for _, id := range ids[:cut] {
-			b.do(Event{Kind: Returned, Call: id, Server: 10, Outcome: Severed, Ended: true})
+			b.do(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: ConnectionLost, CallEnded: true})
 		}
 		if s := b.c.server(10); s.down != (cut == 3) || (b.c.warmth(s) < 1) != (cut == 3) {
 			t.Errorf("%d of 3 cut: down %v, warmth %v", cut, s.down, b.c.warmth(s))
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -150,7 +150,7 @@
 			g.least = min(float64(now-a.at), g.least*(1+float64(now-g.leastAt)/leastSpan))
 			g.leastAt = now
 		}
-	case control.Returned:
+	case control.AttemptEnded:
 		// An answer of another kind tells that a server answers, not that set-ups get through; one that was called off
 		// before it was late tells neither.
 		g.take(ev.Call)
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -41,14 +41,14 @@
 	next := f.now + every
 	for f.now < end {
 		f.now += 10 * ms
-		f.g.See(f.now, control.Event{Kind: control.Ring})
+		f.g.See(f.now, control.Event{Kind: control.TimerFired})
 		rest := f.out[:0]
 		for _, id := range f.out {
 			switch {
 			case f.due[id] > f.now:
 				rest = append(rest, id)
 			case f.gone[id]:
-				f.g.See(f.now, control.Event{Kind: control.Returned, Call: id, Outcome: control.Overdue})
+				f.g.See(f.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
 			default:
 				f.g.See(f.now, control.Event{Kind: control.Stands, Call: id})
 			}
@@ -202,7 +202,7 @@
 				case 1:
 					g.See(now, control.Event{Kind: control.Stands, Call: id})
 				case 2:
-					g.See(now, control.Event{Kind: control.Returned, Call: id, Outcome: outcome})
+					g.See(now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: outcome})
 				case 3:
 					g.See(now, control.Event{Kind: control.Arrival, Call: id})
 				case 4:
@@ -247,7 +247,7 @@
 		g.Did(0, control.Action{Kind: control.Send, Call: fmt.Sprint(k)})
 	}
 	for now := int64(0); now <= 600*ms; now += 100 * ms {
-		g.See(now, control.Event{Kind: control.Ring})
+		g.See(now, control.Event{Kind: control.TimerFired})
 	}
 	g.Did(600*ms, control.Action{Kind: control.Send, Call: "young"})
 	for vain, want := range map[float64]float64{0: 1, 0.1: 3, 0.5: 11, 0.9: 11} {
--- a/control/learnt_test.go
+++ b/control/learnt_test.go
@@ -15,14 +15,14 @@
 		t.Fatal(err)
 	}
 	now := 1000 * second
-	c.Handle(now, Event{Kind: Members, Full: true, Entries: []Entry{{Server: 1, Cell: 0, Share: 1}, {Server: 2, Cell: 1, Share: 1}}})
+	c.Handle(now, Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Server: 1, Cell: 0, Share: 1}, {Server: 2, Cell: 1, Share: 1}}})
 	for n := range 200 {
 		now += second / 20
 		id := string(rune('a'+n%26)) + string(rune('0'+n/26))
 		for _, a := range c.Handle(now, Event{Kind: Arrival, Call: id, NotAfter: now + 9*second, FarEnd: n % 2}) {
 			if a.Kind == Send {
 				c.Handle(now+30e6, Event{Kind: Stands, Call: id, Server: a.Server})
-				c.Handle(now+40e6, Event{Kind: Returned, Call: id, Server: a.Server, Ended: true})
+				c.Handle(now+40e6, Event{Kind: AttemptEnded, Call: id, Server: a.Server, CallEnded: true})
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(now+wait, Event{Kind: Members, Full: true, Entries: entries})
+		d.Handle(now+wait, Event{Kind: ListUpdate, FullList: true, Entries: entries})
 		if err := d.Restore(now+wait, l); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 	l := c.Learnt()
 	l.Servers[0].Weight = math.NaN()
 	d, _ := New(settings(), 10)
-	d.Handle(now, Event{Kind: Members, Full: true, Entries: []Entry{{Server: 1, Share: 1}}})
+	d.Handle(now, Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Server: 1, Share: 1}}})
 	before := d.Learnt()
 	if err := d.Restore(now, l); err == nil || !reflect.DeepEqual(before, d.Learnt()) {
 		t.Error("it was taken")
@@ -84,7 +84,7 @@
 func TestBeliefsChangeNothing(t *testing.T) {
 	c, now := warmedLearnt(t)
 	before := c.Learnt()
-	if b := c.Beliefs(now + second/2); len(b) != 2 || b[0].Out+b[1].Out != 1 || b[0].Cold || !b[0].In {
+	if b := c.ServerStatuses(now + second/2); len(b) != 2 || b[0].Out+b[1].Out != 1 || b[0].Cold || !b[0].Available {
 		t.Errorf("%+v", b)
 	}
 	if !reflect.DeepEqual(before, c.Learnt()) {
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -178,12 +178,12 @@
 		l.tried.add(now)
 		l.delayN.add(now)
 		l.delay += (float64(ev.Elapsed) - l.delay) / min(max(l.delayN.n, 1), 10)
-	case control.Returned:
+	case control.AttemptEnded:
 		switch ev.Outcome {
 		case control.Saturated:
 			l.full.add(now)
 			l.tried.add(now)
-		case control.Overdue, control.Severed, control.RefusedConn:
+		case control.TimedOut, control.ConnectionLost, control.ConnectionRefused:
 			l.tried.add(now)
 		}
 	}
--- a/control/levels/levels_test.go
+++ b/control/levels/levels_test.go
@@ -148,7 +148,7 @@
 	now := play(l, 100*second, 20, 0.2)
 	for range 60 {
 		now += second
-		l.See(now, control.Event{Kind: control.Ring})
+		l.See(now, control.Event{Kind: control.TimerFired})
 	}
 	if l.Level() != Reduced {
 		t.Errorf("silence counted as calm: %v", l.Level())
@@ -195,7 +195,7 @@
 					case s.Kind < 5:
 						l.See(now, control.Event{Kind: control.Stands, Call: call, Elapsed: int64(s.X * 1e9)})
 					case s.Kind == 5:
-						l.See(now, control.Event{Kind: control.Returned, Call: call, Outcome: control.Saturated})
+						l.See(now, control.Event{Kind: control.AttemptEnded, Call: call, Outcome: control.Saturated})
 					default:
 						l.Did(now, control.Action{Kind: control.Refuse, Call: call})
 					}
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -256,15 +256,15 @@
 	switch {
 	case !slices.ContainsFunc(s.out, func(a attempt) bool { return a.call == ev.Call && !a.off }):
 		return // it stood before; a cut call tells nothing of the processor's queue
-	case ev.Outcome == Recalled || ev.Outcome == Superseded || ev.Note == noLine:
+	case ev.Outcome == Canceled || ev.Outcome == Unavailable || ev.Note == noLine:
 		s.take(ev.Call) // called off, or without a line: it tells nothing of the processor
-		if ev.Outcome != Recalled {
+		if ev.Outcome != Canceled {
 			s.lineAt = c.now
 			c.push(s, fullDelay*c.ref)
 		}
-	case ev.Outcome == Overdue || ev.Outcome == Severed:
-		c.missed(s, ev.Call, ev.Outcome == Severed)
-	case ev.Outcome == RefusedConn:
+	case ev.Outcome == TimedOut || ev.Outcome == ConnectionLost:
+		c.missed(s, ev.Call, ev.Outcome == ConnectionLost)
+	case ev.Outcome == ConnectionRefused:
 		s.take(ev.Call)
 		s.markEnd = max(s.markEnd, c.now+trialFirst)
 		c.fell(s)
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -133,7 +133,7 @@
 		return
 	}
 	switch ev.Kind {
-	case control.Members:
+	case control.ListUpdate:
 		r.members(now, ev)
 	case control.Arrival, control.Aborted:
 		delete(r.held, ev.Call)
@@ -141,7 +141,7 @@
 		if s := r.back(ev.Call); s != nil {
 			r.stood(s, ev.Elapsed)
 		}
-	case control.Returned:
+	case control.AttemptEnded:
 		if s := r.back(ev.Call); s != nil {
 			r.ended(s, ev)
 		}
@@ -151,7 +151,7 @@
 
 // members takes the list. A server with another start than before has proven nothing.
 func (r *Recovery) members(now int64, ev control.Event) {
-	if ev.Full {
+	if ev.FullList {
 		for _, s := range r.servers {
 			s.in = false
 		}
@@ -171,7 +171,7 @@
 				s.window, s.proven = windowProven, true
 			}
 		}
-		s.in = e.State == control.In
+		s.in = e.State == control.Serving
 	}
 	r.servers = slices.DeleteFunc(r.servers, func(s *server) bool { return !s.in && s.out == 0 })
 	r.listed = 0
@@ -210,7 +210,7 @@
 // ended takes a set-up that did not stand. What was called off here, or never left, says nothing of the server.
 func (r *Recovery) ended(s *server, ev control.Event) {
 	switch ev.Outcome {
-	case control.Saturated, control.Overdue, control.Severed, control.RefusedConn:
+	case control.Saturated, control.TimedOut, control.ConnectionLost, control.ConnectionRefused:
 		s.window, s.proven = max(s.window*closeTo, 1), false
 	}
 }
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -21,7 +21,7 @@
 }
 
 func list(full bool, entries ...control.Entry) control.Event {
-	return control.Event{Kind: control.Members, Full: full, Entries: entries}
+	return control.Event{Kind: control.ListUpdate, FullList: full, Entries: entries}
 }
 
 func in(id uint64, ready int64) control.Entry { return control.Entry{Server: id, ReadyAt: ready} }
@@ -69,7 +69,7 @@
 	if ok, _ := r.Room(now, 1); ok {
 		t.Fatal("a late set-up left the window open")
 	}
-	r.See(now, control.Event{Kind: control.Returned, Call: "b", Server: 1, Outcome: control.Saturated})
+	r.See(now, control.Event{Kind: control.AttemptEnded, Call: "b", Server: 1, Outcome: control.Saturated})
 	if ok, _ := r.Room(now, 1); !ok {
 		t.Fatal("no window at all")
 	}
@@ -184,9 +184,9 @@
 							delete(open, c)
 							kind := control.Stands
 							if s.Kind == 8 {
-								kind = control.Returned
+								kind = control.AttemptEnded
 							}
-							r.See(now, control.Event{Kind: kind, Call: c, Server: at, Elapsed: s.Elapsed, Outcome: control.Overdue})
+							r.See(now, control.Event{Kind: kind, Call: c, Server: at, Elapsed: s.Elapsed, Outcome: control.TimedOut})
 						}
 					}
 				}
--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -21,7 +21,7 @@
 // See implements join.Module.
 func (m *Shared) See(now int64, ev control.Event) {
 	switch ev.Kind {
-	case control.Members:
+	case control.ListUpdate:
 		m.setServers(ev)
 	case control.Stands:
 		m.countOutcome("p/", ev.Call)
@@ -31,7 +31,7 @@
 	case control.Aborted:
 		delete(m.callTenants, ev.Call)
 		m.finishAttempt(ev.Call)
-	case control.Returned:
+	case control.AttemptEnded:
 		if a := m.finishAttempt(ev.Call); a != nil {
 			m.observeFailure(now, ev, a)
 		}
@@ -76,11 +76,11 @@
 // observeFailure tells the detector what a failed attempt shows of its server.
 func (m *Shared) observeFailure(now int64, ev control.Event, a *attempt) {
 	switch ev.Outcome {
-	case control.Overdue:
+	case control.TimedOut:
 		if !a.reportedSilent {
 			m.observe(now, ev.Server, outlier.Silent)
 		}
-	case control.RefusedConn:
+	case control.ConnectionRefused:
 		m.observe(now, ev.Server, outlier.Dead)
 	case control.Saturated:
 		m.observe(now, ev.Server, outlier.Overloaded)
--- a/control/shared/servers.go
+++ b/control/shared/servers.go
@@ -11,11 +11,11 @@
 
 // setServers takes the servers' list, or changes of it.
 func (m *Shared) setServers(ev control.Event) {
-	if ev.Full {
+	if ev.FullList {
 		clear(m.servers)
 	}
 	for _, e := range ev.Entries {
-		if e.State == control.Out {
+		if e.State == control.Removed {
 			delete(m.servers, e.Server)
 			continue
 		}
@@ -24,7 +24,7 @@
 			s = &serverEntry{readyAt: e.ReadyAt}
 			m.servers[e.Server] = s
 		}
-		s.serving = e.State == control.In
+		s.serving = e.State == control.Serving
 	}
 	var ids []uint64
 	for id, s := range m.servers {
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -36,9 +36,9 @@
 
 // list names servers 1 to 6; the first started at a time.
 func (g *group) list(started int64) control.Event {
-	ev := control.Event{Kind: control.Members, Full: true}
+	ev := control.Event{Kind: control.ListUpdate, FullList: true}
 	for id := uint64(1); id <= servers; id++ {
-		e := control.Entry{Server: id, Cell: int(id) - 1, Share: 1, State: control.In}
+		e := control.Entry{Server: id, Cell: int(id) - 1, Share: 1, State: control.Serving}
 		if id == 1 {
 			e.ReadyAt = started
 		}
--- a/control/trials.go
+++ b/control/trials.go
@@ -135,7 +135,7 @@
 func (c *Controller) pulse() {
 	if c.beatDue == 0 && slices.ContainsFunc(c.servers, func(s *server) bool { return len(s.out) > 0 }) {
 		c.beatDue = c.now + beatEvery
-		c.acts = append(c.acts, Action{Kind: Remind, Wait: beatEvery})
+		c.acts = append(c.acts, Action{Kind: StartTimer, Wait: beatEvery})
 	}
 }
 
--- a/control/types.go
+++ b/control/types.go
@@ -12,7 +12,7 @@
 	Classes       []Class
 	Meshed        bool // exchanges with trunk groups; otherwise pools shared by all fronts
 	ThisNode      int  // own exchange number, -1 with pools
-	OnRequest     bool // discovery speaks only after Listen
+	ListOnRequest bool // discovery speaks only after Listen
 	MaxAttempts   int
 	MayCancel     bool
 	SecondCopies  bool
@@ -88,7 +88,7 @@
 
 // The kinds of effect.
 const (
-	Free Effect = iota
+	Idempotent Effect = iota
 	Guarded
 	SingleShot
 )
@@ -98,14 +98,14 @@
 
 // The kinds of event.
 const (
-	Members   EventKind = iota // Entries; Full replaces the list, else changes apply
-	ListError                  // a list request failed; the old list holds
-	Arrival                    // a call was handed over
-	Aborted                    // the caller left
-	Stands                     // the call stands
-	Returned                   // an attempt ended
-	Probed                     // a probe's answer, or free lines told unasked
-	Ring                       // a timer came due
+	ListUpdate   EventKind = iota // Entries; Full replaces the list, else changes apply
+	ListError                     // a list request failed; the old list holds
+	Arrival                       // a call was handed over
+	Aborted                       // the caller left
+	Stands                        // the call stands
+	AttemptEnded                  // an attempt ended
+	LoadReport                    // a probe's answer, or free lines told unasked
+	TimerFired                    // a timer came due
 )
 
 // Outcome is how an attempt ended.
@@ -116,11 +116,11 @@
 	Completed Outcome = iota
 	Errored
 	Saturated
-	Overdue
-	RefusedConn
-	Severed
-	Recalled
-	Superseded
+	TimedOut
+	ConnectionRefused
+	ConnectionLost
+	Canceled
+	Unavailable
 )
 
 // Event is one thing told to a front; which fields count depends on Kind.
@@ -132,28 +132,28 @@
 	NotAfter  int64
 	Waited    int64 // an arrival: since the call was taken, where another module held it first
 	FarEnd    int
-	Resent    bool
+	Redialed  bool
 	InTransit bool
 	Server    uint64
 	Elapsed   int64 // since the attempt or probe went out
 	Outcome   Outcome
-	Ended     bool
+	CallEnded bool
 	Note      int
 	WaitMS    int64
 	Report    []float64 // in the order of Settings.Fields; nil: none
 	Tag       uint64
-	Full      bool
+	FullList  bool
 	Entries   []Entry
 }
 
 // Readiness is a list entry's state.
-type Readiness int
+type EntryState int
 
 // The states of a list entry.
 const (
-	In Readiness = iota
-	Lame
-	Out
+	Serving EntryState = iota
+	Draining
+	Removed
 )
 
 // Entry is one signalling server on the list.
@@ -162,7 +162,7 @@
 	Share   float64
 	Server  uint64
 	ReadyAt int64
-	State   Readiness
+	State   EntryState
 }
 
 // ActionKind names what a front wants done.
@@ -170,12 +170,12 @@
 
 // The kinds of action.
 const (
-	Send   ActionKind = iota // start a set-up: Call, Server, Wait (time-out)
-	Refuse                   // final answer: turned away; Wait is the advice
-	Fail                     // final answer: given up
-	Cancel                   // stop waiting for attempt Attempt of Call
-	Remind                   // ring Tag after Wait
-	Listen                   // subscribe to the list
+	Send       ActionKind = iota // start a set-up: Call, Server, Wait (time-out)
+	Refuse                       // final answer: turned away; Wait is the advice
+	Fail                         // final answer: given up
+	Cancel                       // stop waiting for attempt Attempt of Call
+	StartTimer                   // ring Tag after Wait
+	Subscribe                    // subscribe to the list
 )
 
 // Action is one thing a front wants done.
@@ -190,4 +190,4 @@
 
 // Cap has the module take a server for one without room while f says so. It is asked again before each set-up, so f
 // must not change anything.
-func (c *Controller) Cap(f func(server uint64) bool) { c.capped = f }
+func (c *Controller) ExcludeServers(f func(server uint64) bool) { c.capped = f }
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -38,7 +38,7 @@
 }
 
 // ends maps a server's reason for a refusal to an outcome; any other is an error.
-var ends = map[string]control.Outcome{"full": control.Saturated, "moot": control.Superseded, "reset": control.Severed}
+var ends = map[string]control.Outcome{"full": control.Saturated, "moot": control.Unavailable, "reset": control.ConnectionLost}
 
 // Dial connects to servers that speak call control over WebSocket; the list gives such a one a ws:// address.
 func Dial(fields office.Fields) office.Dial {
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -34,7 +34,7 @@
 			"clear_in_ms", (cl.clearAt-c.now)/1e6, "serving", c.serving(a.Server), "capped_by", module, "why", why)
 		if !cl.inFlight {
 			cl.sent++
-			c.tell(control.Event{Kind: control.Returned, Call: cl.ID, Server: a.Server, Outcome: control.Superseded})
+			c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: a.Server, Outcome: control.Unavailable})
 		}
 		return
 	}
@@ -44,7 +44,7 @@
 	c.afterFor(cl, time.Duration(a.Wait), func(cl *call) {
 		if cl.inFlight && cl.sent == n+1 {
 			c.offices.Suspect(cl.server, time.Unix(0, cl.sentAt), false)
-			c.withdraw(cl, control.Overdue)
+			c.withdraw(cl, control.TimedOut)
 		}
 	})
 	if there == Unheard {
@@ -57,7 +57,7 @@
 // serving tells whether a server is listed and takes attempts.
 func (c *core) serving(server uint64) bool {
 	office, listed := c.known[server]
-	return listed && office.State == control.In
+	return listed && office.State == control.Serving
 }
 
 // invite hands an attempt to the offices' side.
@@ -86,7 +86,7 @@
 		case there == Unheard:
 			c.askAgain(cl, a, 2*wait, until)
 		case !c.serving(a.Server):
-			c.back(cl, Ending{Outcome: control.RefusedConn}) // it never ran: another server may take the call
+			c.back(cl, Ending{Outcome: control.ConnectionRefused}) // it never ran: another server may take the call
 		default:
 			c.invite(cl, a)
 		}
@@ -98,7 +98,7 @@
 func (c *core) unwanted(cl *call, server uint64) {
 	c.log.Debug("attempt not wanted", "call", cl.ID, "server", server, "away", cl.disconnected)
 	c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
-	c.tell(control.Event{Kind: control.Returned, Call: cl.ID, Server: server, Outcome: control.Recalled, Ended: true})
+	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: server, Outcome: control.Canceled, CallEnded: true})
 	c.final(cl, Final{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
 }
 
@@ -113,11 +113,11 @@
 	c.log.Debug("attempt ended", "call", cl.ID, "n", cl.sent-1, "server", cl.server, "outcome", e.Outcome,
 		"note", e.Note, "wait_ms", e.WaitMS, "report", e.Report, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	if e.Outcome == control.Overdue || e.Outcome == control.Severed || e.Outcome == control.Recalled {
+	if e.Outcome == control.TimedOut || e.Outcome == control.ConnectionLost || e.Outcome == control.Canceled {
 		cl.clearAt = c.now + c.set.ClearWait
 	}
-	c.tell(control.Event{Kind: control.Returned, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
-		Outcome: e.Outcome, Note: e.Note, WaitMS: e.WaitMS, Report: e.Report, Ended: c.calls[cl.ID] != cl})
+	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
+		Outcome: e.Outcome, Note: e.Note, WaitMS: e.WaitMS, Report: e.Report, CallEnded: c.calls[cl.ID] != cl})
 }
 
 func (c *core) stood(server uint64, id string, n int, desc []byte) {
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -30,7 +30,7 @@
 	from.is = Connected
 	b.dial(from, "b")
 	from.is = Gone
-	b.ended(10, "b", 0, Ending{Outcome: control.RefusedConn}) // another office would be tried at once
+	b.ended(10, "b", 0, Ending{Outcome: control.ConnectionRefused}) // another office would be tried at once
 	b.want("invite b 0 at 10", "answer b refused  2000ms")
 	if b.open != 0 || b.module.Held() != 0 {
 		t.Errorf("%d open, %d held", b.open, b.module.Held())
@@ -83,7 +83,7 @@
 	b := newBed(t)
 	from := &client{b, Unheard}
 	b.dial(from, "a")
-	b.members([]Office{office(10, 0, control.Lame, 0)}, false)
+	b.members([]Office{office(10, 0, control.Draining, 0)}, false)
 	from.is = Connected
 	b.pass(100 * ms)
 	b.want("invite a 1 at 11")
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -58,7 +58,7 @@
 			return
 		}
 		if cl.inFlight {
-			c.withdraw(cl, control.Overdue)
+			c.withdraw(cl, control.TimedOut)
 		}
 		if c.calls[cl.ID] == cl {
 			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
@@ -96,7 +96,7 @@
 		}
 		cl.asked = -1
 		c.tell(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
-			FarEnd: cl.Dest, Resent: cl.Retry, Waited: waited})
+			FarEnd: cl.Dest, Redialed: cl.Retry, Waited: waited})
 	}
 }
 
@@ -185,7 +185,7 @@
 	c.write(cl, Record{Verdict: "left"})
 	c.tell(control.Event{Kind: control.Aborted, Call: id})
 	if cl.inFlight {
-		c.withdraw(cl, control.Recalled)
+		c.withdraw(cl, control.Canceled)
 	}
 }
 
@@ -201,8 +201,8 @@
 	c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Sum(), f: Final{Verdict: Stands, Desc: cl.desc}, over: true,
 		cut: cut, at: c.now})
 	c.write(cl, Record{Verdict: Stands.String(), Cut: cut})
-	c.tell(control.Event{Kind: control.Returned, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
-		Outcome: e.Outcome, Report: e.Report, Ended: true})
+	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
+		Outcome: e.Outcome, Report: e.Report, CallEnded: true})
 }
 
 func (c *core) hangUp(id, owner string) {
@@ -211,7 +211,7 @@
 		return
 	}
 	c.offices.Bye(cl.server, id, cl.sent-1, false)
-	c.over(cl, Ending{Outcome: control.Recalled}, false)
+	c.over(cl, Ending{Outcome: control.Canceled}, false)
 }
 
 func (c *core) released(server uint64, id string, cut bool, report []float64) {
@@ -228,7 +228,7 @@
 	}
 	e := Ending{Outcome: control.Completed, Report: report}
 	if cut {
-		e.Outcome = control.Severed
+		e.Outcome = control.ConnectionLost
 	}
 	c.over(cl, e, cut)
 	cl.from.Release(id, cut)
@@ -245,7 +245,7 @@
 		if !cl.established {
 			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
 			if cl.inFlight {
-				c.withdraw(cl, control.Recalled)
+				c.withdraw(cl, control.Canceled)
 			}
 			c.final(cl, Final{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
 		}
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -95,7 +95,7 @@
 	c := &core{most: o.Memory, chain: o.Join, clock: o.Now, log: o.Log, record: o.Record, stray: o.Stray, module: module, set: o.Settings,
 		calls: map[string]*call{}, known: map[uint64]Office{}, heard: map[uint64]int64{}, kept: map[string]*kept{}}
 	if len(o.Join) > 0 {
-		module.Cap(func(server uint64) bool { ok, _, _ := c.chain.Room(c.now, server); return !ok })
+		module.ExcludeServers(func(server uint64) bool { ok, _, _ := c.chain.Room(c.now, server); return !ok })
 	}
 	return c
 }
@@ -120,12 +120,12 @@
 }
 
 func (c *core) act(a control.Action) {
-	if a.Kind == control.Remind {
+	if a.Kind == control.StartTimer {
 		tag := a.Tag
-		c.after(time.Duration(a.Wait), func() { c.tell(control.Event{Kind: control.Ring, Tag: tag}) })
+		c.after(time.Duration(a.Wait), func() { c.tell(control.Event{Kind: control.TimerFired, Tag: tag}) })
 		return
 	}
-	if a.Kind == control.Listen {
+	if a.Kind == control.Subscribe {
 		return // the list comes unasked
 	}
 	cl := c.calls[a.Call]
@@ -138,7 +138,7 @@
 	case control.Cancel:
 		if cl.inFlight && cl.sent-1 == a.Attempt {
 			c.offices.Suspect(cl.server, time.Unix(0, cl.sentAt), false)
-			c.withdraw(cl, control.Recalled)
+			c.withdraw(cl, control.Canceled)
 		}
 	case control.Refuse:
 		c.chain.Did(c.now, a)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -47,12 +47,12 @@
 	x.Connect(b)
 	b.core = x.core
 	b.tick()
-	b.members([]Office{office(10, 0, control.In, 0), office(11, 1, control.In, 0)}, true)
+	b.members([]Office{office(10, 0, control.Serving, 0), office(11, 1, control.Serving, 0)}, true)
 	b.said = nil
 	return b
 }
 
-func office(id uint64, cell int, state control.Readiness, ready int64) Office {
+func office(id uint64, cell int, state control.EntryState, ready int64) Office {
 	return Office{Entry: control.Entry{Server: id, Cell: cell, Share: 1, State: state, ReadyAt: ready}, Addr: "a:1"}
 }
 
@@ -129,7 +129,7 @@
 func TestReleaseWaitBetweenAttempts(t *testing.T) {
 	b := newBed(t)
 	b.call("a", 3*time.Second)
-	b.ended(10, "a", 0, Ending{Outcome: control.Severed})
+	b.ended(10, "a", 0, Ending{Outcome: control.ConnectionLost})
 	b.want("invite a 0 at 10")
 	b.pass(300 * ms)
 	b.want() // the margin: the rule counts from the end as it was written
@@ -170,8 +170,8 @@
 	s.Owner = "sip"
 	b.arrive(s, b)
 	call := weak.Make(b.calls["a"])
-	b.ended(10, "a", 0, Ending{Outcome: control.Superseded})
-	b.ended(11, "a", 0, Ending{Outcome: control.Superseded})
+	b.ended(10, "a", 0, Ending{Outcome: control.Unavailable})
+	b.ended(11, "a", 0, Ending{Outcome: control.Unavailable})
 	if b.open != 0 {
 		t.Fatalf("said %v", b.said)
 	}
@@ -218,7 +218,7 @@
 	b.want("answer b refused  200ms")
 	b.pass(retention + time.Second)
 	b.call("c", time.Second)
-	b.ended(10, "c", 0, Ending{Outcome: control.Superseded})
+	b.ended(10, "c", 0, Ending{Outcome: control.Unavailable})
 	if b.kept["a"] != nil || len(b.queue) != 1 {
 		t.Errorf("kept for ever: %d", len(b.queue))
 	}
@@ -252,8 +252,8 @@
 func TestCutCalls(t *testing.T) {
 	for _, end := range []func(b *bed){
 		func(b *bed) { b.lost(10, b.now+1) },
-		func(b *bed) { b.members([]Office{office(10, 0, control.Out, 0)}, false) },
-		func(b *bed) { b.members([]Office{office(10, 0, control.In, b.now+1)}, false) },
+		func(b *bed) { b.members([]Office{office(10, 0, control.Removed, 0)}, false) },
+		func(b *bed) { b.members([]Office{office(10, 0, control.Serving, b.now+1)}, false) },
 	} {
 		b := newBed(t)
 		b.call("a", 3*time.Second)
@@ -267,7 +267,7 @@
 	b.call("a", 3*time.Second)
 	b.stood(10, "a", 0, nil)
 	b.said = nil
-	b.members([]Office{office(10, 0, control.In, b.now-1)}, false)
+	b.members([]Office{office(10, 0, control.Serving, b.now-1)}, false)
 	b.want()
 }
 
@@ -306,7 +306,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		for range x.most + 1 { // a long list, known before Run takes anything
-			x.Members([]Office{office(10, 0, control.In, 0)}, true)
+			x.Members([]Office{office(10, 0, control.Serving, 0)}, true)
 		}
 		go func() { done <- x.Run(ctx) }()
 		now := time.Now()
@@ -341,21 +341,21 @@
 	b.call("a", 3*time.Second)
 	b.stood(10, "a", 0, nil)
 	b.said = nil
-	b.members([]Office{office(11, 1, control.In, 0)}, true)
+	b.members([]Office{office(11, 1, control.Serving, 0)}, true)
 	b.want("release a true")
-	b.members([]Office{office(11, 1, control.In, 0)}, true)
+	b.members([]Office{office(11, 1, control.Serving, 0)}, true)
 	b.want()
 }
 
 // A start of an office that goes back in time cuts nothing that was sent after it.
 func TestAStartThatGoesBack(t *testing.T) {
 	b := newBed(t)
-	b.members([]Office{office(10, 0, control.In, b.at.Add(-ms).UnixNano())}, false)
+	b.members([]Office{office(10, 0, control.Serving, b.at.Add(-ms).UnixNano())}, false)
 	b.call("a", 3*time.Second)
 	b.stood(10, "a", 0, nil)
 	b.said = nil
-	b.members([]Office{office(10, 0, control.In, b.at.Add(-time.Hour).UnixNano())}, false)
-	b.members([]Office{office(10, 0, control.In, 0)}, false)
+	b.members([]Office{office(10, 0, control.Serving, b.at.Add(-time.Hour).UnixNano())}, false)
+	b.members([]Office{office(10, 0, control.Serving, 0)}, false)
 	b.want()
 }
 
@@ -378,7 +378,7 @@
 	b.left("a", "another")
 	b.left("a", "o")
 	b.want("invite a 0 at 10")
-	b.ended(10, "a", 0, Ending{Outcome: control.RefusedConn}) // another office would be tried at once
+	b.ended(10, "a", 0, Ending{Outcome: control.ConnectionRefused}) // another office would be tried at once
 	b.want("answer a refused  2000ms")
 	b.call("a", 3*time.Second)
 	b.want("answer a refused  2000ms")
@@ -388,6 +388,6 @@
 	b.left("b", "o")
 	b.call("b", 3*time.Second) // it is back
 	b.said = nil
-	b.ended(10, "b", 0, Ending{Outcome: control.RefusedConn})
+	b.ended(10, "b", 0, Ending{Outcome: control.ConnectionRefused})
 	b.want("invite b 1 at 11")
 }
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -19,11 +19,11 @@
 		b := newBed(t)
 		if on {
 			b.chain = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
-			b.module.Cap(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+			b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
 		}
 		var list []Office
 		for k := range 40 {
-			list = append(list, office(uint64(10+k), k%2, control.In, 0))
+			list = append(list, office(uint64(10+k), k%2, control.Serving, 0))
 		}
 		b.members(list, true)
 		calls := 0
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -29,7 +29,7 @@
 	g := &gate{name: "gate", shut: map[uint64]bool{}}
 	b := newBed(t)
 	b.chain = join.Chain{g}
-	b.module.Cap(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+	b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
 	return b, g
 }
 
@@ -99,7 +99,7 @@
 // A module that changes its mind between control's choice and the send is still obeyed.
 func TestTheCoreGuardsACap(t *testing.T) {
 	b, g := newGate(t)
-	b.module.Cap(func(uint64) bool { return false })
+	b.module.ExcludeServers(func(uint64) bool { return false })
 	g.shut[10], g.shut[11] = true, true
 	b.call("a", 3*time.Second)
 	if len(b.said) != 1 || b.said[0] != "answer a refused  200ms" {
--- a/internal/exchange/servers.go
+++ b/internal/exchange/servers.go
@@ -31,7 +31,7 @@
 	for _, cl := range c.inOrder() {
 		if cl.established && cl.server == server && cl.sentAt < before {
 			c.log.Info("call cut with its office", "call", cl.ID, "server", server)
-			c.over(cl, Ending{Outcome: control.Severed}, true)
+			c.over(cl, Ending{Outcome: control.ConnectionLost}, true)
 			cl.from.Release(cl.ID, true)
 		}
 	}
@@ -40,7 +40,7 @@
 func (c *core) state(server uint64, report []float64) {
 	c.heard[server] = c.now
 	c.log.Debug("state", "server", server, "report", report)
-	c.tell(control.Event{Kind: control.Probed, Server: server, Report: report})
+	c.tell(control.Event{Kind: control.LoadReport, Server: server, Report: report})
 }
 
 // members takes a change of the list. A processor that started anew, or is gone, has cut what stood there.
@@ -52,16 +52,16 @@
 			now[o.Server] = true
 		}
 		for id, o := range c.known {
-			if !now[id] && o.State != control.Out { // as if it were named as gone
-				o.State = control.Out
+			if !now[id] && o.State != control.Removed { // as if it were named as gone
+				o.State = control.Removed
 				c.known[id] = o
 				dead[id] = c.now + 1
 			}
 		}
 	}
-	ev := control.Event{Kind: control.Members, Full: full}
+	ev := control.Event{Kind: control.ListUpdate, FullList: full}
 	for _, o := range changed {
-		if before, ok := c.known[o.Server]; ok && o.State == control.Out {
+		if before, ok := c.known[o.Server]; ok && o.State == control.Removed {
 			dead[o.Server] = c.now + 1
 		} else if ok && before.ReadyAt != o.ReadyAt {
 			dead[o.Server] = o.ReadyAt
@@ -70,7 +70,7 @@
 		ev.Entries = append(ev.Entries, o.Entry)
 	}
 	for id, o := range c.known {
-		if o.State == control.Out && len(c.known) > maxDepartedServers {
+		if o.State == control.Removed && len(c.known) > maxDepartedServers {
 			delete(c.known, id)
 			delete(c.heard, id)
 		}
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -9,14 +9,14 @@
 func (c *core) status() Status {
 	s := Status{Open: c.open, Held: c.module.Held(), Waiting: c.waits, Standing: len(c.calls) - c.open, Taken: c.serial,
 		Stands: c.given[Stands], Refused: c.given[Refused], Failed: c.given[Failed], Load: c.load, Modules: c.chain.Status(c.now)}
-	for _, b := range c.module.Beliefs(c.now) {
+	for _, b := range c.module.ServerStatuses(c.now) {
 		listed := "serving"
-		if !b.In {
+		if !b.Available {
 			listed = "draining"
 		}
 		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(b.Server, 16), Addr: c.known[b.Server].Addr, Listed: listed,
 			Warmth: b.Warmth, Cold: b.Cold, Down: b.Down, Marked: b.Marked, Pressed: b.Pressed, Out: b.Out, Standing: b.Standing,
-			DelayMS: float64(b.Delay) / 1e6})
+			DelayMS: float64(b.ExpectedDelay) / 1e6})
 	}
 	return s
 }
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -37,7 +37,7 @@
 	Started int64   `json:"started_ms"`
 }
 
-var states = map[string]control.Readiness{"SERVING": control.In, "DRAINING": control.Lame, "DELETED": control.Out}
+var states = map[string]control.EntryState{"SERVING": control.Serving, "DRAINING": control.Draining, "DELETED": control.Removed}
 
 // Decode reads one event.
 func Decode(data []byte) (changed []exchange.Office, full bool, err error) {
@@ -53,7 +53,7 @@
 		if !ok {
 			return nil, false, fmt.Errorf("servers[%d].state: unknown %q", k, h.State)
 		}
-		if h.ID == "" || h.Addr == "" && state == control.In {
+		if h.ID == "" || h.Addr == "" && state == control.Serving {
 			return nil, false, fmt.Errorf("servers[%d]: no id or no addr", k)
 		}
 		changed = append(changed, exchange.Office{Addr: h.Addr, Entry: control.Entry{Cell: h.Cell,
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -48,8 +48,8 @@
 		t.Fatalf("%+v at %d", got, c.Pos)
 	}
 	want := exchange.Office{Addr: "10.1.0.9:2905", Entry: control.Entry{Cell: 2, Share: 4, Server: 0xc41f7a,
-		ReadyAt: 12e6, State: control.In}}
-	if got[0].changed[0] != want || got[1].changed[0].State != control.Lame {
+		ReadyAt: 12e6, State: control.Serving}}
+	if got[0].changed[0] != want || got[1].changed[0].State != control.Draining {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -59,7 +59,7 @@
 	x.Connect(c)
 	var list []exchange.Office
 	for cell, id := range []uint64{10, 11} {
-		list = append(list, exchange.Office{Addr: "a:1", Entry: control.Entry{Server: id, Cell: cell, Share: 1, State: control.In}})
+		list = append(list, exchange.Office{Addr: "a:1", Entry: control.Entry{Server: id, Cell: cell, Share: 1, State: control.Serving}})
 	}
 	x.Members(list, true)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -93,7 +93,7 @@
 		c.until(func() bool { return c.Status().Waiting == 1 })
 	default:
 		send()
-		outcome := map[State]control.Outcome{ReleaseWait: control.Severed, ByPolicy: control.Saturated}[state]
+		outcome := map[State]control.Outcome{ReleaseWait: control.ConnectionLost, ByPolicy: control.Saturated}[state]
 		c.until(func() bool {
 			select {
 			case a := <-c.fresh:
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -148,7 +148,7 @@
 	}
 	switch {
 	case presence == exchange.Gone: // it never ran
-		l.pool.Core.Ended(l.server, a.ID, a.N, exchange.Ending{Outcome: control.RefusedConn})
+		l.pool.Core.Ended(l.server, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused})
 	case wait > 0:
 		l.waiting = append(l.waiting, a)
 		time.AfterFunc(wait, l.wake)
@@ -182,7 +182,7 @@
 	now := time.Now()
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	l.pool.mu.Lock()
-	l.fail(control.RefusedConn)
+	l.fail(control.ConnectionRefused)
 	l.silence.connectFailed(now, refused, l.cur != nil)
 	dead := l.silence.dead(now, l.cur != nil, l.pool.Listed())
 	switch s := l.cur; {
@@ -207,7 +207,7 @@
 // notTried takes a connect for which this process had no descriptor. It tells nothing of the server.
 func (l *link) notTried(err error) {
 	l.pool.mu.Lock()
-	l.fail(control.RefusedConn)
+	l.fail(control.ConnectionRefused)
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", false, "err", err)
 }
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -601,7 +601,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t)
 		first := <-b.dialled
-		draining := exchange.Office{Entry: control.Entry{Server: 10, State: control.Lame}, Addr: "a:1"}
+		draining := exchange.Office{Entry: control.Entry{Server: 10, State: control.Draining}, Addr: "a:1"}
 		b.List([]exchange.Office{draining}, false)
 		synctest.Wait()
 		b.Bye(10, "x", 0, false) // calls stand there: the connection stays
@@ -731,7 +731,7 @@
 		a.ID = "0000000000000002"
 		b.Invite(a)
 		synctest.Wait()
-		b.List([]exchange.Office{{Entry: control.Entry{Server: 11, State: control.Out}}}, false)
+		b.List([]exchange.Office{{Entry: control.Entry{Server: 11, State: control.Removed}}}, false)
 		expect(t, b.told, "ended 0000000000000002 0 4 note 0 wait 0 []")
 		close(goOn)
 		if got, err := io.ReadAll(theirs); len(got) != 0 || err != nil {
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -73,13 +73,13 @@
 	defer p.mu.Unlock()
 	on := map[uint64]bool{}
 	for _, o := range changed {
-		on[o.Server] = o.State != control.Out
+		on[o.Server] = o.State != control.Removed
 		l := p.links[o.Server]
-		if l != nil && (o.State == control.Out || o.Addr != l.addr || l.olderThan(o.ReadyAt)) {
+		if l != nil && (o.State == control.Removed || o.Addr != l.addr || l.olderThan(o.ReadyAt)) {
 			p.drop(l)
 			l = nil
 		}
-		if l == nil && o.State == control.In {
+		if l == nil && o.State == control.Serving {
 			l = &link{pool: p, server: o.Server, addr: o.Addr, kick: make(chan struct{}, 1)}
 			p.links[o.Server] = l
 			if p.ctx != nil {
@@ -100,7 +100,7 @@
 	if l.cancel != nil {
 		l.cancel()
 	}
-	l.fail(control.RefusedConn)
+	l.fail(control.ConnectionRefused)
 }
 
 // Invite sends an attempt, over a new connection if need be.
@@ -110,7 +110,7 @@
 	l := p.links[a.Server]
 	switch {
 	case l == nil || len(l.waiting) >= waitingMost:
-		p.Core.Ended(a.Server, a.ID, a.N, exchange.Ending{Outcome: control.RefusedConn})
+		p.Core.Ended(a.Server, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused})
 	case l.cur != nil && !l.cur.stale && l.cur.copies(a.ID) <= 0:
 		l.cur.invite(a)
 	default:
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -171,7 +171,7 @@
 	s.pool.Log.Info("office connection ended", "reason", reason, "server", s.server, "addr", s.addr,
 		"open", len(out), "age_ms", time.Since(s.began).Milliseconds(), "err", err)
 	for id, a := range out {
-		p.Core.Ended(s.server, id, a.n, exchange.Ending{Outcome: control.Severed})
+		p.Core.Ended(s.server, id, a.n, exchange.Ending{Outcome: control.ConnectionLost})
 	}
 	// A reset alone tells nothing of the calls: connections are reset on their way too, new, idle or in use. A
 	// process that died refuses what comes next, and the list tells of one that started; only a machine that had
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -172,9 +172,9 @@
 	case 503:
 		e.Outcome = control.Saturated
 	case 480:
-		e.Outcome = control.Superseded
+		e.Outcome = control.Unavailable
 	case 504:
-		e.Outcome = control.Severed
+		e.Outcome = control.ConnectionLost
 	}
 	if ms, err := strconv.ParseInt(string(m.Get("X-Delay")), 10, 32); err == nil && ms > 0 {
 		e.WaitMS = ms
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -126,8 +126,8 @@
 // Evidence is what a snapshot tells the recovery after a start.
 func (s *Snapshot) Evidence() (e []recovery.Evidence) {
 	for _, o := range s.Learnt.Servers {
-		if o.ProvenAt > 0 && !o.Down {
-			e = append(e, recovery.Evidence{Server: o.ID, ReadyAt: o.ReadyAt, StoodAt: o.ProvenAt, Delay: int64(o.Delay)})
+		if o.EstablishedSentAt > 0 && !o.Down {
+			e = append(e, recovery.Evidence{Server: o.ID, ReadyAt: o.ReadyAt, StoodAt: o.EstablishedSentAt, Delay: int64(o.Delay)})
 		}
 	}
 	return e
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,8 +22,8 @@
 
 func snapshot() Snapshot {
 	at := now.Add(-time.Second).UnixNano()
-	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", At: now.Add(-time.Second), Learnt: control.Learnt{At: at, Began: at - 1e9, X: 5e7, Unit: 3,
-		Servers: []control.LearntServer{{ID: 7, ReadyAt: 5, ProvenAt: at, Delay: 4e7, Weight: 1}, {ID: 9, ProvenAt: at, Down: true}}}}
+	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", At: now.Add(-time.Second), Learnt: control.Learnt{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
+		Servers: []control.LearnedServer{{ID: 7, ReadyAt: 5, EstablishedSentAt: at, Delay: 4e7, Weight: 1}, {ID: 9, EstablishedSentAt: at, Down: true}}}}
 }
 
 func encoded(t *testing.T, s Snapshot) []byte {
@@ -37,7 +37,7 @@
 
 func TestWhatIsRefusedAndWhy(t *testing.T) {
 	good := encoded(t, snapshot())
-	if s, err := Decode(good, "n3", now, time.Minute); err != nil || s.Learnt.X != 5e7 || len(s.Levels) != 1 || s.Levels[0].To != levels.Busy || len(s.Evidence()) != 1 || s.Evidence()[0].Server != 7 {
+	if s, err := Decode(good, "n3", now, time.Minute); err != nil || s.Learnt.Spacing != 5e7 || len(s.Levels) != 1 || s.Levels[0].To != levels.Busy || len(s.Evidence()) != 1 || s.Evidence()[0].Server != 7 {
 		t.Fatal(s, err)
 	}
 	changed := func(f func(s *Snapshot)) []byte {
@@ -56,7 +56,7 @@
 		{"old", changed(func(s *Snapshot) { s.At = now.Add(-2 * time.Minute) }), ErrTooOld},
 		{"the clock went back", changed(func(s *Snapshot) { s.At = now.Add(time.Hour) }), ErrFuture},
 		{"negative", changed(func(s *Snapshot) { s.Learnt.Servers[0].Delay = -1 }), ErrNonsense},
-		{"a time to come", changed(func(s *Snapshot) { s.Learnt.Servers[0].NewsAt = now.UnixNano() + 1 }), ErrNonsense},
+		{"a time to come", changed(func(s *Snapshot) { s.Learnt.Servers[0].DelayAt = now.UnixNano() + 1 }), ErrNonsense},
 		{"out of order", changed(func(s *Snapshot) { s.Learnt.Servers[1].ID = 7 }), ErrNonsense},
 	} {
 		if _, err := Decode(tc.text, "n3", now, time.Minute); !errors.Is(err, tc.want) {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -86,7 +86,7 @@
 }
 
 func decodeEntries(rows [][]json.RawMessage) ([]control.Entry, error) {
-	states := map[string]control.Readiness{"IN": control.In, "LAME": control.Lame, "OUT": control.Out}
+	states := map[string]control.EntryState{"IN": control.Serving, "LAME": control.Draining, "OUT": control.Removed}
 	out := make([]control.Entry, 0, len(rows))
 	for k, row := range rows {
 		f := fields{raw: row}
@@ -157,7 +157,7 @@
 	}
 	s := control.Settings{
 		GroupSize: p.GroupSize, Ordinal: p.Ordinal, Meshed: p.Extra.Topology == "meshed", ThisNode: -1,
-		OnRequest: p.Discovery == "on_request", MaxAttempts: p.Limits.MaxAttempts,
+		ListOnRequest: p.Discovery == "on_request", MaxAttempts: p.Limits.MaxAttempts,
 		MayCancel: p.Limits.MayCancel, SecondCopies: p.Limits.SecondCopies,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: p.Limits.MaxRetryAfter,
 		Fields: p.Feedback.Fields, Resolution: p.Resolution, T1: p.Extra.T1, ClearWait: p.Extra.ClearWait,
@@ -167,7 +167,7 @@
 	if p.Extra.ThisNode != nil {
 		s.ThisNode = *p.Extra.ThisNode
 	}
-	effects := map[string]control.Effect{"": control.Free, "free": control.Free, "guarded": control.Guarded,
+	effects := map[string]control.Effect{"": control.Idempotent, "free": control.Idempotent, "guarded": control.Guarded,
 		"single_shot": control.SingleShot}
 	for k, g := range p.Grades {
 		effect, ok := effects[g.Effect]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -141,13 +141,13 @@
 		scope := f.text("scope")
 		f.whole("rev")
 		slot := f.whole("slot")
-		ev.Kind = control.Members
+		ev.Kind = control.ListUpdate
 		switch scope {
 		case "error":
 			ev.Kind = control.ListError
 			return ev, false, nil
 		case "snapshot", "disk":
-			ev.Full = true
+			ev.FullList = true
 		case "diff":
 		default:
 			return ev, false, fmt.Errorf("unknown scope %q", scope)
@@ -166,7 +166,7 @@
 		ev.FarEnd = int(f.number("far_end"))
 		f.next("channels")
 		f.next("via")
-		ev.Resent = f.flag("resent")
+		ev.Redialed = f.flag("resent")
 		f.next("update")
 		ev.InTransit = f.flag("in_transit")
 	case "aborted":
@@ -175,22 +175,22 @@
 		ev.Kind, ev.Call = control.Stands, f.text("txn")
 		ev.Elapsed, ev.Server = f.whole("cost_time_ns"), uint64(f.whole("server"))
 	case "probed":
-		ev.Kind = control.Probed
+		ev.Kind = control.LoadReport
 		ev.Outcome = f.outcome()
 		ev.Server, ev.Elapsed = uint64(f.whole("server")), f.whole("cost_time_ns")
 		ev.Report = f.report()
 	case "mail":
 		return ev, true, nil
 	case "returned":
-		ev.Kind, ev.Call = control.Returned, f.text("txn")
+		ev.Kind, ev.Call = control.AttemptEnded, f.text("txn")
 		f.whole("go")
 		ev.Server, ev.Outcome = uint64(f.whole("server")), f.outcome()
-		ev.Elapsed, ev.Ended = f.whole("cost_time_ns"), f.flag("ended")
+		ev.Elapsed, ev.CallEnded = f.whole("cost_time_ns"), f.flag("ended")
 		note := f.whole("note")
 		ev.Note, ev.WaitMS = int(note%16), note/16
 		ev.Report = f.report()
 	case "ring":
-		ev.Kind, ev.Tag = control.Ring, uint64(f.whole("tag"))
+		ev.Kind, ev.Tag = control.TimerFired, uint64(f.whole("tag"))
 	default:
 		return ev, false, errors.New("unknown event")
 	}
@@ -227,11 +227,11 @@
 		word("drop_attempt")
 		text(a.Call)
 		num(int64(a.Attempt))
-	case control.Remind:
+	case control.StartTimer:
 		word("remind")
 		num(int64(a.Tag))
 		num(a.Wait)
-	case control.Listen:
+	case control.Subscribe:
 		word("listen")
 		h.out = append(h.out, ",true"...)
 	}
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -45,12 +45,12 @@
 	if c.list == nil {
 		c.list = map[uint64]exchange.Office{}
 		for _, s := range c.m.listed {
-			c.list[s.id] = s.office(control.In)
+			c.list[s.id] = s.office(control.Serving)
 		}
 	}
 	var first []exchange.Office
 	for _, s := range c.m.servers {
-		if o, ok := c.list[s.id]; ok && o.State != control.Out {
+		if o, ok := c.list[s.id]; ok && o.State != control.Removed {
 			first = append(first, o)
 		}
 	}
@@ -115,7 +115,7 @@
 // hear takes a change of the list.
 func (c *controller) hear(o exchange.Office) {
 	c.list[o.Server] = o
-	if o.State != control.In {
+	if o.State != control.Serving {
 		c.m.ledger.Told(c.name(), fmt.Sprint(o.Server), c.m.time())
 	} else {
 		c.m.ledger.Listed(c.name(), fmt.Sprint(o.Server))
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -258,12 +258,12 @@
 }
 
 // office is the list's entry of a server.
-func (s *server) office(state control.Readiness) exchange.Office {
+func (s *server) office(state control.EntryState) exchange.Office {
 	return exchange.Office{Entry: control.Entry{Cell: s.cell, Share: 1, Server: s.id, ReadyAt: s.ready, State: state}, Addr: fmt.Sprint(s.id)}
 }
 
 // tell has every controller hear of a change, each late in its own way.
-func (m *model) tell(s *server, state control.Readiness) {
+func (m *model) tell(s *server, state control.EntryState) {
 	o := s.office(state)
 	for _, c := range m.controllers {
 		wait := int64(m.ListLate[0]) + c.rng.Int64N(int64(m.ListLate[1]-m.ListLate[0])+1)
@@ -282,7 +282,7 @@
 // noticed has the list tell that a server is away, unless it is back before that shows.
 func (m *model) noticed(s *server, t Trouble, within [2]time.Duration, rng *rand.Rand) {
 	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < t.For {
-		m.after(int64(wait), func() { m.tell(s, control.Out) })
+		m.after(int64(wait), func() { m.tell(s, control.Removed) })
 	}
 }
 
@@ -297,9 +297,9 @@
 					old, s := m.listed[cell], m.newServer(cell, m.now)
 					m.listed[cell] = s
 					old.drains = true
-					m.tell(old, control.Lame)
-					m.tell(s, control.In)
-					m.after(11e9, func() { old.stop(); m.tell(old, control.Out) })
+					m.tell(old, control.Draining)
+					m.tell(s, control.Serving)
+					m.after(11e9, func() { old.stop(); m.tell(old, control.Removed) })
 				})
 			}
 		case "down": // its process is away for a while, and begins anew
@@ -310,7 +310,7 @@
 				m.after(int64(t.For), func() {
 					s.gone = false
 					s.crash()
-					m.tell(s, control.In)
+					m.tell(s, control.Serving)
 				})
 			}
 		case "cut": // what is on its way to them and from them comes when it is over
@@ -334,7 +334,7 @@
 			for _, cell := range rng.Perm(m.Servers)[:struck] {
 				s := m.listed[cell]
 				s.crash()
-				m.tell(s, control.In)
+				m.tell(s, control.Serving)
 			}
 		case "slow", "silent":
 			for _, cell := range rng.Perm(m.Servers)[:struck] {
@@ -349,7 +349,7 @@
 							m.noticed(s, t, silentNoticed, rng)
 						} else {
 							s.ready = m.now
-							m.tell(s, control.In)
+							m.tell(s, control.Serving)
 						}
 					} else if on {
 						s.done(s.proc.SetSlow(m.now, t.Times))
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -75,7 +75,7 @@
 // setup takes an attempt that has reached the server.
 func (s *server) setup(c *controller, gen int, a exchange.Attempt) {
 	if s.gone {
-		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.RefusedConn}) })
+		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.ConnectionRefused}) })
 		return
 	}
 	s.m.ledger.Sent(a.ID, c.name(), s.name(), s.m.time())
@@ -91,7 +91,7 @@
 	}
 	if s.drains {
 		s.m.ledger.Ended(a.ID, s.name(), false, s.m.time())
-		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.Superseded}) })
+		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.N, exchange.Ending{Outcome: control.Unavailable}) })
 		return
 	}
 	taken, wait, done := s.proc.Offer(s.m.now, a.ID)
@@ -181,7 +181,7 @@
 		a := s.calls[id]
 		if !a.stands {
 			s.m.ledger.Ended(id, s.name(), true, s.m.time())
-			a.from.later(a.gen, s.cell, func() { a.from.x.Ended(s.id, a.id, a.n, exchange.Ending{Outcome: control.Severed}) })
+			a.from.later(a.gen, s.cell, func() { a.from.x.Ended(s.id, a.id, a.n, exchange.Ending{Outcome: control.ConnectionLost}) })
 		}
 		if !told[a.from] {
 			told[a.from] = true
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -77,7 +77,7 @@
 	x.Connect(side)
 	var list []exchange.Office
 	for k := range servers {
-		list = append(list, exchange.Office{Addr: "127.0.0.1:9", Entry: control.Entry{Server: uint64(listedFirst + k), Cell: k, Share: 1, State: control.In}})
+		list = append(list, exchange.Office{Addr: "127.0.0.1:9", Entry: control.Entry{Server: uint64(listedFirst + k), Cell: k, Share: 1, State: control.Serving}})
 	}
 	x.Members(list, true)
 	x.Drive()
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -53,7 +53,7 @@
 		f.servers = map[uint64]bool{}
 	}
 	for _, o := range changed {
-		if o.State == control.In {
+		if o.State == control.Serving {
 			f.servers[o.Server] = true
 		} else {
 			delete(f.servers, o.Server)
@@ -119,6 +119,6 @@
 	for len(f.open) > 0 && now-f.open[0].at >= openFor {
 		one := f.open[0]
 		f.open = f.open[1:]
-		m.shared.See(now, control.Event{Kind: control.Returned, Call: one.id, Server: one.server, Outcome: control.Overdue})
+		m.shared.See(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
 	}
 }
