--- a/cmd/masthill-lab/asrun.go
+++ b/cmd/masthill-lab/asrun.go
@@ -57,7 +57,7 @@
 				}
 				chain = append(chain, own)
 			case "shared":
-				fleet = shared.New(talking(s, planned, seed), seed, now, shared.Events{})
+				fleet = shared.New(talking(s, planned, seed), seed, now, shared.Callbacks{})
 				chain = append(chain, fleet)
 			case "goodput":
 				chain = append(chain, goodput.New(goodput.Settings{Control: s}, seed, now, nil))
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -43,11 +43,11 @@
 			alive++
 		}
 	}
-	if alive != members || len(p.Shared.Known) < members {
+	if alive != members || len(p.Shared.KnownCounts) < members {
 		return false
 	}
 	heard := 0
-	for _, k := range p.Shared.Known {
+	for _, k := range p.Shared.KnownCounts {
 		if k.AgeMS < 1500 {
 			heard++
 		}
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -143,7 +143,7 @@
 		}
 	}()
 	log.Info("serving releases", "fleet", c.Fleet, "others", len(others))
-	return releases.NewServer(releases.ServerOptions{Name: c.Listen, Others: others, Fleet: c.Fleet, Keys: keys, HaltAfter: c.HaltAfter,
+	return releases.NewServer(releases.ServerOptions{Name: c.Listen, OtherServers: others, Fleet: c.Fleet, Keys: keys, HaltAfter: c.HaltAfter,
 		Dir: c.Dir, Log: log}).Serve(ctx, l)
 }
 
@@ -328,7 +328,7 @@
 	if c.JSON {
 		return indented(out, o)
 	}
-	fmt.Fprintf(out, "newest version %d, last good before it %d", o.Version, o.Good)
+	fmt.Fprintf(out, "newest version %d, last good before it %d", o.Version, o.LastGood)
 	if o.Halted != "" {
 		fmt.Fprintf(out, ", halted: %s", o.Halted)
 	}
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/talking.go
@@ -53,7 +53,7 @@
 		settings.Tenants = append(settings.Tenants, t.Name)
 	}
 	reign := int64(0) // until when; the core's goroutine alone looks at it
-	in.shared = shared.New(settings, in.p.Seed^epoch, in.started.UnixNano(), shared.Events{
+	in.shared = shared.New(settings, in.p.Seed^epoch, in.started.UnixNano(), shared.Callbacks{
 		Claim: func(c lease.Claim) { record.put("claim", in.options.Now(), c) },
 		Leader: func(until int64) {
 			now := in.options.Now()
@@ -69,7 +69,7 @@
 			if v.Avoided {
 				state = "avoided"
 			}
-			log.Warn("office judged", "server", strconv.FormatUint(v.Server, 16), "state", state, "reason", v.Reason, "witnesses", v.Observers, "against", v.Against)
+			log.Warn("office judged", "server", strconv.FormatUint(v.Server, 16), "state", state, "reason", v.Reason, "witnesses", v.Observers, "against", v.GoodReports)
 		},
 	})
 	in.joins(in.shared)
--- a/control/distribution/distribution_test.go
+++ b/control/distribution/distribution_test.go
@@ -42,13 +42,13 @@
 }
 
 func newReplica(name string, others ...string) *Replica {
-	return NewReplica(ReplicaConfig{Name: name, Fleet: testFleet, Others: others, Keys: publicKeys(), HaltAfter: 1}, Kept{})
+	return NewReplica(ReplicaConfig{Name: name, Fleet: testFleet, OtherServers: others, Keys: publicKeys(), HaltAfter: 1}, StoredState{})
 }
 
 // follow has an instance hear a server, fetch what it wants and apply what is due; apply tells what comes of that.
 func follow(t *testing.T, f *Follower, r *Replica, now int64, apply func(Release) error) {
 	t.Helper()
-	if err := f.Hear(now, r.Head(now)); err != nil {
+	if err := f.ReceiveHead(now, r.Head(now)); err != nil {
 		t.Fatal(err)
 	}
 	for v := f.Wanted(); v > 0; v = f.Wanted() {
@@ -56,12 +56,12 @@
 		if release == nil {
 			t.Fatalf("version %d is wanted, and the server has it not", v)
 		}
-		if err := f.Take(now, *release); err != nil {
+		if err := f.ReceiveRelease(now, *release); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if release, ok := f.Next(now); ok {
-		f.Done(release.Version, apply(release))
+	if release, ok := f.NextToApply(now); ok {
+		f.RecordResult(release.Version, apply(release))
 	}
 	r.Acknowledge(now, f.Acknowledge(now))
 }
@@ -89,14 +89,14 @@
 	for name, tc := range map[string]struct {
 		release Release
 		want    error
-	}{"a stranger's": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongHome},
-		"no stage for the rest": {noRest, ErrBounds}, "too large": {large, ErrBounds}, "version 0": {newRelease(0, ""), ErrBounds}} {
+	}{"a stranger's": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongFleet},
+		"no stage for the rest": {noRest, ErrOutOfBounds}, "too large": {large, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
 		if err := newReplica("s1").Publish(0, tc.release); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		f := newFollower("a")
-		f.Hear(0, Head{Version: max(tc.release.Version, 1), Digest: tc.release.Digest()})
-		if err := f.Take(0, tc.release); err == nil {
+		f.ReceiveHead(0, Head{Version: max(tc.release.Version, 1), Digest: tc.release.Digest()})
+		if err := f.ReceiveRelease(0, tc.release); err == nil {
 			t.Errorf("%s: an instance takes it", name)
 		}
 	}
@@ -121,11 +121,11 @@
 	if b.Running() != 1 || b.Acknowledge(4*second).State != Applied {
 		t.Errorf("%+v", b.Acknowledge(4*second))
 	}
-	if err := r.Publish(5*second, newRelease(2, "two")); !errors.Is(err, ErrUnderWay) {
+	if err := r.Publish(5*second, newRelease(2, "two")); !errors.Is(err, ErrRolloutInProgress) {
 		t.Error(err)
 	}
 	publish(t, r, 6*second, newRelease(2, "two"))
-	if err := r.Publish(20*second, newRelease(1, "other")); !errors.Is(err, ErrOld) {
+	if err := r.Publish(20*second, newRelease(1, "other")); !errors.Is(err, ErrNotNewer) {
 		t.Error(err)
 	}
 }
@@ -158,7 +158,7 @@
 	}
 	publish(t, r, 20*second, newRelease(3, "three")) // at once: the one before is halted
 	follow(t, a, r, 20*second, fine)
-	if a.Running() != 3 || r.Head(20*second).Good != 1 {
+	if a.Running() != 3 || r.Head(20*second).LastGood != 1 {
 		t.Error(a.Running(), r.Head(20*second))
 	}
 }
@@ -186,18 +186,18 @@
 	follow(t, f, r, 0, fine)
 	old := newReplica("s2")
 	publish(t, old, 0, newRelease(4, "four"))
-	if err := f.Hear(second, old.Head(second)); !errors.Is(err, ErrStaleServer) {
+	if err := f.ReceiveHead(second, old.Head(second)); !errors.Is(err, ErrStaleServer) {
 		t.Error(err)
 	}
 	twin := newReplica("s3")
 	publish(t, twin, 0, newRelease(5, "another five"))
-	if err := f.Hear(second, twin.Head(second)); !errors.Is(err, ErrConflict) {
+	if err := f.ReceiveHead(second, twin.Head(second)); !errors.Is(err, ErrConflict) {
 		t.Error(err)
 	}
-	if err := f.Hear(9*second, Head{Version: 900}); err != nil || f.Wanted() != 900 {
+	if err := f.ReceiveHead(9*second, Head{Version: 900}); err != nil || f.Wanted() != 900 {
 		t.Error(err, f.Wanted())
 	}
-	if err := f.Take(9*second, newRelease(900, "not the one")); !errors.Is(err, ErrMismatch) {
+	if err := f.ReceiveRelease(9*second, newRelease(900, "not the one")); !errors.Is(err, ErrMismatch) {
 		t.Error(err)
 	}
 	if got := f.Age(9 * second); got != 9*time.Second {
@@ -213,7 +213,7 @@
 func TestAgesAreHonest(t *testing.T) {
 	r, f := newReplica("s1", "s2", "s3"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
-	r.HearServer(0, Head{Server: "s2"})
+	r.ReceiveServerHead(0, Head{Server: "s2"})
 	follow(t, f, r, 2*second, fine)
 	if got := f.Age(3 * second); got != 3*time.Second { // 2 s since s1 heard a majority, and 1 s since s1 was heard
 		t.Error(got)
@@ -222,12 +222,12 @@
 	if f.Running() != 0 || f.Acknowledge(8*second).State != Waiting || f.Acknowledge(11*second).State != Stale {
 		t.Error(f.Running(), f.Acknowledge(8*second), f.Acknowledge(11*second))
 	}
-	r.HearServer(12*second, Head{Server: "s3"})
+	r.ReceiveServerHead(12*second, Head{Server: "s3"})
 	follow(t, f, r, 12*second, fine)
 	if f.Running() != 1 {
 		t.Error("healed, and it does not run the release")
 	}
-	if r := NewReplica(ReplicaConfig{Name: "s1", Others: []string{"s2"}}, Kept{}); r.Head(0).Lag < time.Hour {
+	if r := NewReplica(ReplicaConfig{Name: "s1", OtherServers: []string{"s2"}}, StoredState{}); r.Head(0).Lag < time.Hour {
 		t.Error("a server that never heard another tells no lag")
 	}
 }
@@ -237,8 +237,8 @@
 	one, two := newReplica("s1", "s2"), newReplica("s2", "s1")
 	publish(t, one, 0, newRelease(1, "one"))
 	publish(t, two, 0, newRelease(1, "another"))
-	one.HearServer(second, two.Head(second))
-	two.HearServer(second, one.Head(second))
+	one.ReceiveServerHead(second, two.Head(second))
+	two.ReceiveServerHead(second, one.Head(second))
 	if one.Head(second).Halted == "" || two.Head(second).Halted == "" {
 		t.Error(one.Head(second), two.Head(second))
 	}
@@ -250,8 +250,8 @@
 	publish(t, r, 0, newRelease(1, "one"))
 	publish(t, r, 10*second, newRelease(2, "two"))
 	follow(t, f, r, 10*second, fine)
-	again := NewReplica(r.config, r.Kept())
-	if head := again.Head(12 * second); head.Version != 2 || head.Good != 1 || head.Elapsed != 2*time.Second {
+	again := NewReplica(r.config, r.StoredState())
+	if head := again.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
 		t.Errorf("%+v", head)
 	}
 	back := NewFollower(f.config, f.RunningRelease(), f.Newest())
@@ -263,7 +263,7 @@
 	if back := NewFollower(f.config, &forged, 2); back.Running() != 0 || back.Newest() != 2 {
 		t.Errorf("%+v", back.Acknowledge(0))
 	}
-	if again := NewReplica(r.config, Kept{Newest: &forged}); again.Head(0).Version != 0 {
+	if again := NewReplica(r.config, StoredState{Newest: &forged}); again.Head(0).Version != 0 {
 		t.Error("a release that no key has signed is taken up")
 	}
 }
@@ -306,26 +306,26 @@
 		now := int64(0)
 		sync := func(from, to *Replica) {
 			head := from.Head(now)
-			switch wanted := to.HearServer(now, head); wanted {
+			switch wanted := to.ReceiveServerHead(now, head); wanted {
 			case 0:
 			case head.Version:
 				to.Copy(now, *from.Release(wanted), head)
 			default:
 				if release := from.Release(wanted); release != nil {
-					to.CopyGood(*release)
+					to.CopyLastGood(*release)
 				}
 			}
 		}
 		step := func(f *Follower, r *Replica) {
-			if f.Hear(now, r.Head(now)) != nil {
+			if f.ReceiveHead(now, r.Head(now)) != nil {
 				return
 			}
 			for v := f.Wanted(); v > 0 && r.Release(v) != nil; v = f.Wanted() {
-				if f.Take(now, *r.Release(v)) != nil {
+				if f.ReceiveRelease(now, *r.Release(v)) != nil {
 					break
 				}
 			}
-			release, ok := f.Next(now)
+			release, ok := f.NextToApply(now)
 			if !ok {
 				return
 			}
@@ -335,7 +335,7 @@
 			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.delay(f.config.Zone)) {
 				t.Fatalf("seed %d: %s takes %d too early", seed, f.config.Member, release.Version)
 			}
-			f.Done(release.Version, err)
+			f.RecordResult(release.Version, err)
 			r.Acknowledge(now, f.Acknowledge(now))
 		}
 		for range 400 {
@@ -369,7 +369,7 @@
 		head := servers[0].Head(now)
 		want := head.Version
 		if head.Halted != "" {
-			want = head.Good
+			want = head.LastGood
 		}
 		for _, f := range all {
 			if f.Running() != want || f.Running() == bad && bad > 0 {
@@ -395,16 +395,16 @@
 	for _, r := range []*Replica{knows, missed} {
 		publish(t, r, 20*second, newRelease(3, "three"))
 	}
-	if knows.Head(20*second).Good != 1 || missed.Head(20*second).Good != 2 {
+	if knows.Head(20*second).LastGood != 1 || missed.Head(20*second).LastGood != 2 {
 		t.Fatal(knows.Head(20*second), missed.Head(20*second))
 	}
-	if wanted := missed.HearServer(21*second, knows.Head(21*second)); wanted != 1 {
+	if wanted := missed.ReceiveServerHead(21*second, knows.Head(21*second)); wanted != 1 {
 		t.Errorf("it fetches version %d", wanted)
 	}
-	if err := missed.CopyGood(*knows.Release(1)); err != nil {
+	if err := missed.CopyLastGood(*knows.Release(1)); err != nil {
 		t.Fatal(err)
 	}
-	if wanted := knows.HearServer(21*second, missed.Head(21*second)); wanted != 0 || missed.Head(21*second).Good != 1 || missed.Release(1) == nil {
+	if wanted := knows.ReceiveServerHead(21*second, missed.Head(21*second)); wanted != 0 || missed.Head(21*second).LastGood != 1 || missed.Release(1) == nil {
 		t.Error(wanted, missed.Head(21*second))
 	}
 }
--- a/control/distribution/follower.go
+++ b/control/distribution/follower.go
@@ -57,8 +57,8 @@
 
 // Hear takes a server's head. An error tells why that server is not to be followed; nothing changes then. A version that
 // the instance does not have yet counts only once its release was fetched and stands the test.
-func (f *Follower) Hear(now int64, head Head) error {
-	if head.Version < f.newest || head.Good > 0 && head.Good >= head.Version || head.Lag < 0 || head.Elapsed < 0 {
+func (f *Follower) ReceiveHead(now int64, head Head) error {
+	if head.Version < f.newest || head.LastGood > 0 && head.LastGood >= head.Version || head.Lag < 0 || head.Elapsed < 0 {
 		return fmt.Errorf("%w: it tells version %d, known is %d", ErrStaleServer, head.Version, f.newest)
 	}
 	release, held := f.held[head.Version]
@@ -77,17 +77,17 @@
 	if _, ok := f.held[f.head.Version]; !ok && f.head.Version > 0 {
 		return f.head.Version
 	}
-	if f.head.Halted == "" || f.running == f.head.Good {
+	if f.head.Halted == "" || f.running == f.head.LastGood {
 		return 0
 	}
-	if _, ok := f.held[f.head.Good]; !ok {
-		return f.head.Good
+	if _, ok := f.held[f.head.LastGood]; !ok {
+		return f.head.LastGood
 	}
 	return 0
 }
 
 // Take takes a release that was fetched. An error tells why it is refused, and its server is not to be followed.
-func (f *Follower) Take(now int64, release Release) error {
+func (f *Follower) ReceiveRelease(now int64, release Release) error {
 	if err := release.Verify(f.config.Fleet, f.config.Keys); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 			return fmt.Errorf("%w: version %d", ErrMismatch, release.Version)
 		}
 		f.newest, f.heardAt, f.heard = release.Version, now, true
-	case f.head.Good:
+	case f.head.LastGood:
 	default:
 		return fmt.Errorf("%w: version %d", ErrMismatch, release.Version)
 	}
@@ -110,7 +110,7 @@
 // forget drops the releases that nothing leads back to.
 func (f *Follower) forget() {
 	for version := range f.held {
-		if version != f.head.Version && version != f.head.Good && version != f.running {
+		if version != f.head.Version && version != f.head.LastGood && version != f.running {
 			delete(f.held, version)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // Next is the release that is to be applied now. Without a release, ok and version 0, the instance's own files alone are
 // to be in force again.
-func (f *Follower) Next(now int64) (release Release, ok bool) {
+func (f *Follower) NextToApply(now int64) (release Release, ok bool) {
 	target := f.target(now)
 	if target == f.running || target == f.failed && target > 0 {
 		return Release{}, false
@@ -137,7 +137,7 @@
 		return f.running
 	}
 	if f.head.Halted != "" {
-		return f.head.Good
+		return f.head.LastGood
 	}
 	if f.running == newest.Version {
 		return f.running
@@ -150,7 +150,7 @@
 }
 
 // Done takes what came of applying a version.
-func (f *Follower) Done(version Version, err error) {
+func (f *Follower) RecordResult(version Version, err error) {
 	if err != nil {
 		f.failed, f.detail = version, clip(err.Error(), maxDetail)
 		return
@@ -194,7 +194,7 @@
 		return Stale
 	case f.failed > 0 && f.failed == f.newest:
 		return Failed
-	case f.head.Halted != "" && f.running == f.head.Good:
+	case f.head.Halted != "" && f.running == f.head.LastGood:
 		return RolledBack
 	case f.running == f.newest:
 		return Applied
--- a/control/distribution/head.go
+++ b/control/distribution/head.go
@@ -5,12 +5,12 @@
 // Head is what a server tells of its newest release. It carries no signature: it can make an instance wait or go back to
 // the last good release, but never run anything that the operators have not signed.
 type Head struct {
-	Server  string        `json:"server"`
-	Version Version       `json:"version"` // the newest release; 0: there is none
-	Digest  Digest        `json:"digest"`
-	Good    Version       `json:"good"`       // the newest one before it that was not halted; 0: there is none
-	Elapsed time.Duration `json:"elapsed_ns"` // since the newest one was published
-	Halted  string        `json:"halted,omitempty"`
+	Server   string        `json:"server"`
+	Version  Version       `json:"version"` // the newest release; 0: there is none
+	Digest   Digest        `json:"digest"`
+	LastGood Version       `json:"good"`       // the newest one before it that was not halted; 0: there is none
+	Elapsed  time.Duration `json:"elapsed_ns"` // since the newest one was published
+	Halted   string        `json:"halted,omitempty"`
 	// Failures is how many instances have told this server that they could not apply the newest release.
 	Failures int `json:"failures,omitempty"`
 	// Lag is how long ago the server last was in touch with a majority of the servers, itself included.
--- a/control/distribution/overview.go
+++ b/control/distribution/overview.go
@@ -7,11 +7,11 @@
 
 // Overview is what all servers together tell of a fleet.
 type Overview struct {
-	Version Version        `json:"version"` // the newest that any server has
-	Good    Version        `json:"good"`
-	Halted  string         `json:"halted,omitempty"`
-	Servers []Head         `json:"servers"`
-	Members []MemberStatus `json:"members"`
+	Version  Version        `json:"version"` // the newest that any server has
+	LastGood Version        `json:"good"`
+	Halted   string         `json:"halted,omitempty"`
+	Servers  []Head         `json:"servers"`
+	Members  []MemberStatus `json:"members"`
 }
 
 // NewOverview puts the servers' answers together. An instance that changed servers counts by its latest word.
@@ -21,10 +21,10 @@
 	for _, s := range statuses {
 		o.Servers = append(o.Servers, s.Head)
 		if s.Head.Version > o.Version {
-			o.Version, o.Good, o.Halted = s.Head.Version, s.Head.Good, ""
+			o.Version, o.LastGood, o.Halted = s.Head.Version, s.Head.LastGood, ""
 		}
 		if s.Head.Version == o.Version {
-			o.Good, o.Halted = min(o.Good, s.Head.Good), cmp.Or(o.Halted, s.Head.Halted)
+			o.LastGood, o.Halted = min(o.LastGood, s.Head.LastGood), cmp.Or(o.Halted, s.Head.Halted)
 		}
 		for _, m := range s.Members {
 			if known, ok := latest[m.Member]; !ok || m.AgeMS < known.AgeMS {
--- a/control/distribution/release.go
+++ b/control/distribution/release.go
@@ -73,9 +73,9 @@
 
 // The reasons for which a release is refused.
 var (
-	ErrUnsigned  = errors.New("no known key has signed it")
-	ErrBounds    = errors.New("out of bounds")
-	ErrWrongHome = errors.New("made for another fleet")
+	ErrUnsigned    = errors.New("no known key has signed it")
+	ErrOutOfBounds = errors.New("out of bounds")
+	ErrWrongFleet  = errors.New("made for another fleet")
 )
 
 // signed is what a signature covers: everything but itself.
@@ -97,7 +97,7 @@
 		return err
 	}
 	if r.Fleet != fleet {
-		return fmt.Errorf("%w: %q", ErrWrongHome, r.Fleet)
+		return fmt.Errorf("%w: %q", ErrWrongFleet, r.Fleet)
 	}
 	return verify(r.signed(), r.Signature, keys)
 }
@@ -114,23 +114,23 @@
 func (r Release) checkBounds() error {
 	switch {
 	case r.Version == 0:
-		return fmt.Errorf("%w: version 0", ErrBounds)
+		return fmt.Errorf("%w: version 0", ErrOutOfBounds)
 	case len(r.Content) > MaxContent:
-		return fmt.Errorf("%w: content of %d bytes, %d at most", ErrBounds, len(r.Content), MaxContent)
+		return fmt.Errorf("%w: content of %d bytes, %d at most", ErrOutOfBounds, len(r.Content), MaxContent)
 	case len(r.Stages) == 0 || len(r.Stages) > MaxStages:
-		return fmt.Errorf("%w: %d stages, 1 to %d", ErrBounds, len(r.Stages), MaxStages)
+		return fmt.Errorf("%w: %d stages, 1 to %d", ErrOutOfBounds, len(r.Stages), MaxStages)
 	}
 	rest := 0
 	for _, s := range r.Stages {
 		if s.After < 0 || s.After > MaxStageDelay || len(s.Zones) > MaxZones {
-			return fmt.Errorf("%w: stage after %v with %d zones", ErrBounds, s.After, len(s.Zones))
+			return fmt.Errorf("%w: stage after %v with %d zones", ErrOutOfBounds, s.After, len(s.Zones))
 		}
 		if len(s.Zones) == 0 {
 			rest++
 		}
 	}
 	if rest != 1 {
-		return fmt.Errorf("%w: %d stages for all other zones, exactly 1", ErrBounds, rest)
+		return fmt.Errorf("%w: %d stages for all other zones, exactly 1", ErrOutOfBounds, rest)
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 }
 
 // Length is how long after its publication the last zone takes the release.
-func (r Release) Length() time.Duration {
+func (r Release) RolloutDuration() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range r.Stages {
 		longest = max(longest, s.After)
@@ -178,7 +178,7 @@
 // Verify checks that the order is for a fleet and that one of the keys has signed it.
 func (h HaltOrder) Verify(fleet string, keys []ed25519.PublicKey) error {
 	if h.Fleet != fleet {
-		return fmt.Errorf("%w: %q", ErrWrongHome, h.Fleet)
+		return fmt.Errorf("%w: %q", ErrWrongFleet, h.Fleet)
 	}
 	return verify(h.signed(), h.Signature, keys)
 }
--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -22,26 +22,26 @@
 
 // ReplicaConfig is what a server needs to know.
 type ReplicaConfig struct {
-	Name, Fleet string
-	Others      []string // the other servers
-	Keys        []ed25519.PublicKey
+	Name, Fleet  string
+	OtherServers []string // the other servers
+	Keys         []ed25519.PublicKey
 	// HaltAfter is how many instances that cannot apply a release halt it.
 	HaltAfter int
 }
 
 // The reasons for which a server refuses a release.
 var (
-	ErrOld      = errors.New("not newer than the newest release")
-	ErrUnderWay = errors.New("the release before it is under way")
+	ErrNotNewer          = errors.New("not newer than the newest release")
+	ErrRolloutInProgress = errors.New("the release before it is under way")
 )
 
 // Kept is what a server keeps over its end.
-type Kept struct {
-	Newest      *Release `json:"newest,omitempty"`
-	GoodVersion Version  `json:"good_version"`   // the newest one before it that was not halted
-	Good        *Release `json:"good,omitempty"` // nil: not copied from another server yet
-	Published   int64    `json:"published_ns"`   // when the newest one was, by this server's clock
-	Halted      string   `json:"halted,omitempty"`
+type StoredState struct {
+	Newest          *Release `json:"newest,omitempty"`
+	LastGoodVersion Version  `json:"good_version"`   // the newest one before it that was not halted
+	LastGood        *Release `json:"good,omitempty"` // nil: not copied from another server yet
+	PublishedAt     int64    `json:"published_ns"`   // when the newest one was, by this server's clock
+	Halted          string   `json:"halted,omitempty"`
 }
 
 // memberState is the last acknowledgement of an instance.
@@ -59,21 +59,21 @@
 // Replica is the state of one server. It is not safe for concurrent use.
 type Replica struct {
 	config  ReplicaConfig
-	kept    Kept
+	kept    StoredState
 	digest  Digest // of the newest release: each question is answered with it
 	members map[string]memberState
 	others  map[string]otherServer
 }
 
 // NewReplica makes the state of a server from what it kept. Releases that no key has signed are left out.
-func NewReplica(config ReplicaConfig, kept Kept) *Replica {
-	for _, release := range []**Release{&kept.Newest, &kept.Good} {
+func NewReplica(config ReplicaConfig, kept StoredState) *Replica {
+	for _, release := range []**Release{&kept.Newest, &kept.LastGood} {
 		if *release != nil && (*release).Verify(config.Fleet, config.Keys) != nil {
 			*release = nil
 		}
 	}
 	if kept.Newest == nil {
-		kept = Kept{}
+		kept = StoredState{}
 	}
 	r := &Replica{config: config, kept: kept, members: map[string]memberState{}, others: map[string]otherServer{}}
 	if kept.Newest != nil {
@@ -83,7 +83,7 @@
 }
 
 // Kept is what is to be kept over the server's end.
-func (r *Replica) Kept() Kept { return r.kept }
+func (r *Replica) StoredState() StoredState { return r.kept }
 
 // Publish takes a release from the operators.
 func (r *Replica) Publish(now int64, release Release) error {
@@ -91,11 +91,11 @@
 		return nil // the publisher tries again
 	}
 	if newest := r.kept.Newest; newest != nil && r.kept.Halted == "" && release.Version > newest.Version {
-		if left := newest.Length() + settleTime - r.elapsed(now); left > 0 {
-			return fmt.Errorf("%w: version %d, for another %v", ErrUnderWay, newest.Version, left.Round(100*time.Millisecond))
+		if left := newest.RolloutDuration() + settleTime - r.elapsed(now); left > 0 {
+			return fmt.Errorf("%w: version %d, for another %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
 		}
 	}
-	good := r.kept.GoodVersion
+	good := r.kept.LastGoodVersion
 	if r.kept.Newest != nil && r.kept.Halted == "" {
 		good = r.kept.Newest.Version
 	}
@@ -104,7 +104,7 @@
 
 // Copy takes the newest release of another server, which told it by a head.
 func (r *Replica) Copy(now int64, release Release, head Head) error {
-	return r.take(now-int64(max(head.Elapsed, 0)), release, head.Good)
+	return r.take(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
 }
 
 func (r *Replica) take(published int64, release Release, good Version) error {
@@ -112,32 +112,32 @@
 		return err
 	}
 	if r.kept.Newest != nil && release.Version <= r.kept.Newest.Version {
-		return fmt.Errorf("%w: version %d, newest is %d", ErrOld, release.Version, r.kept.Newest.Version)
+		return fmt.Errorf("%w: version %d, newest is %d", ErrNotNewer, release.Version, r.kept.Newest.Version)
 	}
-	r.kept = Kept{Newest: &release, GoodVersion: good, Good: r.Release(good), Published: published}
+	r.kept = StoredState{Newest: &release, LastGoodVersion: good, LastGood: r.Release(good), PublishedAt: published}
 	r.digest = release.Digest()
 	return nil
 }
 
 // CopyGood takes the last good release from another server, for one that has not seen it published.
-func (r *Replica) CopyGood(release Release) error {
+func (r *Replica) CopyLastGood(release Release) error {
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if release.Version != r.kept.GoodVersion {
-		return ErrOld
+	if release.Version != r.kept.LastGoodVersion {
+		return ErrNotNewer
 	}
-	r.kept.Good = &release
+	r.kept.LastGood = &release
 	return nil
 }
 
 // hearGood takes another server's word on the last good release before the newest one. The lower one holds: the other
 // server knows of a halt that this one has not heard of.
 func (r *Replica) hearGood(good Version) (wanted Version) {
-	if good < r.kept.GoodVersion {
-		r.kept.GoodVersion, r.kept.Good = good, nil
+	if good < r.kept.LastGoodVersion {
+		r.kept.LastGoodVersion, r.kept.LastGood = good, nil
 	}
-	if r.kept.Good == nil && good == r.kept.GoodVersion {
+	if r.kept.LastGood == nil && good == r.kept.LastGoodVersion {
 		return good
 	}
 	return 0
@@ -145,7 +145,7 @@
 
 // Release is a release that the server has; nil: it has not.
 func (r *Replica) Release(version Version) *Release {
-	for _, release := range []*Release{r.kept.Newest, r.kept.Good} {
+	for _, release := range []*Release{r.kept.Newest, r.kept.LastGood} {
 		if release != nil && release.Version == version {
 			return release
 		}
@@ -178,8 +178,8 @@
 }
 
 // HearServer takes another server's head. It tells which release is to be fetched from it, by Copy or CopyGood; 0: none.
-func (r *Replica) HearServer(now int64, head Head) (wanted Version) {
-	if !slices.Contains(r.config.Others, head.Server) {
+func (r *Replica) ReceiveServerHead(now int64, head Head) (wanted Version) {
+	if !slices.Contains(r.config.OtherServers, head.Server) {
 		return 0
 	}
 	r.others[head.Server] = otherServer{head, now}
@@ -192,7 +192,7 @@
 		} else if head.Halted != "" {
 			r.halt(head.Halted)
 		}
-		wanted = r.hearGood(head.Good)
+		wanted = r.hearGood(head.LastGood)
 	}
 	r.judge(now)
 	return wanted
@@ -204,7 +204,7 @@
 		return err
 	}
 	if r.kept.Newest == nil || r.kept.Newest.Version != order.Version {
-		return fmt.Errorf("%w: version %d", ErrOld, order.Version)
+		return fmt.Errorf("%w: version %d", ErrNotNewer, order.Version)
 	}
 	r.halt(cmp.Or(clip(order.Reason, maxDetail), "halted by its operators"))
 	return nil
@@ -243,7 +243,7 @@
 }
 
 func (r *Replica) elapsed(now int64) time.Duration {
-	return time.Duration(max(now-r.kept.Published, 0))
+	return time.Duration(max(now-r.kept.PublishedAt, 0))
 }
 
 // Head is what the server tells.
@@ -253,13 +253,13 @@
 		head.Version, head.Digest, head.Elapsed = r.kept.Newest.Version, r.digest, r.elapsed(now)
 		head.Halted, head.Failures = r.kept.Halted, r.failures()
 	}
-	head.Good = r.kept.GoodVersion
+	head.LastGood = r.kept.LastGoodVersion
 	return head
 }
 
 // lag is how long ago a majority of the servers was last heard.
 func (r *Replica) lag(now int64) time.Duration {
-	needed := (len(r.config.Others) + 1) / 2 // of the others, beside this server
+	needed := (len(r.config.OtherServers) + 1) / 2 // of the others, beside this server
 	if needed == 0 {
 		return 0
 	}
--- a/control/shared/config.go
+++ b/control/shared/config.go
@@ -24,7 +24,7 @@
 }
 
 // Events are callbacks by which the module reports to its shell; each may be nil.
-type Events struct {
+type Callbacks struct {
 	Claim    func(lease.Claim)
 	Decision func(outlier.Decision)
 	Leader   func(until int64) // this instance is the leader until then
--- a/control/shared/count/count_test.go
+++ b/control/shared/count/count_test.go
@@ -93,7 +93,7 @@
 					real += p.in(now-window, now)
 				}
 			}
-			if r.Least > real || real > r.Most {
+			if r.LowerBound > real || real > r.UpperBound {
 				t.Fatalf("%d in the window, read %+v", real, r)
 			}
 		}
@@ -125,10 +125,10 @@
 		}
 	}
 	r := all[3].Read(now, key, 5e9)
-	if r.Of != 20 || r.AgeMS > 500 || r.Value < 920 || r.Value > 1010 {
+	if r.Processes != 20 || r.AgeMS > 500 || r.Value < 920 || r.Value > 1010 {
 		t.Errorf("%+v, and 1,000 were counted", r)
 	}
-	if r = all[3].Read(now+14.5e9, key, 5e9); r.Of != 1 {
+	if r = all[3].Read(now+14.5e9, key, 5e9); r.Processes != 1 {
 		t.Errorf("long gone, and still read: %+v", r)
 	}
 	if keys := all[3].Keys("offered/"); len(keys) != 1 || len(all[3].Keys("refused/")) != 0 {
@@ -141,15 +141,15 @@
 	s.Receive(1e9, Message{From: Source{"a", 1}, Counts: map[string]int64{key: 9}}) // its own name and epoch
 	s.Receive(1e9, Message{From: Source{"b", 2}, UptimeMS: -5, Counts: map[string]int64{key: 9}})
 	s.Receive(1e9, Message{From: Source{"b", 3}, UptimeMS: 10, Counts: map[string]int64{key: 1 << 60, "x": -4}})
-	if r := s.Read(1e9, key, 1e9); r.Value != 0 || r.Least != 0 {
+	if r := s.Read(1e9, key, 1e9); r.Value != 0 || r.LowerBound != 0 {
 		t.Errorf("%+v", r)
 	}
 	s.Receive(1e9, Message{From: Source{"c", 1}, UptimeMS: 100, Counts: map[string]int64{key: 7}})
-	if r := s.Read(1e9, key, 1e9); r.Of != 1 || r.Value != 7 {
+	if r := s.Read(1e9, key, 1e9); r.Processes != 1 || r.Value != 7 {
 		t.Errorf("its age is sure at once: %+v", r)
 	}
 	s.Receive(4e9, Message{From: Source{"c", 1}, UptimeMS: 200, Counts: map[string]int64{key: 3}}) // no process goes back
-	if got := s.Known(4e9); got[len(got)-1].Counts[key] != 7 {
+	if got := s.KnownCounts(4e9); got[len(got)-1].Counts[key] != 7 {
 		t.Errorf("a count went back: %+v", got)
 	}
 	for k := range 3000 {
--- a/control/shared/count/reading.go
+++ b/control/shared/count/reading.go
@@ -12,11 +12,11 @@
 // Reading is a count of the fleet over a window. A process that was first heard of less than Config.MaxDelay ago is
 // included in the estimate but not in the bounds: its first messages may have been delayed, so their age is not certain.
 type Reading struct {
-	Value float64 `json:"value"`  // the estimate
-	Least int64   `json:"least"`  // certainly counted in the window, by the processes included
-	Most  int64   `json:"most"`   // the most that they can have counted
-	AgeMS int64   `json:"age_ms"` // of the newest message of the process that has been silent for the longest time
-	Of    int     `json:"of"`     // the number of processes included, this one among them
+	Value      float64 `json:"value"`  // the estimate
+	LowerBound int64   `json:"least"`  // certainly counted in the window, by the processes included
+	UpperBound int64   `json:"most"`   // the most that they can have counted
+	AgeMS      int64   `json:"age_ms"` // of the newest message of the process that has been silent for the longest time
+	Processes  int     `json:"of"`     // the number of processes included, this one among them
 }
 
 // Read reads a key over a window that ends now.
@@ -35,13 +35,13 @@
 		if !h.settled {
 			continue
 		}
-		r.Of++
+		r.Processes++
 		r.AgeMS = max(r.AgeMS, age/1e6)
 		least, most := s.bounds(id, h, key, now-window, total)
-		r.Least += least
-		r.Most += most
+		r.LowerBound += least
+		r.UpperBound += most
 		if id != s.own { // and what it can have counted since its newest message was sent
-			r.Most += int64(math.Ceil(s.cfg.MaxRate * float64(min(age+s.cfg.MaxDelay, window)) / 1e9))
+			r.UpperBound += int64(math.Ceil(s.cfg.MaxRate * float64(min(age+s.cfg.MaxDelay, window)) / 1e9))
 		}
 	}
 	return r
@@ -96,14 +96,14 @@
 }
 
 // Known is what a process is known to have counted since its start.
-type Known struct {
+type KnownCounts struct {
 	Source
 	Counts map[string]int64 `json:"counts"`
 	AgeMS  int64            `json:"age_ms"` // of its newest message
 }
 
 // Known gives the newest counts of each process that readings include, ordered by name and epoch.
-func (s *Set) Known(now int64) (all []Known) {
+func (s *Set) KnownCounts(now int64) (all []KnownCounts) {
 	for id, h := range s.sources {
 		last := h.last()
 		if id == s.own {
@@ -111,9 +111,9 @@
 		} else if !h.settled || now-last.at > s.silenceTimeout() {
 			continue
 		}
-		all = append(all, Known{id, maps.Clone(last.counts), (now - last.at) / 1e6})
+		all = append(all, KnownCounts{id, maps.Clone(last.counts), (now - last.at) / 1e6})
 	}
-	slices.SortFunc(all, func(a, b Known) int {
+	slices.SortFunc(all, func(a, b KnownCounts) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Epoch, b.Epoch))
 	})
 	return all
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -11,12 +11,12 @@
 
 // Decision is the result of evaluating the reports on one server.
 type Decision struct {
-	Server    uint64   `json:"server"`
-	Avoided   bool     `json:"avoided"`
-	Reason    string   `json:"reason"`    // silent, dead, or why it is not avoided
-	Observers []string `json:"witnesses"` // the instances whose bad reports it rests on
-	Against   int      `json:"against"`   // the reports of the sample that are good
-	AgeMS     int64    `json:"age_ms"`    // of the youngest report of the sample
+	Server      uint64   `json:"server"`
+	Avoided     bool     `json:"avoided"`
+	Reason      string   `json:"reason"`    // silent, dead, or why it is not avoided
+	Observers   []string `json:"witnesses"` // the instances whose bad reports it rests on
+	GoodReports int      `json:"against"`   // the reports of the sample that are good
+	AgeMS       int64    `json:"age_ms"`    // of the youngest report of the sample
 }
 
 // The reasons why a server with bad reports is not avoided.
@@ -133,7 +133,7 @@
 	count := map[Kind]int{}
 	for _, o := range sample {
 		if !o.kind.bad() {
-			v.Against++
+			v.GoodReports++
 			continue
 		}
 		count[o.kind]++
@@ -144,7 +144,7 @@
 	}
 	bad, minBad := len(v.Observers), d.cfg.MinBad
 	if d.cfg.OmitCheck == CheckObservers {
-		sample, v.Against, minBad = sample[:bad], 0, 1
+		sample, v.GoodReports, minBad = sample[:bad], 0, 1
 	}
 	outlier := bad >= minBad && float64(bad) >= d.cfg.BadShare*float64(len(sample))
 	switch {
@@ -156,10 +156,10 @@
 			v.Reason = Dead.String()
 		}
 		d.extendAvoidance(now, s, sample[0].seenAt)
-	case s.decision.Avoided && v.Against == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no better news
+	case s.decision.Avoided && v.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no better news
 		v = s.decision
-		v.Against = 0
-	case bad == 0 && v.Against == 0:
+		v.GoodReports = 0
+	case bad == 0 && v.GoodReports == 0:
 		v.Reason = Expired
 	}
 	return v
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -148,7 +148,7 @@
 		if s == nil || r.AgeMS < 0 || r.Kind > Cold || r.AgeMS > d.cfg.Retention/1e6 {
 			continue
 		}
-		s.keep(observation{m.Machine, m.From, r.Kind, now - r.AgeMS*1e6, r.Run})
+		s.keep(observation{m.Machine, m.From, r.Kind, now - r.AgeMS*1e6, r.Streak})
 		d.heard(r.Server, r.Kind)
 	}
 }
--- a/control/shared/outlier/outlier_test.go
+++ b/control/shared/outlier/outlier_test.go
@@ -181,7 +181,7 @@
 	now := int64(100e9)
 	tell := func(server uint64, witnesses int) {
 		for k := range witnesses {
-			b.Receive(now, Message{From: fmt.Sprint("n", k), Machine: fmt.Sprint("m", k), Reports: []Report{{Server: server, Kind: Dead, Run: 1}}})
+			b.Receive(now, Message{From: fmt.Sprint("n", k), Machine: fmt.Sprint("m", k), Reports: []Report{{Server: server, Kind: Dead, Streak: 1}}})
 		}
 		now += 100e6
 		b.Avoid(now, 1)
--- a/control/shared/outlier/report.go
+++ b/control/shared/outlier/report.go
@@ -32,7 +32,7 @@
 	Server uint64 `codec:"s"`
 	Kind   Kind   `codec:"k"`
 	AgeMS  int64  `codec:"a"`
-	Run    int    `codec:"r,omitempty"` // observations of this kind in a row
+	Streak int    `codec:"r,omitempty"` // observations of this kind in a row
 }
 
 // Message is a health report: what an instance has recently observed of all servers.
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -17,7 +17,7 @@
 const (
 	Together   = "together" // other instances are heard
 	Alone      = "alone"    // no other instance is heard
-	ColdCap    = "cold-budget"
+	ColdBudget = "cold-budget"
 	SecondHand = "hearsay-" // followed by the reason of the decision
 )
 
@@ -55,7 +55,7 @@
 }
 
 // New makes the module for a process that starts at now.
-func New(c Config, seed uint64, now int64, on Events) *Shared {
+func New(c Config, seed uint64, now int64, on Callbacks) *Shared {
 	c.Lease.MaxInstances = max(c.Lease.MaxInstances, 1)
 	m := &Shared{
 		cfg:         c,
@@ -130,7 +130,7 @@
 		}
 	}
 	if budget, _, cold := m.coldBudget(now, server); cold && !m.lease.Available(now, budget) {
-		return false, ColdCap
+		return false, ColdBudget
 	}
 	return true, ""
 }
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -27,7 +27,7 @@
 		one.Control = control.Settings{GroupSize: n, Ordinal: k, ColdFrom: 0.31, ColdSpan: 15 * second, Classes: []control.Class{{Aim: 1200e6, Deadline: 9 * second, Worth: 1}}}
 		one.Name, one.Machine, one.Epoch = fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k+1)
 		one.Lease = lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: n}
-		m := New(one, uint64(k), g.now, Events{})
+		m := New(one, uint64(k), g.now, Callbacks{})
 		m.See(g.now, g.list(0))
 		g.all = append(g.all, m)
 	}
@@ -102,7 +102,7 @@
 	if float64(sent) > most+12 || float64(sent) < most*0.4 {
 		t.Errorf("%d sent in 4 s, and the budget is %.1f", sent, most)
 	}
-	if ok, why := g.all[0].Room(g.now, 1); ok || why != ColdCap {
+	if ok, why := g.all[0].Room(g.now, 1); ok || why != ColdBudget {
 		t.Errorf("room %v: %q", ok, why)
 	}
 	if ok, why := g.all[0].Room(g.now, 2); !ok {
@@ -188,7 +188,7 @@
 		t.Error("cut off, and still the fleet's totals")
 	}
 	look := g.all[1].Look(g.now) // of a keeper
-	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].Least > look.Counts[0].Most {
+	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].LowerBound > look.Counts[0].UpperBound {
 		t.Errorf("%+v", look)
 	}
 }
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -35,19 +35,19 @@
 
 // Look is the module's state for operators and the lab's checkers.
 type Look struct {
-	State     string             `json:"state"`
-	SinceNS   int64              `json:"since_ns"`
-	Leader    string             `json:"allocator"` // the leader
-	IsLeader  bool               `json:"reigns"`    // this instance is the leader
-	Leases    []lease.Lease      `json:"leases"`
-	Counts    []Counted          `json:"counts"`
-	Decisions []outlier.Decision `json:"verdicts"`
-	Known     []count.Known      `json:"known"`
-	Reserved  map[string]int64   `json:"booked,omitempty"` // reserved by the leader, by budget, in thousandths of a call per second
+	State       string              `json:"state"`
+	SinceNS     int64               `json:"since_ns"`
+	Leader      string              `json:"allocator"` // the leader
+	IsLeader    bool                `json:"reigns"`    // this instance is the leader
+	Leases      []lease.Lease       `json:"leases"`
+	Counts      []KeyReading        `json:"counts"`
+	Decisions   []outlier.Decision  `json:"verdicts"`
+	KnownCounts []count.KnownCounts `json:"known"`
+	Reserved    map[string]int64    `json:"booked,omitempty"` // reserved by the leader, by budget, in thousandths of a call per second
 }
 
 // Counted is one count over a window.
-type Counted struct {
+type KeyReading struct {
 	Key string `json:"key"`
 	count.Reading
 }
@@ -55,16 +55,16 @@
 // Look describes the module's state.
 func (m *Shared) Look(now int64) Look {
 	l := Look{
-		State:     m.state,
-		SinceNS:   m.since,
-		Leader:    m.lease.Leader(now),
-		IsLeader:  m.lease.IsLeader(now),
-		Leases:    m.lease.Leases(now),
-		Decisions: m.detector.Decisions(now),
-		Known:     m.count.Known(now),
+		State:       m.state,
+		SinceNS:     m.since,
+		Leader:      m.lease.Leader(now),
+		IsLeader:    m.lease.IsLeader(now),
+		Leases:      m.lease.Leases(now),
+		Decisions:   m.detector.Decisions(now),
+		KnownCounts: m.count.KnownCounts(now),
 	}
 	for _, key := range m.count.Keys("") {
-		l.Counts = append(l.Counts, Counted{key, m.count.Read(now, key, totalsWindow)})
+		l.Counts = append(l.Counts, KeyReading{key, m.count.Read(now, key, totalsWindow)})
 	}
 	if l.IsLeader {
 		l.Reserved = map[string]int64{}
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -51,7 +51,7 @@
 	if len(p.Shared.Counts) > 0 {
 		fmt.Fprintln(t, "\ncount, 2 s\tvalue\tat least\tat most\tage\tof instances")
 		for _, c := range p.Shared.Counts {
-			fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d ms\t%d\n", c.Key, c.Value, c.Least, c.Most, c.AgeMS, c.Of)
+			fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d ms\t%d\n", c.Key, c.Value, c.LowerBound, c.UpperBound, c.AgeMS, c.Processes)
 		}
 		t.Flush()
 	}
@@ -62,7 +62,7 @@
 			if v.Avoided {
 				judged = "avoided"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d ms\n", strconv.FormatUint(v.Server, 16), judged, v.Reason, strings.Join(v.Observers, " "), v.Against, v.AgeMS)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d ms\n", strconv.FormatUint(v.Server, 16), judged, v.Reason, strings.Join(v.Observers, " "), v.GoodReports, v.AgeMS)
 		}
 	}
 	if len(p.Changes) > 0 {
--- a/internal/releases/client.go
+++ b/internal/releases/client.go
@@ -43,7 +43,7 @@
 }
 
 // ErrNotThere tells that a server does not have a release.
-var ErrNotThere = errors.New("the server does not have it")
+var ErrNotFound = errors.New("the server does not have it")
 
 // Client asks servers. Its zero value is ready.
 type Client struct {
@@ -118,7 +118,7 @@
 	case err != nil:
 		return err
 	case response.StatusCode == http.StatusNotFound:
-		return ErrNotThere
+		return ErrNotFound
 	case response.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(text[:min(len(text), 512)])))
 	case int64(len(text)) > most:
--- a/internal/releases/member.go
+++ b/internal/releases/member.go
@@ -95,8 +95,8 @@
 	m.options.Log.Error("release of before not in force", "reason", "unfit", "version", release.Version, "err", err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.follower.Done(0, nil)
-	m.follower.Done(release.Version, err)
+	m.follower.RecordResult(0, nil)
+	m.follower.RecordResult(release.Version, err)
 }
 
 // Run follows the servers until ctx ends.
@@ -145,8 +145,8 @@
 		return "stale"
 	case errors.Is(err, distribution.ErrConflict):
 		return "conflict"
-	case errors.Is(err, distribution.ErrUnsigned), errors.Is(err, distribution.ErrMismatch), errors.Is(err, distribution.ErrWrongHome),
-		errors.Is(err, distribution.ErrBounds):
+	case errors.Is(err, distribution.ErrUnsigned), errors.Is(err, distribution.ErrMismatch), errors.Is(err, distribution.ErrWrongFleet),
+		errors.Is(err, distribution.ErrOutOfBounds):
 		return "forged"
 	}
 	return "lost"
@@ -189,19 +189,19 @@
 // hear takes a server's head and fetches the releases that it leads to.
 func (m *Member) hear(ctx context.Context, server string, head distribution.Head) error {
 	m.mu.Lock()
-	err := m.follower.Hear(now(), head)
+	err := m.follower.ReceiveHead(now(), head)
 	wanted := m.follower.Wanted()
 	m.mu.Unlock()
 	for err == nil && wanted > 0 {
 		release, fetchErr := m.client.Fetch(ctx, server, wanted)
-		if errors.Is(fetchErr, ErrNotThere) && wanted != head.Version {
+		if errors.Is(fetchErr, ErrNotFound) && wanted != head.Version {
 			return nil // the server copies it still
 		}
 		if fetchErr != nil {
 			return fetchErr
 		}
 		m.mu.Lock()
-		err = m.follower.Take(now(), release)
+		err = m.follower.ReceiveRelease(now(), release)
 		wanted = m.follower.Wanted()
 		m.keep()
 		m.mu.Unlock()
@@ -212,7 +212,7 @@
 // advance puts the release in force whose turn it is.
 func (m *Member) advance() {
 	m.mu.Lock()
-	release, due := m.follower.Next(now())
+	release, due := m.follower.NextToApply(now())
 	m.mu.Unlock()
 	if !due {
 		return
@@ -226,7 +226,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.follower.Running()
-	m.follower.Done(release.Version, err)
+	m.follower.RecordResult(release.Version, err)
 	if err != nil {
 		m.options.Log.Error("release not in force", "reason", "unfit", "version", release.Version, "kept", before, "err", err)
 		return
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -33,14 +33,14 @@
 
 // ServerOptions is what a server needs to know.
 type ServerOptions struct {
-	Name      string // its address as the other servers and the instances name it
-	Others    []string
-	Fleet     string
-	Keys      []ed25519.PublicKey
-	HaltAfter int
-	Dir       string // where releases are kept
-	Log       *slog.Logger
-	Now       func() int64 // nil: the system's clock
+	Name         string // its address as the other servers and the instances name it
+	OtherServers []string
+	Fleet        string
+	Keys         []ed25519.PublicKey
+	HaltAfter    int
+	Dir          string // where releases are kept
+	Log          *slog.Logger
+	Now          func() int64 // nil: the system's clock
 }
 
 // Server keeps and serves releases.
@@ -61,10 +61,10 @@
 		options.Now = func() int64 { return time.Now().UnixNano() }
 	}
 	path := filepath.Join(options.Dir, keptFile)
-	var kept distribution.Kept
+	var kept distribution.StoredState
 	load(path, &kept, options.Log)
 	s := &Server{options: options, saver: newSaver(path, options.Log), client: NewClient(nil), news: make(chan struct{}),
-		replica: distribution.NewReplica(distribution.ReplicaConfig{Name: options.Name, Fleet: options.Fleet, Others: options.Others,
+		replica: distribution.NewReplica(distribution.ReplicaConfig{Name: options.Name, Fleet: options.Fleet, OtherServers: options.OtherServers,
 			Keys: options.Keys, HaltAfter: options.HaltAfter}, kept)}
 	s.tag = tagOf(s.replica.Head(options.Now()))
 	return s
@@ -72,7 +72,7 @@
 
 // tagOf tells heads apart that somebody has to hear of.
 func tagOf(h distribution.Head) string {
-	return fmt.Sprintf("%s/%d/%d/%t/%d", h.Server, h.Version, h.Good, h.Halted != "", h.Failures)
+	return fmt.Sprintf("%s/%d/%d/%t/%d", h.Server, h.Version, h.LastGood, h.Halted != "", h.Failures)
 }
 
 // Serve answers until ctx ends.
@@ -92,7 +92,7 @@
 		return server.Close()
 	})
 	g.Go(func() error { s.saver.run(ctx.Done()); return nil })
-	for _, other := range s.options.Others {
+	for _, other := range s.options.OtherServers {
 		g.Go(func() error { s.follow(ctx, other); return nil })
 	}
 	return g.Wait()
@@ -172,7 +172,7 @@
 	release := s.replica.Release(distribution.Version(version))
 	s.mu.Unlock()
 	if release == nil {
-		http.Error(w, ErrNotThere.Error(), http.StatusNotFound)
+		http.Error(w, ErrNotFound.Error(), http.StatusNotFound)
 		return
 	}
 	answerJSON(w, release)
@@ -201,11 +201,11 @@
 	if tag == s.tag {
 		return
 	}
-	s.options.Log.Info("newest release", "version", head.Version, "good", head.Good, "halted", head.Halted, "failures", head.Failures)
+	s.options.Log.Info("newest release", "version", head.Version, "good", head.LastGood, "halted", head.Halted, "failures", head.Failures)
 	s.tag = tag
 	close(s.news)
 	s.news = make(chan struct{})
-	s.saver.put(s.replica.Kept())
+	s.saver.put(s.replica.StoredState())
 }
 
 // follow follows another server until ctx ends.
@@ -235,12 +235,12 @@
 		return fmt.Errorf("it calls itself %q", head.Server)
 	}
 	var wanted distribution.Version
-	s.change(func() { wanted = s.replica.HearServer(s.options.Now(), head) })
+	s.change(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
 	if wanted == 0 {
 		return nil
 	}
 	release, err := s.client.Fetch(ctx, other, wanted)
-	if errors.Is(err, ErrNotThere) && wanted != head.Version {
+	if errors.Is(err, ErrNotFound) && wanted != head.Version {
 		return nil // it has not copied that one yet
 	}
 	if err != nil {
@@ -250,10 +250,10 @@
 		if wanted == head.Version {
 			err = s.replica.Copy(s.options.Now(), release, head)
 		} else {
-			err = s.replica.CopyGood(release)
+			err = s.replica.CopyLastGood(release)
 		}
 	})
-	if errors.Is(err, distribution.ErrOld) { // it came from elsewhere meanwhile
+	if errors.Is(err, distribution.ErrNotNewer) { // it came from elsewhere meanwhile
 		return nil
 	}
 	return err
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -44,7 +44,7 @@
 func (c *controller) lie() *outlier.Message {
 	m := &outlier.Message{From: c.name(), Machine: c.name()}
 	for _, s := range c.m.listed {
-		m.Reports = append(m.Reports, outlier.Report{Server: s.id, Kind: outlier.Dead, Run: 99})
+		m.Reports = append(m.Reports, outlier.Report{Server: s.id, Kind: outlier.Dead, Streak: 99})
 	}
 	return m
 }
--- a/lab/rig/counts.go
+++ b/lab/rig/counts.go
@@ -30,7 +30,7 @@
 // checkKnown checks the counts that a process knew of others: no more than they had counted, and no less than they had
 // counted when the news was sent.
 func checkKnown(f *Findings, bySource processes, p *process, s *snapshot, maxDelay int64) {
-	for _, known := range s.Known {
+	for _, known := range s.KnownCounts {
 		source := bySource[known.Source]
 		if source == nil || source == p {
 			continue
@@ -52,11 +52,11 @@
 	for _, reading := range s.Counts {
 		f.Counts++
 		least, most, certain := countedInWindow(bySource, s, reading.Key)
-		if certain && reading.Least > most {
-			f.report(&f.OutOfBound, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.Least, most)
+		if certain && reading.LowerBound > most {
+			f.report(&f.OutOfBound, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, most)
 		}
-		if certain && reading.Most < least {
-			f.report(&f.OutOfBound, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.Most, least)
+		if certain && reading.UpperBound < least {
+			f.report(&f.OutOfBound, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, least)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // if one of them left no snapshot of its own after it.
 func countedInWindow(bySource processes, s *snapshot, key string) (least, most int64, certain bool) {
 	certain = true
-	for _, known := range s.Known {
+	for _, known := range s.KnownCounts {
 		source := bySource[known.Source]
 		if source == nil {
 			certain = false
@@ -97,7 +97,7 @@
 
 // ownCount is what a snapshot of a process says of its own count.
 func (p *process) ownCount(s *snapshot, key string) int64 {
-	for _, known := range s.Known {
+	for _, known := range s.KnownCounts {
 		if known.Name == p.name && known.Epoch == p.epoch {
 			return known.Counts[key]
 		}
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -223,10 +223,10 @@
 		p := fresh(name)
 		for n := range 12 {
 			k := snapshot{at: at(float64(n)), alive: 2}
-			k.Known = []count.Known{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
+			k.KnownCounts = []count.KnownCounts{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
 			if said != nil && n == 10 {
-				k.Known = append(k.Known, count.Known{Source: count.Source{Name: "b", Epoch: 1}, Counts: said, AgeMS: age})
-				k.Look.Counts = []shared.Counted{{Key: "o/", Reading: count.Reading{Least: said["least"], Most: 1000}}}
+				k.KnownCounts = append(k.KnownCounts, count.KnownCounts{Source: count.Source{Name: "b", Epoch: 1}, Counts: said, AgeMS: age})
+				k.Look.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: said["least"], UpperBound: 1000}}}
 			}
 			p.snapshots = append(p.snapshots, k)
 		}
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -48,7 +48,7 @@
 	name := fmt.Sprintf("n%d", from)
 	j := &outlier.Message{From: name, Machine: "machine-" + name}
 	for k := range min(servers, outlier.MaxReports) {
-		j.Reports = append(j.Reports, outlier.Report{Server: uint64(listedFirst + (from*7+k)%servers), AgeMS: int64(20 * k), Run: 3})
+		j.Reports = append(j.Reports, outlier.Report{Server: uint64(listedFirst + (from*7+k)%servers), AgeMS: int64(20 * k), Streak: 3})
 	}
 	c := &count.Message{From: count.Source{Name: name, Epoch: 1}, UptimeMS: 100_000, Counts: map[string]int64{}}
 	for _, t := range tenants {
@@ -65,7 +65,7 @@
 	}
 	now := time.Unix(1e9, 0)
 	o := exchange.Options{Settings: p.Settings, Seed: 1, Now: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), Memory: 192 << 20}
-	peer := shared.New(shared.Config{Control: p.Settings, Name: "n3", Machine: "machine-n3", Epoch: 1, Tenants: tenants, DetectOutliers: true}, 1, now.UnixNano(), shared.Events{})
+	peer := shared.New(shared.Config{Control: p.Settings, Name: "n3", Machine: "machine-n3", Epoch: 1, Tenants: tenants, DetectOutliers: true}, 1, now.UnixNano(), shared.Callbacks{})
 	if among {
 		o.Join = []joined{peer}
 	}
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -210,7 +210,7 @@
 	now := m.now().UnixNano()
 	l.Judged = append(l.Judged, m.ear.ages(now)...)
 	m.core.Look(func() {
-		known := m.shared.Look(now).Known
+		known := m.shared.Look(now).KnownCounts
 		l.Sources = max(l.Sources, len(known))
 		for _, k := range known {
 			if k.Name != m.spec.Name(m.k) {
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -182,7 +182,7 @@
 	for _, t := range p.Shares {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
-	m.shared = shared.New(c, p.Seed^epoch, began.UnixNano(), shared.Events{
+	m.shared = shared.New(c, p.Seed^epoch, began.UnixNano(), shared.Callbacks{
 		Claim:    func(one lease.Claim) { m.claims.claim(now(), one) },
 		Leader:   func(until int64) { m.claims.reign(now(), until) },
 		Decision: func(v outlier.Decision) { m.claims.judged(now(), v) },
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -168,7 +168,7 @@
 				l.sight.Alive++
 			}
 		}
-		for _, k := range s.Peers.Shared.Known {
+		for _, k := range s.Peers.Shared.KnownCounts {
 			if k.Name != r.Name {
 				l.counts = append(l.counts, k.AgeMS)
 			}
