--- a/control/distribution/distribution_test.go
+++ b/control/distribution/distribution_test.go
@@ -16,9 +16,9 @@
 )
 
 // testKey is the operators' key, strangerKey one that nobody knows.
-var testKey, strangerKey = keyOf(1), keyOf(2)
+var testKey, unknownKey = newKey(1), newKey(2)
 
-func keyOf(b byte) ed25519.PrivateKey {
+func newKey(b byte) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = b
 	return ed25519.NewKeyFromSeed(seed)
@@ -66,7 +66,7 @@
 	r.Acknowledge(now, f.Acknowledge(now))
 }
 
-func fine(Release) error { return nil }
+func applySucceeds(Release) error { return nil }
 
 func publish(t *testing.T, r *Replica, now int64, release Release) {
 	t.Helper()
@@ -75,9 +75,9 @@
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
+func TestInvalidReleasesAreRefused(t *testing.T) {
 	stranger := newRelease(1, "x")
-	stranger.Sign(strangerKey)
+	stranger.Sign(unknownKey)
 	changed := newRelease(1, "x")
 	changed.Content = []byte("y")
 	other := newRelease(1, "x")
@@ -101,7 +101,7 @@
 		}
 	}
 	order := HaltOrder{Fleet: testFleet, Version: 1}
-	order.Sign(strangerKey)
+	order.Sign(unknownKey)
 	if err := newReplica("s1").Halt(order); !errors.Is(err, ErrUnsigned) {
 		t.Error(err)
 	}
@@ -111,13 +111,13 @@
 	r, a, b := newReplica("s1"), newFollower("a"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
 	for now := int64(0); now < 4*second; now += second / 2 {
-		follow(t, a, r, now, fine)
-		follow(t, b, r, now, fine)
+		follow(t, a, r, now, applySucceeds)
+		follow(t, b, r, now, applySucceeds)
 		if a.Running() != 1 || b.Running() != 0 {
 			t.Fatalf("at %d: a runs %d, b %d", now, a.Running(), b.Running())
 		}
 	}
-	follow(t, b, r, 4*second, fine)
+	follow(t, b, r, 4*second, applySucceeds)
 	if b.Running() != 1 || b.Acknowledge(4*second).State != Applied {
 		t.Errorf("%+v", b.Acknowledge(4*second))
 	}
@@ -137,17 +137,17 @@
 	a2.config.Member = "m-a2"
 	publish(t, r, 0, newRelease(1, "one"))
 	for _, f := range []*Follower{a, a2, b} {
-		follow(t, f, r, 4*second, fine)
+		follow(t, f, r, 4*second, applySucceeds)
 	}
 	publish(t, r, 10*second, newRelease(2, "two"))
-	follow(t, a, r, 10*second, fine)
+	follow(t, a, r, 10*second, applySucceeds)
 	follow(t, a2, r, 10*second, func(Release) error { return errors.New("line 3: no such tenant") })
 	if a.Running() != 2 || a2.Running() != 1 || a2.Acknowledge(10*second).State != Failed {
 		t.Fatal(a.Running(), a2.Acknowledge(10*second))
 	}
 	for now := 11 * second; now < 20*second; now += second {
 		for _, f := range []*Follower{a, a2, b} {
-			follow(t, f, r, now, fine)
+			follow(t, f, r, now, applySucceeds)
 			if f.Running() != 1 {
 				t.Fatalf("at %d %s runs %d", now/second, f.config.Member, f.Running())
 			}
@@ -157,33 +157,33 @@
 		t.Errorf("%+v", got)
 	}
 	publish(t, r, 20*second, newRelease(3, "three")) // at once: the one before is halted
-	follow(t, a, r, 20*second, fine)
+	follow(t, a, r, 20*second, applySucceeds)
 	if a.Running() != 3 || r.Head(20*second).LastGood != 1 {
 		t.Error(a.Running(), r.Head(20*second))
 	}
 }
 
 // The first release of all that is halted leaves instances with their own files.
-func TestBackToTheOwnFiles(t *testing.T) {
+func TestHaltOfTheFirstReleaseRestoresOwnFiles(t *testing.T) {
 	r, a := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
-	follow(t, a, r, 0, fine)
+	follow(t, a, r, 0, applySucceeds)
 	order := HaltOrder{Fleet: testFleet, Version: 1, Reason: "wrong"}
 	order.Sign(testKey)
 	if err := r.Halt(order); err != nil {
 		t.Fatal(err)
 	}
-	follow(t, a, r, second, fine)
+	follow(t, a, r, second, applySucceeds)
 	if a.Running() != 0 || a.Acknowledge(second).State != RolledBack {
 		t.Errorf("%+v", a.Acknowledge(second))
 	}
 }
 
 // A server that is behind, or that tells a release that it does not have, is left, and changes nothing.
-func TestServersThatMislead(t *testing.T) {
+func TestStaleAndConflictingServersAreRefused(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(5, "five"))
-	follow(t, f, r, 0, fine)
+	follow(t, f, r, 0, applySucceeds)
 	old := newReplica("s2")
 	publish(t, old, 0, newRelease(4, "four"))
 	if err := f.ReceiveHead(second, old.Head(second)); !errors.Is(err, ErrStaleServer) {
@@ -210,20 +210,20 @@
 
 // Nothing heard, or heard from a server that is cut off from the others: what runs goes on, nothing new is applied, and the
 // age is told.
-func TestAgesAreHonest(t *testing.T) {
+func TestAgeAndLag(t *testing.T) {
 	r, f := newReplica("s1", "s2", "s3"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
 	r.ReceiveServerHead(0, Head{Server: "s2"})
-	follow(t, f, r, 2*second, fine)
+	follow(t, f, r, 2*second, applySucceeds)
 	if got := f.Age(3 * second); got != 3*time.Second { // 2 s since s1 heard a majority, and 1 s since s1 was heard
 		t.Error(got)
 	}
-	follow(t, f, r, 8*second, fine) // its turn came at 4 s, but the server has heard no majority for 8 s
+	follow(t, f, r, 8*second, applySucceeds) // its turn came at 4 s, but the server has heard no majority for 8 s
 	if f.Running() != 0 || f.Acknowledge(8*second).State != Waiting || f.Acknowledge(11*second).State != Stale {
 		t.Error(f.Running(), f.Acknowledge(8*second), f.Acknowledge(11*second))
 	}
 	r.ReceiveServerHead(12*second, Head{Server: "s3"})
-	follow(t, f, r, 12*second, fine)
+	follow(t, f, r, 12*second, applySucceeds)
 	if f.Running() != 1 {
 		t.Error("healed, and it does not run the release")
 	}
@@ -233,7 +233,7 @@
 }
 
 // Two operators publish one version at two servers: both are given up.
-func TestTwoReleasesOfOneVersion(t *testing.T) {
+func TestConflictingReleasesAreHalted(t *testing.T) {
 	one, two := newReplica("s1", "s2"), newReplica("s2", "s1")
 	publish(t, one, 0, newRelease(1, "one"))
 	publish(t, two, 0, newRelease(1, "another"))
@@ -245,11 +245,11 @@
 }
 
 // What a server and an instance keep over their ends is taken up.
-func TestOverAnEnd(t *testing.T) {
+func TestStateSurvivesRestart(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
 	publish(t, r, 10*second, newRelease(2, "two"))
-	follow(t, f, r, 10*second, fine)
+	follow(t, f, r, 10*second, applySucceeds)
 	again := NewReplica(r.config, r.StoredState())
 	if head := again.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
 		t.Errorf("%+v", head)
@@ -259,7 +259,7 @@
 		t.Errorf("%+v", back.Acknowledge(0))
 	}
 	forged := newRelease(3, "three")
-	forged.Sign(strangerKey)
+	forged.Sign(unknownKey)
 	if back := NewFollower(f.config, &forged, 2); back.Running() != 0 || back.Newest() != 2 {
 		t.Errorf("%+v", back.Acknowledge(0))
 	}
@@ -277,15 +277,15 @@
 	if n := len(r.Status(0).Members); n != maxMembers {
 		t.Error(n)
 	}
-	r.Acknowledge(int64(retention)+1, Acknowledgement{Member: "late"})
-	if n := len(r.Status(int64(retention) + 1).Members); n != 1 {
+	r.Acknowledge(int64(memberRetention)+1, Acknowledgement{Member: "late"})
+	if n := len(r.Status(int64(memberRetention) + 1).Members); n != 1 {
 		t.Error(n)
 	}
 }
 
 // Servers and instances that hear each other at random, with releases, failures and cuts among them: no instance ever runs
 // what was not signed, one that was halted before its stage, or a version older than one that it gave up for nothing.
-func TestAnyOrder(t *testing.T) {
+func TestRandomOrderConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		names := []string{"s1", "s2", "s3"}
@@ -332,7 +332,7 @@
 			var err error
 			if release.Version == bad && release.Version > 0 {
 				err = errors.New("bad")
-			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.delay(f.config.Zone)) {
+			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.stageDelay(f.config.Zone)) {
 				t.Fatalf("seed %d: %s takes %d too early", seed, f.config.Member, release.Version)
 			}
 			f.RecordResult(release.Version, err)
@@ -381,7 +381,7 @@
 
 // A server that had not heard of a halt when the next release came takes the halted one for good, until it hears a server that
 // knows better; then it fetches the release that is good.
-func TestTheLowerGoodReleaseHolds(t *testing.T) {
+func TestLowerLastGoodVersionWins(t *testing.T) {
 	knows, missed := newReplica("s1", "s2"), newReplica("s2", "s1")
 	for _, r := range []*Replica{knows, missed} {
 		publish(t, r, 0, newRelease(1, "one"))
--- a/control/distribution/follower.go
+++ b/control/distribution/follower.go
@@ -17,7 +17,7 @@
 }
 
 // neverHeard is the age of what is known by an instance that has heard no server.
-const neverHeard = time.Duration(1<<63 - 1)
+const unknownAge = time.Duration(1<<63 - 1)
 
 // The reasons for which a server is left for another one.
 var (
@@ -28,28 +28,28 @@
 
 // Follower decides for one instance which release it runs. It is not safe for concurrent use.
 type Follower struct {
-	config  FollowerConfig
-	held    map[Version]heldRelease // verified: the newest, the running and the last good one
-	newest  Version
-	running Version
-	head    Head // the last one that counts
-	heardAt int64
-	heard   bool
-	failed  Version // could not be applied
-	detail  string
+	config         FollowerConfig
+	held           map[Version]verifiedRelease // verified: the newest, the running and the last good one
+	newest         Version
+	running        Version
+	head           Head // the last one that counts
+	headReceivedAt int64
+	headReceived   bool
+	failedVersion  Version // could not be applied
+	failureDetail  string
 }
 
 // heldRelease is a release with its digest, which each answer of a server is held against.
-type heldRelease struct {
+type verifiedRelease struct {
 	Release
 	digest Digest
 }
 
 // NewFollower makes the state of an instance that runs a release of before, or none (nil), and knows of a newest version.
 func NewFollower(config FollowerConfig, running *Release, newest Version) *Follower {
-	f := &Follower{config: config, held: map[Version]heldRelease{}, newest: newest}
+	f := &Follower{config: config, held: map[Version]verifiedRelease{}, newest: newest}
 	if running != nil && running.Verify(config.Fleet, config.Keys) == nil {
-		f.held[running.Version] = heldRelease{*running, running.Digest()}
+		f.held[running.Version] = verifiedRelease{*running, running.Digest()}
 		f.running, f.newest = running.Version, max(newest, running.Version)
 	}
 	return f
@@ -67,7 +67,7 @@
 	}
 	f.head = head
 	if held || head.Version == 0 {
-		f.heardAt, f.heard = now, true
+		f.headReceivedAt, f.headReceived = now, true
 	}
 	return nil
 }
@@ -97,18 +97,18 @@
 		if digest != f.head.Digest {
 			return fmt.Errorf("%w: version %d", ErrMismatch, release.Version)
 		}
-		f.newest, f.heardAt, f.heard = release.Version, now, true
+		f.newest, f.headReceivedAt, f.headReceived = release.Version, now, true
 	case f.head.LastGood:
 	default:
 		return fmt.Errorf("%w: version %d", ErrMismatch, release.Version)
 	}
-	f.held[release.Version] = heldRelease{release, digest}
-	f.forget()
+	f.held[release.Version] = verifiedRelease{release, digest}
+	f.dropUnused()
 	return nil
 }
 
 // forget drops the releases that nothing leads back to.
-func (f *Follower) forget() {
+func (f *Follower) dropUnused() {
 	for version := range f.held {
 		if version != f.head.Version && version != f.head.LastGood && version != f.running {
 			delete(f.held, version)
@@ -119,8 +119,8 @@
 // Next is the release that is to be applied now. Without a release, ok and version 0, the instance's own files alone are
 // to be in force again.
 func (f *Follower) NextToApply(now int64) (release Release, ok bool) {
-	target := f.target(now)
-	if target == f.running || target == f.failed && target > 0 {
+	target := f.targetVersion(now)
+	if target == f.running || target == f.failedVersion && target > 0 {
 		return Release{}, false
 	}
 	if target == 0 {
@@ -131,9 +131,9 @@
 }
 
 // target is the version that the instance is to run.
-func (f *Follower) target(now int64) Version {
+func (f *Follower) targetVersion(now int64) Version {
 	newest, ok := f.held[f.head.Version]
-	if !f.heard || !ok || f.Age(now) > f.config.StageAge {
+	if !f.headReceived || !ok || f.Age(now) > f.config.StageAge {
 		return f.running
 	}
 	if f.head.Halted != "" {
@@ -142,8 +142,8 @@
 	if f.running == newest.Version {
 		return f.running
 	}
-	elapsed := f.head.Elapsed + time.Duration(now-f.heardAt)
-	if elapsed < newest.delay(f.config.Zone) {
+	elapsed := f.head.Elapsed + time.Duration(now-f.headReceivedAt)
+	if elapsed < newest.stageDelay(f.config.Zone) {
 		return f.running
 	}
 	return newest.Version
@@ -152,20 +152,20 @@
 // Done takes what came of applying a version.
 func (f *Follower) RecordResult(version Version, err error) {
 	if err != nil {
-		f.failed, f.detail = version, clip(err.Error(), maxDetail)
+		f.failedVersion, f.failureDetail = version, truncate(err.Error(), maxDetail)
 		return
 	}
-	f.running, f.failed, f.detail = version, 0, ""
-	f.forget()
+	f.running, f.failedVersion, f.failureDetail = version, 0, ""
+	f.dropUnused()
 }
 
 // Age is how old what the instance knows of the newest release is, by the longest way: since it heard its server, and since
 // that server heard a majority of the others.
 func (f *Follower) Age(now int64) time.Duration {
-	if !f.heard {
-		return neverHeard
+	if !f.headReceived {
+		return unknownAge
 	}
-	return time.Duration(now-f.heardAt) + f.head.Lag
+	return time.Duration(now-f.headReceivedAt) + f.head.Lag
 }
 
 // Newest is the newest version that is known and stood the test, Running the one that runs.
@@ -185,14 +185,14 @@
 
 // Acknowledge is what the instance tells of itself.
 func (f *Follower) Acknowledge(now int64) Acknowledgement {
-	return Acknowledgement{Member: f.config.Member, Zone: f.config.Zone, Newest: f.newest, Running: f.running, State: f.state(now), Detail: f.detail}
+	return Acknowledgement{Member: f.config.Member, Zone: f.config.Zone, Newest: f.newest, Running: f.running, State: f.state(now), Detail: f.failureDetail}
 }
 
 func (f *Follower) state(now int64) State {
 	switch {
-	case !f.heard || f.Age(now) > f.config.MaxAge:
+	case !f.headReceived || f.Age(now) > f.config.MaxAge:
 		return Stale
-	case f.failed > 0 && f.failed == f.newest:
+	case f.failedVersion > 0 && f.failedVersion == f.newest:
 		return Failed
 	case f.head.Halted != "" && f.running == f.head.LastGood:
 		return RolledBack
--- a/control/distribution/head.go
+++ b/control/distribution/head.go
@@ -43,4 +43,4 @@
 const maxDetail = 512
 
 // clip bounds a text.
-func clip(text string, most int) string { return text[:min(len(text), most)] }
+func truncate(text string, maxBytes int) string { return text[:min(len(text), maxBytes)] }
--- a/control/distribution/overview.go
+++ b/control/distribution/overview.go
@@ -50,12 +50,12 @@
 }
 
 // silentAfter is how long an instance may be unheard before it counts as stale, in milliseconds: a few questions.
-const silentAfter = 5000
+const staleAfterMS = 5000
 
 // StateOf is what an instance has made of the newest release that any server has.
 func (o Overview) StateOf(m MemberStatus) State {
 	switch {
-	case m.AgeMS > silentAfter:
+	case m.AgeMS > staleAfterMS:
 		return Stale
 	case m.Newest < o.Version && m.State != Stale:
 		return Waiting
--- a/control/distribution/release.go
+++ b/control/distribution/release.go
@@ -99,10 +99,10 @@
 	if r.Fleet != fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, r.Fleet)
 	}
-	return verify(r.signed(), r.Signature, keys)
+	return verifySignature(r.signed(), r.Signature, keys)
 }
 
-func verify(signed, signature []byte, keys []ed25519.PublicKey) error {
+func verifySignature(signed, signature []byte, keys []ed25519.PublicKey) error {
 	for _, key := range keys {
 		if ed25519.Verify(key, signed, signature) {
 			return nil
@@ -136,7 +136,7 @@
 }
 
 // delay is how long after its publication a zone takes the release.
-func (r Release) delay(zone string) time.Duration {
+func (r Release) stageDelay(zone string) time.Duration {
 	rest := time.Duration(0)
 	for _, s := range r.Stages {
 		if slices.Contains(s.Zones, zone) {
@@ -180,5 +180,5 @@
 	if h.Fleet != fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, h.Fleet)
 	}
-	return verify(h.signed(), h.Signature, keys)
+	return verifySignature(h.signed(), h.Signature, keys)
 }
--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -12,12 +12,12 @@
 const (
 	// settleTime is how long after its last stage a release is watched before the next one may come, so that it is known
 	// for good or bad by then.
-	settleTime = 2 * time.Second
+	observationTime = 2 * time.Second
 	// maxMembers bounds the instances whose acknowledgements are kept, retention how long one is kept without a word.
-	maxMembers = 4096
-	retention  = 10 * time.Minute
+	maxMembers      = 4096
+	memberRetention = 10 * time.Minute
 	// noteNever is the lag of a server that has heard no majority yet.
-	noteNever = 24 * time.Hour
+	unknownLag = 24 * time.Hour
 )
 
 // ReplicaConfig is what a server needs to know.
@@ -91,7 +91,7 @@
 		return nil // the publisher tries again
 	}
 	if newest := r.kept.Newest; newest != nil && r.kept.Halted == "" && release.Version > newest.Version {
-		if left := newest.RolloutDuration() + settleTime - r.elapsed(now); left > 0 {
+		if left := newest.RolloutDuration() + observationTime - r.elapsed(now); left > 0 {
 			return fmt.Errorf("%w: version %d, for another %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
 		}
 	}
@@ -99,15 +99,15 @@
 	if r.kept.Newest != nil && r.kept.Halted == "" {
 		good = r.kept.Newest.Version
 	}
-	return r.take(now, release, good)
+	return r.accept(now, release, good)
 }
 
 // Copy takes the newest release of another server, which told it by a head.
 func (r *Replica) Copy(now int64, release Release, head Head) error {
-	return r.take(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
+	return r.accept(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
 }
 
-func (r *Replica) take(published int64, release Release, good Version) error {
+func (r *Replica) accept(published int64, release Release, good Version) error {
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 
 // hearGood takes another server's word on the last good release before the newest one. The lower one holds: the other
 // server knows of a halt that this one has not heard of.
-func (r *Replica) hearGood(good Version) (wanted Version) {
+func (r *Replica) reconcileLastGood(good Version) (wanted Version) {
 	if good < r.kept.LastGoodVersion {
 		r.kept.LastGoodVersion, r.kept.LastGood = good, nil
 	}
@@ -159,19 +159,19 @@
 		return
 	}
 	if _, known := r.members[a.Member]; !known && len(r.members) >= maxMembers {
-		r.forget(now)
+		r.expireMembers(now)
 		if len(r.members) >= maxMembers {
 			return
 		}
 	}
-	a.Detail = clip(a.Detail, maxDetail)
+	a.Detail = truncate(a.Detail, maxDetail)
 	r.members[a.Member] = memberState{a, now}
-	r.judge(now)
+	r.haltOnFailures(now)
 }
 
-func (r *Replica) forget(now int64) {
+func (r *Replica) expireMembers(now int64) {
 	for name, m := range r.members {
-		if now-m.at > int64(retention) {
+		if now-m.at > int64(memberRetention) {
 			delete(r.members, name)
 		}
 	}
@@ -192,9 +192,9 @@
 		} else if head.Halted != "" {
 			r.halt(head.Halted)
 		}
-		wanted = r.hearGood(head.LastGood)
+		wanted = r.reconcileLastGood(head.LastGood)
 	}
-	r.judge(now)
+	r.haltOnFailures(now)
 	return wanted
 }
 
@@ -206,7 +206,7 @@
 	if r.kept.Newest == nil || r.kept.Newest.Version != order.Version {
 		return fmt.Errorf("%w: version %d", ErrNotNewer, order.Version)
 	}
-	r.halt(cmp.Or(clip(order.Reason, maxDetail), "halted by its operators"))
+	r.halt(cmp.Or(truncate(order.Reason, maxDetail), "halted by its operators"))
 	return nil
 }
 
@@ -217,13 +217,13 @@
 }
 
 // judge halts the newest release once enough instances could not apply it, here and as other servers tell.
-func (r *Replica) judge(now int64) {
+func (r *Replica) haltOnFailures(now int64) {
 	if r.kept.Newest == nil {
 		return
 	}
 	failures := r.failures()
 	for _, o := range r.others {
-		if o.head.Version == r.kept.Newest.Version && now-o.at < int64(retention) {
+		if o.head.Version == r.kept.Newest.Version && now-o.at < int64(memberRetention) {
 			failures += o.head.Failures
 		}
 	}
@@ -268,7 +268,7 @@
 		ages = append(ages, time.Duration(now-o.at))
 	}
 	if len(ages) < needed {
-		return noteNever
+		return unknownLag
 	}
 	slices.Sort(ages)
 	return max(ages[needed-1], 0)
@@ -288,7 +288,7 @@
 
 // Status looks at everything.
 func (r *Replica) Status(now int64) Status {
-	r.forget(now)
+	r.expireMembers(now)
 	s := Status{Head: r.Head(now), Members: make([]MemberStatus, 0, len(r.members))}
 	for _, m := range r.members {
 		s.Members = append(s.Members, MemberStatus{m.Acknowledgement, (now - m.at) / int64(time.Millisecond)})
--- a/control/shared/average.go
+++ b/control/shared/average.go
@@ -7,15 +7,17 @@
 
 // decayedAverage is a count whose parts decay exponentially with their age.
 type decayedAverage struct {
-	value float64
-	at    int64
+	value     float64
+	updatedAt int64
 }
 
 func (a *decayedAverage) read(now int64) float64 {
-	return a.value * math.Exp(-float64(max(now-a.at, 0))/decayTime)
+	return a.value * math.Exp(-float64(max(now-a.updatedAt, 0))/decayTime)
 }
 
-func (a *decayedAverage) add(now int64, n float64) { a.value, a.at = a.read(now)+n, max(now, a.at) }
+func (a *decayedAverage) add(now int64, n float64) {
+	a.value, a.updatedAt = a.read(now)+n, max(now, a.updatedAt)
+}
 
 // rate is the average number per second, of a count that began at the time since.
 func (a *decayedAverage) rate(now, since int64) float64 {
--- a/control/shared/count/count_test.go
+++ b/control/shared/count/count_test.go
@@ -9,11 +9,11 @@
 const key = "offered/slaney-vines"
 
 // truth is what a process really counted, by time.
-type truth struct {
+type eventLog struct {
 	at []int64
 }
 
-func (t *truth) in(from, to int64) (n int64) {
+func (t *eventLog) in(from, to int64) (n int64) {
 	for _, at := range t.at {
 		if at > from && at <= to {
 			n++
@@ -27,16 +27,16 @@
 		c := Config{Window: 10e9, MaxDelay: 2e9, MaxRate: 100}
 		type process struct {
 			set *Set
-			truth
+			eventLog
 			quick bool
 		}
-		type letter struct {
+		type delivery struct {
 			at int64
 			m  Message
 		}
 		now := int64(1e12)
 		reader := New(c, Source{"reader", 1}, now)
-		own := truth{}
+		own := eventLog{}
 		var all, live []*process
 		epoch := uint64(10)
 		begin := func(name string) *process {
@@ -48,7 +48,7 @@
 		begin("a")
 		begin("b")
 		begin("c")
-		var mail []letter
+		var mail []delivery
 		var came []Message
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now += rapid.Int64Range(10e6, 300e6).Draw(t, "gap")
@@ -75,7 +75,7 @@
 				if !p.quick {
 					most, p.quick = 2e9-400e6, true
 				}
-				mail = append(mail, letter{now + rapid.Int64Range(0, most).Draw(t, "delay"), m})
+				mail = append(mail, delivery{now + rapid.Int64Range(0, most).Draw(t, "delay"), m})
 				reader.Broadcast(now)
 			case 8: // it starts anew, with nothing or an old folder: there is nothing in it
 				live = append(live[:k], live[k+1:]...)
@@ -105,7 +105,7 @@
 	return h.samples[len(h.samples)-1].at
 }
 
-func TestAFleetIsReadWithinItsAge(t *testing.T) {
+func TestReadingOfAFleet(t *testing.T) {
 	c := Config{Window: 10e9, MaxDelay: 1e9, MaxRate: 50}
 	now := int64(0)
 	var all []*Set
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestUnfitMessagesChangeNothing(t *testing.T) {
+func TestInvalidMessagesAreIgnored(t *testing.T) {
 	s := New(Config{}, Source{"a", 1}, 0)
 	s.Receive(1e9, Message{From: Source{"a", 1}, Counts: map[string]int64{key: 9}}) // its own name and epoch
 	s.Receive(1e9, Message{From: Source{"b", 2}, UptimeMS: -5, Counts: map[string]int64{key: 9}})
--- a/control/shared/count/reading.go
+++ b/control/shared/count/reading.go
@@ -53,7 +53,7 @@
 	if id == s.own {
 		total = s.counts[key]
 	}
-	earlier, next := h.around(from)
+	earlier, next := h.samplesAround(from)
 	count := earlier.counts[key]
 	before = float64(count)
 	switch {
@@ -81,13 +81,13 @@
 	if h.startedAt-delay-1e6 >= from {
 		after = 0 // its process had not started
 	}
-	earlier, _ := h.around(from)
+	earlier, _ := h.samplesAround(from)
 	return total - min(after, total), total - earlier.counts[key]
 }
 
 // around gives the last sample at or before a time, and the index of the first one after it. Before the first sample the
 // counts were zero when the process started.
-func (h *history) around(at int64) (earlier sample, next int) {
+func (h *history) samplesAround(at int64) (earlier sample, next int) {
 	next = sort.Search(len(h.samples), func(k int) bool { return h.samples[k].at > at })
 	if next == 0 {
 		return sample{at: h.startedAt}, 0
--- a/control/shared/lease/lease_test.go
+++ b/control/shared/lease/lease_test.go
@@ -11,61 +11,64 @@
 )
 
 // world plays nodes with clocks of their own over a network that loses, delays, doubles and cuts.
-type world struct {
-	rng     *rand.Rand
-	now     int64 // true time
-	cfg     Config
-	nodes   []*one
-	plan    plan
-	seq     uint64
-	loss    float64
-	delay   int64
-	cut     func(from, to int) bool
-	size    int64
-	wanting func(k int) int64
-	most    int64 // that was ever in use
-	broken  string
-	starts  int64 // of processes, each of which may begin with a part of a unit
+type simulation struct {
+	rng           *rand.Rand
+	now           int64 // true time
+	cfg           Config
+	nodes         []*simulatedNode
+	plan          plan
+	seq           uint64
+	loss          float64
+	delay         int64
+	cut           func(from, to int) bool
+	size          int64
+	requestedRate func(k int) int64
+	maxInUse      int64 // that was ever in use
+	violation     string
+	starts        int64 // of processes, each of which may begin with a part of a unit
 }
 
 // one is one instance: its clock has an offset and a rate; while it is frozen its mail waits.
-type one struct {
-	n      *Node
-	name   string
-	offset int64
-	rate   float64
-	frozen bool
-	mail   []Message
-	epoch  uint64
-	uses   int64
+type simulatedNode struct {
+	node            *Node
+	name            string
+	offset          int64
+	rate            float64
+	paused          bool
+	delayedMessages []Message
+	epoch           uint64
+	uses            int64
 }
 
-type todo struct {
+type event struct {
 	at  int64
 	seq uint64
 	do  func()
 }
-type plan []todo
+type plan []event
 
 func (p plan) Len() int { return len(p) }
 func (p plan) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
 func (p plan) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *plan) Push(v any)   { *p = append(*p, v.(todo)) }
+func (p *plan) Push(v any)   { *p = append(*p, v.(event)) }
 func (p *plan) Pop() any     { old := *p; last := old[len(old)-1]; *p = old[:len(old)-1]; return last }
 
 const budget = "cold/1"
 
-func (w *world) after(d int64, f func()) { w.seq++; heap.Push(&w.plan, todo{w.now + d, w.seq, f}) }
-func (w *world) clock(o *one) int64      { return o.offset + int64(float64(w.now)*o.rate) }
+func (w *simulation) after(d int64, f func()) {
+	w.seq++
+	heap.Push(&w.plan, event{w.now + d, w.seq, f})
+}
+func (w *simulation) clock(o *simulatedNode) int64 { return o.offset + int64(float64(w.now)*o.rate) }
 
-func newWorld(seed uint64, members, keepers int, c Config) *world {
+func newSimulation(seed uint64, members, keepers int, c Config) *simulation {
 	if c.Floor == 0 {
 		c.Floor = 0.2
 	}
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cfg: c, size: 100_000, delay: 20e6, cut: func(int, int) bool { return false }}
-	w.wanting = func(int) int64 { return w.size }
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), cfg: c, size: 100_000, delay: 20e6, cut: func(int, int) bool { return false }}
+	w.requestedRate = func(int) int64 { return w.size }
 	for k := range keepers {
 		w.cfg.Voters = append(w.cfg.Voters, fmt.Sprint("n", k))
 	}
@@ -73,7 +76,7 @@
 	drift := w.cfg
 	drift.setDefaults()
 	for k := range members {
-		o := &one{name: fmt.Sprint("n", k), offset: w.rng.Int64N(1e15), rate: 1 + (w.rng.Float64()*2-1)*drift.Drift}
+		o := &simulatedNode{name: fmt.Sprint("n", k), offset: w.rng.Int64N(1e15), rate: 1 + (w.rng.Float64()*2-1)*drift.Drift}
 		w.nodes = append(w.nodes, o)
 		w.start(k)
 		w.after(w.rng.Int64N(50e6), func() { w.tick(k) })
@@ -82,25 +85,25 @@
 }
 
 // start begins a process: all that the one before knew is gone.
-func (w *world) start(k int) {
+func (w *simulation) start(k int) {
 	o := w.nodes[k]
 	w.starts++
 	o.epoch = w.rng.Uint64()
-	o.mail, o.frozen = nil, false
-	o.n = New(w.cfg, ID{o.name, o.epoch}, w.rng.Uint64(), w.clock(o), nil)
+	o.delayedMessages, o.paused = nil, false
+	o.node = New(w.cfg, ID{o.name, o.epoch}, w.rng.Uint64(), w.clock(o), nil)
 }
 
-func (w *world) tick(k int) {
+func (w *simulation) tick(k int) {
 	o := w.nodes[k]
-	if !o.frozen {
+	if !o.paused {
 		now := w.clock(o)
-		for _, m := range o.mail {
-			w.send(k, o.n.Receive(now, m))
+		for _, m := range o.delayedMessages {
+			w.send(k, o.node.Receive(now, m))
 		}
-		o.mail = nil
-		o.n.Request(now, budget, w.size, w.wanting(k))
-		w.send(k, o.n.Tick(now))
-		for w.wanting(k) > 0 && o.n.Take(now, budget) {
+		o.delayedMessages = nil
+		o.node.Request(now, budget, w.size, w.requestedRate(k))
+		w.send(k, o.node.Tick(now))
+		for w.requestedRate(k) > 0 && o.node.Take(now, budget) {
 			o.uses++
 		}
 	}
@@ -108,20 +111,20 @@
 	w.after(50e6, func() { w.tick(k) })
 }
 
-func (w *world) send(from int, out []Outgoing) {
+func (w *simulation) send(from int, out []Outgoing) {
 	for _, m := range out {
-		to := slices.IndexFunc(w.nodes, func(o *one) bool { return o.name == m.To })
+		to := slices.IndexFunc(w.nodes, func(o *simulatedNode) bool { return o.name == m.To })
 		for range 1 + w.rng.IntN(20)/19 { // one in twenty twice
 			if to < 0 || w.cut(from, to) || w.rng.Float64() < w.loss {
 				continue
 			}
 			w.after(1e6+w.rng.Int64N(w.delay), func() {
 				o := w.nodes[to]
-				if o.frozen {
-					o.mail = append(o.mail, m.Message)
+				if o.paused {
+					o.delayedMessages = append(o.delayedMessages, m.Message)
 					return
 				}
-				w.send(to, o.n.Receive(w.clock(o), m.Message))
+				w.send(to, o.node.Receive(w.clock(o), m.Message))
 				w.check()
 			})
 		}
@@ -129,33 +132,33 @@
 }
 
 // check adds up what may be used at this moment, and looks for two who hand it out. What a frozen one has counts: it does not know that it is frozen.
-func (w *world) check() {
+func (w *simulation) check() {
 	sum, reign := int64(0), 0
 	for _, o := range w.nodes {
-		sum += o.n.Rate(w.clock(o), budget)
-		if o.n.IsLeader(w.clock(o)) {
+		sum += o.node.Rate(w.clock(o), budget)
+		if o.node.IsLeader(w.clock(o)) {
 			reign++
 		}
 	}
-	if reign > 1 && w.broken == "" {
-		w.broken = fmt.Sprintf("%d allocators at %d ms", reign, w.now/1e6)
+	if reign > 1 && w.violation == "" {
+		w.violation = fmt.Sprintf("%d allocators at %d ms", reign, w.now/1e6)
 	}
-	if w.most = max(w.most, sum); sum > w.size && w.broken == "" {
-		w.broken = fmt.Sprintf("%d of %d in use at %d ms", sum, w.size, w.now/1e6)
+	if w.maxInUse = max(w.maxInUse, sum); sum > w.size && w.violation == "" {
+		w.violation = fmt.Sprintf("%d of %d in use at %d ms", sum, w.size, w.now/1e6)
 	}
 }
 
-func (w *world) run(d int64) {
+func (w *simulation) run(d int64) {
 	until := w.now + d
 	for len(w.plan) > 0 && w.plan[0].at <= until {
-		t := heap.Pop(&w.plan).(todo)
+		t := heap.Pop(&w.plan).(event)
 		w.now = t.at
 		t.do()
 	}
 	w.now = until
 }
 
-func (w *world) uses() (n int64) {
+func (w *simulation) uses() (n int64) {
 	for _, o := range w.nodes {
 		n += o.uses
 	}
@@ -163,44 +166,44 @@
 }
 
 // settled lets the parts settle, and fails where the pool is not in use by then.
-func settled(t *testing.T, w *world) {
+func requireSettled(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(12e9)
 	sum := int64(0)
 	for _, o := range w.nodes {
-		sum += o.n.Rate(w.clock(o), budget)
+		sum += o.node.Rate(w.clock(o), budget)
 	}
 	if sum < w.size*8/10 {
 		t.Fatalf("%d of %d in use", sum, w.size)
 	}
-	if w.broken != "" {
-		t.Fatal(w.broken)
+	if w.violation != "" {
+		t.Fatal(w.violation)
 	}
 }
 
-func TestTheWholeBudgetIsUsedAndMovesToWhoAsks(t *testing.T) {
-	w := newWorld(1, 7, 3, Config{})
-	settled(t, w)
-	w.wanting = func(k int) int64 {
+func TestBudgetMovesToTheOnlyRequester(t *testing.T) {
+	w := newSimulation(1, 7, 3, Config{})
+	requireSettled(t, w)
+	w.requestedRate = func(k int) int64 {
 		if k == 5 {
 			return w.size
 		}
 		return 0
 	}
 	w.run(4e9)
-	if got := w.nodes[5].n.Rate(w.clock(w.nodes[5]), budget); got < w.size*8/10 {
+	if got := w.nodes[5].node.Rate(w.clock(w.nodes[5]), budget); got < w.size*8/10 {
 		t.Fatalf("the only one that asks has %d of %d", got, w.size)
 	}
 }
 
-func TestACutOffInstanceFallsBackToItsFloor(t *testing.T) {
-	w := newWorld(2, 7, 3, Config{})
-	settled(t, w)
+func TestPartitionedInstanceFallsBackToItsFloor(t *testing.T) {
+	w := newSimulation(2, 7, 3, Config{})
+	requireSettled(t, w)
 	w.cut = func(from, to int) bool { return from == 6 || to == 6 }
 	w.run(5e9)
 	o := w.nodes[6]
 	floor := w.size / 5 / 7
-	if got := o.n.Rate(w.clock(o), budget); got != floor {
+	if got := o.node.Rate(w.clock(o), budget); got != floor {
 		t.Fatalf("%d, and the floor is %d", got, floor)
 	}
 	before := o.uses
@@ -208,70 +211,70 @@
 	if o.uses-before < floor*10/1000*8/10 {
 		t.Fatalf("only %d uses in 10 s at the floor", o.uses-before)
 	}
-	settled(t, w) // the others have what it gave up
+	requireSettled(t, w) // the others have what it gave up
 }
 
-func TestHalfOfTheFleetWithoutAMajorityFallsBack(t *testing.T) {
-	w := newWorld(3, 10, 5, Config{})
-	settled(t, w)
+func TestMinorityFallsBackToItsFloors(t *testing.T) {
+	w := newSimulation(3, 10, 5, Config{})
+	requireSettled(t, w)
 	side := func(k int) bool { return k < 2 || k > 5 } // keepers 0 and 1 of 0 to 4
 	w.cut = func(from, to int) bool { return side(from) != side(to) }
 	w.run(8e9)
 	for k, o := range w.nodes {
-		if floor := w.size / 5 / 10; side(k) && o.n.Rate(w.clock(o), budget) != floor {
-			t.Errorf("n%d has %d", k, o.n.Rate(w.clock(o), budget))
+		if floor := w.size / 5 / 10; side(k) && o.node.Rate(w.clock(o), budget) != floor {
+			t.Errorf("n%d has %d", k, o.node.Rate(w.clock(o), budget))
 		}
 	}
-	settled(t, w)
+	requireSettled(t, w)
 	w.cut = func(int, int) bool { return false }
-	settled(t, w)
+	requireSettled(t, w)
 }
 
-func TestAFrozenHolderWakesWithNothing(t *testing.T) {
-	w := newWorld(4, 5, 3, Config{})
-	settled(t, w)
+func TestPausedHolderResumesWithoutLease(t *testing.T) {
+	w := newSimulation(4, 5, 3, Config{})
+	requireSettled(t, w)
 	o := w.nodes[4]
-	o.frozen = true
+	o.paused = true
 	w.run(20e9)
 	now, used := w.clock(o), o.uses
-	if got := o.n.Rate(now, budget); got != w.size/5/5 {
+	if got := o.node.Rate(now, budget); got != w.size/5/5 {
 		t.Fatalf("it wakes with %d", got)
 	}
-	for o.n.Take(now, budget) {
+	for o.node.Take(now, budget) {
 		o.uses++
 	}
 	if o.uses-used > 2 { // its floor's token and what it had saved up beside
 		t.Fatalf("%d uses on waking", o.uses-used)
 	}
-	o.frozen = false
-	settled(t, w)
+	o.paused = false
+	requireSettled(t, w)
 }
 
-func TestAllocatorFrozenAndGone(t *testing.T) {
+func TestLeaderPausedOrRestarted(t *testing.T) {
 	for _, gone := range []bool{false, true} {
-		w := newWorld(5, 6, 3, Config{})
-		settled(t, w)
-		k := slices.IndexFunc(w.nodes, func(o *one) bool { return o.n.IsLeader(w.clock(o)) })
+		w := newSimulation(5, 6, 3, Config{})
+		requireSettled(t, w)
+		k := slices.IndexFunc(w.nodes, func(o *simulatedNode) bool { return o.node.IsLeader(w.clock(o)) })
 		if k < 0 {
 			t.Fatal("nobody reigns")
 		}
-		w.nodes[k].frozen = true
-		settled(t, w)
+		w.nodes[k].paused = true
+		requireSettled(t, w)
 		if gone {
 			w.start(k)
 		} else {
-			w.nodes[k].frozen = false
+			w.nodes[k].paused = false
 		}
-		settled(t, w)
+		requireSettled(t, w)
 	}
 }
 
 // history plays random faults for a while and gives what broke.
-func history(seed uint64, c Config, length int64) *world {
-	w := newWorld(seed, 3+int(seed%7), 3, c)
+func randomFaults(seed uint64, c Config, length int64) *simulation {
+	w := newSimulation(seed, 3+int(seed%7), 3, c)
 	rng := rand.New(rand.NewPCG(seed, 2))
 	w.run(3e9 + rng.Int64N(5e9))
-	for w.now < length && w.broken == "" {
+	for w.now < length && w.violation == "" {
 		switch rng.IntN(10) {
 		case 0:
 			at := rng.IntN(len(w.nodes)) // one is cut off
@@ -289,28 +292,28 @@
 		case 5:
 			w.loss, w.delay = 0, 20e6
 		case 6:
-			w.nodes[rng.IntN(len(w.nodes))].frozen = true
+			w.nodes[rng.IntN(len(w.nodes))].paused = true
 		case 7:
 			for _, o := range w.nodes {
-				o.frozen = false
+				o.paused = false
 			}
 		case 8:
 			w.start(rng.IntN(len(w.nodes)))
 		case 9:
 			mask := rng.Uint64()
-			w.wanting = func(k int) int64 { return int64(mask >> (k * 4) & 15 * uint64(w.size) / 15) }
+			w.requestedRate = func(k int) int64 { return int64(mask >> (k * 4) & 15 * uint64(w.size) / 15) }
 		}
 		w.run(1e6 + rng.Int64N(3e9))
 	}
 	return w
 }
 
-func TestRandomHistoriesOverspendNothing(t *testing.T) {
+func TestRandomFaultsKeepTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		w := history(seed, Config{}, 60e9)
-		if w.broken != "" {
-			t.Fatal(w.broken)
+		w := randomFaults(seed, Config{}, 60e9)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
 		c := w.cfg
 		c.setDefaults()
@@ -322,11 +325,11 @@
 
 // restarted plays a keeper that starts anew between an allocator that rests on its promise and a candidate that does not
 // hear the allocator, over and over.
-func restarted(seed uint64, c Config, length int64) *world {
-	w := newWorld(seed, 5, 3, c)
+func voterRestarts(seed uint64, c Config, length int64) *simulation {
+	w := newSimulation(seed, 5, 3, c)
 	w.run(8e9)
-	for w.now < length && w.broken == "" {
-		k := slices.IndexFunc(w.nodes, func(o *one) bool { return o.n.IsLeader(w.clock(o)) })
+	for w.now < length && w.violation == "" {
+		k := slices.IndexFunc(w.nodes, func(o *simulatedNode) bool { return o.node.IsLeader(w.clock(o)) })
 		if k >= 0 {
 			a, b := (k+1)%3, (k+2)%3
 			w.cut = func(from, to int) bool { return from == k && to == b || from == b && to == k }
@@ -340,16 +343,16 @@
 	return w
 }
 
-func TestAKeeperThatStartsAnewTakesNoSideTooSoon(t *testing.T) {
+func TestRestartedVoterStaysSilent(t *testing.T) {
 	for seed := range uint64(30) {
-		if w := restarted(seed, Config{}, 60e9); w.broken != "" {
-			t.Fatal(seed, w.broken)
+		if w := voterRestarts(seed, Config{}, 60e9); w.violation != "" {
+			t.Fatal(seed, w.violation)
 		}
 	}
 }
 
 // A bid that comes late must not put the promise back to its round, which may be yielded any time.
-func TestALateBidChangesNothing(t *testing.T) {
+func TestLateVoteRequestIsIgnored(t *testing.T) {
 	k := New(Config{Voters: []string{"a", "b", "k"}, MaxInstances: 3, Term: 2 * second}, ID{"k", 1}, 1, 0, nil)
 	now, a := 10*second, ID{"a", 7}
 	k.Receive(now, Message{Kind: VoteRequest, From: a, Round: 2})
@@ -361,7 +364,7 @@
 }
 
 // Answers to the process before, late, are not for the one that has its name now.
-func TestAnswersAreForTheProcessThatAsked(t *testing.T) {
+func TestRepliesToThePreviousProcessAreIgnored(t *testing.T) {
 	c := Config{Voters: []string{"a", "b", "c"}, MaxInstances: 3, Term: 2 * second}
 	b := New(c, ID{"b", 1}, 1, 0, nil)
 	promised := b.Receive(10*second, Message{Kind: VoteRequest, From: ID{"a", 1}, Round: 1})
@@ -390,15 +393,15 @@
 }
 
 // Without its guards the scheme breaks, and this test's world sees it.
-func TestEachGuardIsNeeded(t *testing.T) {
+func TestEachCheckIsNeeded(t *testing.T) {
 	for _, guard := range []string{CheckVoterSilence, CheckRequestTime, CheckGrantDelay, CheckReservations} {
 		broken := 0
 		for seed := range uint64(150) {
-			play := history
+			play := randomFaults
 			if guard == CheckVoterSilence {
-				play = restarted
+				play = voterRestarts
 			}
-			if play(seed, Config{OmitCheck: guard}, 60e9).broken != "" {
+			if play(seed, Config{OmitCheck: guard}, 60e9).violation != "" {
 				broken++
 			}
 		}
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -62,19 +62,19 @@
 			decisions = append(decisions, d.evaluate(now, id, s))
 		}
 	}
-	d.limit(decisions)
+	d.limitAvoided(decisions)
 	d.apply(decisions)
-	maps.DeleteFunc(d.suspects, func(id uint64, _ bool) bool { return !d.servers[id].isSuspect() })
+	maps.DeleteFunc(d.suspects, func(id uint64, _ bool) bool { return !d.servers[id].hasBadEvidence() })
 }
 
 // isSuspect tells whether a bad observation of the server is kept, or its decision rests on one.
-func (s *serverState) isSuspect() bool {
+func (s *serverState) hasBadEvidence() bool {
 	bad := func(o observation) bool { return o.kind.bad() }
 	return s.decision.Avoided || len(s.decision.Observers) > 0 || s.hasOwn && bad(s.own) || slices.ContainsFunc(s.secondHand, bad)
 }
 
 // limit keeps the number of avoided servers within bounds. The servers with the most bad reports come first.
-func (d *Detector) limit(decisions []Decision) {
+func (d *Detector) limitAvoided(decisions []Decision) {
 	slices.SortStableFunc(decisions, func(x, y Decision) int { return cmp.Compare(len(y.Observers), len(x.Observers)) })
 	room := max(int(d.cfg.MaxAvoidedShare*float64(d.listed)), 1)
 	for k := range decisions {
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -102,11 +102,11 @@
 		s.own.streak = 1
 	}
 	s.own.kind, s.own.seenAt, s.hasOwn = k, now, true
-	d.heard(id, k)
+	d.markDirty(id, k)
 }
 
 // heard notes that an observation of a server has come. Of a server that nobody has seen bad it decides nothing.
-func (d *Detector) heard(id uint64, k Kind) {
+func (d *Detector) markDirty(id uint64, k Kind) {
 	if k.bad() {
 		d.suspects[id] = true
 	}
@@ -148,14 +148,14 @@
 		if s == nil || r.AgeMS < 0 || r.Kind > Cold || r.AgeMS > d.cfg.Retention/1e6 {
 			continue
 		}
-		s.keep(observation{m.Machine, m.From, r.Kind, now - r.AgeMS*1e6, r.Streak})
-		d.heard(r.Server, r.Kind)
+		s.storeSecondHand(observation{m.Machine, m.From, r.Kind, now - r.AgeMS*1e6, r.Streak})
+		d.markDirty(r.Server, r.Kind)
 	}
 }
 
 // keep stores a second-hand observation. Of each machine only the youngest one is kept, and of all machines the youngest
 // maxObservers. An instance's newer report replaces its older one even if its age makes it look older.
-func (s *serverState) keep(o observation) {
+func (s *serverState) storeSecondHand(o observation) {
 	k := slices.IndexFunc(s.secondHand, func(kept observation) bool { return kept.machine == o.machine })
 	switch {
 	case k >= 0:
--- a/control/shared/outlier/outlier_test.go
+++ b/control/shared/outlier/outlier_test.go
@@ -9,7 +9,7 @@
 )
 
 // fleet is a few boards on machines of their own that hear each other.
-func fleet(n int, servers ...uint64) (all []*Detector) {
+func newDetectors(n int, servers ...uint64) (all []*Detector) {
 	for k := range n {
 		b := New(Config{}, fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k), nil)
 		b.SetServers(servers)
@@ -18,7 +18,7 @@
 	return all
 }
 
-func gossip(now int64, all []*Detector) {
+func exchangeReports(now int64, all []*Detector) {
 	for _, b := range all {
 		m := b.Broadcast(now)
 		for _, o := range all {
@@ -27,7 +27,7 @@
 	}
 }
 
-func avoiding(now int64, all []*Detector, server uint64) (n int) {
+func countAvoiding(now int64, all []*Detector, server uint64) (n int) {
 	for _, b := range all {
 		if is, _ := b.Avoid(now, server); is {
 			n++
@@ -37,33 +37,33 @@
 }
 
 func TestAServerThatGoesSilentIsAvoidedByAll(t *testing.T) {
-	all := fleet(12, 1, 2, 3, 4)
+	all := newDetectors(12, 1, 2, 3, 4)
 	now := int64(100e9)
 	for k, b := range all { // well to all, a moment ago
 		b.Observe(now-int64(k)*100e6, 1, Healthy)
 	}
-	gossip(now, all)
+	exchangeReports(now, all)
 	now += 3e9 // own evidence is no longer fresh
 	for _, b := range all[:4] {
 		b.Observe(now, 1, Silent)
 		now += 50e6
 	}
-	gossip(now, all)
-	if n := avoiding(now+20e6, all, 1); n != 0 {
+	exchangeReports(now, all)
+	if n := countAvoiding(now+20e6, all, 1); n != 0 {
 		t.Fatalf("%d avoid it with 4 of 6 against it", n)
 	}
 	all[4].Observe(now, 1, Silent)
-	gossip(now+100e6, all)
-	if n := avoiding(now+200e6, all, 1); n != 12 {
+	exchangeReports(now+100e6, all)
+	if n := countAvoiding(now+200e6, all, 1); n != 12 {
 		t.Fatalf("%d of 12 avoid it", n)
 	}
-	if n := avoiding(now+200e6, all, 2); n != 0 {
+	if n := countAvoiding(now+200e6, all, 2); n != 0 {
 		t.Fatalf("%d avoid another", n)
 	}
 }
 
-func TestOneWitnessDecidesNothingHoweverLoud(t *testing.T) {
-	all := fleet(8, 1, 2, 3, 4)
+func TestSingleMachineDecidesNothing(t *testing.T) {
+	all := newDetectors(8, 1, 2, 3, 4)
 	now := int64(100e9)
 	for range 100 {
 		now += 100e6
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	if n := avoiding(now, all, 1); n != 0 {
+	if n := countAvoiding(now, all, 1); n != 0 {
 		t.Fatalf("%d avoid it on one machine's word", n)
 	}
 	if v := all[3].Decisions(now); len(v) != 1 || v[0].Reason != FewObservers || len(v[0].Observers) != 1 {
@@ -84,14 +84,14 @@
 	}
 }
 
-func TestOwnEvidenceComesFirst(t *testing.T) {
-	all := fleet(7, 1, 2, 3, 4)
+func TestOwnEvidenceOverridesReports(t *testing.T) {
+	all := newDetectors(7, 1, 2, 3, 4)
 	now := int64(100e9)
 	for _, b := range all[:6] {
 		b.Observe(now, 1, Silent)
 	}
 	all[6].Observe(now-500e6, 1, Healthy)
-	gossip(now, all)
+	exchangeReports(now, all)
 	if is, _ := all[6].Avoid(now+20e6, 1); is {
 		t.Error("avoided by the one whose call has just stood there")
 	}
@@ -100,15 +100,15 @@
 	}
 }
 
-func TestNoMoreThanAPartIsLeftOut(t *testing.T) {
-	all := fleet(8, 1, 2, 3, 4, 5, 6, 7, 8)
+func TestAvoidedShareIsLimited(t *testing.T) {
+	all := newDetectors(8, 1, 2, 3, 4, 5, 6, 7, 8)
 	now := int64(100e9)
 	for _, b := range all {
 		for id := uint64(1); id <= 8; id++ {
 			b.Observe(now, id, Dead)
 		}
 	}
-	gossip(now, all)
+	exchangeReports(now, all)
 	out := 0
 	for id := uint64(1); id <= 8; id++ {
 		if is, _ := all[0].Avoid(now+20e6, id); is {
@@ -120,18 +120,18 @@
 	}
 }
 
-func TestAVerdictFadesAtDifferentTimes(t *testing.T) {
-	all := fleet(20, 1, 2, 3, 4)
+func TestDecisionsExpireAtDifferentTimes(t *testing.T) {
+	all := newDetectors(20, 1, 2, 3, 4)
 	now := int64(100e9)
 	for _, b := range all {
 		b.Observe(now, 1, Silent)
 	}
-	gossip(now, all)
+	exchangeReports(now, all)
 	var when []int64
 	left := 20
 	for range 200 {
 		now += 100e6
-		if n := avoiding(now, all, 1); n < left {
+		if n := countAvoiding(now, all, 1); n < left {
 			left = n
 			when = append(when, now)
 		}
@@ -144,21 +144,21 @@
 	}
 }
 
-func TestItComesBackWhenSomeoneSeesItWell(t *testing.T) {
-	all := fleet(8, 1, 2, 3, 4)
+func TestHealthyReportsEndAvoidance(t *testing.T) {
+	all := newDetectors(8, 1, 2, 3, 4)
 	now := int64(100e9)
 	for _, b := range all {
 		b.Observe(now, 1, Dead)
 	}
-	gossip(now, all)
-	if avoiding(now+20e6, all, 1) != 8 {
+	exchangeReports(now, all)
+	if countAvoiding(now+20e6, all, 1) != 8 {
 		t.Fatal("not avoided")
 	}
 	now += 1e9
 	all[0].Observe(now, 1, Healthy)
 	all[1].Observe(now, 1, Healthy)
-	gossip(now, all)
-	if n := avoiding(now+20e6, all, 1); n != 0 {
+	exchangeReports(now, all)
+	if n := countAvoiding(now+20e6, all, 1); n != 0 {
 		t.Errorf("%d still avoid it", n)
 	}
 	if !all[5].Cold(now+20e6, 1, 15e9) || all[5].Cold(now+20e6, 2, 15e9) {
@@ -167,7 +167,7 @@
 }
 
 // Where one server takes another's place among those left out, it is never told as if both were.
-func TestChangesAreToldInOrder(t *testing.T) {
+func TestEndedDecisionsAreReportedFirst(t *testing.T) {
 	out := map[uint64]bool{}
 	b := New(Config{}, "me", "here", 1, func(v Decision) {
 		if delete(out, v.Server); v.Avoided {
@@ -199,7 +199,7 @@
 
 // Whatever is said: never avoided on fewer than two machines' word, nor more than a part of the servers, and a verdict
 // names those whom it rests on.
-func TestRandomTalk(t *testing.T) {
+func TestRandomReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 		b := New(Config{}, "me", "here", 1, nil)
@@ -213,14 +213,14 @@
 			if rapid.IntRange(0, 4).Draw(t, "own") == 0 {
 				k = min(k, Cold)
 				b.Observe(now, id, k)
-				note(bad, id, "here", k, now)
+				recordBad(bad, id, "here", k, now)
 				continue
 			}
 			machine := fmt.Sprint("m", rapid.IntRange(0, 5).Draw(t, "machine"))
 			age := rapid.Int64Range(-10, 8000).Draw(t, "age")
 			b.Receive(now, Message{From: machine + rapid.SampledFrom([]string{"a", "b"}).Draw(t, "instance"), Machine: machine, Reports: []Report{{id, k, age, 1}, {99, Dead, 0, 1}}})
 			if age >= 0 && age <= 6000 {
-				note(bad, id, machine, k, now-age*1e6)
+				recordBad(bad, id, machine, k, now-age*1e6)
 			}
 		}
 		out := 0
@@ -239,7 +239,7 @@
 	})
 }
 
-func note(bad map[uint64]map[string]int64, id uint64, machine string, k Kind, at int64) {
+func recordBad(bad map[uint64]map[string]int64, id uint64, machine string, k Kind, at int64) {
 	if k == Silent || k == Dead {
 		if bad[id] == nil {
 			bad[id] = map[string]int64{}
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -12,16 +12,16 @@
 
 // group is a few instances that hear each other at once, each second in steps of a tenth.
 type group struct {
-	now int64
-	all []*Shared
-	cut map[int]bool
-	ids int
+	now          int64
+	instances    []*Shared
+	disconnected map[int]bool
+	callCount    int
 }
 
 const servers = 6
 
 func newGroup(n int, c Config) *group {
-	g := &group{now: 1000 * second, cut: map[int]bool{}}
+	g := &group{now: 1000 * second, disconnected: map[int]bool{}}
 	for k := range n {
 		one := c
 		one.Control = control.Settings{GroupSize: n, Ordinal: k, ColdFrom: 0.31, ColdSpan: 15 * second, Classes: []control.Class{{Aim: 1200e6, Deadline: 9 * second, Worth: 1}}}
@@ -29,7 +29,7 @@
 		one.Lease = lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: n}
 		m := New(one, uint64(k), g.now, Callbacks{})
 		m.See(g.now, g.list(0))
-		g.all = append(g.all, m)
+		g.instances = append(g.instances, m)
 	}
 	return g
 }
@@ -49,8 +49,8 @@
 
 func (g *group) deliver(from int, out []Outgoing) {
 	for _, o := range out {
-		for k, m := range g.all {
-			if k != from && (o.To == "" || o.To == m.cfg.Name) && !g.cut[from] && !g.cut[k] {
+		for k, m := range g.instances {
+			if k != from && (o.To == "" || o.To == m.cfg.Name) && !g.disconnected[from] && !g.disconnected[k] {
 				g.deliver(k, m.Receive(g.now, o.Message))
 			}
 		}
@@ -60,19 +60,19 @@
 func (g *group) run(d int64, step func(k int, m *Shared)) {
 	for end := g.now + d; g.now < end; {
 		g.now += second / 10
-		for k, m := range g.all {
+		for k, m := range g.instances {
 			if step != nil {
 				step(k, m)
 			}
-			g.deliver(k, m.Tick(g.now, len(g.all)))
+			g.deliver(k, m.Tick(g.now, len(g.instances)))
 		}
 	}
 }
 
 // call offers a call of a member to an instance and sends it, if there is room.
 func (g *group) call(m *Shared, tenant string, server uint64) (id string, sent bool) {
-	g.ids++
-	id = fmt.Sprint(g.ids)
+	g.callCount++
+	id = fmt.Sprint(g.callCount)
 	m.Admit(g.now, join.Call{ID: id, Tenant: tenant})
 	if ok, _ := m.Room(g.now, server); !ok {
 		return id, false
@@ -81,12 +81,12 @@
 	return id, true
 }
 
-func TestAColdServersBudgetHoldsForAllTogether(t *testing.T) {
+func TestColdBudgetBoundsTheFleet(t *testing.T) {
 	const planned = 60.0
 	g := newGroup(12, Config{Planned: planned, Budgets: true})
 	g.run(8*second, nil) // somebody is the allocator
 	started := g.now
-	for _, m := range g.all {
+	for _, m := range g.instances {
 		m.See(g.now, g.list(started))
 	}
 	sent := 0
@@ -102,19 +102,19 @@
 	if float64(sent) > most+12 || float64(sent) < most*0.4 {
 		t.Errorf("%d sent in 4 s, and the budget is %.1f", sent, most)
 	}
-	if ok, why := g.all[0].Room(g.now, 1); ok || why != ColdBudget {
+	if ok, why := g.instances[0].Room(g.now, 1); ok || why != ColdBudget {
 		t.Errorf("room %v: %q", ok, why)
 	}
-	if ok, why := g.all[0].Room(g.now, 2); !ok {
+	if ok, why := g.instances[0].Room(g.now, 2); !ok {
 		t.Errorf("a warm server is capped: %s", why)
 	}
 	g.run(15*second, nil)
-	if ok, why := g.all[0].Room(g.now, 1); !ok {
+	if ok, why := g.instances[0].Room(g.now, 1); !ok {
 		t.Errorf("it is warm, and capped: %s", why)
 	}
 }
 
-func TestASilentServerIsLeftByAllAfterAFewLostCalls(t *testing.T) {
+func TestSilentServerIsAvoidedAfterFewLostCalls(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		g := newGroup(12, Config{DetectOutliers: on})
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestTotalsAreTheFleets(t *testing.T) {
+func TestTotalsCoverTheFleet(t *testing.T) {
 	g := newGroup(10, Config{Tenants: []string{"slaney-vines", "barrow-estate"}})
 	step := func(k int, m *Shared) {
 		if g.now/1e8%2 == int64(k)%2 { // five calls a second of each
@@ -174,20 +174,20 @@
 		}
 	}
 	g.run(8*second, step)
-	all, ok := g.all[7].Totals(g.now)
+	all, ok := g.instances[7].Totals(g.now)
 	if !ok || all.Offered["slaney-vines"] < 40 || all.Offered["slaney-vines"] > 52 || all.Offered[""] < 8 || all.Placed["slaney-vines"] < 20 ||
 		all.Lost["slaney-vines"] < 20 || all.Lost["slaney-vines"] > 27 {
 		t.Errorf("%v: %+v", ok, all)
 	}
-	if s := g.all[7].Status(g.now); s.State != Together {
+	if s := g.instances[7].Status(g.now); s.State != Together {
 		t.Errorf("%+v", s)
 	}
-	g.cut[7] = true
+	g.disconnected[7] = true
 	g.run(6*second, step)
-	if _, ok := g.all[7].Totals(g.now); ok || g.all[7].Status(g.now).State != Alone {
+	if _, ok := g.instances[7].Totals(g.now); ok || g.instances[7].Status(g.now).State != Alone {
 		t.Error("cut off, and still the fleet's totals")
 	}
-	look := g.all[1].Look(g.now) // of a keeper
+	look := g.instances[1].Look(g.now) // of a keeper
 	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].LowerBound > look.Counts[0].UpperBound {
 		t.Errorf("%+v", look)
 	}
--- a/internal/releases/client.go
+++ b/internal/releases/client.go
@@ -37,7 +37,7 @@
 }
 
 // pollAnswer is the answer.
-type pollAnswer struct {
+type pollResponse struct {
 	Head distribution.Head `json:"head"`
 	Tag  string            `json:"tag"`
 }
@@ -60,42 +60,42 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // poll asks a server for its head.
-func (c *Client) poll(ctx context.Context, server string, request pollRequest) (answer pollAnswer, err error) {
+func (c *Client) poll(ctx context.Context, server string, request pollRequest) (answer pollResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	return answer, c.call(ctx, http.MethodPost, server, "/v1/poll", request, &answer, maxPoll)
+	return answer, c.roundTrip(ctx, http.MethodPost, server, "/v1/poll", request, &answer, maxPoll)
 }
 
 // Fetch gets a release from a server.
 func (c *Client) Fetch(ctx context.Context, server string, version distribution.Version) (release distribution.Release, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	return release, c.call(ctx, http.MethodGet, server, fmt.Sprintf("/v1/releases/%d", version), nil, &release, maxTransfer)
+	return release, c.roundTrip(ctx, http.MethodGet, server, fmt.Sprintf("/v1/releases/%d", version), nil, &release, maxTransfer)
 }
 
 // Publish gives a release to a server.
 func (c *Client) Publish(ctx context.Context, server string, release distribution.Release) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	return c.call(ctx, http.MethodPost, server, "/v1/releases", release, nil, maxPoll)
+	return c.roundTrip(ctx, http.MethodPost, server, "/v1/releases", release, nil, maxPoll)
 }
 
 // Halt gives an order to give a version up to a server.
 func (c *Client) Halt(ctx context.Context, server string, order distribution.HaltOrder) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	return c.call(ctx, http.MethodPost, server, "/v1/halt", order, nil, maxPoll)
+	return c.roundTrip(ctx, http.MethodPost, server, "/v1/halt", order, nil, maxPoll)
 }
 
 // Status asks a server for what it knows of the instances that follow it.
 func (c *Client) Status(ctx context.Context, server string) (status distribution.Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	return status, c.call(ctx, http.MethodGet, server, "/v1/status", nil, &status, maxStatus)
+	return status, c.roundTrip(ctx, http.MethodGet, server, "/v1/status", nil, &status, maxStatus)
 }
 
 // call asks one question. An answer that is longer than most bytes is no answer.
-func (c *Client) call(ctx context.Context, method, server, path string, ask, answer any, most int64) error {
+func (c *Client) roundTrip(ctx context.Context, method, server, path string, ask, answer any, most int64) error {
 	var body io.Reader
 	if ask != nil {
 		text, err := json.Marshal(ask)
--- a/internal/releases/disk.go
+++ b/internal/releases/disk.go
@@ -13,18 +13,18 @@
 
 // saver writes a value to a file whenever it changes. One goroutine writes: a disk that hangs holds that one alone, and what
 // came meanwhile is written once, in its newest form.
-type saver struct {
+type fileWriter struct {
 	path    string
 	log     *slog.Logger
 	changed chan any
 }
 
-func newSaver(path string, log *slog.Logger) *saver {
-	return &saver{path: path, log: log, changed: make(chan any, 1)}
+func newFileWriter(path string, log *slog.Logger) *fileWriter {
+	return &fileWriter{path: path, log: log, changed: make(chan any, 1)}
 }
 
 // put has a value written, in place of one that still waits. One goroutine at a time may call it.
-func (s *saver) put(value any) {
+func (s *fileWriter) enqueue(value any) {
 	select {
 	case <-s.changed:
 	default:
@@ -33,7 +33,7 @@
 }
 
 // run writes until done is closed, and what still waits then.
-func (s *saver) run(done <-chan struct{}) {
+func (s *fileWriter) run(done <-chan struct{}) {
 	failing := false
 	for {
 		var value any
@@ -54,7 +54,7 @@
 	}
 }
 
-func (s *saver) write(value any) error {
+func (s *fileWriter) write(value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 
 // load reads a value that a saver wrote. A file that is not there, or is damaged, leaves the value as it is: what was kept
 // can be had from the servers again.
-func load(path string, into any, log *slog.Logger) {
+func loadFile(path string, into any, log *slog.Logger) {
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, into)
--- a/internal/releases/member.go
+++ b/internal/releases/member.go
@@ -20,7 +20,7 @@
 	// firstRetry and maxRetry bound the pause before the next server is tried.
 	firstRetry, maxRetry = 100 * time.Millisecond, time.Second
 	// rebalanceEvery is how long a server is followed before one is drawn anew, so that one that came back gets its part.
-	rebalanceEvery = time.Minute
+	rebalanceInterval = time.Minute
 	// stageAge is how old what is known may be for a new release to be applied.
 	stageAge = 3 * time.Second
 	// memberFile holds what an instance keeps over its end.
@@ -42,17 +42,17 @@
 }
 
 // memberKept is what an instance keeps over its end.
-type memberKept struct {
+type storedMember struct {
 	Running *distribution.Release `json:"running,omitempty"`
 	Newest  distribution.Version  `json:"newest"`
 }
 
 // Member follows the servers for one instance.
 type Member struct {
-	options MemberOptions
-	client  *Client
-	saver   *saver
-	rng     *rand.Rand
+	options    MemberOptions
+	client     *Client
+	fileWriter *fileWriter
+	rng        *rand.Rand
 
 	mu       sync.Mutex
 	follower *distribution.Follower
@@ -69,10 +69,10 @@
 // NewMember makes an instance's side. Run puts the release in force that ran before the instance's end.
 func NewMember(options MemberOptions) *Member {
 	m := &Member{options: options, client: NewClient(options.Dial), rng: rand.New(rand.NewPCG(options.Seed, 0x72656c))}
-	var kept memberKept
+	var kept storedMember
 	if options.Dir != "" {
-		m.saver = newSaver(filepath.Join(options.Dir, memberFile), options.Log)
-		load(m.saver.path, &kept, options.Log)
+		m.fileWriter = newFileWriter(filepath.Join(options.Dir, memberFile), options.Log)
+		loadFile(m.fileWriter.path, &kept, options.Log)
 	}
 	m.follower = distribution.NewFollower(distribution.FollowerConfig{Member: options.Name, Zone: options.Zone, Fleet: options.Fleet,
 		Keys: options.Keys, MaxAge: options.MaxAge, StageAge: min(stageAge, options.MaxAge)}, kept.Running, kept.Newest)
@@ -80,7 +80,7 @@
 }
 
 // restore puts the release in force that ran before the instance's end.
-func (m *Member) restore() {
+func (m *Member) applyStored() {
 	m.mu.Lock()
 	release := m.follower.RunningRelease()
 	m.mu.Unlock()
@@ -101,10 +101,10 @@
 
 // Run follows the servers until ctx ends.
 func (m *Member) Run(ctx context.Context) error {
-	m.restore()
-	if m.saver != nil {
+	m.applyStored()
+	if m.fileWriter != nil {
 		done := make(chan struct{})
-		go func() { defer close(done); m.saver.run(ctx.Done()) }()
+		go func() { defer close(done); m.fileWriter.run(ctx.Done()) }()
 		defer func() {
 			select {
 			case <-done:
@@ -116,7 +116,7 @@
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = firstRetry, maxRetry
 	for ctx.Err() == nil {
-		server := m.pick()
+		server := m.pickServer()
 		began := time.Now()
 		err := m.follow(ctx, server)
 		m.client.Close() // none is kept to a server that is not followed
@@ -126,7 +126,7 @@
 		if err == nil {
 			continue
 		}
-		m.options.Log.Warn("configuration server left", "reason", reasonOf(err), "server", server, "err", err)
+		m.options.Log.Warn("configuration server left", "reason", reasonCode(err), "server", server, "err", err)
 		if time.Since(began) > maxRetry {
 			pause.Reset()
 		}
@@ -139,7 +139,7 @@
 }
 
 // reasonOf is the reason code of a server that is left.
-func reasonOf(err error) string {
+func reasonCode(err error) string {
 	switch {
 	case errors.Is(err, distribution.ErrStaleServer):
 		return "stale"
@@ -153,7 +153,7 @@
 }
 
 // pick draws a server, another one than before where there is one.
-func (m *Member) pick() string {
+func (m *Member) pickServer() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := m.options.Servers[m.rng.IntN(len(m.options.Servers))]
@@ -166,7 +166,7 @@
 
 // follow follows one server until it has to be left, or for rebalanceEvery or so.
 func (m *Member) follow(ctx context.Context, server string) error {
-	until := time.Now().Add(rebalanceEvery + rand.N(rebalanceEvery/2))
+	until := time.Now().Add(rebalanceInterval + rand.N(rebalanceInterval/2))
 	for seen := ""; time.Now().Before(until); {
 		m.mu.Lock()
 		request := pollRequest{m.follower.Acknowledge(now()), seen}
@@ -176,10 +176,10 @@
 			return err
 		}
 		seen = answer.Tag
-		if err := m.hear(ctx, server, answer.Head); err != nil {
+		if err := m.handleHead(ctx, server, answer.Head); err != nil {
 			return err
 		}
-		m.advance()
+		m.applyNext()
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 func now() int64 { return time.Now().UnixNano() }
 
 // hear takes a server's head and fetches the releases that it leads to.
-func (m *Member) hear(ctx context.Context, server string, head distribution.Head) error {
+func (m *Member) handleHead(ctx context.Context, server string, head distribution.Head) error {
 	m.mu.Lock()
 	err := m.follower.ReceiveHead(now(), head)
 	wanted := m.follower.Wanted()
@@ -203,14 +203,14 @@
 		m.mu.Lock()
 		err = m.follower.ReceiveRelease(now(), release)
 		wanted = m.follower.Wanted()
-		m.keep()
+		m.save()
 		m.mu.Unlock()
 	}
 	return err
 }
 
 // advance puts the release in force whose turn it is.
-func (m *Member) advance() {
+func (m *Member) applyNext() {
 	m.mu.Lock()
 	release, due := m.follower.NextToApply(now())
 	m.mu.Unlock()
@@ -232,15 +232,15 @@
 		return
 	}
 	m.options.Log.Info("release in force", "version", release.Version, "before", before)
-	m.keep()
+	m.save()
 }
 
 // keep has the state written that outlives the instance.
-func (m *Member) keep() {
-	if m.saver == nil {
+func (m *Member) save() {
+	if m.fileWriter == nil {
 		return
 	}
-	m.saver.put(memberKept{Running: m.follower.RunningRelease(), Newest: m.follower.Newest()})
+	m.fileWriter.enqueue(storedMember{Running: m.follower.RunningRelease(), Newest: m.follower.Newest()})
 }
 
 // Status is what the instance knows.
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -36,7 +36,7 @@
 }
 
 // run runs something until the test's end.
-func run(t *testing.T, f func(ctx context.Context) error) {
+func runUntilCleanup(t *testing.T, f func(ctx context.Context) error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var g errgroup.Group
@@ -57,15 +57,15 @@
 		t.Fatal(err)
 	}
 	s := NewServer(ServerOptions{Name: l.Addr().String(), Fleet: testFleet, Keys: publicKeys(), HaltAfter: 1, Dir: dir, Log: netcase.Quiet()})
-	run(t, func(ctx context.Context) error { return s.Serve(ctx, l) })
+	runUntilCleanup(t, func(ctx context.Context) error { return s.Serve(ctx, l) })
 	return l.Addr().String()
 }
 
 // applied collects what an instance puts in force.
 type applied struct {
-	mu   sync.Mutex
-	all  []distribution.Version
-	came chan distribution.Version
+	mu              sync.Mutex
+	all             []distribution.Version
+	appliedVersions chan distribution.Version
 }
 
 func (a *applied) apply(release *distribution.Release) error {
@@ -76,7 +76,7 @@
 	a.mu.Lock()
 	a.all = append(a.all, version)
 	a.mu.Unlock()
-	a.came <- version
+	a.appliedVersions <- version
 	if release != nil && strings.Contains(string(release.Content), "bad") {
 		return errors.New("bad content")
 	}
@@ -85,19 +85,19 @@
 
 func newMember(t *testing.T, servers ...string) (*Member, *applied) {
 	t.Helper()
-	a := &applied{came: make(chan distribution.Version, 16)}
+	a := &applied{appliedVersions: make(chan distribution.Version, 16)}
 	m := NewMember(MemberOptions{Name: "m", Zone: "z", Fleet: testFleet, Servers: servers, Keys: publicKeys(), MaxAge: 3 * time.Second,
 		Dir: t.TempDir(), Seed: 1, Log: netcase.Quiet(), Apply: a.apply})
-	run(t, m.Run)
+	runUntilCleanup(t, m.Run)
 	return m, a
 }
 
 // want waits for the next release that is put in force, and tells how long it took.
-func (a *applied) want(t *testing.T, version distribution.Version) time.Duration {
+func (a *applied) waitFor(t *testing.T, version distribution.Version) time.Duration {
 	t.Helper()
 	began := time.Now()
 	select {
-	case got := <-a.came:
+	case got := <-a.appliedVersions:
 		if got != version {
 			t.Fatalf("version %d in force, wanted %d", got, version)
 		}
@@ -108,7 +108,7 @@
 }
 
 // News wakes the instances that wait: nobody waits for the next question.
-func TestNewsAtOnce(t *testing.T) {
+func TestChangedHeadAnswersWaitingPolls(t *testing.T) {
 	client, server := NewClient(nil), newServer(t, t.TempDir())
 	m, a := newMember(t, server)
 	for m.Status().AgeMS < 0 {
@@ -117,7 +117,7 @@
 	if err := client.Publish(t.Context(), server, newRelease(1, "one")); err != nil {
 		t.Fatal(err)
 	}
-	a.want(t, 1)
+	a.waitFor(t, 1)
 	if err := client.Publish(t.Context(), server, newRelease(2, "bad")); err == nil || !strings.Contains(err.Error(), "under way") {
 		t.Error(err)
 	}
@@ -126,11 +126,11 @@
 	if err := client.Halt(t.Context(), server, order); err != nil {
 		t.Fatal(err)
 	}
-	a.want(t, 0)
+	a.waitFor(t, 0)
 	if err := client.Publish(t.Context(), server, newRelease(2, "bad")); err != nil {
 		t.Fatal(err)
 	}
-	a.want(t, 2)
+	a.waitFor(t, 2)
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		status, err := client.Status(t.Context(), server)
 		if err == nil && status.Head.Halted != "" && len(status.Members) == 1 && status.Members[0].Detail == "bad content" {
@@ -146,25 +146,25 @@
 }
 
 // A server that starts again serves what it kept.
-func TestAServerStartsAgain(t *testing.T) {
+func TestRestartedServerServesStoredRelease(t *testing.T) {
 	dir := t.TempDir()
 	client, first := NewClient(nil), newServer(t, dir)
 	if err := client.Publish(t.Context(), first, newRelease(1, "one")); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if _, err := os.Stat(filepath.Join(dir, keptFile)); err == nil {
+		if _, err := os.Stat(filepath.Join(dir, serverFile)); err == nil {
 			break
 		} else if time.Now().After(end) {
 			t.Fatal(err)
 		}
 	}
 	_, a := newMember(t, newServer(t, dir))
-	a.want(t, 1)
+	a.waitFor(t, 1)
 }
 
 // Whatever is asked badly is refused at once, and the server goes on.
-func TestBadQuestions(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	server := newServer(t, t.TempDir())
 	forged := newRelease(1, "one")
 	forged.Content = []byte("two")
@@ -204,22 +204,22 @@
 }
 
 // A disk that hangs holds nobody up: only the newest value waits for it.
-func TestADiskThatHangs(t *testing.T) {
-	s := newSaver(filepath.Join(t.TempDir(), "kept.json"), netcase.Quiet())
+func TestHangingDiskDoesNotBlock(t *testing.T) {
+	s := newFileWriter(filepath.Join(t.TempDir(), "kept.json"), netcase.Quiet())
 	for n := range 1000 { // nobody writes
-		s.put(n)
+		s.enqueue(n)
 	}
 	done := make(chan struct{})
 	close(done)
 	s.run(done)
 	var kept int
-	if load(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if loadFile(s.path, &kept, netcase.Quiet()); kept != 999 {
 		t.Error(kept)
 	}
 	if err := os.WriteFile(s.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if load(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if loadFile(s.path, &kept, netcase.Quiet()); kept != 999 {
 		t.Error("a damaged file changes the value", kept)
 	}
 }
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -28,7 +28,7 @@
 	// retryPause is the pause after a question to another server that failed.
 	retryPause = 500 * time.Millisecond
 	// keptFile holds what a server keeps over its end.
-	keptFile = "server.json"
+	serverFile = "server.json"
 )
 
 // ServerOptions is what a server needs to know.
@@ -45,14 +45,14 @@
 
 // Server keeps and serves releases.
 type Server struct {
-	options ServerOptions
-	saver   *saver
-	client  *Client
+	options    ServerOptions
+	fileWriter *fileWriter
+	client     *Client
 
-	mu      sync.Mutex
-	replica *distribution.Replica
-	news    chan struct{} // closed when the head has changed
-	tag     string        // of the head that news was made for
+	mu          sync.Mutex
+	replica     *distribution.Replica
+	headChanged chan struct{} // closed when the head has changed
+	tag         string        // of the head that news was made for
 }
 
 // NewServer makes a server from what the one before it kept.
@@ -60,18 +60,18 @@
 	if options.Now == nil {
 		options.Now = func() int64 { return time.Now().UnixNano() }
 	}
-	path := filepath.Join(options.Dir, keptFile)
+	path := filepath.Join(options.Dir, serverFile)
 	var kept distribution.StoredState
-	load(path, &kept, options.Log)
-	s := &Server{options: options, saver: newSaver(path, options.Log), client: NewClient(nil), news: make(chan struct{}),
+	loadFile(path, &kept, options.Log)
+	s := &Server{options: options, fileWriter: newFileWriter(path, options.Log), client: NewClient(nil), headChanged: make(chan struct{}),
 		replica: distribution.NewReplica(distribution.ReplicaConfig{Name: options.Name, Fleet: options.Fleet, OtherServers: options.OtherServers,
 			Keys: options.Keys, HaltAfter: options.HaltAfter}, kept)}
-	s.tag = tagOf(s.replica.Head(options.Now()))
+	s.tag = headTag(s.replica.Head(options.Now()))
 	return s
 }
 
 // tagOf tells heads apart that somebody has to hear of.
-func tagOf(h distribution.Head) string {
+func headTag(h distribution.Head) string {
 	return fmt.Sprintf("%s/%d/%d/%t/%d", h.Server, h.Version, h.LastGood, h.Halted != "", h.Failures)
 }
 
@@ -91,7 +91,7 @@
 		<-ctx.Done()
 		return server.Close()
 	})
-	g.Go(func() error { s.saver.run(ctx.Done()); return nil })
+	g.Go(func() error { s.fileWriter.run(ctx.Done()); return nil })
 	for _, other := range s.options.OtherServers {
 		g.Go(func() error { s.follow(ctx, other); return nil })
 	}
@@ -100,32 +100,32 @@
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/poll", s.answerPoll)
-	mux.HandleFunc("GET /v1/releases/{version}", s.answerFetch)
+	mux.HandleFunc("POST /v1/poll", s.handlePoll)
+	mux.HandleFunc("GET /v1/releases/{version}", s.handleFetch)
 	mux.HandleFunc("POST /v1/releases", func(w http.ResponseWriter, r *http.Request) {
 		var release distribution.Release
-		s.answerOrder(w, r, &release, func() error { return s.replica.Publish(s.options.Now(), release) })
+		s.handleOrder(w, r, &release, func() error { return s.replica.Publish(s.options.Now(), release) })
 	})
 	mux.HandleFunc("POST /v1/halt", func(w http.ResponseWriter, r *http.Request) {
 		var order distribution.HaltOrder
-		s.answerOrder(w, r, &order, func() error { return s.replica.Halt(order) })
+		s.handleOrder(w, r, &order, func() error { return s.replica.Halt(order) })
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		status := s.replica.Status(s.options.Now())
 		s.mu.Unlock()
-		answerJSON(w, status)
+		writeJSON(w, status)
 	})
 	return mux
 }
 
-func answerJSON(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
 }
 
 // read decodes a request's body; where it cannot, it has answered.
-func read(w http.ResponseWriter, r *http.Request, into any, most int64) bool {
+func decodeBody(w http.ResponseWriter, r *http.Request, into any, most int64) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -134,22 +134,22 @@
 }
 
 // answerPoll takes what an instance tells, and answers once there is news, or after pollWait.
-func (s *Server) answerPoll(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request) {
 	var request pollRequest
-	if !read(w, r, &request, maxPoll) {
+	if !decodeBody(w, r, &request, maxPoll) {
 		return
 	}
-	s.change(func() { s.replica.Acknowledge(s.options.Now(), request.Acknowledgement) })
+	s.update(func() { s.replica.Acknowledge(s.options.Now(), request.Acknowledgement) })
 	wait := time.NewTimer(pollWait)
 	defer wait.Stop()
 	for {
 		s.mu.Lock()
-		answer := pollAnswer{Head: s.replica.Head(s.options.Now())}
-		answer.Tag = tagOf(answer.Head)
-		news := s.news
+		answer := pollResponse{Head: s.replica.Head(s.options.Now())}
+		answer.Tag = headTag(answer.Head)
+		news := s.headChanged
 		s.mu.Unlock()
 		if answer.Tag != request.Seen {
-			answerJSON(w, answer)
+			writeJSON(w, answer)
 			return
 		}
 		select {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (s *Server) answerFetch(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFetch(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.PathValue("version"), 10, 64)
 	if err != nil {
 		http.Error(w, "no version", http.StatusBadRequest)
@@ -175,16 +175,16 @@
 		http.Error(w, ErrNotFound.Error(), http.StatusNotFound)
 		return
 	}
-	answerJSON(w, release)
+	writeJSON(w, release)
 }
 
 // answerOrder takes an operator's order.
-func (s *Server) answerOrder(w http.ResponseWriter, r *http.Request, order any, do func() error) {
-	if !read(w, r, order, maxTransfer) {
+func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request, order any, do func() error) {
+	if !decodeBody(w, r, order, maxTransfer) {
 		return
 	}
 	var err error
-	s.change(func() { err = do() })
+	s.update(func() { err = do() })
 	if err != nil {
 		s.options.Log.Warn("order refused", "reason", "unfit", "peer", r.RemoteAddr, "err", err)
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -192,20 +192,20 @@
 }
 
 // change changes the state, and tells all that wait where the head is another one.
-func (s *Server) change(do func()) {
+func (s *Server) update(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 	head := s.replica.Head(s.options.Now())
-	tag := tagOf(head)
+	tag := headTag(head)
 	if tag == s.tag {
 		return
 	}
 	s.options.Log.Info("newest release", "version", head.Version, "good", head.LastGood, "halted", head.Halted, "failures", head.Failures)
 	s.tag = tag
-	close(s.news)
-	s.news = make(chan struct{})
-	s.saver.put(s.replica.StoredState())
+	close(s.headChanged)
+	s.headChanged = make(chan struct{})
+	s.fileWriter.enqueue(s.replica.StoredState())
 }
 
 // follow follows another server until ctx ends.
@@ -215,7 +215,7 @@
 		answer, err := s.client.poll(ctx, other, pollRequest{Seen: seen})
 		if err == nil {
 			seen = answer.Tag
-			err = s.hear(ctx, other, answer.Head)
+			err = s.handleHead(ctx, other, answer.Head)
 		}
 		if err == nil {
 			continue
@@ -230,12 +230,12 @@
 }
 
 // hear takes another server's head, and fetches what this one lacks.
-func (s *Server) hear(ctx context.Context, other string, head distribution.Head) error {
+func (s *Server) handleHead(ctx context.Context, other string, head distribution.Head) error {
 	if head.Server != other {
 		return fmt.Errorf("it calls itself %q", head.Server)
 	}
 	var wanted distribution.Version
-	s.change(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
+	s.update(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
 	if wanted == 0 {
 		return nil
 	}
@@ -246,7 +246,7 @@
 	if err != nil {
 		return err
 	}
-	s.change(func() {
+	s.update(func() {
 		if wanted == head.Version {
 			err = s.replica.Copy(s.options.Now(), release, head)
 		} else {
