--- a/control/distribution/distribution_test.go
+++ b/control/distribution/distribution_test.go
@@ -15,7 +15,7 @@
 	second    = int64(time.Second)
 )
 
-// testKey is the operators' key, strangerKey one that nobody knows.
+// testKey is the operators' key, unknownKey a key that is not configured anywhere.
 var testKey, unknownKey = newKey(1), newKey(2)
 
 func newKey(b byte) ed25519.PrivateKey {
@@ -28,7 +28,7 @@
 	return []ed25519.PublicKey{testKey.Public().(ed25519.PublicKey)}
 }
 
-// newRelease is a release that zone a takes at once and all others after 4 s.
+// newRelease makes a release that zone a applies at once and all other zones after 4 s.
 func newRelease(version Version, content string) Release {
 	r := Release{Fleet: testFleet, Version: version, Content: []byte(content),
 		Stages: []Stage{{Zones: []string{"a"}}, {After: 4 * time.Second}}}
@@ -45,7 +45,7 @@
 	return NewReplica(ReplicaConfig{Name: name, Fleet: testFleet, OtherServers: others, Keys: publicKeys(), HaltAfter: 1}, StoredState{})
 }
 
-// follow has an instance hear a server, fetch what it wants and apply what is due; apply tells what comes of that.
+// follow has an instance receive a server's head, fetch what it wants and apply what is due; apply returns the result.
 func follow(t *testing.T, f *Follower, r *Replica, now int64, apply func(Release) error) {
 	t.Helper()
 	if err := f.ReceiveHead(now, r.Head(now)); err != nil {
@@ -54,7 +54,7 @@
 	for v := f.Wanted(); v > 0; v = f.Wanted() {
 		release := r.Release(v)
 		if release == nil {
-			t.Fatalf("version %d is wanted, and the server has it not", v)
+			t.Fatalf("version %d is wanted, but the server does not have it", v)
 		}
 		if err := f.ReceiveRelease(now, *release); err != nil {
 			t.Fatal(err)
@@ -89,15 +89,15 @@
 	for name, tc := range map[string]struct {
 		release Release
 		want    error
-	}{"a stranger's": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongFleet},
-		"no stage for the rest": {noRest, ErrOutOfBounds}, "too large": {large, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
+	}{"signed by an unknown key": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongFleet},
+		"no stage for other zones": {noRest, ErrOutOfBounds}, "too large": {large, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
 		if err := newReplica("s1").Publish(0, tc.release); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		f := newFollower("a")
 		f.ReceiveHead(0, Head{Version: max(tc.release.Version, 1), Digest: tc.release.Digest()})
 		if err := f.ReceiveRelease(0, tc.release); err == nil {
-			t.Errorf("%s: an instance takes it", name)
+			t.Errorf("%s: an instance accepts it", name)
 		}
 	}
 	order := HaltOrder{Fleet: testFleet, Version: 1}
@@ -130,7 +130,7 @@
 	}
 }
 
-// One instance that cannot apply a release halts it: those that run it go back, and the rest never take it.
+// One instance that fails to apply a release halts it: instances that run it roll back, and the others never apply it.
 func TestAFailureHaltsTheRelease(t *testing.T) {
 	r := newReplica("s1")
 	a, a2, b := newFollower("a"), newFollower("a"), newFollower("b")
@@ -156,14 +156,14 @@
 	if got := a.Acknowledge(20 * second); got.State != RolledBack || got.Newest != 2 {
 		t.Errorf("%+v", got)
 	}
-	publish(t, r, 20*second, newRelease(3, "three")) // at once: the one before is halted
+	publish(t, r, 20*second, newRelease(3, "three")) // no waiting: the previous release is halted
 	follow(t, a, r, 20*second, applySucceeds)
 	if a.Running() != 3 || r.Head(20*second).LastGood != 1 {
 		t.Error(a.Running(), r.Head(20*second))
 	}
 }
 
-// The first release of all that is halted leaves instances with their own files.
+// If the first release is halted, instances return to their own files.
 func TestHaltOfTheFirstReleaseRestoresOwnFiles(t *testing.T) {
 	r, a := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
@@ -179,7 +179,8 @@
 	}
 }
 
-// A server that is behind, or that tells a release that it does not have, is left, and changes nothing.
+// A server that is behind, that has a conflicting release, or that announces a release it does not have is refused, and
+// changes nothing.
 func TestStaleAndConflictingServersAreRefused(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(5, "five"))
@@ -201,38 +202,38 @@
 		t.Error(err)
 	}
 	if got := f.Age(9 * second); got != 9*time.Second {
-		t.Error("words about a release that nobody has shown count as news", got)
+		t.Error("a head whose release was not verified counts for the age", got)
 	}
 	if f.Running() != 5 || f.Newest() != 5 {
 		t.Error(f.Running(), f.Newest())
 	}
 }
 
-// Nothing heard, or heard from a server that is cut off from the others: what runs goes on, nothing new is applied, and the
-// age is told.
+// An instance that receives nothing, or follows a server that is cut off from the others, keeps running its release, applies
+// nothing new, and reports how old its knowledge is.
 func TestAgeAndLag(t *testing.T) {
 	r, f := newReplica("s1", "s2", "s3"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
 	r.ReceiveServerHead(0, Head{Server: "s2"})
 	follow(t, f, r, 2*second, applySucceeds)
-	if got := f.Age(3 * second); got != 3*time.Second { // 2 s since s1 heard a majority, and 1 s since s1 was heard
+	if got := f.Age(3 * second); got != 3*time.Second { // 2 s of lag of s1, and 1 s since the head of s1
 		t.Error(got)
 	}
-	follow(t, f, r, 8*second, applySucceeds) // its turn came at 4 s, but the server has heard no majority for 8 s
+	follow(t, f, r, 8*second, applySucceeds) // due since 4 s, but the server's lag is 8 s
 	if f.Running() != 0 || f.Acknowledge(8*second).State != Waiting || f.Acknowledge(11*second).State != Stale {
 		t.Error(f.Running(), f.Acknowledge(8*second), f.Acknowledge(11*second))
 	}
 	r.ReceiveServerHead(12*second, Head{Server: "s3"})
 	follow(t, f, r, 12*second, applySucceeds)
 	if f.Running() != 1 {
-		t.Error("healed, and it does not run the release")
+		t.Error("the release is not applied after the server is in touch with a majority again")
 	}
 	if r := NewReplica(ReplicaConfig{Name: "s1", OtherServers: []string{"s2"}}, StoredState{}); r.Head(0).Lag < time.Hour {
-		t.Error("a server that never heard another tells no lag")
+		t.Error("a server that was never in touch with another reports no lag")
 	}
 }
 
-// Two operators publish one version at two servers: both are given up.
+// If different releases of one version are published at two servers, both are halted.
 func TestConflictingReleasesAreHalted(t *testing.T) {
 	one, two := newReplica("s1", "s2"), newReplica("s2", "s1")
 	publish(t, one, 0, newRelease(1, "one"))
@@ -244,7 +245,7 @@
 	}
 }
 
-// What a server and an instance keep over their ends is taken up.
+// Servers and instances restore their state after a restart; releases with an invalid signature are dropped.
 func TestStateSurvivesRestart(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
@@ -264,7 +265,7 @@
 		t.Errorf("%+v", back.Acknowledge(0))
 	}
 	if again := NewReplica(r.config, StoredState{Newest: &forged}); again.Head(0).Version != 0 {
-		t.Error("a release that no key has signed is taken up")
+		t.Error("a release with an invalid signature is restored")
 	}
 }
 
@@ -283,8 +284,9 @@
 	}
 }
 
-// Servers and instances that hear each other at random, with releases, failures and cuts among them: no instance ever runs
-// what was not signed, one that was halted before its stage, or a version older than one that it gave up for nothing.
+// Servers and instances exchange heads and releases in random order, among publications and releases that fail to apply: no
+// zone applies a release before its stage, and in the end all instances run the newest release, or the last good one if that
+// is halted, and never the bad one.
 func TestRandomOrderConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -333,7 +335,7 @@
 			if release.Version == bad && release.Version > 0 {
 				err = errors.New("bad")
 			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.stageDelay(f.config.Zone)) {
-				t.Fatalf("seed %d: %s takes %d too early", seed, f.config.Member, release.Version)
+				t.Fatalf("seed %d: %s applies %d too early", seed, f.config.Member, release.Version)
 			}
 			f.RecordResult(release.Version, err)
 			r.Acknowledge(now, f.Acknowledge(now))
@@ -353,7 +355,7 @@
 				step(all[rng.IntN(len(all))], r)
 			}
 		}
-		for range 4 * len(servers) { // all hear all, in the end
+		for range 4 * len(servers) { // finally, all servers and instances are in touch
 			now += second
 			for _, from := range servers {
 				for _, to := range servers {
@@ -379,8 +381,8 @@
 	}
 }
 
-// A server that had not heard of a halt when the next release came takes the halted one for good, until it hears a server that
-// knows better; then it fetches the release that is good.
+// A server that missed the halt of a release considers it good when the next one is published. It learns the lower last good
+// version from a server that knows of the halt, and fetches that release.
 func TestLowerLastGoodVersionWins(t *testing.T) {
 	knows, missed := newReplica("s1", "s2"), newReplica("s2", "s1")
 	for _, r := range []*Replica{knows, missed} {
@@ -399,7 +401,7 @@
 		t.Fatal(knows.Head(20*second), missed.Head(20*second))
 	}
 	if wanted := missed.ReceiveServerHead(21*second, knows.Head(21*second)); wanted != 1 {
-		t.Errorf("it fetches version %d", wanted)
+		t.Errorf("wanted version is %d", wanted)
 	}
 	if err := missed.CopyLastGood(*knows.Release(1)); err != nil {
 		t.Fatal(err)
--- a/control/distribution/follower.go
+++ b/control/distribution/follower.go
@@ -7,45 +7,46 @@
 	"time"
 )
 
-// FollowerConfig is what an instance's side needs to know.
+// FollowerConfig configures a Follower.
 type FollowerConfig struct {
 	Member, Zone, Fleet string
 	Keys                []ed25519.PublicKey
-	// MaxAge is how old what is known may be before the instance counts as stale, StageAge how old it may be for a new
-	// release to be applied: a release that was halted meanwhile must not be.
+	// MaxAge is the age of the known state from which the instance counts as stale. StageAge is the greatest age at which
+	// a new release is still applied, because an older state may miss that the release has been halted.
 	MaxAge, StageAge time.Duration
 }
 
-// neverHeard is the age of what is known by an instance that has heard no server.
+// unknownAge is the age reported before any head has been received.
 const unknownAge = time.Duration(1<<63 - 1)
 
-// The reasons for which a server is left for another one.
+// The errors for which an instance leaves a server and tries another one.
 var (
-	ErrStaleServer = errors.New("the server is behind what is known")
+	ErrStaleServer = errors.New("the server is behind")
 	ErrConflict    = errors.New("two releases of one version")
-	ErrMismatch    = errors.New("the release is not the one that was told")
+	ErrMismatch    = errors.New("the release is not the announced one")
 )
 
-// Follower decides for one instance which release it runs. It is not safe for concurrent use.
+// Follower decides which release one instance runs. It is not safe for concurrent use.
 type Follower struct {
 	config         FollowerConfig
-	held           map[Version]verifiedRelease // verified: the newest, the running and the last good one
+	held           map[Version]verifiedRelease // verified releases: newest, running and last good
 	newest         Version
 	running        Version
-	head           Head // the last one that counts
+	head           Head // the last one accepted
 	headReceivedAt int64
 	headReceived   bool
-	failedVersion  Version // could not be applied
+	failedVersion  Version // the version that could not be applied; 0: none
 	failureDetail  string
 }
 
-// heldRelease is a release with its digest, which each answer of a server is held against.
+// verifiedRelease is a release with its digest, which the digest of each received head is compared with.
 type verifiedRelease struct {
 	Release
 	digest Digest
 }
 
-// NewFollower makes the state of an instance that runs a release of before, or none (nil), and knows of a newest version.
+// NewFollower creates the state of an instance that was running the given release (nil: none) and that knows of versions
+// up to newest.
 func NewFollower(config FollowerConfig, running *Release, newest Version) *Follower {
 	f := &Follower{config: config, held: map[Version]verifiedRelease{}, newest: newest}
 	if running != nil && running.Verify(config.Fleet, config.Keys) == nil {
@@ -55,11 +56,11 @@
 	return f
 }
 
-// Hear takes a server's head. An error tells why that server is not to be followed; nothing changes then. A version that
-// the instance does not have yet counts only once its release was fetched and stands the test.
+// ReceiveHead processes the head of a server. If it returns an error, nothing has changed and the server should be left. A
+// version that the instance does not have yet becomes the newest one only once its release has been fetched and verified.
 func (f *Follower) ReceiveHead(now int64, head Head) error {
 	if head.Version < f.newest || head.LastGood > 0 && head.LastGood >= head.Version || head.Lag < 0 || head.Elapsed < 0 {
-		return fmt.Errorf("%w: it tells version %d, known is %d", ErrStaleServer, head.Version, f.newest)
+		return fmt.Errorf("%w: its newest version is %d, the known one is %d", ErrStaleServer, head.Version, f.newest)
 	}
 	release, held := f.held[head.Version]
 	if held && release.digest != head.Digest {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// Wanted is the release that is to be fetched next; 0: none.
+// Wanted returns the version of the release to fetch next; 0: none.
 func (f *Follower) Wanted() Version {
 	if _, ok := f.held[f.head.Version]; !ok && f.head.Version > 0 {
 		return f.head.Version
@@ -86,7 +87,7 @@
 	return 0
 }
 
-// Take takes a release that was fetched. An error tells why it is refused, and its server is not to be followed.
+// ReceiveRelease stores a fetched release. If it returns an error, the release is refused and its server should be left.
 func (f *Follower) ReceiveRelease(now int64, release Release) error {
 	if err := release.Verify(f.config.Fleet, f.config.Keys); err != nil {
 		return err
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// forget drops the releases that nothing leads back to.
+// dropUnused removes the releases that are neither the newest, the last good nor the running one.
 func (f *Follower) dropUnused() {
 	for version := range f.held {
 		if version != f.head.Version && version != f.head.LastGood && version != f.running {
@@ -116,21 +117,21 @@
 	}
 }
 
-// Next is the release that is to be applied now. Without a release, ok and version 0, the instance's own files alone are
-// to be in force again.
+// NextToApply returns the release to apply now; ok is false if there is none. A release of version 0 with ok means that
+// the instance returns to its own configuration files.
 func (f *Follower) NextToApply(now int64) (release Release, ok bool) {
-	target := f.targetVersion(now)
-	if target == f.running || target == f.failedVersion && target > 0 {
+	targetVersion := f.targetVersion(now)
+	if targetVersion == f.running || targetVersion == f.failedVersion && targetVersion > 0 {
 		return Release{}, false
 	}
-	if target == 0 {
+	if targetVersion == 0 {
 		return Release{}, true
 	}
-	held, ok := f.held[target]
+	held, ok := f.held[targetVersion]
 	return held.Release, ok
 }
 
-// target is the version that the instance is to run.
+// targetVersion returns the version that the instance should run now.
 func (f *Follower) targetVersion(now int64) Version {
 	newest, ok := f.held[f.head.Version]
 	if !f.headReceived || !ok || f.Age(now) > f.config.StageAge {
@@ -149,7 +150,7 @@
 	return newest.Version
 }
 
-// Done takes what came of applying a version.
+// RecordResult records the result of applying a version.
 func (f *Follower) RecordResult(version Version, err error) {
 	if err != nil {
 		f.failedVersion, f.failureDetail = version, truncate(err.Error(), maxDetail)
@@ -159,8 +160,8 @@
 	f.dropUnused()
 }
 
-// Age is how old what the instance knows of the newest release is, by the longest way: since it heard its server, and since
-// that server heard a majority of the others.
+// Age returns the age of what the instance knows of the newest release: the time since it received a head, plus the time
+// since that server was last in touch with a majority of the servers.
 func (f *Follower) Age(now int64) time.Duration {
 	if !f.headReceived {
 		return unknownAge
@@ -168,13 +169,13 @@
 	return time.Duration(now-f.headReceivedAt) + f.head.Lag
 }
 
-// Newest is the newest version that is known and stood the test, Running the one that runs.
+// Newest returns the newest version whose release has been verified.
 func (f *Follower) Newest() Version { return f.newest }
 
-// Running is the version that is in force; 0: the instance's own files alone.
+// Running returns the version in force; 0: only the instance's own files are.
 func (f *Follower) Running() Version { return f.running }
 
-// RunningRelease is the release that is in force; nil: the instance's own files alone.
+// RunningRelease returns the release in force; nil: only the instance's own files are.
 func (f *Follower) RunningRelease() *Release {
 	held, ok := f.held[f.running]
 	if !ok {
@@ -183,7 +184,7 @@
 	return &held.Release
 }
 
-// Acknowledge is what the instance tells of itself.
+// Acknowledge returns the state that the instance reports to its server.
 func (f *Follower) Acknowledge(now int64) Acknowledgement {
 	return Acknowledgement{Member: f.config.Member, Zone: f.config.Zone, Newest: f.newest, Running: f.running, State: f.state(now), Detail: f.failureDetail}
 }
--- a/control/distribution/head.go
+++ b/control/distribution/head.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Head is what a server tells of its newest release. It carries no signature: it can make an instance wait or go back to
-// the last good release, but never run anything that the operators have not signed.
+// Head describes a server's newest release. It is not signed: a forged head can make an instance wait or return to the last
+// good release, but not run anything that the operators have not signed.
 type Head struct {
 	Server   string        `json:"server"`
-	Version  Version       `json:"version"` // the newest release; 0: there is none
+	Version  Version       `json:"version"` // of the newest release; 0: none
 	Digest   Digest        `json:"digest"`
-	LastGood Version       `json:"good"`       // the newest one before it that was not halted; 0: there is none
-	Elapsed  time.Duration `json:"elapsed_ns"` // since the newest one was published
+	LastGood Version       `json:"good"`       // the newest earlier version that was not halted; 0: none
+	Elapsed  time.Duration `json:"elapsed_ns"` // since the newest release was published
 	Halted   string        `json:"halted,omitempty"`
-	// Failures is how many instances have told this server that they could not apply the newest release.
+	// Failures is the number of instances that reported to this server that they could not apply the newest release.
 	Failures int `json:"failures,omitempty"`
-	// Lag is how long ago the server last was in touch with a majority of the servers, itself included.
+	// Lag is the time since the server was last in touch with a majority of the servers, itself included.
 	Lag time.Duration `json:"lag_ns"`
 }
 
-// State is what an instance has made of the newest release that it knows.
+// State is the state of an instance with respect to the newest release that it knows.
 type State string
 
-// The states.
+// The states of an instance.
 const (
-	Waiting    State = "waiting"     // its zone's turn has not come, or it has not got the release yet
+	Waiting    State = "waiting"     // the stage of its zone is not due, or the release is not fetched yet
 	Applied    State = "applied"     // it runs the newest release
-	Failed     State = "failed"      // it could not apply it, and runs what it ran before
+	Failed     State = "failed"      // it could not apply the release, and runs what it ran before
 	RolledBack State = "rolled-back" // the newest release is halted, and it runs the last good one
-	Stale      State = "stale"       // it has heard nothing for too long
+	Stale      State = "stale"       // what it knows is older than the limit
 )
 
-// Acknowledgement is what an instance tells its server.
+// Acknowledgement is what an instance reports to its server.
 type Acknowledgement struct {
 	Member  string  `json:"member"`
 	Zone    string  `json:"zone,omitempty"`
-	Newest  Version `json:"newest"`  // that it knows of
-	Running Version `json:"running"` // 0: its own files alone
+	Newest  Version `json:"newest"`  // the newest verified version
+	Running Version `json:"running"` // 0: only its own files
 	State   State   `json:"state"`
 	Detail  string  `json:"detail,omitempty"`
 }
 
-// maxDetail bounds the detail of an acknowledgement.
+// maxDetail bounds Acknowledgement.Detail, in bytes.
 const maxDetail = 512
 
-// clip bounds a text.
+// truncate shortens a text to at most maxBytes bytes.
 func truncate(text string, maxBytes int) string { return text[:min(len(text), maxBytes)] }
--- a/control/distribution/overview.go
+++ b/control/distribution/overview.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Overview is what all servers together tell of a fleet.
+// Overview combines the status of all servers of a fleet.
 type Overview struct {
-	Version  Version        `json:"version"` // the newest that any server has
+	Version  Version        `json:"version"` // the newest version that any server has
 	LastGood Version        `json:"good"`
 	Halted   string         `json:"halted,omitempty"`
 	Servers  []Head         `json:"servers"`
 	Members  []MemberStatus `json:"members"`
 }
 
-// NewOverview puts the servers' answers together. An instance that changed servers counts by its latest word.
+// NewOverview combines the servers' statuses. Of an instance that changed servers, the most recent acknowledgement counts.
 func NewOverview(statuses []Status) Overview {
 	o := Overview{}
 	latest := map[string]MemberStatus{}
@@ -39,8 +39,8 @@
 	return o
 }
 
-// States counts the instances by what they have made of the newest release. One that has not been heard for a while counts
-// as stale, whatever it said last.
+// States counts the instances by state. An instance whose last acknowledgement is older than staleAfterMS counts as stale,
+// whatever state it reported.
 func (o Overview) States() map[State]int {
 	states := map[State]int{}
 	for _, m := range o.Members {
@@ -49,10 +49,11 @@
 	return states
 }
 
-// silentAfter is how long an instance may be unheard before it counts as stale, in milliseconds: a few questions.
+// staleAfterMS is the age of the last acknowledgement, in milliseconds, from which an instance counts as stale. It spans a
+// few polls.
 const staleAfterMS = 5000
 
-// StateOf is what an instance has made of the newest release that any server has.
+// StateOf returns the state of an instance with respect to the newest release that any server has.
 func (o Overview) StateOf(m MemberStatus) State {
 	switch {
 	case m.AgeMS > staleAfterMS:
@@ -63,7 +64,7 @@
 	return m.State
 }
 
-// Settled tells whether every instance that is heard has taken the newest release, failed at it or gone back.
+// Settled tells whether every instance that is not stale has applied the newest release, failed to apply it or rolled back.
 func (o Overview) Settled() bool {
 	states := o.States()
 	return states[Waiting] == 0 && (o.Halted == "" || states[Applied] == 0)
--- a/control/distribution/release.go
+++ b/control/distribution/release.go
@@ -1,12 +1,13 @@
-// Package distribution decides how versions of a fleet's configuration reach its instances: which version an instance
-// runs, when its zone's turn has come, when a version is halted and everybody goes back to the last good one, and how old
-// what an instance knows is.
+// Package distribution decides how configuration releases reach the instances of a fleet: which version an instance runs,
+// when the rollout stage of its zone is due, when a version is halted and all instances return to the last good one, and how
+// old an instance's knowledge is.
 //
-// A Release is signed by the operators and is the only thing that can change an instance. A few servers keep the newest
-// release and the last good one, and follow each other (Replica); each instance follows one server at a time (Follower). No
-// server is needed for a call: an instance that hears nothing keeps what it runs and tells how old that is.
+// A Release is signed by the operators; nothing else can change an instance's configuration. A few servers store the newest
+// and the last good release and replicate them among each other (Replica); each instance follows one server at a time
+// (Follower). Calls do not depend on any server: an instance that receives nothing keeps running what it runs, and reports
+// how old its knowledge is.
 //
-// The package is pure: it is told the time and what was heard, and says what to do.
+// The package is pure: callers pass in the time and what was received, and carry out the decisions it returns.
 package distribution
 
 import (
@@ -20,27 +21,27 @@
 	"time"
 )
 
-// The bounds of a release.
+// Limits of a release.
 const (
 	MaxContent    = 256 << 10 // bytes
 	MaxStages     = 16
-	MaxZones      = 64 // of one stage
+	MaxZones      = 64 // in one stage
 	MaxStageDelay = time.Hour
 	MaxNameLength = 64
 )
 
-// signedPrefix keeps a signature of a release from being one of anything else.
+// The prefixes of what is signed. They keep the signature of one kind of message from being valid for another.
 const (
 	releasePrefix = "masthill release\x00"
 	haltPrefix    = "masthill halt\x00"
 )
 
-// Version numbers the releases of a fleet, from 1 on.
+// Version numbers the releases of a fleet, starting at 1.
 type Version uint64
 
-// Stage is a part of the fleet, and how long after its publication it takes a release.
+// Stage is a set of zones, and how long after its publication they apply a release.
 type Stage struct {
-	Zones []string      `json:"zones,omitempty"` // empty: all zones that no other stage names
+	Zones []string      `json:"zones,omitempty"` // empty: all zones that no other stage lists
 	After time.Duration `json:"after_ns"`
 }
 
@@ -49,11 +50,11 @@
 	Fleet     string  `json:"fleet"`
 	Version   Version `json:"version"`
 	Stages    []Stage `json:"stages"`
-	Content   []byte  `json:"content"` // settings, as TOML
+	Content   []byte  `json:"content"` // the settings in TOML
 	Signature []byte  `json:"signature,omitempty"`
 }
 
-// Digest tells two releases of one version apart.
+// Digest is the hash of the signed part of a release. It distinguishes different releases of one version.
 type Digest [sha256.Size]byte
 
 // MarshalText implements encoding.TextMarshaler.
@@ -65,33 +66,33 @@
 func (d *Digest) UnmarshalText(text []byte) error {
 	b, err := base64.RawStdEncoding.DecodeString(string(text))
 	if err != nil || len(b) != len(d) {
-		return errors.New("no digest")
+		return errors.New("invalid digest")
 	}
 	copy(d[:], b)
 	return nil
 }
 
-// The reasons for which a release is refused.
+// The errors with which a release is refused.
 var (
-	ErrUnsigned    = errors.New("no known key has signed it")
+	ErrUnsigned    = errors.New("not signed by a known key")
 	ErrOutOfBounds = errors.New("out of bounds")
 	ErrWrongFleet  = errors.New("made for another fleet")
 )
 
-// signed is what a signature covers: everything but itself.
+// signed returns what the signature covers: the whole release but the signature.
 func (r Release) signed() []byte {
 	r.Signature = nil
-	text, _ := json.Marshal(r) // strings, numbers and bytes: it cannot fail
+	text, _ := json.Marshal(r) // cannot fail: there are only strings, numbers and bytes
 	return append([]byte(releasePrefix), text...)
 }
 
-// Digest is that of all that is signed.
+// Digest returns the digest of the signed part of the release.
 func (r Release) Digest() Digest { return sha256.Sum256(r.signed()) }
 
-// Sign signs the release.
+// Sign sets the release's signature.
 func (r *Release) Sign(key ed25519.PrivateKey) { r.Signature = ed25519.Sign(key, r.signed()) }
 
-// Verify checks the release's bounds, its fleet, and that one of the keys has signed it.
+// Verify checks the limits of the release, its fleet, and that one of the keys has signed it.
 func (r Release) Verify(fleet string, keys []ed25519.PublicKey) error {
 	if err := r.checkBounds(); err != nil {
 		return err
@@ -118,7 +119,7 @@
 	case len(r.Content) > MaxContent:
 		return fmt.Errorf("%w: content of %d bytes, %d at most", ErrOutOfBounds, len(r.Content), MaxContent)
 	case len(r.Stages) == 0 || len(r.Stages) > MaxStages:
-		return fmt.Errorf("%w: %d stages, 1 to %d", ErrOutOfBounds, len(r.Stages), MaxStages)
+		return fmt.Errorf("%w: %d stages, 1 to %d are allowed", ErrOutOfBounds, len(r.Stages), MaxStages)
 	}
 	rest := 0
 	for _, s := range r.Stages {
@@ -130,12 +131,12 @@
 		}
 	}
 	if rest != 1 {
-		return fmt.Errorf("%w: %d stages for all other zones, exactly 1", ErrOutOfBounds, rest)
+		return fmt.Errorf("%w: %d stages without zones, exactly 1 is required", ErrOutOfBounds, rest)
 	}
 	return nil
 }
 
-// delay is how long after its publication a zone takes the release.
+// stageDelay is how long after its publication a zone applies the release.
 func (r Release) stageDelay(zone string) time.Duration {
 	rest := time.Duration(0)
 	for _, s := range r.Stages {
@@ -149,7 +150,7 @@
 	return rest
 }
 
-// Length is how long after its publication the last zone takes the release.
+// RolloutDuration is how long after its publication the last stage applies the release.
 func (r Release) RolloutDuration() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range r.Stages {
@@ -158,7 +159,7 @@
 	return longest
 }
 
-// HaltOrder is an operator's word that a version is to be given up.
+// HaltOrder is an operator's order to halt the rollout of a version and to return to the last good one.
 type HaltOrder struct {
 	Fleet     string  `json:"fleet"`
 	Version   Version `json:"version"`
@@ -172,10 +173,10 @@
 	return append([]byte(haltPrefix), text...)
 }
 
-// Sign signs the order.
+// Sign sets the order's signature.
 func (h *HaltOrder) Sign(key ed25519.PrivateKey) { h.Signature = ed25519.Sign(key, h.signed()) }
 
-// Verify checks that the order is for a fleet and that one of the keys has signed it.
+// Verify checks that the order is for the fleet and that one of the keys has signed it.
 func (h HaltOrder) Verify(fleet string, keys []ed25519.PublicKey) error {
 	if h.Fleet != fleet {
 		return fmt.Errorf("%w: %q", ErrWrongFleet, h.Fleet)
--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -10,62 +10,62 @@
 )
 
 const (
-	// settleTime is how long after its last stage a release is watched before the next one may come, so that it is known
-	// for good or bad by then.
+	// observationTime is how long after its last stage a release must be observed before the next one may be published, so
+	// that failures to apply it are known by then.
 	observationTime = 2 * time.Second
-	// maxMembers bounds the instances whose acknowledgements are kept, retention how long one is kept without a word.
+	// maxMembers bounds the instances whose acknowledgements are kept, memberRetention the age of an acknowledgement.
 	maxMembers      = 4096
 	memberRetention = 10 * time.Minute
-	// noteNever is the lag of a server that has heard no majority yet.
+	// unknownLag is the lag of a server that has not been in touch with a majority yet.
 	unknownLag = 24 * time.Hour
 )
 
-// ReplicaConfig is what a server needs to know.
+// ReplicaConfig configures a Replica.
 type ReplicaConfig struct {
 	Name, Fleet  string
-	OtherServers []string // the other servers
+	OtherServers []string // their names
 	Keys         []ed25519.PublicKey
-	// HaltAfter is how many instances that cannot apply a release halt it.
+	// HaltAfter is the number of instances failing to apply a release that halts it.
 	HaltAfter int
 }
 
-// The reasons for which a server refuses a release.
+// The errors with which a server refuses a release or an order.
 var (
 	ErrNotNewer          = errors.New("not newer than the newest release")
-	ErrRolloutInProgress = errors.New("the release before it is under way")
+	ErrRolloutInProgress = errors.New("the rollout of the previous release is under way")
 )
 
-// Kept is what a server keeps over its end.
+// StoredState is the state of a server that outlives its process.
 type StoredState struct {
 	Newest          *Release `json:"newest,omitempty"`
-	LastGoodVersion Version  `json:"good_version"`   // the newest one before it that was not halted
+	LastGoodVersion Version  `json:"good_version"`   // the newest earlier version that was not halted
 	LastGood        *Release `json:"good,omitempty"` // nil: not copied from another server yet
-	PublishedAt     int64    `json:"published_ns"`   // when the newest one was, by this server's clock
+	PublishedAt     int64    `json:"published_ns"`   // when Newest was published, by this server's clock
 	Halted          string   `json:"halted,omitempty"`
 }
 
-// memberState is the last acknowledgement of an instance.
+// memberState is the last acknowledgement of an instance and when it was received.
 type memberState struct {
 	Acknowledgement
 	at int64
 }
 
-// otherServer is what was heard of another server.
+// otherServer is the last head of another server and when it was received.
 type otherServer struct {
 	head Head
 	at   int64
 }
 
-// Replica is the state of one server. It is not safe for concurrent use.
+// Replica is the state of one distribution server. It is not safe for concurrent use.
 type Replica struct {
 	config  ReplicaConfig
 	kept    StoredState
-	digest  Digest // of the newest release: each question is answered with it
+	digest  Digest // of the newest release; stored because each poll is answered with it
 	members map[string]memberState
 	others  map[string]otherServer
 }
 
-// NewReplica makes the state of a server from what it kept. Releases that no key has signed are left out.
+// NewReplica restores the state of a server. Releases without a valid signature are dropped.
 func NewReplica(config ReplicaConfig, kept StoredState) *Replica {
 	for _, release := range []**Release{&kept.Newest, &kept.LastGood} {
 		if *release != nil && (*release).Verify(config.Fleet, config.Keys) != nil {
@@ -82,17 +82,17 @@
 	return r
 }
 
-// Kept is what is to be kept over the server's end.
+// StoredState returns the state to store for the next process of this server.
 func (r *Replica) StoredState() StoredState { return r.kept }
 
-// Publish takes a release from the operators.
+// Publish accepts a new release from the operators.
 func (r *Replica) Publish(now int64, release Release) error {
 	if r.kept.Newest != nil && release.Digest() == r.digest {
-		return nil // the publisher tries again
+		return nil // the publisher repeats its request
 	}
 	if newest := r.kept.Newest; newest != nil && r.kept.Halted == "" && release.Version > newest.Version {
 		if left := newest.RolloutDuration() + observationTime - r.elapsed(now); left > 0 {
-			return fmt.Errorf("%w: version %d, for another %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
+			return fmt.Errorf("%w: version %d, done in %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
 		}
 	}
 	good := r.kept.LastGoodVersion
@@ -102,7 +102,7 @@
 	return r.accept(now, release, good)
 }
 
-// Copy takes the newest release of another server, which told it by a head.
+// Copy accepts the newest release of another server, which was announced by the given head.
 func (r *Replica) Copy(now int64, release Release, head Head) error {
 	return r.accept(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
 }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// CopyGood takes the last good release from another server, for one that has not seen it published.
+// CopyLastGood accepts the last good release of another server. A server needs it if it missed that release's publication.
 func (r *Replica) CopyLastGood(release Release) error {
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// hearGood takes another server's word on the last good release before the newest one. The lower one holds: the other
-// server knows of a halt that this one has not heard of.
+// reconcileLastGood compares the last good version of another server with this one's. The lower version wins, because the
+// other server knows of a halt that this one has not received. It returns the version to fetch; 0: none.
 func (r *Replica) reconcileLastGood(good Version) (wanted Version) {
 	if good < r.kept.LastGoodVersion {
 		r.kept.LastGoodVersion, r.kept.LastGood = good, nil
@@ -143,7 +143,7 @@
 	return 0
 }
 
-// Release is a release that the server has; nil: it has not.
+// Release returns the stored release of a version; nil: it is not stored.
 func (r *Replica) Release(version Version) *Release {
 	for _, release := range []*Release{r.kept.Newest, r.kept.LastGood} {
 		if release != nil && release.Version == version {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Acknowledge takes what an instance tells.
+// Acknowledge records the acknowledgement of an instance.
 func (r *Replica) Acknowledge(now int64, a Acknowledgement) {
 	if a.Member == "" || len(a.Member) > MaxNameLength || len(a.Zone) > MaxNameLength {
 		return
@@ -177,7 +177,8 @@
 	}
 }
 
-// HearServer takes another server's head. It tells which release is to be fetched from it, by Copy or CopyGood; 0: none.
+// ReceiveServerHead records the head of another server. It returns the version to fetch from that server, for Copy or
+// CopyLastGood; 0: none.
 func (r *Replica) ReceiveServerHead(now int64, head Head) (wanted Version) {
 	if !slices.Contains(r.config.OtherServers, head.Server) {
 		return 0
@@ -198,7 +199,7 @@
 	return wanted
 }
 
-// Halt takes an operator's order to give a version up.
+// Halt carries out an operator's order to halt a version.
 func (r *Replica) Halt(order HaltOrder) error {
 	if err := order.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
@@ -216,7 +217,7 @@
 	}
 }
 
-// judge halts the newest release once enough instances could not apply it, here and as other servers tell.
+// haltOnFailures halts the newest release once HaltAfter instances, of this and of the other servers, could not apply it.
 func (r *Replica) haltOnFailures(now int64) {
 	if r.kept.Newest == nil {
 		return
@@ -232,7 +233,7 @@
 	}
 }
 
-// failures counts the instances of this server that could not apply the newest release.
+// failures counts the instances following this server that could not apply the newest release.
 func (r *Replica) failures() (n int) {
 	for _, m := range r.members {
 		if m.State == Failed && m.Newest == r.kept.Newest.Version {
@@ -246,7 +247,7 @@
 	return time.Duration(max(now-r.kept.PublishedAt, 0))
 }
 
-// Head is what the server tells.
+// Head returns the head that the server sends to instances and to other servers.
 func (r *Replica) Head(now int64) Head {
 	head := Head{Server: r.config.Name, Lag: r.lag(now)}
 	if r.kept.Newest != nil {
@@ -257,9 +258,9 @@
 	return head
 }
 
-// lag is how long ago a majority of the servers was last heard.
+// lag returns the time since the server was last in touch with a majority of the servers.
 func (r *Replica) lag(now int64) time.Duration {
-	needed := (len(r.config.OtherServers) + 1) / 2 // of the others, beside this server
+	needed := (len(r.config.OtherServers) + 1) / 2 // besides this server
 	if needed == 0 {
 		return 0
 	}
@@ -274,19 +275,19 @@
 	return max(ages[needed-1], 0)
 }
 
-// MemberStatus is an instance as its server sees it.
+// MemberStatus is the last acknowledgement of an instance, with its age.
 type MemberStatus struct {
 	Acknowledgement
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Status is what a server tells its operators.
+// Status is what a server reports to its operators.
 type Status struct {
 	Head    Head           `json:"head"`
 	Members []MemberStatus `json:"members"`
 }
 
-// Status looks at everything.
+// Status returns the status of the server and of the instances that follow it.
 func (r *Replica) Status(now int64) Status {
 	r.expireMembers(now)
 	s := Status{Head: r.Head(now), Members: make([]MemberStatus, 0, len(r.members))}
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -174,10 +174,10 @@
 		}
 	}
 	g.run(8*second, step)
-	all, ok := g.instances[7].Totals(g.now)
-	if !ok || all.Offered["slaney-vines"] < 40 || all.Offered["slaney-vines"] > 52 || all.Offered[""] < 8 || all.Placed["slaney-vines"] < 20 ||
-		all.Lost["slaney-vines"] < 20 || all.Lost["slaney-vines"] > 27 {
-		t.Errorf("%v: %+v", ok, all)
+	totals, ok := g.instances[7].Totals(g.now)
+	if !ok || totals.Offered["slaney-vines"] < 40 || totals.Offered["slaney-vines"] > 52 || totals.Offered[""] < 8 || totals.Placed["slaney-vines"] < 20 ||
+		totals.Lost["slaney-vines"] < 20 || totals.Lost["slaney-vines"] > 27 {
+		t.Errorf("%v: %+v", ok, totals)
 	}
 	if s := g.instances[7].Status(g.now); s.State != Together {
 		t.Errorf("%+v", s)
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -146,14 +146,14 @@
 		s.mu.Lock()
 		answer := pollResponse{Head: s.replica.Head(s.options.Now())}
 		answer.Tag = headTag(answer.Head)
-		news := s.headChanged
+		headChanged := s.headChanged
 		s.mu.Unlock()
 		if answer.Tag != request.Seen {
 			writeJSON(w, answer)
 			return
 		}
 		select {
-		case <-news:
+		case <-headChanged:
 		case <-r.Context().Done():
 			return
 		case <-wait.C:
