--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -5,13 +5,13 @@
 	"masthill/control/shared/outlier"
 )
 
-// silentShare is the part of the shortest aim after which an unanswered attempt is reported as silence of its server.
+// silentShare is the part of the shortest aim after which an unanswered attempt is reported as Silent.
 const silentShare = 0.75
 
-// maxCalls bounds the calls and attempts that are tracked; the ones beyond it are ignored.
+// maxCalls bounds the calls and the attempts that are tracked. Those beyond it are ignored.
 const maxCalls = 1 << 15
 
-// attempt is an attempt to set a call up at a server that has had no answer yet.
+// attempt is an attempt to set up a call at a server that has not answered yet.
 type attempt struct {
 	server         uint64
 	sentAt         int64
@@ -66,14 +66,14 @@
 	}
 }
 
-// finishAttempt removes the attempt of a call; nil when there is none.
+// finishAttempt removes and returns the attempt of a call; nil if there is none.
 func (m *Shared) finishAttempt(call string) *attempt {
 	a := m.attempts[call]
 	delete(m.attempts, call)
 	return a
 }
 
-// observeFailure tells the detector what a failed attempt shows of its server.
+// observeFailure passes what a failed attempt shows about its server to the detector.
 func (m *Shared) observeFailure(now int64, ev control.Event, a *attempt) {
 	switch ev.Outcome {
 	case control.TimedOut:
@@ -85,11 +85,11 @@
 	case control.Saturated:
 		m.observe(now, ev.Server, outlier.Overloaded)
 	case control.Errored:
-		m.observe(now, ev.Server, outlier.Healthy) // the server answers; what it answers is package control's concern
+		m.observe(now, ev.Server, outlier.Healthy) // the server answers; package control handles the error itself
 	}
 }
 
-// reportSilent finds the attempts that have been unanswered for long.
+// reportSilent reports the servers of attempts that have been unanswered for too long.
 func (m *Shared) reportSilent(now int64) {
 	for len(m.attemptOrder) > 0 {
 		a := m.attempts[m.attemptOrder[0]]
--- a/control/shared/cold.go
+++ b/control/shared/cold.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// coldRateFactor times a cold server's planned load, in its present capacity, is the budget of all instances together.
-	// Servers are planned at 72 to 87% of their capacity, so this is 1.4 to 1.7 times their capacity; twice is allowed.
-	// Package recovery uses 1.6, as its equal parts do not know which instances exist; leases add up to no more than this.
+	// coldRateFactor is the ratio of a cold server's budget, shared by all instances, to its planned load at its present
+	// capacity. Servers are planned at 72 to 87% of their capacity, so the budget is 1.4 to 1.7 times their capacity; twice
+	// is allowed. Package recovery uses 1.6, because its equal parts do not take account of which instances exist; leases add
+	// up to no more than this.
 	coldRateFactor = 2.0
-	// warmupSteps is the number of steps in which a cold server's budget grows, so that all instances have the same size of it
-	// but for moments.
+	// warmupSteps is the number of steps in which a cold server's budget grows. With steps, all instances have the same value
+	// for the budget except for short moments.
 	warmupSteps = 8
-	// requestFactor is how much more than its share by its own calls an instance requests at a cold server, minRequest the
-	// least that it requests, in thousandths of a call per second.
+	// requestFactor is the ratio of the rate that an instance requests at a cold server to that server's equal share of the
+	// calls that arrive at the instance. minRequest is the least rate requested, in thousandths of a call per second.
 	requestFactor = 2.0
 	minRequest    = 200
 )
 
-// coldBudget gives the budget of a cold server and its size in thousandths of a call per second; not ok for other servers.
+// coldBudget returns the budget of a cold server and its size in thousandths of a call per second; ok is false for other
+// servers.
 func (m *Shared) coldBudget(now int64, server uint64) (budget string, size int64, ok bool) {
 	s := m.servers[server]
 	if !m.cfg.Budgets || m.cfg.Planned <= 0 || s == nil {
@@ -41,7 +43,7 @@
 	return "cold/" + strconv.FormatUint(server, 16), size, true
 }
 
-// requestBudgets requests a lease on the budget of each cold server, by the calls that arrive here.
+// requestBudgets requests a lease on the budget of each cold server, according to the rate of calls arriving here.
 func (m *Shared) requestBudgets(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
 		if budget, size, ok := m.coldBudget(now, id); ok && m.servers[id].serving {
--- a/control/shared/config.go
+++ b/control/shared/config.go
@@ -7,25 +7,25 @@
 	"masthill/control/shared/outlier"
 )
 
-// Config is the settings of the module. They do not change while it runs.
+// Config holds the settings of the module, which do not change while it runs.
 type Config struct {
 	Control        control.Settings
 	Planned        float64 // planned calls per second of the whole fleet; 0: cold servers have no shared budget
 	Name           string
 	Machine        string
 	Epoch          uint64   // drawn at random at each start
-	Tenants        []string // that are counted one by one
-	Numbers        []string // that are counted one by one
-	Budgets        bool     // cold servers have shared budgets
-	DetectOutliers bool     // servers are avoided by the reports of other instances
+	Tenants        []string // the tenants with counts of their own
+	Numbers        []string // the numbers with counts of their own
+	Budgets        bool     // share budgets for cold servers
+	DetectOutliers bool     // avoid servers by the reports of other instances too
 	Lease          lease.Config
 	Count          count.Config
 	Outlier        outlier.Config
 }
 
-// Events are callbacks by which the module reports to its shell; each may be nil.
+// Callbacks are how the module reports to its caller; each may be nil.
 type Callbacks struct {
 	Claim    func(lease.Claim)
 	Decision func(outlier.Decision)
-	Leader   func(until int64) // this instance is the leader until then
+	Leader   func(until int64) // this instance is the leader until this time
 }
--- a/control/shared/count/count.go
+++ b/control/shared/count/count.go
@@ -7,57 +7,57 @@
 //
 // A reader gets an estimate and two bounds: what has certainly been counted in the window, and the most that can have been
 // counted if no process counts faster than Config.MaxRate. The bounds hold whatever messages are lost, as long as the
-// quickest message of each process takes Config.MaxDelay at most. Processes that the reader has never heard of are not
-// included; a reading says how many are.
+// fastest message of each process takes Config.MaxDelay at most. Processes that the reader has not received any message of
+// are not included; a reading contains the number of processes included.
 //
 // The package is pure: callers pass in the time, by the clock of this instance alone.
 package count
 
 import "maps"
 
-// Source is one process of an instance.
+// Source identifies one process of an instance.
 type Source struct {
 	Name  string `codec:"n"`
 	Epoch uint64 `codec:"e"`
 }
 
-// Message is what a process has counted since its start, and how long ago it started. From that a receiver which hears of
-// the process for the first time knows what can lie in its window.
+// Message holds what a process has counted since its start, and how long ago it started. From the latter, a receiver that
+// has just discovered the process knows what can lie in its window.
 type Message struct {
 	From     Source           `codec:"f"`
 	UptimeMS int64            `codec:"u"`
 	Counts   map[string]int64 `codec:"c"`
 }
 
-// sample is the counts of a source at a time of this instance's clock.
+// sample holds the counts of a source at one time of this instance's clock.
 type sample struct {
 	at     int64
 	counts map[string]int64
 }
 
-// history is what is known of one source.
+// history holds what is known of one source.
 type history struct {
 	startedAt       int64 // the latest time at which its process can have started, by this instance's clock
 	receivedAt      int64
 	firstReceivedAt int64
-	settled         bool // startedAt rests on messages of more than Config.MaxDelay
+	settled         bool // messages have arrived for MaxDelay, so startedAt is reliable
 	samples         []sample
 }
 
-// last is the newest sample; there always is one.
+// last returns the newest sample; there always is one.
 func (h *history) last() sample { return h.samples[len(h.samples)-1] }
 
-// Set is one instance's own counts and what it has received of the others' counts.
+// Set holds one instance's own counts and those received from the others.
 type Set struct {
 	cfg       Config
 	own       Source
 	startedAt int64
 	counts    map[string]int64
-	sources   map[Source]*history // this process is among them
+	sources   map[Source]*history // including this process
 	dropped   int64
 }
 
-// New makes a set for a process that starts at now.
+// New creates a set for a process that starts at now.
 func New(c Config, own Source, now int64) *Set {
 	c.setDefaults()
 	s := &Set{cfg: c, own: own, startedAt: now, counts: map[string]int64{}, sources: map[Source]*history{}}
@@ -65,7 +65,7 @@
 	return s
 }
 
-// Add adds n to the count of a key. Keys beyond the bound are dropped.
+// Add adds n to the count of a key. New keys beyond maxKeys are dropped.
 func (s *Set) Add(key string, n int64) {
 	if n <= 0 || len(key) > MaxKeyLength {
 		return
@@ -77,15 +77,15 @@
 	s.counts[key] += n
 }
 
-// Broadcast makes the message for the other instances. It must be called regularly even if nobody receives it, because the
-// samples of this process's own counts are taken here.
+// Broadcast makes the message for the other instances. It must be called regularly even if there is no receiver, because
+// the samples of this process's own counts are taken here.
 func (s *Set) Broadcast(now int64) Message {
 	m := Message{From: s.own, UptimeMS: (now - s.startedAt) / 1e6, Counts: maps.Clone(s.counts)}
 	s.merge(now, s.sources[s.own], m.Counts)
 	return m
 }
 
-// Receive takes the message of another process. What is not valid is ignored.
+// Receive merges a message of another process. Invalid messages are ignored.
 func (s *Set) Receive(now int64, m Message) {
 	if m.From == s.own || m.From.Name == "" || len(m.Counts) > maxKeys || m.UptimeMS < 0 || m.UptimeMS > maxUptimeMS {
 		return
@@ -101,9 +101,9 @@
 		h = &history{startedAt: startedAt, receivedAt: now, firstReceivedAt: now}
 		s.sources[m.From] = h
 	}
-	// The message that was under way for the shortest time tells best when the process started, and all others are dated by
-	// it. So a message that waited in a paused process, the sender's or this one, does not look newer than it is. The clocks
-	// may drift meanwhile.
+	// The message with the shortest delay gives the best estimate of when the process started, and all others are dated by
+	// it. So a message that waited in a paused process, the sender or this one, does not look newer than it is. The clocks
+	// may drift in between.
 	drifted := int64(2 * clockDrift * float64(now-h.receivedAt))
 	h.startedAt = min(h.startedAt+drifted, startedAt)
 	h.receivedAt = now
@@ -140,7 +140,7 @@
 		return
 	}
 	h.samples = append(h.samples, sample{at, merged})
-	for len(h.samples) > 2 && h.samples[1].at <= at-s.cfg.Window-s.cfg.MaxDelay { // one sample from before the window is enough
+	for len(h.samples) > 2 && h.samples[1].at <= at-s.cfg.Window-s.cfg.MaxDelay { // one sample before the window is enough
 		h.samples = h.samples[1:]
 	}
 }
--- a/control/shared/count/count_test.go
+++ b/control/shared/count/count_test.go
@@ -8,7 +8,7 @@
 
 const key = "offered/slaney-vines"
 
-// truth is what a process really counted, by time.
+// eventLog holds the times of what a process really counted.
 type eventLog struct {
 	at []int64
 }
@@ -54,7 +54,7 @@
 			now += rapid.Int64Range(10e6, 300e6).Draw(t, "gap")
 			for k := 0; k < len(mail); k++ {
 				if mail[k].at <= now {
-					reader.Receive(mail[k].at, mail[k].m) // the events of one step are all before the next
+					reader.Receive(mail[k].at, mail[k].m) // all events of one step come before the next step
 					came = append(came, mail[k].m)
 					mail = append(mail[:k], mail[k+1:]...)
 					k--
@@ -71,17 +71,17 @@
 				own.at = append(own.at, now)
 			case 5, 6, 7:
 				m := p.set.Broadcast(now)
-				most := int64(8e9) // held up in a frozen process, say: only the quickest has to be quick
+				most := int64(8e9) // delayed by a paused process, for example: only the fastest message is bounded
 				if !p.quick {
 					most, p.quick = 2e9-400e6, true
 				}
 				mail = append(mail, delivery{now + rapid.Int64Range(0, most).Draw(t, "delay"), m})
 				reader.Broadcast(now)
-			case 8: // it starts anew, with nothing or an old folder: there is nothing in it
+			case 8: // a restart, with or without its old directory: no counts are stored in it
 				live = append(live[:k], live[k+1:]...)
 				begin(p.set.own.Name)
 			case 9:
-				if len(came) > 0 { // an old message comes again, however late
+				if len(came) > 0 { // an old message is received again, however late
 					reader.Receive(now, came[rapid.IntRange(0, len(came)-1).Draw(t, "old")])
 				}
 			}
@@ -94,7 +94,7 @@
 				}
 			}
 			if r.LowerBound > real || real > r.UpperBound {
-				t.Fatalf("%d in the window, read %+v", real, r)
+				t.Fatalf("%d counted in the window, read %+v", real, r)
 			}
 		}
 	})
@@ -115,7 +115,7 @@
 	for now < 30e9 {
 		now += 100e6
 		for k, s := range all {
-			s.Add(key, 1) // 200 a second, all together
+			s.Add(key, 1) // 200 a second in all
 			if now/100e6%5 == int64(k)%5 {
 				m := s.Broadcast(now)
 				for _, other := range all {
@@ -129,7 +129,7 @@
 		t.Errorf("%+v, and 1,000 were counted", r)
 	}
 	if r = all[3].Read(now+14.5e9, key, 5e9); r.Processes != 1 {
-		t.Errorf("long gone, and still read: %+v", r)
+		t.Errorf("silent processes are still included: %+v", r)
 	}
 	if keys := all[3].Keys("offered/"); len(keys) != 1 || len(all[3].Keys("refused/")) != 0 {
 		t.Errorf("keys %v", keys)
@@ -146,11 +146,11 @@
 	}
 	s.Receive(1e9, Message{From: Source{"c", 1}, UptimeMS: 100, Counts: map[string]int64{key: 7}})
 	if r := s.Read(1e9, key, 1e9); r.Processes != 1 || r.Value != 7 {
-		t.Errorf("its age is sure at once: %+v", r)
+		t.Errorf("not included in the bounds at once: %+v", r)
 	}
-	s.Receive(4e9, Message{From: Source{"c", 1}, UptimeMS: 200, Counts: map[string]int64{key: 3}}) // no process goes back
+	s.Receive(4e9, Message{From: Source{"c", 1}, UptimeMS: 200, Counts: map[string]int64{key: 3}}) // counts never decrease
 	if got := s.KnownCounts(4e9); got[len(got)-1].Counts[key] != 7 {
-		t.Errorf("a count went back: %+v", got)
+		t.Errorf("a count decreased: %+v", got)
 	}
 	for k := range 3000 {
 		s.Receive(2e9, Message{From: Source{"many", uint64(k)}, UptimeMS: 1})
--- a/control/shared/count/reading.go
+++ b/control/shared/count/reading.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// Reading is a count of the fleet over a window. A process that was first heard of less than Config.MaxDelay ago is
+// Reading is a count of the fleet over a window. A process whose first message arrived less than Config.MaxDelay ago is
 // included in the estimate but not in the bounds: its first messages may have been delayed, so their age is not certain.
 type Reading struct {
 	Value      float64 `json:"value"`  // the estimate
-	LowerBound int64   `json:"least"`  // certainly counted in the window, by the processes included
-	UpperBound int64   `json:"most"`   // the most that they can have counted
+	LowerBound int64   `json:"least"`  // what the processes included have certainly counted in the window
+	UpperBound int64   `json:"most"`   // the most that they can have counted in the window
 	AgeMS      int64   `json:"age_ms"` // of the newest message of the process that has been silent for the longest time
 	Processes  int     `json:"of"`     // the number of processes included, this one among them
 }
 
-// Read reads a key over a window that ends now.
+// Read returns the count of a key over a window that ends now.
 func (s *Set) Read(now int64, key string, window int64) (r Reading) {
 	window = min(window, s.cfg.Window)
 	for id, h := range s.sources {
@@ -40,14 +40,14 @@
 		least, most := s.bounds(id, h, key, now-window, total)
 		r.LowerBound += least
 		r.UpperBound += most
-		if id != s.own { // and what it can have counted since its newest message was sent
+		if id != s.own { // plus what it can have counted since its newest message was sent
 			r.UpperBound += int64(math.Ceil(s.cfg.MaxRate * float64(min(age+s.cfg.MaxDelay, window)) / 1e9))
 		}
 	}
 	return r
 }
 
-// estimate gives the newest count of a source, and the likeliest one at the time from, interpolated between samples.
+// estimate returns the newest count of a source, and its likeliest count at the time from, interpolated between samples.
 func (s *Set) estimate(id Source, h *history, key string, from int64) (total int64, before float64) {
 	total = h.last().counts[key]
 	if id == s.own {
@@ -66,8 +66,8 @@
 	return total, before
 }
 
-// bounds gives the least and the most that a source has counted between the time from and its newest message. A sample
-// shows the source as it was when its message was sent: not later than it arrived, and at most the delay before.
+// bounds returns the least and the most that a source can have counted between the time from and its newest message. A
+// sample shows the source when its message was sent: no later than the message arrived, and at most MaxDelay earlier.
 func (s *Set) bounds(id Source, h *history, key string, from, total int64) (least, most int64) {
 	delay := s.cfg.MaxDelay
 	if id == s.own {
@@ -85,8 +85,8 @@
 	return total - min(after, total), total - earlier.counts[key]
 }
 
-// around gives the last sample at or before a time, and the index of the first one after it. Before the first sample the
-// counts were zero when the process started.
+// samplesAround returns the last sample at or before a time, and the index of the first one after it. If there is none
+// before, it returns one without counts, dated at the start of the process.
 func (h *history) samplesAround(at int64) (earlier sample, next int) {
 	next = sort.Search(len(h.samples), func(k int) bool { return h.samples[k].at > at })
 	if next == 0 {
@@ -95,14 +95,14 @@
 	return h.samples[next-1], next
 }
 
-// Known is what a process is known to have counted since its start.
+// KnownCounts holds what a process is known to have counted since its start.
 type KnownCounts struct {
 	Source
 	Counts map[string]int64 `json:"counts"`
 	AgeMS  int64            `json:"age_ms"` // of its newest message
 }
 
-// Known gives the newest counts of each process that readings include, ordered by name and epoch.
+// KnownCounts returns the newest counts of each process that readings include, ordered by name and epoch.
 func (s *Set) KnownCounts(now int64) (all []KnownCounts) {
 	for id, h := range s.sources {
 		last := h.last()
@@ -119,7 +119,7 @@
 	return all
 }
 
-// Keys lists the keys with a prefix that any known process has counted.
+// Keys lists the keys with the given prefix that any known process has counted.
 func (s *Set) Keys(prefix string) []string {
 	found := map[string]bool{}
 	add := func(counts map[string]int64) {
--- a/control/shared/lease/budget.go
+++ b/control/shared/lease/budget.go
@@ -30,7 +30,7 @@
 	Size   int64  `json:"size"`
 }
 
-// Held describes a budget and this instance's lease on it, for operators.
+// Lease describes a budget and this instance's lease on it, for operators.
 type Lease struct {
 	Budget    string `json:"budget"`
 	Size      int64  `json:"size"`    // thousandths of a unit per second, as are Floor, Rate and Want
--- a/control/shared/lease/lease_test.go
+++ b/control/shared/lease/lease_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// world plays nodes with clocks of their own over a network that loses, delays, doubles and cuts.
+// simulation runs nodes with drifting clocks over a network that loses, delays, duplicates and partitions messages.
 type simulation struct {
 	rng           *rand.Rand
 	now           int64 // true time
@@ -23,12 +23,12 @@
 	cut           func(from, to int) bool
 	size          int64
 	requestedRate func(k int) int64
-	maxInUse      int64 // that was ever in use
+	maxInUse      int64 // the greatest rate in use at any moment so far
 	violation     string
-	starts        int64 // of processes, each of which may begin with a part of a unit
+	starts        int64 // of processes, each of which starts with a part of a unit
 }
 
-// one is one instance: its clock has an offset and a rate; while it is frozen its mail waits.
+// simulatedNode is one instance. Its clock has an offset and a rate. While it is paused, messages to it wait.
 type simulatedNode struct {
 	node            *Node
 	name            string
@@ -84,7 +84,7 @@
 	return w
 }
 
-// start begins a process: all that the one before knew is gone.
+// start starts a new process of an instance, without any state of the previous one.
 func (w *simulation) start(k int) {
 	o := w.nodes[k]
 	w.starts++
@@ -114,7 +114,7 @@
 func (w *simulation) send(from int, out []Outgoing) {
 	for _, m := range out {
 		to := slices.IndexFunc(w.nodes, func(o *simulatedNode) bool { return o.name == m.To })
-		for range 1 + w.rng.IntN(20)/19 { // one in twenty twice
+		for range 1 + w.rng.IntN(20)/19 { // one in twenty is duplicated
 			if to < 0 || w.cut(from, to) || w.rng.Float64() < w.loss {
 				continue
 			}
@@ -131,7 +131,8 @@
 	}
 }
 
-// check adds up what may be used at this moment, and looks for two who hand it out. What a frozen one has counts: it does not know that it is frozen.
+// check adds up the rates usable at this moment and counts the leaders. A paused node counts too, as it does not know that
+// it is paused.
 func (w *simulation) check() {
 	sum, reign := int64(0), 0
 	for _, o := range w.nodes {
@@ -141,7 +142,7 @@
 		}
 	}
 	if reign > 1 && w.violation == "" {
-		w.violation = fmt.Sprintf("%d allocators at %d ms", reign, w.now/1e6)
+		w.violation = fmt.Sprintf("%d leaders at %d ms", reign, w.now/1e6)
 	}
 	if w.maxInUse = max(w.maxInUse, sum); sum > w.size && w.violation == "" {
 		w.violation = fmt.Sprintf("%d of %d in use at %d ms", sum, w.size, w.now/1e6)
@@ -165,7 +166,7 @@
 	return n
 }
 
-// settled lets the parts settle, and fails where the pool is not in use by then.
+// requireSettled lets the leases settle, and fails unless most of the budget is in use by then.
 func requireSettled(t *testing.T, w *simulation) {
 	t.Helper()
 	w.run(12e9)
@@ -192,7 +193,7 @@
 	}
 	w.run(4e9)
 	if got := w.nodes[5].node.Rate(w.clock(w.nodes[5]), budget); got < w.size*8/10 {
-		t.Fatalf("the only one that asks has %d of %d", got, w.size)
+		t.Fatalf("the only requester has %d of %d", got, w.size)
 	}
 }
 
@@ -204,20 +205,20 @@
 	o := w.nodes[6]
 	floor := w.size / 5 / 7
 	if got := o.node.Rate(w.clock(o), budget); got != floor {
-		t.Fatalf("%d, and the floor is %d", got, floor)
+		t.Fatalf("rate %d, the floor is %d", got, floor)
 	}
 	before := o.uses
 	w.run(10e9)
 	if o.uses-before < floor*10/1000*8/10 {
 		t.Fatalf("only %d uses in 10 s at the floor", o.uses-before)
 	}
-	requireSettled(t, w) // the others have what it gave up
+	requireSettled(t, w) // the others lease what it gave up
 }
 
 func TestMinorityFallsBackToItsFloors(t *testing.T) {
 	w := newSimulation(3, 10, 5, Config{})
 	requireSettled(t, w)
-	side := func(k int) bool { return k < 2 || k > 5 } // keepers 0 and 1 of 0 to 4
+	side := func(k int) bool { return k < 2 || k > 5 } // voters 0 and 1 of 0 to 4
 	w.cut = func(from, to int) bool { return side(from) != side(to) }
 	w.run(8e9)
 	for k, o := range w.nodes {
@@ -238,13 +239,13 @@
 	w.run(20e9)
 	now, used := w.clock(o), o.uses
 	if got := o.node.Rate(now, budget); got != w.size/5/5 {
-		t.Fatalf("it wakes with %d", got)
+		t.Fatalf("rate %d after the pause", got)
 	}
 	for o.node.Take(now, budget) {
 		o.uses++
 	}
-	if o.uses-used > 2 { // its floor's token and what it had saved up beside
-		t.Fatalf("%d uses on waking", o.uses-used)
+	if o.uses-used > 2 { // the token of its floor, and what it had accumulated
+		t.Fatalf("%d uses right after the pause", o.uses-used)
 	}
 	o.paused = false
 	requireSettled(t, w)
@@ -256,7 +257,7 @@
 		requireSettled(t, w)
 		k := slices.IndexFunc(w.nodes, func(o *simulatedNode) bool { return o.node.IsLeader(w.clock(o)) })
 		if k < 0 {
-			t.Fatal("nobody reigns")
+			t.Fatal("no leader")
 		}
 		w.nodes[k].paused = true
 		requireSettled(t, w)
@@ -269,7 +270,7 @@
 	}
 }
 
-// history plays random faults for a while and gives what broke.
+// randomFaults applies random faults until the given time or until a violation.
 func randomFaults(seed uint64, c Config, length int64) *simulation {
 	w := newSimulation(seed, 3+int(seed%7), 3, c)
 	rng := rand.New(rand.NewPCG(seed, 2))
@@ -277,10 +278,10 @@
 	for w.now < length && w.violation == "" {
 		switch rng.IntN(10) {
 		case 0:
-			at := rng.IntN(len(w.nodes)) // one is cut off
+			at := rng.IntN(len(w.nodes)) // one node is cut off
 			w.cut = func(from, to int) bool { return from == at || to == at }
 		case 1:
-			at := rng.IntN(len(w.nodes)) // hears nothing, and is heard
+			at := rng.IntN(len(w.nodes)) // one node receives nothing, but its messages arrive
 			w.cut = func(_, to int) bool { return to == at }
 		case 2:
 			mask := rng.Uint64()
@@ -318,13 +319,13 @@
 		c := w.cfg
 		c.setDefaults()
 		if most := w.size*w.now/1e12 + int64(c.MaxInstances) + w.starts + int64(c.Burst*float64(w.size))/1000; w.uses() > most {
-			t.Fatalf("%d uses, and %d in %d ms are the most", w.uses(), most, w.now/1e6)
+			t.Fatalf("%d uses, at most %d are allowed in %d ms", w.uses(), most, w.now/1e6)
 		}
 	})
 }
 
-// restarted plays a keeper that starts anew between an allocator that rests on its promise and a candidate that does not
-// hear the allocator, over and over.
+// voterRestarts repeatedly restarts a voter that may have voted for the leader and that also receives the requests of a
+// candidate cut off from the leader.
 func voterRestarts(seed uint64, c Config, length int64) *simulation {
 	w := newSimulation(seed, 5, 3, c)
 	w.run(8e9)
@@ -351,7 +352,7 @@
 	}
 }
 
-// A bid that comes late must not put the promise back to its round, which may be yielded any time.
+// A late vote request must not set the vote back to an older round, because a release of that round would then end the vote.
 func TestLateVoteRequestIsIgnored(t *testing.T) {
 	k := New(Config{Voters: []string{"a", "b", "k"}, MaxInstances: 3, Term: 2 * second}, ID{"k", 1}, 1, 0, nil)
 	now, a := 10*second, ID{"a", 7}
@@ -359,11 +360,11 @@
 	k.Receive(now+1, Message{Kind: VoteRequest, From: a, Round: 1})
 	k.Receive(now+2, Message{Kind: VoteRelease, From: a, Round: 1})
 	if out := k.Receive(now+3, Message{Kind: VoteRequest, From: ID{"b", 8}, Round: 1}); len(out) != 0 {
-		t.Error("promised to two")
+		t.Error("voted for two candidates")
 	}
 }
 
-// Answers to the process before, late, are not for the one that has its name now.
+// Late replies to the previous process of an instance do not count for its new process.
 func TestRepliesToThePreviousProcessAreIgnored(t *testing.T) {
 	c := Config{Voters: []string{"a", "b", "c"}, MaxInstances: 3, Term: 2 * second}
 	b := New(c, ID{"b", 1}, 1, 0, nil)
@@ -371,28 +372,28 @@
 	if len(promised) != 1 || promised[0].Kind != Vote {
 		t.Fatalf("%+v", promised)
 	}
-	a := New(c, ID{"a", 2}, 1, 10*second, nil) // a's new process
+	a := New(c, ID{"a", 2}, 1, 10*second, nil) // the new process of a
 	now := 10 * second
 	for ; a.votingRound == 0; now += second / 20 {
 		a.Tick(now)
 	}
 	if a.Receive(now, promised[0].Message); a.votingRound != 1 || a.IsLeader(now) {
-		t.Error("it reigns on a promise to the process before")
+		t.Error("it became the leader by a vote for its previous process")
 	}
 	h := New(c, ID{"h", 2}, 1, 0, nil)
 	h.Request(0, budget, 30_000, 30_000)
 	h.Tick(0)
 	h.Receive(1, Message{Kind: LeaseGrant, From: ID{h.requestTarget, 5}, Round: 1, ToEpoch: 1, Budgets: []BudgetLease{{Budget: budget, Rate: 9000}}})
 	if h.budgets[budget].leased != 0 {
-		t.Error("it uses what the process before was granted")
+		t.Error("it uses a grant to its previous process")
 	}
 	h.Receive(1, Message{Kind: LeaseGrant, From: ID{h.requestTarget, 5}, Round: 1, ToEpoch: 2, Budgets: []BudgetLease{{Budget: budget, Rate: 9000}}})
 	if h.budgets[budget].leased != 9000 {
-		t.Error("its own grant is not taken")
+		t.Error("its own grant is ignored")
 	}
 }
 
-// Without its guards the scheme breaks, and this test's world sees it.
+// With any of these checks left out, the simulation finds a violation.
 func TestEachCheckIsNeeded(t *testing.T) {
 	for _, guard := range []string{CheckVoterSilence, CheckRequestTime, CheckGrantDelay, CheckReservations} {
 		broken := 0
@@ -405,9 +406,9 @@
 				broken++
 			}
 		}
-		t.Logf("without %s: %d of 150 histories overspend", guard, broken)
+		t.Logf("without check %q: violations in %d of 150 runs", guard, broken)
 		if broken == 0 {
-			t.Errorf("nothing breaks without %s", guard)
+			t.Errorf("no violation without check %q", guard)
 		}
 	}
 }
--- a/control/shared/message.go
+++ b/control/shared/message.go
@@ -12,18 +12,18 @@
 	// second. Gossiping the messages from member to member would cost more at every size up to 1,000, and take longer.
 	broadcastInterval = second / 2
 	fullRateMembers   = 64
-	// urgentInterval is the least time between two health reports when there is bad news.
+	// urgentInterval is the least time between two health reports when the newer one has bad observations.
 	urgentInterval = second / 5
 )
 
-// Message is one message between instances: a message of package lease to one of them, or a broadcast.
+// Message is one message between instances: a message of package lease to one instance, or a broadcast.
 type Message struct {
 	Lease  *lease.Message   `codec:"l,omitempty"`
 	Count  *count.Message   `codec:"c,omitempty"`
 	Health *outlier.Message `codec:"j,omitempty"`
 }
 
-// Out is a message and the name of its receiver; an empty name stands for all other members.
+// Outgoing is a message and the name of its receiver; an empty name stands for all other members.
 type Outgoing struct {
 	To string
 	Message
@@ -31,7 +31,7 @@
 
 func outgoingLease(o lease.Outgoing) Outgoing { return Outgoing{o.To, Message{Lease: &o.Message}} }
 
-// Hear takes a message of another instance, and returns the messages to send in answer.
+// Receive handles a message of another instance and returns the messages to send in answer.
 func (m *Shared) Receive(now int64, msg Message) (outgoing []Outgoing) {
 	m.lastHeardAt = max(m.lastHeardAt, now)
 	m.updateState(now)
@@ -49,8 +49,8 @@
 	return outgoing
 }
 
-// Tick does what is due, and returns the messages to send. It should be called about ten times a second. members is the
-// number of members as far as it is known.
+// Tick does what is due and returns the messages to send. It should be called about ten times a second. members is the
+// number of members known.
 func (m *Shared) Tick(now int64, members int) (outgoing []Outgoing) {
 	m.updateState(now)
 	m.reportSilent(now)
--- a/control/shared/servers.go
+++ b/control/shared/servers.go
@@ -2,14 +2,14 @@
 
 import "masthill/control"
 
-// serverEntry is a server of the list.
+// serverEntry is the state of a listed server.
 type serverEntry struct {
 	serving     bool
 	readyAt     int64
 	foundColdAt int64 // when a report first showed it to be cold; 0: none did
 }
 
-// setServers takes the servers' list, or changes of it.
+// setServers applies a full list of servers, or changes of the list.
 func (m *Shared) setServers(ev control.Event) {
 	if ev.FullList {
 		clear(m.servers)
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -1,7 +1,7 @@
 // Package shared makes the decisions that the instances of a fleet make together: rate budgets that they share by leases
 // (package lease), counts of the whole fleet (package count) and the detection of failing servers (package outlier).
 //
-// It takes part in the core through package join, as any other decision module, and is as pure: callers pass in the time
+// It takes part in the core through package join, like any other decision module, and is as pure: callers pass in the time
 // and the messages of other instances, and send the messages it returns. Without other instances it falls back to the
 // floors of the budgets and to its own observations.
 package shared
@@ -13,27 +13,27 @@
 	"masthill/control/shared/outlier"
 )
 
-// The codes of the module's states and of its reasons to keep a call from a server.
+// The codes of the module's states, and of its reasons to keep calls away from a server.
 const (
-	Together   = "together" // other instances are heard
-	Alone      = "alone"    // no other instance is heard
+	Together   = "together" // messages of other instances arrive
+	Alone      = "alone"    // no message of another instance has arrived for aloneTimeout
 	ColdBudget = "cold-budget"
 	SecondHand = "hearsay-" // followed by the reason of the decision
 )
 
 const (
 	second = int64(1e9)
-	// aloneTimeout is for how long no other instance must have been heard for this one to be alone.
+	// aloneTimeout is the time without a message of another instance after which this one is alone.
 	aloneTimeout = 5 * second
 )
 
-// Shared is the module.
+// Shared implements join.Module.
 type Shared struct {
 	cfg         Config
 	shortestAim int64 // of all classes of calls
 	startedAt   int64
 	state       string
-	since       int64 // of the state
+	since       int64 // when the state began
 	lastHeardAt int64
 
 	lease    *lease.Node
@@ -45,16 +45,16 @@
 
 	attempts     map[string]*attempt // by call
 	attemptOrder []string            // the calls of attempts, in the order of sending
-	callTenants  map[string]string   // of the calls whose outcome is not counted yet
-	countedKeys  map[string]bool     // the tenants ("t/") and numbers ("n/") that are counted one by one
+	callTenants  map[string]string   // by call, until the call's outcome is counted
+	countedKeys  map[string]bool     // the tenants ("t/") and numbers ("n/") with counts of their own
 	arrivals     decayedAverage
 
 	countSentAt  int64
 	reportSentAt int64
-	urgent       bool // a bad observation has not been broadcast yet
+	urgent       bool // a bad observation is waiting to be broadcast
 }
 
-// New makes the module for a process that starts at now.
+// New creates the module for a process that starts at now.
 func New(c Config, seed uint64, now int64, on Callbacks) *Shared {
 	c.Lease.MaxInstances = max(c.Lease.MaxInstances, 1)
 	m := &Shared{
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -10,7 +10,7 @@
 	"masthill/control/shared/lease"
 )
 
-// group is a few instances that hear each other at once, each second in steps of a tenth.
+// group simulates a few instances with instant delivery of messages, in steps of a tenth of a second.
 type group struct {
 	now          int64
 	instances    []*Shared
@@ -34,7 +34,7 @@
 	return g
 }
 
-// list names servers 1 to 6; the first started at a time.
+// list is the full list of servers 1 to 6, of which server 1 became ready at the time started.
 func (g *group) list(started int64) control.Event {
 	ev := control.Event{Kind: control.ListUpdate, FullList: true}
 	for id := uint64(1); id <= servers; id++ {
@@ -69,7 +69,7 @@
 	}
 }
 
-// call offers a call of a member to an instance and sends it, if there is room.
+// call offers a call to an instance and, if it has room at the server, sends the call there.
 func (g *group) call(m *Shared, tenant string, server uint64) (id string, sent bool) {
 	g.callCount++
 	id = fmt.Sprint(g.callCount)
@@ -84,33 +84,33 @@
 func TestColdBudgetBoundsTheFleet(t *testing.T) {
 	const planned = 60.0
 	g := newGroup(12, Config{Planned: planned, Budgets: true})
-	g.run(8*second, nil) // somebody is the allocator
+	g.run(8*second, nil) // a leader is elected
 	started := g.now
 	for _, m := range g.instances {
 		m.See(g.now, g.list(started))
 	}
 	sent := 0
 	g.run(4*second, func(_ int, m *Shared) {
-		for range 2 { // far more than it may have: 240 a second
+		for range 2 { // far above the budget: 240 a second
 			if _, ok := g.call(m, "", 1); ok {
 				sent++
 			}
 		}
 	})
-	// Twice its planned 10 a second, in a capacity of 0.31 and more with each step of 15/8 s.
+	// Twice its planned 10 a second, at a capacity that starts at 0.31 and grows in steps of 15/8 s.
 	most := 4 * coldRateFactor * (0.31 + 2*0.69/8) * planned / servers
 	if float64(sent) > most+12 || float64(sent) < most*0.4 {
-		t.Errorf("%d sent in 4 s, and the budget is %.1f", sent, most)
+		t.Errorf("%d calls sent in 4 s, the budget is %.1f", sent, most)
 	}
 	if ok, why := g.instances[0].Room(g.now, 1); ok || why != ColdBudget {
-		t.Errorf("room %v: %q", ok, why)
+		t.Errorf("room %v, reason %q", ok, why)
 	}
 	if ok, why := g.instances[0].Room(g.now, 2); !ok {
-		t.Errorf("a warm server is capped: %s", why)
+		t.Errorf("warm server has no room: %s", why)
 	}
 	g.run(15*second, nil)
 	if ok, why := g.instances[0].Room(g.now, 1); !ok {
-		t.Errorf("it is warm, and capped: %s", why)
+		t.Errorf("server has no room after it has warmed up: %s", why)
 	}
 }
 
@@ -127,12 +127,12 @@
 		var waiting []out
 		silent := int64(0)
 		step := func(_ int, m *Shared) {
-			for len(waiting) > 0 && g.now-waiting[0].at > 200e6 { // well servers answer within that
+			for len(waiting) > 0 && g.now-waiting[0].at > 200e6 { // a healthy server answers within 200 ms
 				w := waiting[0]
 				waiting = waiting[1:]
 				w.m.See(g.now, control.Event{Kind: control.Stands, Call: w.id, Server: uint64(1)})
 			}
-			if rng.IntN(12) > 0 { // a call in 1.2 s of each
+			if rng.IntN(12) > 0 { // each instance has a call every 1.2 s on average
 				return
 			}
 			server := 1 + rng.Uint64N(servers)
@@ -153,7 +153,7 @@
 		silent = g.now
 		g.run(12*second, step)
 		if on && lost > 12 || !on && lost < 15 {
-			t.Errorf("judgements %v: %d calls lost, the last after %d ms", on, lost, (last-silent)/1e6)
+			t.Errorf("outlier detection %v: %d calls lost, the last after %d ms", on, lost, (last-silent)/1e6)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func TestTotalsCoverTheFleet(t *testing.T) {
 	g := newGroup(10, Config{Tenants: []string{"slaney-vines", "barrow-estate"}})
 	step := func(k int, m *Shared) {
-		if g.now/1e8%2 == int64(k)%2 { // five calls a second of each
+		if g.now/1e8%2 == int64(k)%2 { // each instance has five calls a second
 			id, _ := g.call(m, "slaney-vines", 2)
 			if k < 5 {
 				m.See(g.now, control.Event{Kind: control.Stands, Call: id, Server: 2})
@@ -170,7 +170,7 @@
 			}
 		}
 		if k == 0 {
-			g.call(m, "who?", 3) // ten
+			g.call(m, "who?", 3) // ten a second
 		}
 	}
 	g.run(8*second, step)
@@ -185,9 +185,9 @@
 	g.disconnected[7] = true
 	g.run(6*second, step)
 	if _, ok := g.instances[7].Totals(g.now); ok || g.instances[7].Status(g.now).State != Alone {
-		t.Error("cut off, and still the fleet's totals")
+		t.Error("fleet totals available to a disconnected instance")
 	}
-	look := g.instances[1].Look(g.now) // of a keeper
+	look := g.instances[1].Look(g.now) // of a voter
 	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].LowerBound > look.Counts[0].UpperBound {
 		t.Errorf("%+v", look)
 	}
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -17,8 +17,8 @@
 // totalsWindow is the window of the totals by tenant. It is short, because decisions by the totals lag by as much.
 const totalsWindow = 2 * second
 
-// Totals implements shares.Fleet: what the whole fleet was offered, placed and lost recently, in calls per second. It is not
-// ok while no other instance is heard.
+// Totals implements shares.Fleet: what the whole fleet was offered, placed and lost recently, in calls per second. ok is
+// false while no other instance is heard.
 func (m *Shared) Totals(now int64) (all shares.Totals, ok bool) {
 	if m.state != Together {
 		return all, false
@@ -37,22 +37,22 @@
 type Look struct {
 	State       string              `json:"state"`
 	SinceNS     int64               `json:"since_ns"`
-	Leader      string              `json:"allocator"` // the leader
+	Leader      string              `json:"allocator"` // the leader's name; empty if unknown
 	IsLeader    bool                `json:"reigns"`    // this instance is the leader
 	Leases      []lease.Lease       `json:"leases"`
 	Counts      []KeyReading        `json:"counts"`
 	Decisions   []outlier.Decision  `json:"verdicts"`
 	KnownCounts []count.KnownCounts `json:"known"`
-	Reserved    map[string]int64    `json:"booked,omitempty"` // reserved by the leader, by budget, in thousandths of a call per second
+	Reserved    map[string]int64    `json:"booked,omitempty"` // on the leader: reserved rate by budget, in thousandths of a call per second
 }
 
-// Counted is one count over a window.
+// KeyReading is a count of one key over totalsWindow.
 type KeyReading struct {
 	Key string `json:"key"`
 	count.Reading
 }
 
-// Look describes the module's state.
+// Look returns the module's state.
 func (m *Shared) Look(now int64) Look {
 	l := Look{
 		State:       m.state,
