--- a/control/shared/count/count_test.go
+++ b/control/shared/count/count_test.go
@@ -28,7 +28,7 @@
 		type process struct {
 			set *Set
 			eventLog
-			quick bool
+			sentFast bool
 		}
 		type delivery struct {
 			at int64
@@ -39,24 +39,24 @@
 		own := eventLog{}
 		var all, live []*process
 		epoch := uint64(10)
-		begin := func(name string) *process {
+		startProcess := func(name string) *process {
 			epoch++
 			p := &process{set: New(c, Source{name, epoch}, now)}
 			all, live = append(all, p), append(live, p)
 			return p
 		}
-		begin("a")
-		begin("b")
-		begin("c")
-		var mail []delivery
-		var came []Message
+		startProcess("a")
+		startProcess("b")
+		startProcess("c")
+		var inTransit []delivery
+		var received []Message
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now += rapid.Int64Range(10e6, 300e6).Draw(t, "gap")
-			for k := 0; k < len(mail); k++ {
-				if mail[k].at <= now {
-					reader.Receive(mail[k].at, mail[k].m) // all events of one step come before the next step
-					came = append(came, mail[k].m)
-					mail = append(mail[:k], mail[k+1:]...)
+			for k := 0; k < len(inTransit); k++ {
+				if inTransit[k].at <= now {
+					reader.Receive(inTransit[k].at, inTransit[k].m) // all events of one step come before the next step
+					received = append(received, inTransit[k].m)
+					inTransit = append(inTransit[:k], inTransit[k+1:]...)
 					k--
 				}
 			}
@@ -72,17 +72,17 @@
 			case 5, 6, 7:
 				m := p.set.Broadcast(now)
 				most := int64(8e9) // delayed by a paused process, for example: only the fastest message is bounded
-				if !p.quick {
-					most, p.quick = 2e9-400e6, true
+				if !p.sentFast {
+					most, p.sentFast = 2e9-400e6, true
 				}
-				mail = append(mail, delivery{now + rapid.Int64Range(0, most).Draw(t, "delay"), m})
+				inTransit = append(inTransit, delivery{now + rapid.Int64Range(0, most).Draw(t, "delay"), m})
 				reader.Broadcast(now)
 			case 8: // a restart, with or without its old directory: no counts are stored in it
 				live = append(live[:k], live[k+1:]...)
-				begin(p.set.own.Name)
+				startProcess(p.set.own.Name)
 			case 9:
-				if len(came) > 0 { // an old message is received again, however late
-					reader.Receive(now, came[rapid.IntRange(0, len(came)-1).Draw(t, "old")])
+				if len(received) > 0 { // an old message is received again, however late
+					reader.Receive(now, received[rapid.IntRange(0, len(received)-1).Draw(t, "old")])
 				}
 			}
 			window := rapid.Int64Range(1e9, 10e9).Draw(t, "window")
@@ -146,7 +146,7 @@
 	}
 	s.Receive(1e9, Message{From: Source{"c", 1}, UptimeMS: 100, Counts: map[string]int64{key: 7}})
 	if r := s.Read(1e9, key, 1e9); r.Processes != 1 || r.Value != 7 {
-		t.Errorf("not included in the bounds at once: %+v", r)
+		t.Errorf("in the bounds at once, or not in the estimate: %+v", r)
 	}
 	s.Receive(4e9, Message{From: Source{"c", 1}, UptimeMS: 200, Counts: map[string]int64{key: 3}}) // counts never decrease
 	if got := s.KnownCounts(4e9); got[len(got)-1].Counts[key] != 7 {
--- a/control/shared/lease/lease_test.go
+++ b/control/shared/lease/lease_test.go
@@ -63,13 +63,13 @@
 }
 func (w *simulation) clock(o *simulatedNode) int64 { return o.offset + int64(float64(w.now)*o.rate) }
 
-func newSimulation(seed uint64, members, keepers int, c Config) *simulation {
+func newSimulation(seed uint64, members, voters int, c Config) *simulation {
 	if c.Floor == 0 {
 		c.Floor = 0.2
 	}
 	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), cfg: c, size: 100_000, delay: 20e6, cut: func(int, int) bool { return false }}
 	w.requestedRate = func(int) int64 { return w.size }
-	for k := range keepers {
+	for k := range voters {
 		w.cfg.Voters = append(w.cfg.Voters, fmt.Sprint("n", k))
 	}
 	w.cfg.MaxInstances = members
@@ -134,15 +134,15 @@
 // check adds up the rates usable at this moment and counts the leaders. A paused node counts too, as it does not know that
 // it is paused.
 func (w *simulation) check() {
-	sum, reign := int64(0), 0
+	sum, leaders := int64(0), 0
 	for _, o := range w.nodes {
 		sum += o.node.Rate(w.clock(o), budget)
 		if o.node.IsLeader(w.clock(o)) {
-			reign++
+			leaders++
 		}
 	}
-	if reign > 1 && w.violation == "" {
-		w.violation = fmt.Sprintf("%d leaders at %d ms", reign, w.now/1e6)
+	if leaders > 1 && w.violation == "" {
+		w.violation = fmt.Sprintf("%d leaders at %d ms", leaders, w.now/1e6)
 	}
 	if w.maxInUse = max(w.maxInUse, sum); sum > w.size && w.violation == "" {
 		w.violation = fmt.Sprintf("%d of %d in use at %d ms", sum, w.size, w.now/1e6)
@@ -368,16 +368,16 @@
 func TestRepliesToThePreviousProcessAreIgnored(t *testing.T) {
 	c := Config{Voters: []string{"a", "b", "c"}, MaxInstances: 3, Term: 2 * second}
 	b := New(c, ID{"b", 1}, 1, 0, nil)
-	promised := b.Receive(10*second, Message{Kind: VoteRequest, From: ID{"a", 1}, Round: 1})
-	if len(promised) != 1 || promised[0].Kind != Vote {
-		t.Fatalf("%+v", promised)
+	votes := b.Receive(10*second, Message{Kind: VoteRequest, From: ID{"a", 1}, Round: 1})
+	if len(votes) != 1 || votes[0].Kind != Vote {
+		t.Fatalf("%+v", votes)
 	}
 	a := New(c, ID{"a", 2}, 1, 10*second, nil) // the new process of a
 	now := 10 * second
 	for ; a.votingRound == 0; now += second / 20 {
 		a.Tick(now)
 	}
-	if a.Receive(now, promised[0].Message); a.votingRound != 1 || a.IsLeader(now) {
+	if a.Receive(now, votes[0].Message); a.votingRound != 1 || a.IsLeader(now) {
 		t.Error("it became the leader by a vote for its previous process")
 	}
 	h := New(c, ID{"h", 2}, 1, 0, nil)
@@ -395,20 +395,20 @@
 
 // With any of these checks left out, the simulation finds a violation.
 func TestEachCheckIsNeeded(t *testing.T) {
-	for _, guard := range []string{CheckVoterSilence, CheckRequestTime, CheckGrantDelay, CheckReservations} {
+	for _, check := range []string{CheckVoterSilence, CheckRequestTime, CheckGrantDelay, CheckReservations} {
 		broken := 0
 		for seed := range uint64(150) {
-			play := randomFaults
-			if guard == CheckVoterSilence {
-				play = voterRestarts
+			simulate := randomFaults
+			if check == CheckVoterSilence {
+				simulate = voterRestarts
 			}
-			if play(seed, Config{OmitCheck: guard}, 60e9).violation != "" {
+			if simulate(seed, Config{OmitCheck: check}, 60e9).violation != "" {
 				broken++
 			}
 		}
-		t.Logf("without check %q: violations in %d of 150 runs", guard, broken)
+		t.Logf("without check %q: violations in %d of 150 runs", check, broken)
 		if broken == 0 {
-			t.Errorf("no violation without check %q", guard)
+			t.Errorf("no violation without check %q", check)
 		}
 	}
 }
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// refreshInterval is how often decisions are evaluated while nothing new is known.
+// refreshInterval is how often decisions are evaluated while there is no new observation.
 const refreshInterval = second / 20
 
 // Decision is the result of evaluating the reports on one server.
 type Decision struct {
 	Server      uint64   `json:"server"`
 	Avoided     bool     `json:"avoided"`
-	Reason      string   `json:"reason"`    // silent, dead, or why it is not avoided
-	Observers   []string `json:"witnesses"` // the instances whose bad reports it rests on
-	GoodReports int      `json:"against"`   // the reports of the sample that are good
+	Reason      string   `json:"reason"`    // silent or dead, or why the server is not avoided
+	Observers   []string `json:"witnesses"` // the instances whose bad reports the decision rests on
+	GoodReports int      `json:"against"`   // the number of good reports in the sample
 	AgeMS       int64    `json:"age_ms"`    // of the youngest report of the sample
 }
 
@@ -27,7 +27,7 @@
 	Expired        = "faded"
 )
 
-// Avoid tells whether calls are to be kept from a server, and why.
+// Avoid tells whether calls should be kept away from a server, and why.
 func (d *Detector) Avoid(now int64, id uint64) (avoid bool, reason string) {
 	d.refresh(now)
 	if s := d.servers[id]; s != nil && s.decision.Avoided {
@@ -47,8 +47,8 @@
 	return all
 }
 
-// refresh evaluates the suspects if something is new of them or the last evaluation is old. Its cost goes by their number and
-// not by that of the servers, as it may come before each call.
+// refresh evaluates the suspects if there is something new about them or the last evaluation is too old. As it may run
+// before each call, its cost depends on the number of suspects and not on that of all servers.
 func (d *Detector) refresh(now int64) {
 	if !d.dirty && now-d.evaluatedAt < refreshInterval {
 		return
@@ -67,13 +67,13 @@
 	maps.DeleteFunc(d.suspects, func(id uint64, _ bool) bool { return !d.servers[id].hasBadEvidence() })
 }
 
-// isSuspect tells whether a bad observation of the server is kept, or its decision rests on one.
+// hasBadEvidence tells whether a bad observation of the server is stored, or its decision rests on one.
 func (s *serverState) hasBadEvidence() bool {
 	bad := func(o observation) bool { return o.kind.bad() }
 	return s.decision.Avoided || len(s.decision.Observers) > 0 || s.hasOwn && bad(s.own) || slices.ContainsFunc(s.secondHand, bad)
 }
 
-// limit keeps the number of avoided servers within bounds. The servers with the most bad reports come first.
+// limitAvoided bounds the number of avoided servers. The servers with the most bad reports come first.
 func (d *Detector) limitAvoided(decisions []Decision) {
 	slices.SortStableFunc(decisions, func(x, y Decision) int { return cmp.Compare(len(y.Observers), len(x.Observers)) })
 	room := max(int(d.cfg.MaxAvoidedShare*float64(d.listed)), 1)
@@ -90,8 +90,8 @@
 	}
 }
 
-// apply stores the decisions and reports those that begin or end. The ends are reported first, so that at no moment more
-// servers seem avoided than may be.
+// apply stores the decisions and reports those that begin or end. Ends are reported first, so that at no moment more
+// servers appear to be avoided than allowed.
 func (d *Detector) apply(decisions []Decision) {
 	var begun []Decision
 	for _, v := range decisions {
@@ -156,7 +156,7 @@
 			v.Reason = Dead.String()
 		}
 		d.extendAvoidance(now, s, sample[0].seenAt)
-	case s.decision.Avoided && v.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no better news
+	case s.decision.Avoided && v.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no good report
 		v = s.decision
 		v.GoodReports = 0
 	case bad == 0 && v.GoodReports == 0:
@@ -165,8 +165,8 @@
 	return v
 }
 
-// extendAvoidance sets how long a decision outlasts its evidence, of which newest is the time of the youngest. The random
-// time is drawn once in a retention time, so that instances try the server again at different times.
+// extendAvoidance sets how long a decision outlasts its evidence; newest is the time of the youngest observation. The
+// random time is drawn once per retention time, so that instances try the server again at different times.
 func (d *Detector) extendAvoidance(now int64, s *serverState, newest int64) {
 	if now >= s.nextDrawAt {
 		s.nextDrawAt = now + d.cfg.Retention
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -4,7 +4,7 @@
 // each machine, so a single observer decides nothing, however often it reports. Reports expire within seconds; an
 // instance's own evidence overrides second-hand reports; and only a part of the servers is ever avoided.
 //
-// The youngest reports decide rather than sums over a time because that is quick: when a server goes silent there are
+// The youngest reports decide, rather than sums over a time, because that is faster: when a server goes silent there are
 // hundreds of good observations, all of them older than the first bad one.
 //
 // A decision only keeps calls away, as a cap of package join does, and overrides no other rule. It expires by itself: each
@@ -28,7 +28,7 @@
 	streak        int
 }
 
-// serverState is what is known of one server.
+// serverState holds what is known of one server.
 type serverState struct {
 	own          observation // this instance's newest one; machine and from are not set
 	hasOwn       bool
@@ -52,7 +52,7 @@
 	onChange      func(Decision)
 }
 
-// New makes a detector. onChange, if not nil, is told of each decision that begins or ends.
+// New creates a detector. onChange, if not nil, is called for each decision that begins or ends.
 func New(c Config, name, machine string, seed uint64, onChange func(Decision)) *Detector {
 	c.setDefaults()
 	if onChange == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// SetServers sets the servers that are listed. Nothing is kept of others.
+// SetServers sets the listed servers. Nothing is stored about others.
 func (d *Detector) SetServers(ids []uint64) {
 	listed := make(map[uint64]bool, len(ids))
 	for _, id := range ids {
@@ -86,7 +86,7 @@
 	d.listed, d.dirty = len(listed), true
 }
 
-// Observe records what this instance has seen of a server itself.
+// Observe records an observation of a server by this instance itself.
 func (d *Detector) Observe(now int64, id uint64, k Kind) {
 	s := d.servers[id]
 	if s == nil {
@@ -105,7 +105,7 @@
 	d.markDirty(id, k)
 }
 
-// heard notes that an observation of a server has come. Of a server that nobody has seen bad it decides nothing.
+// markDirty notes a new observation of a server. Observations of a server without bad ones change no decision.
 func (d *Detector) markDirty(id uint64, k Kind) {
 	if k.bad() {
 		d.suspects[id] = true
@@ -113,7 +113,7 @@
 	d.dirty = d.dirty || d.suspects[id]
 }
 
-// Broadcast makes the health report for the other instances. It is bounded, so bad news comes first, then the youngest.
+// Broadcast makes the health report for the other instances. Its size is bounded: bad reports come first, then the youngest.
 func (d *Detector) Broadcast(now int64) Message {
 	m := Message{From: d.name, Machine: d.machine}
 	for id, s := range d.servers {
@@ -137,7 +137,7 @@
 	return cmp.Or(cmp.Compare(x.AgeMS, y.AgeMS), cmp.Compare(x.Server, y.Server))
 }
 
-// Receive takes the health report of another instance. Reports that are not valid, or of servers that are not listed, are
+// Receive stores the health report of another instance. Reports that are not valid, or of servers that are not listed, are
 // ignored.
 func (d *Detector) Receive(now int64, m Message) {
 	if m.From == d.name || m.From == "" || len(m.Reports) > MaxReports {
@@ -153,8 +153,9 @@
 	}
 }
 
-// keep stores a second-hand observation. Of each machine only the youngest one is kept, and of all machines the youngest
-// maxObservers. An instance's newer report replaces its older one even if its age makes it look older.
+// storeSecondHand stores an observation of another instance. Only the youngest of each machine is stored, and of all
+// machines only the youngest maxObservers. A newer report of an instance replaces its older one even if its age makes it
+// look older.
 func (s *serverState) storeSecondHand(o observation) {
 	k := slices.IndexFunc(s.secondHand, func(kept observation) bool { return kept.machine == o.machine })
 	switch {
@@ -178,7 +179,7 @@
 }
 
 // Cold tells whether any instance saw a server recover from being dead within the given time. Such a server has just
-// started, whatever the list says.
+// started, whatever the list of servers says.
 func (d *Detector) Cold(now int64, id uint64, within int64) bool {
 	s := d.servers[id]
 	if s == nil {
--- a/control/shared/outlier/outlier_test.go
+++ b/control/shared/outlier/outlier_test.go
@@ -8,19 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is a few boards on machines of their own that hear each other.
+// newDetectors makes n detectors, each on a machine of its own.
 func newDetectors(n int, servers ...uint64) (all []*Detector) {
 	for k := range n {
-		b := New(Config{}, fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k), nil)
-		b.SetServers(servers)
-		all = append(all, b)
+		d := New(Config{}, fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k), nil)
+		d.SetServers(servers)
+		all = append(all, d)
 	}
 	return all
 }
 
 func exchangeReports(now int64, all []*Detector) {
-	for _, b := range all {
-		m := b.Broadcast(now)
+	for _, d := range all {
+		m := d.Broadcast(now)
 		for _, o := range all {
 			o.Receive(now+10e6, m)
 		}
@@ -28,8 +28,8 @@
 }
 
 func countAvoiding(now int64, all []*Detector, server uint64) (n int) {
-	for _, b := range all {
-		if is, _ := b.Avoid(now, server); is {
+	for _, d := range all {
+		if is, _ := d.Avoid(now, server); is {
 			n++
 		}
 	}
@@ -39,18 +39,18 @@
 func TestAServerThatGoesSilentIsAvoidedByAll(t *testing.T) {
 	all := newDetectors(12, 1, 2, 3, 4)
 	now := int64(100e9)
-	for k, b := range all { // well to all, a moment ago
-		b.Observe(now-int64(k)*100e6, 1, Healthy)
+	for k, d := range all { // all have seen it healthy recently
+		d.Observe(now-int64(k)*100e6, 1, Healthy)
 	}
 	exchangeReports(now, all)
 	now += 3e9 // own evidence is no longer fresh
-	for _, b := range all[:4] {
-		b.Observe(now, 1, Silent)
+	for _, d := range all[:4] {
+		d.Observe(now, 1, Silent)
 		now += 50e6
 	}
 	exchangeReports(now, all)
 	if n := countAvoiding(now+20e6, all, 1); n != 0 {
-		t.Fatalf("%d avoid it with 4 of 6 against it", n)
+		t.Fatalf("%d avoid it with 4 bad reports of 6", n)
 	}
 	all[4].Observe(now, 1, Silent)
 	exchangeReports(now+100e6, all)
@@ -58,7 +58,7 @@
 		t.Fatalf("%d of 12 avoid it", n)
 	}
 	if n := countAvoiding(now+200e6, all, 2); n != 0 {
-		t.Fatalf("%d avoid another", n)
+		t.Fatalf("%d avoid another server", n)
 	}
 }
 
@@ -69,15 +69,15 @@
 		now += 100e6
 		all[0].Observe(now, 1, Dead)
 		m := all[0].Broadcast(now)
-		for k := range 5 { // from five instances on its machine
+		for k := range 5 { // as if from five instances on its machine
 			m.From = fmt.Sprint("liar", k)
-			for _, b := range all {
-				b.Receive(now, m)
+			for _, d := range all {
+				d.Receive(now, m)
 			}
 		}
 	}
 	if n := countAvoiding(now, all, 1); n != 0 {
-		t.Fatalf("%d avoid it on one machine's word", n)
+		t.Fatalf("%d avoid it on the reports of one machine", n)
 	}
 	if v := all[3].Decisions(now); len(v) != 1 || v[0].Reason != FewObservers || len(v[0].Observers) != 1 {
 		t.Errorf("%+v", v)
@@ -87,13 +87,13 @@
 func TestOwnEvidenceOverridesReports(t *testing.T) {
 	all := newDetectors(7, 1, 2, 3, 4)
 	now := int64(100e9)
-	for _, b := range all[:6] {
-		b.Observe(now, 1, Silent)
+	for _, d := range all[:6] {
+		d.Observe(now, 1, Silent)
 	}
 	all[6].Observe(now-500e6, 1, Healthy)
 	exchangeReports(now, all)
 	if is, _ := all[6].Avoid(now+20e6, 1); is {
-		t.Error("avoided by the one whose call has just stood there")
+		t.Error("avoided by the instance that has just seen it healthy")
 	}
 	if is, _ := all[5].Avoid(now+20e6, 1); !is {
 		t.Error("not avoided by the others")
@@ -103,9 +103,9 @@
 func TestAvoidedShareIsLimited(t *testing.T) {
 	all := newDetectors(8, 1, 2, 3, 4, 5, 6, 7, 8)
 	now := int64(100e9)
-	for _, b := range all {
+	for _, d := range all {
 		for id := uint64(1); id <= 8; id++ {
-			b.Observe(now, id, Dead)
+			d.Observe(now, id, Dead)
 		}
 	}
 	exchangeReports(now, all)
@@ -116,15 +116,15 @@
 		}
 	}
 	if out != 2 {
-		t.Errorf("%d of 8 left out", out)
+		t.Errorf("%d of 8 avoided, wanted 2", out)
 	}
 }
 
 func TestDecisionsExpireAtDifferentTimes(t *testing.T) {
 	all := newDetectors(20, 1, 2, 3, 4)
 	now := int64(100e9)
-	for _, b := range all {
-		b.Observe(now, 1, Silent)
+	for _, d := range all {
+		d.Observe(now, 1, Silent)
 	}
 	exchangeReports(now, all)
 	var when []int64
@@ -140,15 +140,15 @@
 		t.Fatalf("%d still avoid it after 20 s", left)
 	}
 	if len(when) < 8 || when[len(when)-1]-when[0] < 3e9 {
-		t.Errorf("they come back at %d different times within %d ms", len(when), (when[len(when)-1]-when[0])/1e6)
+		t.Errorf("avoidance ends at %d different times within %d ms", len(when), (when[len(when)-1]-when[0])/1e6)
 	}
 }
 
 func TestHealthyReportsEndAvoidance(t *testing.T) {
 	all := newDetectors(8, 1, 2, 3, 4)
 	now := int64(100e9)
-	for _, b := range all {
-		b.Observe(now, 1, Dead)
+	for _, d := range all {
+		d.Observe(now, 1, Dead)
 	}
 	exchangeReports(now, all)
 	if countAvoiding(now+20e6, all, 1) != 8 {
@@ -162,48 +162,48 @@
 		t.Errorf("%d still avoid it", n)
 	}
 	if !all[5].Cold(now+20e6, 1, 15e9) || all[5].Cold(now+20e6, 2, 15e9) {
-		t.Error("its new process is not taken for cold, or another's is")
+		t.Error("the restarted server is not cold, or another one is")
 	}
 }
 
-// Where one server takes another's place among those left out, it is never told as if both were.
+// When one server replaces another among the avoided ones, the end of the old decision is reported before the new one.
 func TestEndedDecisionsAreReportedFirst(t *testing.T) {
 	out := map[uint64]bool{}
-	b := New(Config{}, "me", "here", 1, func(v Decision) {
+	d := New(Config{}, "me", "here", 1, func(v Decision) {
 		if delete(out, v.Server); v.Avoided {
 			out[v.Server] = true
 		}
 		if len(out) > 1 {
-			t.Errorf("%v are left out", out)
+			t.Errorf("%v are avoided at once", out)
 		}
 	})
-	b.SetServers([]uint64{1, 2, 3, 4})
+	d.SetServers([]uint64{1, 2, 3, 4})
 	now := int64(100e9)
 	tell := func(server uint64, witnesses int) {
 		for k := range witnesses {
-			b.Receive(now, Message{From: fmt.Sprint("n", k), Machine: fmt.Sprint("m", k), Reports: []Report{{Server: server, Kind: Dead, Streak: 1}}})
+			d.Receive(now, Message{From: fmt.Sprint("n", k), Machine: fmt.Sprint("m", k), Reports: []Report{{Server: server, Kind: Dead, Streak: 1}}})
 		}
 		now += 100e6
-		b.Avoid(now, 1)
+		d.Avoid(now, 1)
 	}
 	tell(1, 3)
-	tell(2, 5) // more say so
+	tell(2, 5) // more observers than for server 1
 	if !out[2] || out[1] {
-		t.Errorf("%v is left out", out)
+		t.Errorf("%v are avoided", out)
 	}
 	tell(1, 6)
 	if !out[1] {
-		t.Errorf("%v is left out", out)
+		t.Errorf("%v are avoided", out)
 	}
 }
 
-// Whatever is said: never avoided on fewer than two machines' word, nor more than a part of the servers, and a verdict
-// names those whom it rests on.
+// Whatever is reported, a server is never avoided on the reports of fewer than two machines, no more than the allowed share
+// is avoided, and a decision names the observers it rests on.
 func TestRandomReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
-		b := New(Config{}, "me", "here", 1, nil)
-		b.SetServers(ids)
+		d := New(Config{}, "me", "here", 1, nil)
+		d.SetServers(ids)
 		now := int64(100e9)
 		bad := map[uint64]map[string]int64{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -212,19 +212,19 @@
 			k := Kind(rapid.IntRange(0, 6).Draw(t, "kind"))
 			if rapid.IntRange(0, 4).Draw(t, "own") == 0 {
 				k = min(k, Cold)
-				b.Observe(now, id, k)
+				d.Observe(now, id, k)
 				recordBad(bad, id, "here", k, now)
 				continue
 			}
 			machine := fmt.Sprint("m", rapid.IntRange(0, 5).Draw(t, "machine"))
 			age := rapid.Int64Range(-10, 8000).Draw(t, "age")
-			b.Receive(now, Message{From: machine + rapid.SampledFrom([]string{"a", "b"}).Draw(t, "instance"), Machine: machine, Reports: []Report{{id, k, age, 1}, {99, Dead, 0, 1}}})
+			d.Receive(now, Message{From: machine + rapid.SampledFrom([]string{"a", "b"}).Draw(t, "instance"), Machine: machine, Reports: []Report{{id, k, age, 1}, {99, Dead, 0, 1}}})
 			if age >= 0 && age <= 6000 {
 				recordBad(bad, id, machine, k, now-age*1e6)
 			}
 		}
 		out := 0
-		for _, v := range b.Decisions(now) {
+		for _, v := range d.Decisions(now) {
 			if !v.Avoided {
 				continue
 			}
--- a/control/shared/outlier/report.go
+++ b/control/shared/outlier/report.go
@@ -1,13 +1,13 @@
 package outlier
 
-// Bounds of what is sent and kept.
+// Limits of what is sent and stored.
 const (
-	MaxReports   = 64   // in a message
+	MaxReports   = 64   // reports in one message
 	maxObservers = 24   // machines whose reports of one server are kept
-	maxServers   = 1024 // of which reports are kept
+	maxServers   = 1024 // servers that reports are kept of
 )
 
-// Kind is what an instance saw of a server.
+// Kind is the kind of an observation of a server.
 type Kind uint8
 
 // The kinds, by their numbers on the wire. Only Silent and Dead can make a server avoided. Cold is also used for the
@@ -17,7 +17,7 @@
 	Silent                 // no answer in time
 	Dead                   // it refuses connections
 	Overloaded             // it rejected a call because its queue is too long
-	Cold                   // it was healthy after it had been dead: a new process
+	Cold                   // healthy after it had been dead: a new process
 )
 
 func (k Kind) String() string {
@@ -35,7 +35,7 @@
 	Streak int    `codec:"r,omitempty"` // observations of this kind in a row
 }
 
-// Message is a health report: what an instance has recently observed of all servers.
+// Message is a health report: what an instance has recently observed of the servers.
 type Message struct {
 	From    string   `codec:"f"`
 	Machine string   `codec:"m"` // instances on one machine share its network, and count as one observer
--- a/control/shared/outlier/suspects_test.go
+++ b/control/shared/outlier/suspects_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// suspectAll has the next refresh evaluate every server, as if all had bad reports.
+// suspectAll makes the next refresh evaluate every server, as if all had bad reports.
 func (d *Detector) suspectAll() {
 	for id := range d.servers {
 		d.suspects[id] = true
@@ -16,7 +16,7 @@
 	d.dirty = true
 }
 
-// Evaluating the suspects alone decides as evaluating all servers does.
+// Evaluating only the suspects gives the same decisions as evaluating all servers.
 func TestSuspectsAreEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
@@ -61,7 +61,7 @@
 	})
 }
 
-// A server that all see well costs nothing, however many reports come.
+// A server that all instances see healthy causes no evaluation, however many reports arrive.
 func TestHealthyServersAreNoSuspects(t *testing.T) {
 	d := New(Config{}, "n0", "m0", 7, nil)
 	var servers []uint64
@@ -82,10 +82,10 @@
 	}
 	d.Observe(101e9, 3, Silent)
 	if d.Avoid(102e9, 1); len(d.suspects) != 1 {
-		t.Errorf("%d suspects of one", len(d.suspects))
+		t.Errorf("%d suspects, wanted 1", len(d.suspects))
 	}
 	d.Observe(103e9, 3, Healthy)
 	if d.Avoid(104e9, 1); len(d.suspects) != 0 {
-		t.Errorf("%d suspects of none", len(d.suspects))
+		t.Errorf("%d suspects, wanted none", len(d.suspects))
 	}
 }
