--- a/internal/releases/client.go
+++ b/internal/releases/client.go
@@ -1,6 +1,7 @@
-// Package releases carries configuration releases: servers that keep and serve them, and an instance's side that follows a
-// server, puts what it takes in force and tells what came of it. All decisions are those of control/distribution. It speaks
-// JSON over HTTP/1.1: one question a second and instance, answered at once where there is news.
+// Package releases distributes configuration releases over the network: servers store and serve them, and each instance has
+// a Member that follows a server, applies releases and reports the results. All decisions are made by control/distribution.
+// The protocol is JSON over HTTP/1.1 with long polling: each instance polls once a second, and is answered at once when the
+// head has changed.
 package releases
 
 import (
@@ -19,82 +20,82 @@
 )
 
 const (
-	// pollWait is how long a server keeps a question without news, pollTimeout how long its answer may take in all.
+	// pollWait is how long a server holds a poll while its head is unchanged, pollTimeout the time limit of a whole poll.
 	pollWait, pollTimeout = time.Second, 3 * time.Second
-	// transferTimeout bounds the fetch or the publication of a release.
+	// transferTimeout limits the fetch or the publication of a release.
 	transferTimeout = 5 * time.Second
-	// maxPoll and maxTransfer bound what is read of one message: a release's content is in base64.
+	// maxPoll and maxTransfer bound the size of one message in bytes. The content of a release is encoded in base64.
 	maxPoll, maxTransfer = 16 << 10, 2 * distribution.MaxContent
-	// maxStatus bounds a server's status: each instance has half a kilobyte of detail at most.
+	// maxStatus bounds the size of a server's status. The detail of each instance takes at most half a kilobyte.
 	maxStatus = 8 << 20
 )
 
-// pollRequest is an instance's question, with what it has to tell. Seen is the tag of the last answer: another server's or
-// an older one brings an answer at once.
+// pollRequest is the poll of an instance, with its acknowledgement. Seen is the tag of the last response; the server answers
+// at once if its present tag is another.
 type pollRequest struct {
 	distribution.Acknowledgement
 	Seen string `json:"seen"`
 }
 
-// pollAnswer is the answer.
+// pollResponse is the response to a poll.
 type pollResponse struct {
 	Head distribution.Head `json:"head"`
 	Tag  string            `json:"tag"`
 }
 
-// ErrNotThere tells that a server does not have a release.
-var ErrNotFound = errors.New("the server does not have it")
+// ErrNotFound is returned if a server does not have a release.
+var ErrNotFound = errors.New("the server does not have the release")
 
-// Client asks servers. Its zero value is ready.
+// Client sends requests to servers. Its zero value is ready to use.
 type Client struct {
 	http http.Client
 }
 
-// NewClient makes a client that connects by dial; nil: over TCP.
+// NewClient creates a client that connects with dial; nil: over TCP.
 func NewClient(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Client {
 	return &Client{http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
 		IdleConnTimeout: 10 * time.Second, DisableCompression: true}}}
 }
 
-// Close ends the connections that wait for another question.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// poll asks a server for its head.
+// poll requests the head of a server.
 func (c *Client) poll(ctx context.Context, server string, request pollRequest) (answer pollResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	return answer, c.roundTrip(ctx, http.MethodPost, server, "/v1/poll", request, &answer, maxPoll)
 }
 
-// Fetch gets a release from a server.
+// Fetch downloads a release from a server.
 func (c *Client) Fetch(ctx context.Context, server string, version distribution.Version) (release distribution.Release, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	return release, c.roundTrip(ctx, http.MethodGet, server, fmt.Sprintf("/v1/releases/%d", version), nil, &release, maxTransfer)
 }
 
-// Publish gives a release to a server.
+// Publish uploads a release to a server.
 func (c *Client) Publish(ctx context.Context, server string, release distribution.Release) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	return c.roundTrip(ctx, http.MethodPost, server, "/v1/releases", release, nil, maxPoll)
 }
 
-// Halt gives an order to give a version up to a server.
+// Halt sends a server an order to halt a version.
 func (c *Client) Halt(ctx context.Context, server string, order distribution.HaltOrder) error {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	return c.roundTrip(ctx, http.MethodPost, server, "/v1/halt", order, nil, maxPoll)
 }
 
-// Status asks a server for what it knows of the instances that follow it.
+// Status requests the status of a server and of the instances that follow it.
 func (c *Client) Status(ctx context.Context, server string) (status distribution.Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	return status, c.roundTrip(ctx, http.MethodGet, server, "/v1/status", nil, &status, maxStatus)
 }
 
-// call asks one question. An answer that is longer than most bytes is no answer.
+// roundTrip sends one request and decodes the response. A response of more than maxBytes bytes is an error.
 func (c *Client) roundTrip(ctx context.Context, method, server, path string, ask, answer any, most int64) error {
 	var body io.Reader
 	if ask != nil {
@@ -122,7 +123,7 @@
 	case response.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(text[:min(len(text), 512)])))
 	case int64(len(text)) > most:
-		return fmt.Errorf("an answer of over %d bytes", most)
+		return fmt.Errorf("response longer than %d bytes", most)
 	case answer == nil:
 		return nil
 	}
--- a/internal/releases/disk.go
+++ b/internal/releases/disk.go
@@ -11,8 +11,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// saver writes a value to a file whenever it changes. One goroutine writes: a disk that hangs holds that one alone, and what
-// came meanwhile is written once, in its newest form.
+// fileWriter writes a value to a file whenever it changes. A goroutine of its own does the writing, so that a hanging disk
+// blocks nothing else; of the values put meanwhile only the newest is written.
 type fileWriter struct {
 	path    string
 	log     *slog.Logger
@@ -23,7 +23,7 @@
 	return &fileWriter{path: path, log: log, changed: make(chan any, 1)}
 }
 
-// put has a value written, in place of one that still waits. One goroutine at a time may call it.
+// enqueue schedules a value to be written and replaces one that is still waiting. Calls must not be concurrent.
 func (s *fileWriter) enqueue(value any) {
 	select {
 	case <-s.changed:
@@ -32,7 +32,7 @@
 	s.changed <- value
 }
 
-// run writes until done is closed, and what still waits then.
+// run writes values until done is closed, and then the one that is still waiting.
 func (s *fileWriter) run(done <-chan struct{}) {
 	failing := false
 	for {
@@ -65,8 +65,8 @@
 	return renameio.WriteFile(s.path, text, 0o600, renameio.WithTempDir(filepath.Dir(s.path)))
 }
 
-// load reads a value that a saver wrote. A file that is not there, or is damaged, leaves the value as it is: what was kept
-// can be had from the servers again.
+// loadFile reads a value that a fileWriter wrote. If the file is missing or damaged, the value is left unchanged, because
+// its content can be fetched from the servers again.
 func loadFile(path string, into any, log *slog.Logger) {
 	text, err := os.ReadFile(path)
 	if err == nil {
--- a/internal/releases/member.go
+++ b/internal/releases/member.go
@@ -19,35 +19,36 @@
 const (
 	// firstRetry and maxRetry bound the pause before the next server is tried.
 	firstRetry, maxRetry = 100 * time.Millisecond, time.Second
-	// rebalanceEvery is how long a server is followed before one is drawn anew, so that one that came back gets its part.
+	// rebalanceInterval is how long a server is followed before another one is drawn, so that a server that has come back
+	// gets its share of the instances.
 	rebalanceInterval = time.Minute
-	// stageAge is how old what is known may be for a new release to be applied.
+	// stageAge is the greatest age of the known state at which a new release is still applied.
 	stageAge = 3 * time.Second
-	// memberFile holds what an instance keeps over its end.
+	// memberFile is the file with the state that outlives an instance's process.
 	memberFile = "release.json"
 )
 
-// MemberOptions is what an instance's side needs to know.
+// MemberOptions configures a Member.
 type MemberOptions struct {
 	Name, Zone, Fleet string
 	Servers           []string
 	Keys              []ed25519.PublicKey
 	MaxAge            time.Duration
-	Dir               string // where the release that runs is kept; empty: nowhere
+	Dir               string // where the running release is stored; empty: it is not stored
 	Seed              uint64
 	Log               *slog.Logger
-	// Apply puts a release in force; nil: the instance's own files alone. It changes nothing where it fails.
+	// Apply puts a release in force; nil: only the instance's own files. If it fails, it must change nothing.
 	Apply func(*distribution.Release) error
 	Dial  func(ctx context.Context, network, addr string) (net.Conn, error) // nil: over TCP
 }
 
-// memberKept is what an instance keeps over its end.
+// storedMember is the state that outlives an instance's process.
 type storedMember struct {
 	Running *distribution.Release `json:"running,omitempty"`
 	Newest  distribution.Version  `json:"newest"`
 }
 
-// Member follows the servers for one instance.
+// Member follows the servers on behalf of one instance.
 type Member struct {
 	options    MemberOptions
 	client     *Client
@@ -56,17 +57,17 @@
 
 	mu       sync.Mutex
 	follower *distribution.Follower
-	server   string // that is followed
+	server   string // the server that is followed
 }
 
-// MemberStatus is what an instance tells of the releases that it follows.
+// MemberStatus describes an instance and the server that it follows.
 type MemberStatus struct {
 	distribution.Acknowledgement
 	Server string `json:"server"`
-	AgeMS  int64  `json:"age_ms"` // of what is known; -1: nothing is
+	AgeMS  int64  `json:"age_ms"` // the age of what is known; -1: nothing is known
 }
 
-// NewMember makes an instance's side. Run puts the release in force that ran before the instance's end.
+// NewMember creates a Member from the stored state. Run then applies the release that was running before the restart.
 func NewMember(options MemberOptions) *Member {
 	m := &Member{options: options, client: NewClient(options.Dial), rng: rand.New(rand.NewPCG(options.Seed, 0x72656c))}
 	var kept storedMember
@@ -79,7 +80,7 @@
 	return m
 }
 
-// restore puts the release in force that ran before the instance's end.
+// applyStored applies the release that was running before the restart.
 func (m *Member) applyStored() {
 	m.mu.Lock()
 	release := m.follower.RunningRelease()
@@ -108,7 +109,7 @@
 		defer func() {
 			select {
 			case <-done:
-			case <-time.After(time.Second): // a disk that hangs does not hold the end up
+			case <-time.After(time.Second): // a hanging disk must not delay the shutdown
 			}
 		}()
 	}
@@ -119,7 +120,7 @@
 		server := m.pickServer()
 		began := time.Now()
 		err := m.follow(ctx, server)
-		m.client.Close() // none is kept to a server that is not followed
+		m.client.Close() // keep no connection to a server that is not followed
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// reasonOf is the reason code of a server that is left.
+// reasonCode returns the reason code for leaving a server.
 func reasonCode(err error) string {
 	switch {
 	case errors.Is(err, distribution.ErrStaleServer):
@@ -152,7 +153,7 @@
 	return "lost"
 }
 
-// pick draws a server, another one than before where there is one.
+// pickServer draws a server at random, another one than before if there is one.
 func (m *Member) pickServer() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +165,7 @@
 	return next
 }
 
-// follow follows one server until it has to be left, or for rebalanceEvery or so.
+// follow follows one server until it has to be left, or for one to one and a half times rebalanceInterval.
 func (m *Member) follow(ctx context.Context, server string) error {
 	until := time.Now().Add(rebalanceInterval + rand.N(rebalanceInterval/2))
 	for seen := ""; time.Now().Before(until); {
@@ -186,7 +187,7 @@
 
 func now() int64 { return time.Now().UnixNano() }
 
-// hear takes a server's head and fetches the releases that it leads to.
+// handleHead processes a server's head and fetches the releases it requires.
 func (m *Member) handleHead(ctx context.Context, server string, head distribution.Head) error {
 	m.mu.Lock()
 	err := m.follower.ReceiveHead(now(), head)
@@ -195,7 +196,7 @@
 	for err == nil && wanted > 0 {
 		release, fetchErr := m.client.Fetch(ctx, server, wanted)
 		if errors.Is(fetchErr, ErrNotFound) && wanted != head.Version {
-			return nil // the server copies it still
+			return nil // the server has not copied it yet
 		}
 		if fetchErr != nil {
 			return fetchErr
@@ -209,7 +210,7 @@
 	return err
 }
 
-// advance puts the release in force whose turn it is.
+// applyNext applies the release that is due.
 func (m *Member) applyNext() {
 	m.mu.Lock()
 	release, due := m.follower.NextToApply(now())
@@ -235,7 +236,7 @@
 	m.save()
 }
 
-// keep has the state written that outlives the instance.
+// save schedules the state that outlives the process to be written.
 func (m *Member) save() {
 	if m.fileWriter == nil {
 		return
@@ -243,7 +244,7 @@
 	m.fileWriter.enqueue(storedMember{Running: m.follower.RunningRelease(), Newest: m.follower.Newest()})
 }
 
-// Status is what the instance knows.
+// Status returns what the instance knows.
 func (m *Member) Status() MemberStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -35,7 +35,7 @@
 	return r
 }
 
-// run runs something until the test's end.
+// runUntilCleanup runs a function in the background until the end of the test.
 func runUntilCleanup(t *testing.T, f func(ctx context.Context) error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -49,7 +49,7 @@
 	})
 }
 
-// newServer serves releases at an address of its own.
+// newServer starts a server at an address of its own.
 func newServer(t *testing.T, dir string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return l.Addr().String()
 }
 
-// applied collects what an instance puts in force.
+// applied records the versions that an instance applies.
 type applied struct {
 	mu              sync.Mutex
 	all             []distribution.Version
@@ -92,22 +92,22 @@
 	return m, a
 }
 
-// want waits for the next release that is put in force, and tells how long it took.
+// waitFor waits for the next version that is applied, and returns how long it took.
 func (a *applied) waitFor(t *testing.T, version distribution.Version) time.Duration {
 	t.Helper()
 	began := time.Now()
 	select {
 	case got := <-a.appliedVersions:
 		if got != version {
-			t.Fatalf("version %d in force, wanted %d", got, version)
+			t.Fatalf("version %d applied, wanted %d", got, version)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("version %d is not in force", version)
+		t.Fatalf("version %d is not applied", version)
 	}
 	return time.Since(began)
 }
 
-// News wakes the instances that wait: nobody waits for the next question.
+// A changed head is sent at once to the instances whose polls are waiting.
 func TestChangedHeadAnswersWaitingPolls(t *testing.T) {
 	client, server := NewClient(nil), newServer(t, t.TempDir())
 	m, a := newMember(t, server)
@@ -145,7 +145,7 @@
 	}
 }
 
-// A server that starts again serves what it kept.
+// A restarted server serves the release that it stored.
 func TestRestartedServerServesStoredRelease(t *testing.T) {
 	dir := t.TempDir()
 	client, first := NewClient(nil), newServer(t, dir)
@@ -163,7 +163,7 @@
 	a.waitFor(t, 1)
 }
 
-// Whatever is asked badly is refused at once, and the server goes on.
+// Invalid requests are refused at once, and do not disturb the server.
 func TestInvalidRequestsAreRefused(t *testing.T) {
 	server := newServer(t, t.TempDir())
 	forged := newRelease(1, "one")
@@ -203,10 +203,10 @@
 	}
 }
 
-// A disk that hangs holds nobody up: only the newest value waits for it.
+// A hanging disk blocks nobody, and only the newest value waits for it.
 func TestHangingDiskDoesNotBlock(t *testing.T) {
 	s := newFileWriter(filepath.Join(t.TempDir(), "kept.json"), netcase.Quiet())
-	for n := range 1000 { // nobody writes
+	for n := range 1000 { // nothing is written meanwhile
 		s.enqueue(n)
 	}
 	done := make(chan struct{})
@@ -220,6 +220,6 @@
 		t.Fatal(err)
 	}
 	if loadFile(s.path, &kept, netcase.Quiet()); kept != 999 {
-		t.Error("a damaged file changes the value", kept)
+		t.Error("the value changed on reading a damaged file", kept)
 	}
 }
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	// maxConnections bounds a server's connections: a fleet's instances twice over, as they change servers.
+	// maxConnections bounds a server's connections: twice the instances of a fleet, as instances change servers.
 	maxConnections = 2048
-	// headerTimeout bounds the head of a request, requestTimeout all of it, idleTimeout the pause between two on a connection.
+	// headerTimeout limits the header of a request, requestTimeout all of it, idleTimeout the pause between two requests.
 	headerTimeout, requestTimeout, idleTimeout = time.Second, 3 * time.Second, 10 * time.Second
-	// retryPause is the pause after a question to another server that failed.
+	// retryPause is the pause after a failed request to another server.
 	retryPause = 500 * time.Millisecond
-	// keptFile holds what a server keeps over its end.
+	// serverFile is the file with the state that outlives a server's process.
 	serverFile = "server.json"
 )
 
-// ServerOptions is what a server needs to know.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	Name         string // its address as the other servers and the instances name it
+	Name         string // its address as configured at the other servers and the instances
 	OtherServers []string
 	Fleet        string
 	Keys         []ed25519.PublicKey
 	HaltAfter    int
-	Dir          string // where releases are kept
+	Dir          string // where releases are stored
 	Log          *slog.Logger
-	Now          func() int64 // nil: the system's clock
+	Now          func() int64 // nil: the system clock
 }
 
-// Server keeps and serves releases.
+// Server stores and serves releases.
 type Server struct {
 	options    ServerOptions
 	fileWriter *fileWriter
@@ -51,11 +51,11 @@
 
 	mu          sync.Mutex
 	replica     *distribution.Replica
-	headChanged chan struct{} // closed when the head has changed
-	tag         string        // of the head that news was made for
+	headChanged chan struct{} // closed and replaced when the head changes
+	tag         string        // the tag of the head when headChanged was made
 }
 
-// NewServer makes a server from what the one before it kept.
+// NewServer creates a server from the stored state.
 func NewServer(options ServerOptions) *Server {
 	if options.Now == nil {
 		options.Now = func() int64 { return time.Now().UnixNano() }
@@ -70,12 +70,12 @@
 	return s
 }
 
-// tagOf tells heads apart that somebody has to hear of.
+// headTag identifies the parts of a head whose change is sent to waiting polls at once.
 func headTag(h distribution.Head) string {
 	return fmt.Sprintf("%s/%d/%d/%t/%d", h.Server, h.Version, h.LastGood, h.Halted != "", h.Failures)
 }
 
-// Serve answers until ctx ends.
+// Serve serves requests and follows the other servers until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout,
 		WriteTimeout: transferTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxPoll,
@@ -124,7 +124,7 @@
 	json.NewEncoder(w).Encode(value)
 }
 
-// read decodes a request's body; where it cannot, it has answered.
+// decodeBody decodes the body of a request. If it fails, it has sent the error response.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any, most int64) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -133,7 +133,7 @@
 	return true
 }
 
-// answerPoll takes what an instance tells, and answers once there is news, or after pollWait.
+// handlePoll records an instance's acknowledgement, and responds once the head has changed or after pollWait.
 func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request) {
 	var request pollRequest
 	if !decodeBody(w, r, &request, maxPoll) {
@@ -178,7 +178,7 @@
 	writeJSON(w, release)
 }
 
-// answerOrder takes an operator's order.
+// handleOrder carries out a request of an operator.
 func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request, order any, do func() error) {
 	if !decodeBody(w, r, order, maxTransfer) {
 		return
@@ -191,7 +191,7 @@
 	}
 }
 
-// change changes the state, and tells all that wait where the head is another one.
+// update changes the state under the lock. If the head changes, it wakes the waiting polls and saves the state.
 func (s *Server) update(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,10 +229,10 @@
 	}
 }
 
-// hear takes another server's head, and fetches what this one lacks.
+// handleHead processes the head of another server, and fetches the release that this one lacks.
 func (s *Server) handleHead(ctx context.Context, other string, head distribution.Head) error {
 	if head.Server != other {
-		return fmt.Errorf("it calls itself %q", head.Server)
+		return fmt.Errorf("the server's own name is %q", head.Server)
 	}
 	var wanted distribution.Version
 	s.update(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
@@ -241,7 +241,7 @@
 	}
 	release, err := s.client.Fetch(ctx, other, wanted)
 	if errors.Is(err, ErrNotFound) && wanted != head.Version {
-		return nil // it has not copied that one yet
+		return nil // the other server has not copied it yet
 	}
 	if err != nil {
 		return err
@@ -253,7 +253,7 @@
 			err = s.replica.CopyLastGood(release)
 		}
 	})
-	if errors.Is(err, distribution.ErrNotNewer) { // it came from elsewhere meanwhile
+	if errors.Is(err, distribution.ErrNotNewer) { // it has been received from elsewhere meanwhile
 		return nil
 	}
 	return err
