--- a/internal/releases/client.go
+++ b/internal/releases/client.go
@@ -96,10 +96,10 @@
 }
 
 // roundTrip sends one request and decodes the response. A response of more than maxBytes bytes is an error.
-func (c *Client) roundTrip(ctx context.Context, method, server, path string, ask, answer any, most int64) error {
+func (c *Client) roundTrip(ctx context.Context, method, server, path string, requestBody, answer any, maxBytes int64) error {
 	var body io.Reader
-	if ask != nil {
-		text, err := json.Marshal(ask)
+	if requestBody != nil {
+		text, err := json.Marshal(requestBody)
 		if err != nil {
 			return err
 		}
@@ -114,7 +114,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, most+1))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBytes+1))
 	switch {
 	case err != nil:
 		return err
@@ -122,8 +122,8 @@
 		return ErrNotFound
 	case response.StatusCode != http.StatusOK:
 		return fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(text[:min(len(text), 512)])))
-	case int64(len(text)) > most:
-		return fmt.Errorf("response longer than %d bytes", most)
+	case int64(len(text)) > maxBytes:
+		return fmt.Errorf("response longer than %d bytes", maxBytes)
 	case answer == nil:
 		return nil
 	}
--- a/internal/releases/disk.go
+++ b/internal/releases/disk.go
@@ -67,10 +67,10 @@
 
 // loadFile reads a value that a fileWriter wrote. If the file is missing or damaged, the value is left unchanged, because
 // its content can be fetched from the servers again.
-func loadFile(path string, into any, log *slog.Logger) {
+func loadFile(path string, destination any, log *slog.Logger) {
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, into)
+		err = json.Unmarshal(text, destination)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		log.Error("release of before not taken up", "file", path, "err", err)
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -64,7 +64,7 @@
 // applied records the versions that an instance applies.
 type applied struct {
 	mu              sync.Mutex
-	all             []distribution.Version
+	versions        []distribution.Version
 	appliedVersions chan distribution.Version
 }
 
@@ -74,7 +74,7 @@
 		version = release.Version
 	}
 	a.mu.Lock()
-	a.all = append(a.all, version)
+	a.versions = append(a.versions, version)
 	a.mu.Unlock()
 	a.appliedVersions <- version
 	if release != nil && strings.Contains(string(release.Content), "bad") {
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -125,8 +125,8 @@
 }
 
 // decodeBody decodes the body of a request. If it fails, it has sent the error response.
-func decodeBody(w http.ResponseWriter, r *http.Request, into any, most int64) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(into); err != nil {
+func decodeBody(w http.ResponseWriter, r *http.Request, destination any, maxBytes int64) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes)).Decode(destination); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
