--- a/control/distribution/distribution_test.go
+++ b/control/distribution/distribution_test.go
@@ -76,21 +76,21 @@
 }
 
 func TestInvalidReleasesAreRefused(t *testing.T) {
-	stranger := newRelease(1, "x")
-	stranger.Sign(unknownKey)
-	changed := newRelease(1, "x")
-	changed.Content = []byte("y")
-	other := newRelease(1, "x")
-	other.Fleet = "another"
-	other.Sign(testKey)
-	noRest := Release{Fleet: testFleet, Version: 1, Stages: []Stage{{Zones: []string{"a"}}}}
-	noRest.Sign(testKey)
-	large := newRelease(1, strings.Repeat("x", MaxContent+1))
+	signedByUnknownKey := newRelease(1, "x")
+	signedByUnknownKey.Sign(unknownKey)
+	changedContent := newRelease(1, "x")
+	changedContent.Content = []byte("y")
+	otherFleet := newRelease(1, "x")
+	otherFleet.Fleet = "another"
+	otherFleet.Sign(testKey)
+	noDefaultStage := Release{Fleet: testFleet, Version: 1, Stages: []Stage{{Zones: []string{"a"}}}}
+	noDefaultStage.Sign(testKey)
+	tooLarge := newRelease(1, strings.Repeat("x", MaxContent+1))
 	for name, tc := range map[string]struct {
 		release Release
 		want    error
-	}{"signed by an unknown key": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongFleet},
-		"no stage for other zones": {noRest, ErrOutOfBounds}, "too large": {large, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
+	}{"signed by an unknown key": {signedByUnknownKey, ErrUnsigned}, "changed": {changedContent, ErrUnsigned}, "another fleet's": {otherFleet, ErrWrongFleet},
+		"no stage for other zones": {noDefaultStage, ErrOutOfBounds}, "too large": {tooLarge, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
 		if err := newReplica("s1").Publish(0, tc.release); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -185,14 +185,14 @@
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(5, "five"))
 	follow(t, f, r, 0, applySucceeds)
-	old := newReplica("s2")
-	publish(t, old, 0, newRelease(4, "four"))
-	if err := f.ReceiveHead(second, old.Head(second)); !errors.Is(err, ErrStaleServer) {
+	staleServer := newReplica("s2")
+	publish(t, staleServer, 0, newRelease(4, "four"))
+	if err := f.ReceiveHead(second, staleServer.Head(second)); !errors.Is(err, ErrStaleServer) {
 		t.Error(err)
 	}
-	twin := newReplica("s3")
-	publish(t, twin, 0, newRelease(5, "another five"))
-	if err := f.ReceiveHead(second, twin.Head(second)); !errors.Is(err, ErrConflict) {
+	conflictingServer := newReplica("s3")
+	publish(t, conflictingServer, 0, newRelease(5, "another five"))
+	if err := f.ReceiveHead(second, conflictingServer.Head(second)); !errors.Is(err, ErrConflict) {
 		t.Error(err)
 	}
 	if err := f.ReceiveHead(9*second, Head{Version: 900}); err != nil || f.Wanted() != 900 {
@@ -251,20 +251,20 @@
 	publish(t, r, 0, newRelease(1, "one"))
 	publish(t, r, 10*second, newRelease(2, "two"))
 	follow(t, f, r, 10*second, applySucceeds)
-	again := NewReplica(r.config, r.StoredState())
-	if head := again.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
+	restoredReplica := NewReplica(r.config, r.StoredState())
+	if head := restoredReplica.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
 		t.Errorf("%+v", head)
 	}
-	back := NewFollower(f.config, f.RunningRelease(), f.Newest())
-	if back.Running() != 2 || back.Acknowledge(0).State != Stale {
-		t.Errorf("%+v", back.Acknowledge(0))
+	restoredFollower := NewFollower(f.config, f.RunningRelease(), f.Newest())
+	if restoredFollower.Running() != 2 || restoredFollower.Acknowledge(0).State != Stale {
+		t.Errorf("%+v", restoredFollower.Acknowledge(0))
 	}
 	forged := newRelease(3, "three")
 	forged.Sign(unknownKey)
-	if back := NewFollower(f.config, &forged, 2); back.Running() != 0 || back.Newest() != 2 {
-		t.Errorf("%+v", back.Acknowledge(0))
+	if restoredFollower := NewFollower(f.config, &forged, 2); restoredFollower.Running() != 0 || restoredFollower.Newest() != 2 {
+		t.Errorf("%+v", restoredFollower.Acknowledge(0))
 	}
-	if again := NewReplica(r.config, StoredState{Newest: &forged}); again.Head(0).Version != 0 {
+	if restoredReplica := NewReplica(r.config, StoredState{Newest: &forged}); restoredReplica.Head(0).Version != 0 {
 		t.Error("a release with an invalid signature is restored")
 	}
 }
@@ -296,17 +296,17 @@
 			others := append(append([]string{}, names[:k]...), names[k+1:]...)
 			servers = append(servers, newReplica(name, others...))
 		}
-		var all []*Follower
+		var followers []*Follower
 		for n := range 6 {
 			f := newFollower([]string{"a", "b"}[n%2])
 			f.config.Member = fmt.Sprint("m", n)
-			all = append(all, f)
+			followers = append(followers, f)
 		}
-		bad := Version(rng.IntN(6))
+		badVersion := Version(rng.IntN(6))
 		published := map[Version]int64{}
 		version := Version(0)
 		now := int64(0)
-		sync := func(from, to *Replica) {
+		exchangeHeads := func(from, to *Replica) {
 			head := from.Head(now)
 			switch wanted := to.ReceiveServerHead(now, head); wanted {
 			case 0:
@@ -318,7 +318,7 @@
 				}
 			}
 		}
-		step := func(f *Follower, r *Replica) {
+		followOnce := func(f *Follower, r *Replica) {
 			if f.ReceiveHead(now, r.Head(now)) != nil {
 				return
 			}
@@ -332,7 +332,7 @@
 				return
 			}
 			var err error
-			if release.Version == bad && release.Version > 0 {
+			if release.Version == badVersion && release.Version > 0 {
 				err = errors.New("bad")
 			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.stageDelay(f.config.Zone)) {
 				t.Fatalf("seed %d: %s applies %d too early", seed, f.config.Member, release.Version)
@@ -350,9 +350,9 @@
 					published[version] = now
 				}
 			case 1, 2, 3, 4:
-				sync(servers[rng.IntN(len(servers))], r)
+				exchangeHeads(servers[rng.IntN(len(servers))], r)
 			default:
-				step(all[rng.IntN(len(all))], r)
+				followOnce(followers[rng.IntN(len(followers))], r)
 			}
 		}
 		for range 4 * len(servers) { // finally, all servers and instances are in touch
@@ -360,12 +360,12 @@
 			for _, from := range servers {
 				for _, to := range servers {
 					if from != to {
-						sync(from, to)
+						exchangeHeads(from, to)
 					}
 				}
 			}
-			for n, f := range all {
-				step(f, servers[n%len(servers)])
+			for n, f := range followers {
+				followOnce(f, servers[n%len(servers)])
 			}
 		}
 		head := servers[0].Head(now)
@@ -373,9 +373,9 @@
 		if head.Halted != "" {
 			want = head.LastGood
 		}
-		for _, f := range all {
-			if f.Running() != want || f.Running() == bad && bad > 0 {
-				t.Fatalf("seed %d: %s runs %d, wanted %d (head %+v, bad %d)", seed, f.config.Member, f.Running(), want, head, bad)
+		for _, f := range followers {
+			if f.Running() != want || f.Running() == badVersion && badVersion > 0 {
+				t.Fatalf("seed %d: %s runs %d, wanted %d (head %+v, bad %d)", seed, f.config.Member, f.Running(), want, head, badVersion)
 			}
 		}
 	}
@@ -384,29 +384,29 @@
 // A server that missed the halt of a release considers it good when the next one is published. It learns the lower last good
 // version from a server that knows of the halt, and fetches that release.
 func TestLowerLastGoodVersionWins(t *testing.T) {
-	knows, missed := newReplica("s1", "s2"), newReplica("s2", "s1")
-	for _, r := range []*Replica{knows, missed} {
+	informed, uninformed := newReplica("s1", "s2"), newReplica("s2", "s1")
+	for _, r := range []*Replica{informed, uninformed} {
 		publish(t, r, 0, newRelease(1, "one"))
 		publish(t, r, 10*second, newRelease(2, "two"))
 	}
 	order := HaltOrder{Fleet: testFleet, Version: 2}
 	order.Sign(testKey)
-	if err := knows.Halt(order); err != nil {
+	if err := informed.Halt(order); err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []*Replica{knows, missed} {
+	for _, r := range []*Replica{informed, uninformed} {
 		publish(t, r, 20*second, newRelease(3, "three"))
 	}
-	if knows.Head(20*second).LastGood != 1 || missed.Head(20*second).LastGood != 2 {
-		t.Fatal(knows.Head(20*second), missed.Head(20*second))
+	if informed.Head(20*second).LastGood != 1 || uninformed.Head(20*second).LastGood != 2 {
+		t.Fatal(informed.Head(20*second), uninformed.Head(20*second))
 	}
-	if wanted := missed.ReceiveServerHead(21*second, knows.Head(21*second)); wanted != 1 {
+	if wanted := uninformed.ReceiveServerHead(21*second, informed.Head(21*second)); wanted != 1 {
 		t.Errorf("wanted version is %d", wanted)
 	}
-	if err := missed.CopyLastGood(*knows.Release(1)); err != nil {
+	if err := uninformed.CopyLastGood(*informed.Release(1)); err != nil {
 		t.Fatal(err)
 	}
-	if wanted := knows.ReceiveServerHead(21*second, missed.Head(21*second)); wanted != 0 || missed.Head(21*second).LastGood != 1 || missed.Release(1) == nil {
-		t.Error(wanted, missed.Head(21*second))
+	if wanted := informed.ReceiveServerHead(21*second, uninformed.Head(21*second)); wanted != 0 || uninformed.Head(21*second).LastGood != 1 || uninformed.Release(1) == nil {
+		t.Error(wanted, uninformed.Head(21*second))
 	}
 }
--- a/control/distribution/release.go
+++ b/control/distribution/release.go
@@ -30,7 +30,7 @@
 	MaxNameLength = 64
 )
 
-// The prefixes of what is signed. They keep the signature of one kind of message from being valid for another.
+// The prefixes of the signed data. They prevent a signature of one kind of message from being valid for another kind.
 const (
 	releasePrefix = "masthill release\x00"
 	haltPrefix    = "masthill halt\x00"
--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -13,7 +13,7 @@
 	// observationTime is how long after its last stage a release must be observed before the next one may be published, so
 	// that failures to apply it are known by then.
 	observationTime = 2 * time.Second
-	// maxMembers bounds the instances whose acknowledgements are kept, memberRetention the age of an acknowledgement.
+	// maxMembers bounds the number of stored acknowledgements, memberRetention their age.
 	maxMembers      = 4096
 	memberRetention = 10 * time.Minute
 	// unknownLag is the lag of a server that has not been in touch with a majority yet.
@@ -59,45 +59,45 @@
 // Replica is the state of one distribution server. It is not safe for concurrent use.
 type Replica struct {
 	config  ReplicaConfig
-	kept    StoredState
+	stored  StoredState
 	digest  Digest // of the newest release; stored because each poll is answered with it
 	members map[string]memberState
 	others  map[string]otherServer
 }
 
 // NewReplica restores the state of a server. Releases without a valid signature are dropped.
-func NewReplica(config ReplicaConfig, kept StoredState) *Replica {
-	for _, release := range []**Release{&kept.Newest, &kept.LastGood} {
+func NewReplica(config ReplicaConfig, stored StoredState) *Replica {
+	for _, release := range []**Release{&stored.Newest, &stored.LastGood} {
 		if *release != nil && (*release).Verify(config.Fleet, config.Keys) != nil {
 			*release = nil
 		}
 	}
-	if kept.Newest == nil {
-		kept = StoredState{}
+	if stored.Newest == nil {
+		stored = StoredState{}
 	}
-	r := &Replica{config: config, kept: kept, members: map[string]memberState{}, others: map[string]otherServer{}}
-	if kept.Newest != nil {
-		r.digest = kept.Newest.Digest()
+	r := &Replica{config: config, stored: stored, members: map[string]memberState{}, others: map[string]otherServer{}}
+	if stored.Newest != nil {
+		r.digest = stored.Newest.Digest()
 	}
 	return r
 }
 
 // StoredState returns the state to store for the next process of this server.
-func (r *Replica) StoredState() StoredState { return r.kept }
+func (r *Replica) StoredState() StoredState { return r.stored }
 
 // Publish accepts a new release from the operators.
 func (r *Replica) Publish(now int64, release Release) error {
-	if r.kept.Newest != nil && release.Digest() == r.digest {
+	if r.stored.Newest != nil && release.Digest() == r.digest {
 		return nil // the publisher repeats its request
 	}
-	if newest := r.kept.Newest; newest != nil && r.kept.Halted == "" && release.Version > newest.Version {
+	if newest := r.stored.Newest; newest != nil && r.stored.Halted == "" && release.Version > newest.Version {
 		if left := newest.RolloutDuration() + observationTime - r.elapsed(now); left > 0 {
 			return fmt.Errorf("%w: version %d, done in %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
 		}
 	}
-	good := r.kept.LastGoodVersion
-	if r.kept.Newest != nil && r.kept.Halted == "" {
-		good = r.kept.Newest.Version
+	good := r.stored.LastGoodVersion
+	if r.stored.Newest != nil && r.stored.Halted == "" {
+		good = r.stored.Newest.Version
 	}
 	return r.accept(now, release, good)
 }
@@ -111,10 +111,10 @@
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if r.kept.Newest != nil && release.Version <= r.kept.Newest.Version {
-		return fmt.Errorf("%w: version %d, newest is %d", ErrNotNewer, release.Version, r.kept.Newest.Version)
+	if r.stored.Newest != nil && release.Version <= r.stored.Newest.Version {
+		return fmt.Errorf("%w: version %d, newest is %d", ErrNotNewer, release.Version, r.stored.Newest.Version)
 	}
-	r.kept = StoredState{Newest: &release, LastGoodVersion: good, LastGood: r.Release(good), PublishedAt: published}
+	r.stored = StoredState{Newest: &release, LastGoodVersion: good, LastGood: r.Release(good), PublishedAt: published}
 	r.digest = release.Digest()
 	return nil
 }
@@ -124,20 +124,20 @@
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if release.Version != r.kept.LastGoodVersion {
+	if release.Version != r.stored.LastGoodVersion {
 		return ErrNotNewer
 	}
-	r.kept.LastGood = &release
+	r.stored.LastGood = &release
 	return nil
 }
 
 // reconcileLastGood compares the last good version of another server with this one's. The lower version wins, because the
 // other server knows of a halt that this one has not received. It returns the version to fetch; 0: none.
 func (r *Replica) reconcileLastGood(good Version) (wanted Version) {
-	if good < r.kept.LastGoodVersion {
-		r.kept.LastGoodVersion, r.kept.LastGood = good, nil
+	if good < r.stored.LastGoodVersion {
+		r.stored.LastGoodVersion, r.stored.LastGood = good, nil
 	}
-	if r.kept.LastGood == nil && good == r.kept.LastGoodVersion {
+	if r.stored.LastGood == nil && good == r.stored.LastGoodVersion {
 		return good
 	}
 	return 0
@@ -145,7 +145,7 @@
 
 // Release returns the stored release of a version; nil: it is not stored.
 func (r *Replica) Release(version Version) *Release {
-	for _, release := range []*Release{r.kept.Newest, r.kept.LastGood} {
+	for _, release := range []*Release{r.stored.Newest, r.stored.LastGood} {
 		if release != nil && release.Version == version {
 			return release
 		}
@@ -184,10 +184,10 @@
 		return 0
 	}
 	r.others[head.Server] = otherServer{head, now}
-	if r.kept.Newest == nil || head.Version > r.kept.Newest.Version {
+	if r.stored.Newest == nil || head.Version > r.stored.Newest.Version {
 		return head.Version
 	}
-	if head.Version == r.kept.Newest.Version {
+	if head.Version == r.stored.Newest.Version {
 		if head.Digest != r.digest {
 			r.halt(ErrConflict.Error())
 		} else if head.Halted != "" {
@@ -204,7 +204,7 @@
 	if err := order.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if r.kept.Newest == nil || r.kept.Newest.Version != order.Version {
+	if r.stored.Newest == nil || r.stored.Newest.Version != order.Version {
 		return fmt.Errorf("%w: version %d", ErrNotNewer, order.Version)
 	}
 	r.halt(cmp.Or(truncate(order.Reason, maxDetail), "halted by its operators"))
@@ -212,19 +212,19 @@
 }
 
 func (r *Replica) halt(reason string) {
-	if r.kept.Halted == "" {
-		r.kept.Halted = reason
+	if r.stored.Halted == "" {
+		r.stored.Halted = reason
 	}
 }
 
 // haltOnFailures halts the newest release once HaltAfter instances, of this and of the other servers, could not apply it.
 func (r *Replica) haltOnFailures(now int64) {
-	if r.kept.Newest == nil {
+	if r.stored.Newest == nil {
 		return
 	}
 	failures := r.failures()
 	for _, o := range r.others {
-		if o.head.Version == r.kept.Newest.Version && now-o.at < int64(memberRetention) {
+		if o.head.Version == r.stored.Newest.Version && now-o.at < int64(memberRetention) {
 			failures += o.head.Failures
 		}
 	}
@@ -236,7 +236,7 @@
 // failures counts the instances following this server that could not apply the newest release.
 func (r *Replica) failures() (n int) {
 	for _, m := range r.members {
-		if m.State == Failed && m.Newest == r.kept.Newest.Version {
+		if m.State == Failed && m.Newest == r.stored.Newest.Version {
 			n++
 		}
 	}
@@ -244,17 +244,17 @@
 }
 
 func (r *Replica) elapsed(now int64) time.Duration {
-	return time.Duration(max(now-r.kept.PublishedAt, 0))
+	return time.Duration(max(now-r.stored.PublishedAt, 0))
 }
 
 // Head returns the head that the server sends to instances and to other servers.
 func (r *Replica) Head(now int64) Head {
 	head := Head{Server: r.config.Name, Lag: r.lag(now)}
-	if r.kept.Newest != nil {
-		head.Version, head.Digest, head.Elapsed = r.kept.Newest.Version, r.digest, r.elapsed(now)
-		head.Halted, head.Failures = r.kept.Halted, r.failures()
+	if r.stored.Newest != nil {
+		head.Version, head.Digest, head.Elapsed = r.stored.Newest.Version, r.digest, r.elapsed(now)
+		head.Halted, head.Failures = r.stored.Halted, r.failures()
 	}
-	head.LastGood = r.kept.LastGoodVersion
+	head.LastGood = r.stored.LastGoodVersion
 	return head
 }
 
--- a/control/shared/lease/lease_test.go
+++ b/control/shared/lease/lease_test.go
@@ -16,7 +16,7 @@
 	now           int64 // true time
 	cfg           Config
 	nodes         []*simulatedNode
-	plan          plan
+	eventQueue    eventQueue
 	seq           uint64
 	loss          float64
 	delay         int64
@@ -45,21 +45,26 @@
 	seq uint64
 	do  func()
 }
-type plan []event
+type eventQueue []event
 
-func (p plan) Len() int { return len(p) }
-func (p plan) Less(i, j int) bool {
+func (p eventQueue) Len() int { return len(p) }
+func (p eventQueue) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
-func (p plan) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *plan) Push(v any)   { *p = append(*p, v.(event)) }
-func (p *plan) Pop() any     { old := *p; last := old[len(old)-1]; *p = old[:len(old)-1]; return last }
+func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *eventQueue) Push(v any)   { *p = append(*p, v.(event)) }
+func (p *eventQueue) Pop() any {
+	old := *p
+	last := old[len(old)-1]
+	*p = old[:len(old)-1]
+	return last
+}
 
 const budget = "cold/1"
 
 func (w *simulation) after(d int64, f func()) {
 	w.seq++
-	heap.Push(&w.plan, event{w.now + d, w.seq, f})
+	heap.Push(&w.eventQueue, event{w.now + d, w.seq, f})
 }
 func (w *simulation) clock(o *simulatedNode) int64 { return o.offset + int64(float64(w.now)*o.rate) }
 
@@ -151,8 +156,8 @@
 
 func (w *simulation) run(d int64) {
 	until := w.now + d
-	for len(w.plan) > 0 && w.plan[0].at <= until {
-		t := heap.Pop(&w.plan).(event)
+	for len(w.eventQueue) > 0 && w.eventQueue[0].at <= until {
+		t := heap.Pop(&w.eventQueue).(event)
 		w.now = t.at
 		t.do()
 	}
--- a/internal/releases/client.go
+++ b/internal/releases/client.go
@@ -61,10 +61,10 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // poll requests the head of a server.
-func (c *Client) poll(ctx context.Context, server string, request pollRequest) (answer pollResponse, err error) {
+func (c *Client) poll(ctx context.Context, server string, request pollRequest) (response pollResponse, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	return answer, c.roundTrip(ctx, http.MethodPost, server, "/v1/poll", request, &answer, maxPoll)
+	return response, c.roundTrip(ctx, http.MethodPost, server, "/v1/poll", request, &response, maxPoll)
 }
 
 // Fetch downloads a release from a server.
@@ -96,7 +96,7 @@
 }
 
 // roundTrip sends one request and decodes the response. A response of more than maxBytes bytes is an error.
-func (c *Client) roundTrip(ctx context.Context, method, server, path string, requestBody, answer any, maxBytes int64) error {
+func (c *Client) roundTrip(ctx context.Context, method, server, path string, requestBody, result any, maxBytes int64) error {
 	var body io.Reader
 	if requestBody != nil {
 		text, err := json.Marshal(requestBody)
@@ -124,8 +124,8 @@
 		return fmt.Errorf("status %d: %s", response.StatusCode, strings.TrimSpace(string(text[:min(len(text), 512)])))
 	case int64(len(text)) > maxBytes:
 		return fmt.Errorf("response longer than %d bytes", maxBytes)
-	case answer == nil:
+	case result == nil:
 		return nil
 	}
-	return json.Unmarshal(text, answer)
+	return json.Unmarshal(text, result)
 }
--- a/internal/releases/member.go
+++ b/internal/releases/member.go
@@ -70,13 +70,13 @@
 // NewMember creates a Member from the stored state. Run then applies the release that was running before the restart.
 func NewMember(options MemberOptions) *Member {
 	m := &Member{options: options, client: NewClient(options.Dial), rng: rand.New(rand.NewPCG(options.Seed, 0x72656c))}
-	var kept storedMember
+	var stored storedMember
 	if options.Dir != "" {
 		m.fileWriter = newFileWriter(filepath.Join(options.Dir, memberFile), options.Log)
-		loadFile(m.fileWriter.path, &kept, options.Log)
+		loadFile(m.fileWriter.path, &stored, options.Log)
 	}
 	m.follower = distribution.NewFollower(distribution.FollowerConfig{Member: options.Name, Zone: options.Zone, Fleet: options.Fleet,
-		Keys: options.Keys, MaxAge: options.MaxAge, StageAge: min(stageAge, options.MaxAge)}, kept.Running, kept.Newest)
+		Keys: options.Keys, MaxAge: options.MaxAge, StageAge: min(stageAge, options.MaxAge)}, stored.Running, stored.Newest)
 	return m
 }
 
@@ -172,12 +172,12 @@
 		m.mu.Lock()
 		request := pollRequest{m.follower.Acknowledge(now()), seen}
 		m.mu.Unlock()
-		answer, err := m.client.poll(ctx, server, request)
+		response, err := m.client.poll(ctx, server, request)
 		if err != nil {
 			return err
 		}
-		seen = answer.Tag
-		if err := m.handleHead(ctx, server, answer.Head); err != nil {
+		seen = response.Tag
+		if err := m.handleHead(ctx, server, response.Head); err != nil {
 			return err
 		}
 		m.applyNext()
--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -61,11 +61,11 @@
 		options.Now = func() int64 { return time.Now().UnixNano() }
 	}
 	path := filepath.Join(options.Dir, serverFile)
-	var kept distribution.StoredState
-	loadFile(path, &kept, options.Log)
+	var stored distribution.StoredState
+	loadFile(path, &stored, options.Log)
 	s := &Server{options: options, fileWriter: newFileWriter(path, options.Log), client: NewClient(nil), headChanged: make(chan struct{}),
 		replica: distribution.NewReplica(distribution.ReplicaConfig{Name: options.Name, Fleet: options.Fleet, OtherServers: options.OtherServers,
-			Keys: options.Keys, HaltAfter: options.HaltAfter}, kept)}
+			Keys: options.Keys, HaltAfter: options.HaltAfter}, stored)}
 	s.tag = headTag(s.replica.Head(options.Now()))
 	return s
 }
@@ -144,12 +144,12 @@
 	defer wait.Stop()
 	for {
 		s.mu.Lock()
-		answer := pollResponse{Head: s.replica.Head(s.options.Now())}
-		answer.Tag = headTag(answer.Head)
+		response := pollResponse{Head: s.replica.Head(s.options.Now())}
+		response.Tag = headTag(response.Head)
 		headChanged := s.headChanged
 		s.mu.Unlock()
-		if answer.Tag != request.Seen {
-			writeJSON(w, answer)
+		if response.Tag != request.Seen {
+			writeJSON(w, response)
 			return
 		}
 		select {
@@ -191,7 +191,7 @@
 	}
 }
 
-// update changes the state under the lock. If the head changes, it wakes the waiting polls and saves the state.
+// update changes the state under the lock. If the tag of the head changes, it wakes the waiting polls and saves the state.
 func (s *Server) update(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,10 +212,10 @@
 func (s *Server) follow(ctx context.Context, other string) {
 	seen := ""
 	for ctx.Err() == nil {
-		answer, err := s.client.poll(ctx, other, pollRequest{Seen: seen})
+		response, err := s.client.poll(ctx, other, pollRequest{Seen: seen})
 		if err == nil {
-			seen = answer.Tag
-			err = s.handleHead(ctx, other, answer.Head)
+			seen = response.Tag
+			err = s.handleHead(ctx, other, response.Head)
 		}
 		if err == nil {
 			continue
