--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -190,7 +190,7 @@
 }
 
 // Run implements office.Peer.
-func (p *heldPeer) Run(ctx context.Context, h office.Hearer) (sip.Reason, error) {
+func (p *heldPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
 	defer p.gate.Release()
 	return p.Peer.Run(ctx, h)
 }
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -349,7 +349,7 @@
 // quietPeer is a connection to a server on which nothing is ever heard.
 type quietPeer struct{ office.Peer }
 
-func (quietPeer) Run(ctx context.Context, _ office.Hearer) (sip.Reason, error) {
+func (quietPeer) Run(ctx context.Context, _ office.Handler) (sip.Reason, error) {
 	<-ctx.Done()
 	return sip.Closed, nil
 }
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -250,8 +250,8 @@
 // placing is the offices' side.
 func placing(in *instance) (part, error) {
 	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.Part, "offices"), ConnectWait: in.p.ConnectWait,
-		Listed: func() bool { return in.feed.Heard() },
-		Dials: map[string]office.Dial{"": in.descriptors.dial(office.SIP(in.p.Name, in.p.Settings.Fields)),
+		ListLive: func() bool { return in.feed.IsLive() },
+		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.Fields)),
 			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.Fields))}})
 	in.core.SetOffices(offices)
 	return part{run: offices.Run}, nil
@@ -264,7 +264,7 @@
 			in.descriptors.list(changed, full)
 			in.core.UpdateOffices(changed, full)
 		}}
-	in.feed.Start(in.p.Known)
+	in.feed.LoadInitial(in.p.Known)
 	if in.known != nil {
 		in.core.Restore(in.known.Learnt)
 	}
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -233,7 +233,7 @@
 func (in *instance) settle(ctx context.Context) {
 	limit, cancel := context.WithTimeout(ctx, settleFor)
 	defer cancel()
-	for !in.feed.Heard() && limit.Err() == nil {
+	for !in.feed.IsLive() && limit.Err() == nil {
 		time.Sleep(endStep)
 	}
 }
@@ -310,7 +310,7 @@
 	}
 	log.Info("configuration read", "journal", p.Journal)
 	if p.Journal != old.Journal {
-		feed.Move(p.Journal)
+		feed.SetAddr(p.Journal)
 	}
 	old.Journal = p.Journal // read nowhere else
 	if !slices.ContainsFunc(in.parts, func(one part) bool { return one.reload != nil }) {
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -90,7 +90,7 @@
 	if s.parting++; s.parting > max(s.MaxConnections/evictedShare, 1) {
 		spare.Abort(sip.Evicted)
 	} else {
-		spare.End(sip.Evicted)
+		spare.CloseWithReason(sip.Evicted)
 	}
 	return true
 }
@@ -117,7 +117,7 @@
 	defer s.mu.Unlock()
 	s.drainAt = time.Now().Add(after)
 	for c := range s.conns {
-		c.Wake()
+		c.RecheckLimits()
 	}
 }
 
@@ -133,7 +133,7 @@
 		}
 		spare.gone, spare.parts = true, true
 		s.parting++
-		spare.End(sip.Evicted) // all at once: an abort waits for its reader, and the front with it
+		spare.CloseWithReason(sip.Evicted) // all at once: an abort waits for its reader, and the front with it
 	}
 }
 
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if _, begun := c.Begun(); !c.gone && (begun || c.open > 0 || c.asked && c.standing == 0) {
+		if _, begun := c.PartialMessage(); !c.gone && (begun || c.open > 0 || c.asked && c.standing == 0) {
 			n++
 		}
 	}
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -366,7 +366,7 @@
 	for begun := false; !begun; {
 		b.mu().Lock()
 		for c := range b.conns {
-			_, begun = c.Begun()
+			_, begun = c.PartialMessage()
 		}
 		b.mu().Unlock()
 	}
@@ -497,7 +497,7 @@
 	b.mu().Lock() // no reader looks at its limits before the request has come
 	b.drainAt = time.Now()
 	for c := range b.conns {
-		c.Wake()
+		c.RecheckLimits()
 	}
 	other := "0000000000000002"
 	crossing.write(message("INVITE", other, headers))
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -25,7 +25,7 @@
 func newConn(c net.Conn, s *Server) *conn {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	cn := &conn{server: s, host: host, used: time.Now()}
-	cn.Conn = sip.NewConn(c, sip.Limits{Write: writeTimeout, Whole: cn.whole, Idle: cn.idle, Farewell: cn.farewell, Linger: lingerTimeout,
+	cn.Conn = sip.NewConn(c, sip.Limits{Write: writeTimeout, MessageTimeout: cn.whole, Idle: cn.idle, ErrorResponse: cn.farewell, Linger: lingerTimeout,
 		HalfCloseEnds: true})
 	return cn
 }
@@ -50,7 +50,7 @@
 	for _, t := range s.abandon(c) {
 		b = sip.AppendBody(append(sip.AppendStatus(b, 503), t.echo...), nil)
 	}
-	return append(b, sip.Farewell(why)...)
+	return append(b, sip.ErrorResponse(why)...)
 }
 
 // idle is the limit of a connection's silence.
@@ -117,13 +117,13 @@
 
 // slow tells that a request is on its way in pieces.
 func (c *conn) slow() bool {
-	heard, begun := c.Begun()
+	heard, begun := c.PartialMessage()
 	return begun && time.Since(heard) < partialAge
 }
 
 // last is when the connection was last of use.
 func (c *conn) last() time.Time {
-	if heard, begun := c.Begun(); begun && heard.After(c.used) {
+	if heard, begun := c.PartialMessage(); begun && heard.After(c.used) {
 		return heard
 	}
 	return c.used
@@ -140,7 +140,7 @@
 // answered has the reader look whether the connection is to be closed, in a drain. Called under the lock.
 func (c *conn) answered() {
 	if c.open == 0 && !c.server.drainAt.IsZero() {
-		c.Wake()
+		c.RecheckLimits()
 	}
 }
 
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -44,18 +44,18 @@
 			if c.turned++; c.turned <= maxRejectionsLogged {
 				c.server.Log.Warn("set-up turned down", "status", status, "why", why, "peer", c.Remote())
 			}
-			c.Send(sip.Answer(m, status))
+			c.Send(sip.Response(m, status))
 		}
 	case "CANCEL":
 		if !c.cancel(id) {
-			c.Send(sip.Answer(m, 481))
+			c.Send(sip.Response(m, 481))
 		}
 	case "BYE":
 		status := 481
 		if c.server.forget(id, true) {
 			status = 200
 		}
-		c.Send(sip.Answer(m, status))
+		c.Send(sip.Response(m, status))
 		c.server.Core.HangUp(id, owner)
 	case "OPTIONS":
 		c.use()
@@ -63,10 +63,10 @@
 		if !c.server.Ready() {
 			status = 503
 		}
-		c.Send(sip.Answer(m, status))
+		c.Send(sip.Response(m, status))
 	case "ACK", "NOTIFY":
 	default:
-		c.Send(sip.Answer(m, 405))
+		c.Send(sip.Response(m, 405))
 	}
 	return nil
 }
@@ -154,11 +154,11 @@
 			}
 		}
 	}
-	err := c.server.Names.Apply(&call, string(m.Get("Subject")), string(m.Get("Organization")), patience, m.At)
+	err := c.server.Names.Apply(&call, string(m.Get("Subject")), string(m.Get("Organization")), patience, m.ReceivedAt)
 	if err != nil {
 		return 400, err.Error()
 	}
-	echo := sip.Echo(m)
+	echo := sip.EchoHeaders(m)
 	if len(echo) > maxEchoBytes {
 		return 400, "headers that an answer repeats are over 1 KiB"
 	}
--- a/internal/callws/answers.go
+++ b/internal/callws/answers.go
@@ -36,7 +36,7 @@
 	if s == nil {
 		return exchange.Gone
 	}
-	input := s.in.Look()
+	input := s.in.State()
 	now, at := f.waiting(key)
 	switch {
 	case now != c || at == nil: // cancelled or closed before the look, which then finds nothing unread
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -315,7 +315,7 @@
 // heard takes what a server's connection hears.
 type heard struct{ lines chan string }
 
-func (h heard) Stood(id string, desc []byte)              { h.lines <- "stood " + id + " " + string(desc) }
+func (h heard) Accepted(id string, desc []byte)           { h.lines <- "stood " + id + " " + string(desc) }
 func (h heard) Ended(id string, e exchange.Result)        { h.line("ended "+id, e) }
 func (h heard) Released(id string, cut bool, r []float64) { h.line("released "+id, []any{cut, r}) }
 func (h heard) State(r []float64)                         { h.line("state", r) }
--- a/internal/callws/conn.go
+++ b/internal/callws/conn.go
@@ -91,7 +91,7 @@
 				err = handle(data)
 			}
 			if err == nil {
-				err = c.out.Room(ctx, c.left)
+				err = c.out.WaitForRoom(ctx, c.left)
 			}
 			if err != nil {
 				return err
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -261,7 +261,7 @@
 		return
 	}
 	s := &socket{conn: newConn(ws, raw), in: raw.in, front: f, identity: identity, since: time.Now()}
-	s.left = raw.in.Closed
+	s.left = raw.in.PeerClosed
 	peer := r.RemoteAddr
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -74,12 +74,12 @@
 
 func (s *server) Bye(id string, _ int, cut bool) { s.send(order{Type: "release", Call: id, Cut: cut}) }
 
-func (s *server) Run(ctx context.Context, h office.Hearer) (sip.Reason, error) {
+func (s *server) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
 	return s.run(ctx, func(data []byte) error { return s.take(data, h) })
 }
 
 // take handles one message of a server; unknown types are passed over.
-func (s *server) take(data []byte, h office.Hearer) error {
+func (s *server) take(data []byte, h office.Handler) error {
 	var m news
 	if json.Unmarshal(data, &m) != nil {
 		return errUnreadable
@@ -90,7 +90,7 @@
 	}
 	switch m.Type {
 	case "accept":
-		h.Stood(m.Call, m.raw())
+		h.Accepted(m.Call, m.raw())
 	case "refuse":
 		outcome, ok := ends[m.Reason]
 		if !ok {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -172,7 +172,7 @@
 func (x *Exchange) HangUp(id, owner string) { x.post(true, func() { x.core.hangUp(id, owner) }) }
 
 // Stood tells that an office took attempt n of a call.
-func (x *Exchange) Stood(server uint64, id string, n int, desc []byte) {
+func (x *Exchange) Accepted(server uint64, id string, n int, desc []byte) {
 	x.post(true, func() { x.core.stood(server, id, n, desc) })
 }
 
@@ -192,7 +192,9 @@
 }
 
 // Lost tells that an office's process died: all that stood there is cut.
-func (x *Exchange) Lost(server uint64) { x.post(false, func() { x.core.lost(server, x.core.now+1) }) }
+func (x *Exchange) ServerLost(server uint64) {
+	x.post(false, func() { x.core.lost(server, x.core.now+1) })
+}
 
 // Members tells a change of the list of offices. It never blocks: what is known at the start comes before Run.
 func (x *Exchange) UpdateOffices(changed []Office, full bool) {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -313,7 +313,7 @@
 		for _, id := range []string{"a", "b"} {
 			x.Submit(Setup{ID: id, Taken: now, ExpiresAt: now.Add(time.Second)}, b)
 		}
-		x.Stood(10, "a", 0, nil)
+		x.Accepted(10, "a", 0, nil)
 		if n := x.UnansweredCalls(); n != 1 {
 			t.Errorf("%d open", n)
 		}
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -55,7 +55,7 @@
 }
 
 // Move has the client follow the service at another address from now on, on from the last event taken.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddr(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.moved = addr
@@ -77,7 +77,7 @@
 }
 
 // Start takes what the configuration holds.
-func (c *Client) Start(k Known) {
+func (c *Client) LoadInitial(k Known) {
 	for _, raw := range k.Entries {
 		c.apply(raw)
 	}
@@ -95,7 +95,7 @@
 }
 
 // Heard tells whether the service is heard: what it has to tell has come, but for the last moment.
-func (c *Client) Heard() bool {
+func (c *Client) IsLive() bool {
 	_, at := c.Position()
 	return time.Since(at) < heardWithin
 }
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -57,14 +57,14 @@
 			return nil, false, fmt.Errorf("servers[%d]: no id or no addr", k)
 		}
 		changed = append(changed, exchange.Office{Addr: h.Addr, Entry: control.Entry{Cell: h.Cell,
-			Share: h.Weight, Server: Number(h.ID), ReadyAt: h.Started * int64(time.Millisecond), State: state}})
+			Share: h.Weight, Server: ServerNumber(h.ID), ReadyAt: h.Started * int64(time.Millisecond), State: state}})
 	}
 	return changed, e.Hosts.Full, nil
 }
 
 // Number makes an office's id the number that the module knows it by: the hex digits after the dash, or a
 // hash of an id of another form.
-func Number(id string) uint64 {
+func ServerNumber(id string) uint64 {
 	_, hex, _ := strings.Cut(id, "-")
 	if n, err := strconv.ParseUint(hex, 16, 64); err == nil {
 		return n
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -43,7 +43,7 @@
 func TestKnown(t *testing.T) {
 	var got []told
 	c := client(func(x told) { got = append(got, x) })
-	c.Start(Known{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
+	c.LoadInitial(Known{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
 	if len(got) != 2 || c.Pos != 42 || !got[0].full || got[1].full {
 		t.Fatalf("%+v at %d", got, c.Pos)
 	}
@@ -63,7 +63,7 @@
 			t.Errorf("%s: %v", in, err)
 		}
 	}
-	if a, b := Number("s-ff"), Number("office west"); a != 255 || b == 0 || b == Number("office east") {
+	if a, b := ServerNumber("s-ff"), ServerNumber("office west"); a != 255 || b == 0 || b == ServerNumber("office east") {
 		t.Errorf("numbers %d %d", a, b)
 	}
 }
@@ -145,7 +145,7 @@
 	done := make(chan error, 1)
 	go func() { done <- c.Run(ctx) }()
 	<-got
-	c.Move(serve("new "))
+	c.SetAddr(serve("new "))
 	for _, want := range []string{"old 6", "new 7"} {
 		if a := <-asked; a != want {
 			t.Errorf("asked %s, want %s", a, want)
@@ -276,10 +276,10 @@
 		c.Addr = "first:1"
 		go c.Run(t.Context())
 		<-got
-		c.Move("second:1")
-		c.Move("third:1")
+		c.SetAddr("second:1")
+		c.SetAddr("third:1")
 		synctest.Wait() // in the pause
-		c.Move("fourth:1")
+		c.SetAddr("fourth:1")
 		<-got
 		synctest.Wait()
 		if len(got) != 0 || c.Pos != 42 || asked[len(asked)-1] != "fourth:1" || slices.Index(asked, "third:1") < 0 {
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -184,7 +184,7 @@
 	l.pool.mu.Lock()
 	l.fail(control.ConnectionRefused)
 	l.silence.connectFailed(now, refused, l.cur != nil)
-	dead := l.silence.dead(now, l.cur != nil, l.pool.Listed())
+	dead := l.silence.dead(now, l.cur != nil, l.pool.ListLive())
 	switch s := l.cur; {
 	case s == nil:
 	case refused: // the machine is there; whether the process is, a connection that was ever heard would tell
@@ -200,7 +200,7 @@
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", dead, "err", err)
 	if dead {
-		l.pool.Core.Lost(l.server)
+		l.pool.Core.ServerLost(l.server)
 	}
 }
 
@@ -235,7 +235,7 @@
 	switch {
 	case l.probe == nil || l.pool.links[l.server] != l:
 	case !l.silence.failing(): // a connection came up or spoke since
-	case !l.silence.dead(now, l.cur != nil, l.pool.Listed()):
+	case !l.silence.dead(now, l.cur != nil, l.pool.ListLive()):
 		l.probeAt(now)
 	default:
 		if l.cur != nil {
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -11,11 +11,11 @@
 
 // Core is what this side tells the exchange.
 type Core interface {
-	Stood(server uint64, id string, n int, desc []byte)
+	Accepted(server uint64, id string, n int, desc []byte)
 	Ended(server uint64, id string, n int, e exchange.Result)
 	Released(server uint64, id string, cut bool, report []float64)
 	State(server uint64, report []float64)
-	Lost(server uint64)
+	ServerLost(server uint64)
 }
 
 // Peer is one open connection to an office, in whatever form the office speaks. Its sends never block.
@@ -25,12 +25,12 @@
 	Bye(id string, n int, cut bool)
 	Close()
 	// Run reads until the connection ends; what it hears goes to h.
-	Run(ctx context.Context, h Hearer) (sip.Reason, error)
+	Run(ctx context.Context, h Handler) (sip.Reason, error)
 }
 
 // Hearer takes what a peer hears.
-type Hearer interface {
-	Stood(id string, desc []byte)
+type Handler interface {
+	Accepted(id string, desc []byte)
 	Ended(id string, e exchange.Result)
 	Released(id string, cut bool, report []float64)
 	State(report []float64)
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -29,7 +29,7 @@
 type core struct{ told chan string }
 
 func (c core) say(format string, a ...any) { c.told <- fmt.Sprintf(format, a...) }
-func (c core) Stood(s uint64, id string, n int, desc []byte) {
+func (c core) Accepted(s uint64, id string, n int, desc []byte) {
 	c.say("stood %s %d %s", id, n, desc)
 }
 func (c core) Ended(s uint64, id string, n int, e exchange.Result) {
@@ -39,7 +39,7 @@
 	c.say("released %s %v %v", id, cut, r)
 }
 func (c core) State(s uint64, r []float64) { c.say("state %v", r) }
-func (c core) Lost(s uint64)               { c.say("lost") }
+func (c core) ServerLost(s uint64)         { c.say("lost") }
 
 // bed is a pool with one office behind pipes; dialled gives the office's ends.
 type bed struct {
@@ -71,7 +71,7 @@
 		return &sipPeer{Conn: sip.NewConn(resettable{ours, &b.reset}, limits), name: "n0", fields: fields}, nil
 	}
 	b.Pool = NewPool(Options{Core: b.core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
-		Dials: map[string]Dial{"": dial}, Listed: func() bool { return !b.unheard.Load() }})
+		Dials: map[string]Dial{"": dial}, ListLive: func() bool { return !b.unheard.Load() }})
 	go b.Run(t.Context())
 	synctest.Wait()
 	b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: "a:1"}}, true)
@@ -367,7 +367,7 @@
 	}
 	core := core{make(chan string, 100)}
 	pool := NewPool(Options{Core: core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
-		Dials: map[string]Dial{"": SIP("n0", fields)}})
+		Dials: map[string]Dial{"": DialSIP("n0", fields)}})
 	go pool.Run(t.Context())
 	pool.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: listener.Addr().String()}}, true)
 	server, err := listener.Accept()
@@ -642,7 +642,7 @@
 // deaf is a Hearer that takes anything.
 type deaf struct{}
 
-func (deaf) Stood(string, []byte)             {}
+func (deaf) Accepted(string, []byte)          {}
 func (deaf) Ended(string, exchange.Result)    {}
 func (deaf) Released(string, bool, []float64) {}
 func (deaf) State([]float64)                  {}
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -23,7 +23,7 @@
 	Log         *slog.Logger
 	ConnectWait time.Duration   // a connection not up by then is refused
 	Dials       map[string]Dial // by scheme; "" for an address without one
-	Listed      func() bool     // whether the list of offices is heard: what it would tell of has not happened
+	ListLive    func() bool     // whether the list of offices is heard: what it would tell of has not happened
 }
 
 // Pool holds the links to all offices on the list.
@@ -38,8 +38,8 @@
 
 // NewPool makes a pool; Run starts it.
 func NewPool(o Options) *Pool {
-	if o.Listed == nil {
-		o.Listed = func() bool { return true }
+	if o.ListLive == nil {
+		o.ListLive = func() bool { return true }
 	}
 	return &Pool{Options: o, links: map[uint64]*link{}}
 }
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -177,7 +177,7 @@
 	// process that died refuses what comes next, and the list tells of one that started; only a machine that had
 	// vanished and is back resets what was silent.
 	if reason == sip.PeerReset && silent {
-		p.Core.Lost(s.server)
+		p.Core.ServerLost(s.server)
 	}
 	return nil
 }
@@ -225,12 +225,12 @@
 
 // Stood implements Hearer. An answer to an attempt that has ended goes on all the same: the exchange releases
 // what nobody waits for.
-func (s *session) Stood(id string, desc []byte) {
+func (s *session) Accepted(id string, desc []byte) {
 	n := s.hear(id)
 	if n >= 0 {
 		s.outlive()
 	}
-	s.pool.Core.Stood(s.server, id, n, desc)
+	s.pool.Core.Accepted(s.server, id, n, desc)
 }
 
 // Ended implements Hearer.
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -71,7 +71,7 @@
 func Note(word string) int { return notes[word] }
 
 // SIP connects to offices that speak the platform's protocol.
-func SIP(name string, fields Fields) Dial {
+func DialSIP(name string, fields Fields) Dial {
 	return func(ctx context.Context, addr string) (Peer, error) {
 		c, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 		if err != nil {
@@ -83,7 +83,7 @@
 
 // limits are what an office is allowed. An answer that stops short, or whose length promises more than comes,
 // holds up all answers behind it: such a connection is of no more use. Offices write a message whole.
-var limits = sip.Limits{Write: writeFor, Whole: func() time.Duration { return wholeFor }, Strict: true}
+var limits = sip.Limits{Write: writeFor, MessageTimeout: func() time.Duration { return wholeFor }, Strict: true}
 
 type sipPeer struct {
 	*sip.Conn
@@ -112,38 +112,38 @@
 
 func (p *sipPeer) Bye(id string, n int, cut bool) {
 	b := p.request("BYE", id, id, n+1)
-	p.Send(sip.AppendBody(sip.AppendHeader(b, "Reason", Reason(cut)), nil))
+	p.Send(sip.AppendBody(sip.AppendHeader(b, "Reason", ReasonHeader(cut)), nil))
 }
 
 // Reason is the header of a release: cause 16 is the regular end, 41 a cut.
-func Reason(cut bool) string {
+func ReasonHeader(cut bool) string {
 	if cut {
 		return "Q.850;cause=41"
 	}
 	return "Q.850;cause=16"
 }
 
-func (p *sipPeer) Run(ctx context.Context, h Hearer) (sip.Reason, error) {
+func (p *sipPeer) Run(ctx context.Context, h Handler) (sip.Reason, error) {
 	return p.Conn.Run(ctx, func(m *sip.Message) error { return p.take(m, h) })
 }
 
-var errNoCall = fmt.Errorf("%w: an answer without Call-ID or CSeq", sip.ErrMessage)
+var errNoCall = fmt.Errorf("%w: an answer without Call-ID or CSeq", sip.ErrMissingHeader)
 
 // take handles one message of an office. Strings and descriptions that outlive the read buffer are copied.
-func (p *sipPeer) take(m *sip.Message, h Hearer) error {
+func (p *sipPeer) take(m *sip.Message, h Handler) error {
 	id := string(m.Get("Call-ID"))
 	if m.Status == 0 {
 		switch string(m.Method) {
 		case "NOTIFY":
 			h.State(p.fields.Parse(m.Get("X-State")))
 		case "BYE":
-			p.Send(sip.Answer(m, 200))
+			p.Send(sip.Response(m, 200))
 			h.Released(id, !bytes.Contains(m.Get("Reason"), []byte("cause=16")), p.fields.Parse(m.Get("X-State")))
 		case "OPTIONS":
-			p.Send(sip.Answer(m, 200))
+			p.Send(sip.Response(m, 200))
 		case "ACK", "CANCEL":
 		default:
-			p.Send(sip.Answer(m, 405))
+			p.Send(sip.Response(m, 405))
 		}
 		return nil
 	}
@@ -157,7 +157,7 @@
 	n := int(seq) - 1
 	p.Send(sip.AppendBody(p.request("ACK", id, id, n), nil))
 	if m.Status < 300 {
-		h.Stood(id, bytes.Clone(m.Body))
+		h.Accepted(id, bytes.Clone(m.Body))
 		return nil
 	}
 	h.Ended(id, p.ending(m))
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -46,13 +46,13 @@
 
 // Limits are what a connection allows its peer.
 type Limits struct {
-	Write time.Duration        // for one write
-	Whole func() time.Duration // from the first byte of a message that begins now to its last; nil: any time
+	Write          time.Duration        // for one write
+	MessageTimeout func() time.Duration // from the first byte of a message that begins now to its last; nil: any time
 	// Idle tells how long nothing need come from now on; it is asked again then. 0 ends the connection. nil: for
 	// ever. It is called where messages are handled, so that the two can't cross.
 	Idle func() time.Duration
 	// Farewell makes the last message to a peer that can't be read any further; nil: none.
-	Farewell func(err error) []byte
+	ErrorResponse func(err error) []byte
 	// Strict: a message follows the one before without a line end between them.
 	Strict bool
 	// Linger is how long a peer that was written to of late may take to close after this side has; 0: none.
@@ -89,10 +89,10 @@
 }
 
 // Input tells whether the peer is still there and how far what it sent has been handled. It does not block.
-func (c *Conn) Input() InputState { return c.in.Look() }
+func (c *Conn) Input() InputState { return c.in.State() }
 
 // left tells that a peer whose answers wait to be read has gone.
-func (c *Conn) left() bool { return c.HalfCloseEnds && c.in.Closed() }
+func (c *Conn) left() bool { return c.HalfCloseEnds && c.in.PeerClosed() }
 
 // MarkHandled tells, from within handle, that the present message has been handled but for what it starts.
 func (c *Conn) MarkHandled() {
@@ -117,13 +117,13 @@
 
 // Close ends the connection in order: the reader handles what has come already, what is queued is written, and the peer
 // gets the time to read it.
-func (c *Conn) Close() { c.End(Closed) }
+func (c *Conn) Close() { c.CloseWithReason(Closed) }
 
 // past is a deadline that wakes a reader.
 var past = time.Unix(1, 0)
 
 // End is Close with a reason.
-func (c *Conn) End(why Reason) {
+func (c *Conn) CloseWithReason(why Reason) {
 	if c.closed.CompareAndSwap(nil, &why) {
 		close(c.closing)
 		c.net.SetReadDeadline(past)
@@ -131,19 +131,19 @@
 }
 
 // Wake has the reader ask its limits again.
-func (c *Conn) Wake() {
+func (c *Conn) RecheckLimits() {
 	c.woken.Store(true)
 	c.net.SetReadDeadline(past)
 }
 
 // Abort closes the connection at once, for who needs its descriptor.
 func (c *Conn) Abort(why Reason) {
-	c.End(why)
+	c.CloseWithReason(why)
 	c.net.Close()
 }
 
 // Begun tells whether a message is read in part, and when its last bytes came.
-func (c *Conn) Begun() (at time.Time, begun bool) {
+func (c *Conn) PartialMessage() (at time.Time, begun bool) {
 	return time.Unix(0, c.heard.Load()), c.begun.Load()
 }
 
@@ -169,7 +169,7 @@
 				err = handle(m)
 			}
 			if err == nil {
-				err = c.out.Room(ctx, c.left)
+				err = c.out.WaitForRoom(ctx, c.left)
 			}
 			if err != nil {
 				c.part(ctx, c.reader, err)
@@ -208,10 +208,10 @@
 		begun := p.r.end > p.r.start
 		p.begun.Store(begun)
 		switch {
-		case begun && p.Whole != nil:
+		case begun && p.MessageTimeout != nil:
 			if p.began.IsZero() || p.taken != p.r.count {
 				p.began, p.taken = time.Now(), p.r.count
-				p.limit = p.began.Add(p.Whole())
+				p.limit = p.began.Add(p.MessageTimeout())
 			}
 			until = p.limit
 		case !begun:
@@ -260,8 +260,8 @@
 func (c *Conn) part(ctx context.Context, r *Reader, why error) {
 	linger := c.Linger
 	switch {
-	case c.Farewell != nil && (framing(why) || errors.Is(why, errStalled)):
-		if !c.Send(c.Farewell(why)) {
+	case c.ErrorResponse != nil && (framing(why) || errors.Is(why, errStalled)):
+		if !c.Send(c.ErrorResponse(why)) {
 			return
 		}
 		linger = lingerTimeout
@@ -332,7 +332,7 @@
 
 func framing(err error) bool {
 	return errors.Is(err, ErrTooLong) || errors.Is(err, ErrStartLine) || errors.Is(err, ErrHeader) ||
-		errors.Is(err, ErrLength) || errors.Is(err, ErrMessage)
+		errors.Is(err, ErrLength) || errors.Is(err, ErrMissingHeader)
 }
 
 func (c *Conn) reason(err error) Reason {
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -16,9 +16,9 @@
 	c, reason := NewConn(a, Limits{Write: time.Second}), make(chan Reason, 1)
 	go func() {
 		r, _ := c.Run(ctx, func(m *Message) error {
-			c.Send(Answer(m, 200))
+			c.Send(Response(m, 200))
 			if string(m.Method) == "BAD" {
-				return ErrMessage
+				return ErrMissingHeader
 			}
 			return nil
 		})
@@ -62,7 +62,7 @@
 	for text, want := range map[string]Reason{"": Idle, invite[:30]: Stalled, invite + invite[:30]: Stalled, invite: Idle} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := net.Pipe()
-			c, reason, began, asked := NewConn(a, Limits{Write: time.Second, Whole: func() time.Duration { return 2 * time.Second }, Farewell: Farewell}), make(chan Reason, 1), time.Now(), 0
+			c, reason, began, asked := NewConn(a, Limits{Write: time.Second, MessageTimeout: func() time.Duration { return 2 * time.Second }, ErrorResponse: ErrorResponse}), make(chan Reason, 1), time.Now(), 0
 			c.Idle = func() time.Duration {
 				asked++
 				return 3*time.Second - time.Since(began)
@@ -148,7 +148,7 @@
 			first <- true
 			<-goOn
 		}
-		c.Send(Answer(m, 200))
+		c.Send(Response(m, 200))
 	})
 	io.WriteString(peer, strings.Replace(invite, "sip:", "sip:1@x;", 1))
 	<-first
@@ -194,7 +194,7 @@
 			<-came // it has come, and is looked at late
 		}
 		return 0
-	}}, func(c *Conn, m *Message) { c.Send(Answer(m, 200)) })
+	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite)
 	close(came)
 	if got := statuses(t, peer); len(got) != 1 {
@@ -208,11 +208,11 @@
 // A request whose rest had come in time, but was looked at late, was refused as stalled.
 func TestTheRestOfARequestThatIsLookedAtLate(t *testing.T) {
 	came, begun := make(chan bool), make(chan bool, 10)
-	peer, c, reason := pair(t, Limits{Farewell: Farewell, Whole: func() time.Duration {
+	peer, c, reason := pair(t, Limits{ErrorResponse: ErrorResponse, MessageTimeout: func() time.Duration {
 		begun <- true
 		<-came
 		return -1
-	}}, func(c *Conn, m *Message) { c.Send(Answer(m, 200)) })
+	}}, func(c *Conn, m *Message) { c.Send(Response(m, 200)) })
 	io.WriteString(peer, invite[:30])
 	<-begun
 	io.WriteString(peer, invite[30:])
--- a/internal/sip/input.go
+++ b/internal/sip/input.go
@@ -141,7 +141,7 @@
 
 // Look tells how far the input has been handled. It does not block, and asks the kernel only where the reader has
 // not done so of late.
-func (i *Input) Look() InputState {
+func (i *Input) State() InputState {
 	switch {
 	case i.ended.Load():
 		return InputEnded
@@ -159,7 +159,7 @@
 }
 
 // Closed tells whether the peer has closed its side, also behind input that has not been read.
-func (i *Input) Closed() bool {
+func (i *Input) PeerClosed() bool {
 	if i.ended.Load() || i.raw == nil {
 		return i.ended.Load()
 	}
--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -25,11 +25,11 @@
 
 // Framing errors: the stream can't be read any further, so the connection has to end.
 var (
-	ErrTooLong   = errors.New("message over 16 KiB")
-	ErrStartLine = errors.New("unreadable first line")
-	ErrHeader    = errors.New("unreadable header line")
-	ErrLength    = errors.New("missing or unreadable Content-Length")
-	ErrMessage   = errors.New("message lacks what its kind needs") // for those who handle messages
+	ErrTooLong       = errors.New("message over 16 KiB")
+	ErrStartLine     = errors.New("unreadable first line")
+	ErrHeader        = errors.New("unreadable header line")
+	ErrLength        = errors.New("missing or unreadable Content-Length")
+	ErrMissingHeader = errors.New("message lacks what its kind needs") // for those who handle messages
 )
 
 // Header is one header line; both parts are slices of the read buffer.
@@ -41,7 +41,7 @@
 	Status      int    // of an answer; 0: a request
 	Headers     []Header
 	Body        []byte
-	At          time.Time // when its last byte was read
+	ReceivedAt  time.Time // when its last byte was read
 }
 
 // compact are the one-letter names of RFC 3261 for headers that this program looks at.
@@ -112,7 +112,7 @@
 			}
 			r.start += size
 			r.count++
-			r.msg.At = r.at
+			r.msg.ReceivedAt = r.at
 			return &r.msg, nil
 		}
 		if err := r.fill(); err != nil {
@@ -294,7 +294,7 @@
 }
 
 // Farewell is the answer to what can't be read: it belongs to no request that could be named.
-func Farewell(err error) []byte {
+func ErrorResponse(err error) []byte {
 	status := 400
 	switch {
 	case errors.Is(err, ErrTooLong):
@@ -326,7 +326,7 @@
 }
 
 // Echo copies from a request what RFC 3261 has its answers repeat.
-func Echo(m *Message) []byte {
+func EchoHeaders(m *Message) []byte {
 	b := make([]byte, 0, 256)
 	for _, h := range m.Headers {
 		for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
@@ -339,6 +339,6 @@
 }
 
 // Answer is a whole answer without a body.
-func Answer(m *Message, status int) []byte {
-	return AppendBody(append(AppendStatus(nil, status), Echo(m)...), nil)
+func Response(m *Message, status int) []byte {
+	return AppendBody(append(AppendStatus(nil, status), EchoHeaders(m)...), nil)
 }
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -121,7 +121,7 @@
 	}
 	want := "SIP/2.0 400 Bad Request\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n" +
 		"Content-Length: 0\r\n\r\n"
-	if got := string(Answer(m, 400)); got != want {
+	if got := string(Response(m, 400)); got != want {
 		t.Errorf("answer %q", got)
 	}
 }
--- a/internal/sip/queue.go
+++ b/internal/sip/queue.go
@@ -76,7 +76,7 @@
 
 // Room waits until the peer has read most of what was put. It gives io.EOF as soon as closed tells that the peer has
 // closed its side: that stands unread behind what the peer sent before.
-func (q *Queue) Room(ctx context.Context, closed func() bool) error {
+func (q *Queue) WaitForRoom(ctx context.Context, closed func() bool) error {
 	if q.low() {
 		return nil
 	}
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -138,7 +138,7 @@
 			a.stands = true
 			s.m.ledger.Ended(a.id, s.name(), false, s.m.time())
 			if s.m.lossy == 0 || s.rng.Float64() >= s.m.lossy {
-				a.from.later(a.gen, s.cell, func() { a.from.x.Stood(s.id, a.id, a.n, nil) })
+				a.from.later(a.gen, s.cell, func() { a.from.x.Accepted(s.id, a.id, a.n, nil) })
 			}
 			s.m.after(int64(s.rng.ExpFloat64()*float64(hold)), func() {
 				if s.calls[a.id] == a && !s.gone {
@@ -186,7 +186,7 @@
 		if !told[a.from] {
 			told[a.from] = true
 			c := a.from
-			c.later(a.gen, s.cell, func() { c.x.Lost(s.id) })
+			c.later(a.gen, s.cell, func() { c.x.ServerLost(s.id) })
 		}
 		if a.stands && (a.from.x == nil || a.gen != a.from.gen) { // nobody knows of it any more but its caller
 			s.m.over(id, true)
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -100,7 +100,7 @@
 		id := fmt.Sprintf("%016x", n)
 		x.Submit(exchange.Setup{ID: id, Owner: "o", Name: "open-log", Tenant: tenants[n%3], Number: "17", Dest: n % servers, Taken: now, ExpiresAt: now.Add(3 * time.Second)}, side)
 		x.RunDue()
-		x.Stood(side.server, id, 0, nil)
+		x.Accepted(side.server, id, 0, nil)
 		x.RunDue()
 		open = append(open, standing{id, side.server, now.Add(time.Second / 2)})
 		for len(open) > 0 && !now.Before(open[0].until) {
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -197,7 +197,7 @@
 		m.feed.listed(changed, full)
 		m.core.UpdateOffices(changed, full)
 	}}
-	m.list.Start(p.Known)
+	m.list.LoadInitial(p.Known)
 	m.ear = &ear{Shared: m.shared, without: s.Without, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
 		Seeds: own.Peers.Seeds, Keys: own.Peers.Secrets, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.Slow})
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -170,7 +170,7 @@
 		}
 		id := string(m.Get("Call-ID"))
 		if string(m.Method) == "BYE" {
-			g.conn.write(sip.Answer(m, 200))
+			g.conn.write(sip.Response(m, 200))
 			c.mu.Lock()
 			if o := c.standing[id]; o != nil && string(m.Get("Reason")) != "Q.850;cause=16" {
 				o.Cut = true
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -372,10 +372,10 @@
 		s.Ledger.Sent(id, instance, s.ID, now)
 		if s.drains {
 			s.Ledger.Ended(id, s.ID, false, now)
-			c.write(sip.Answer(m, 480))
+			c.write(sip.Response(m, 480))
 			return
 		}
-		one := &call{id: id, instance: instance, conn: c, echo: sip.Echo(m)}
+		one := &call{id: id, instance: instance, conn: c, echo: sip.EchoHeaders(m)}
 		s.calls[id] = one
 		taken, wait, done := s.proc.Offer(now.UnixNano(), id)
 		s.done(done)
@@ -400,8 +400,8 @@
 			delete(s.calls, id)
 			s.done(s.proc.Add(now.UnixNano(), processor.Release, id))
 		}
-		c.write(sip.Answer(m, 200))
+		c.write(sip.Response(m, 200))
 	case "OPTIONS":
-		c.write(sip.Answer(m, 200))
+		c.write(sip.Response(m, 200))
 	}
 }
