--- a/cmd/masthill-lab/asrun.go
+++ b/cmd/masthill-lab/asrun.go
@@ -53,7 +53,7 @@
 			case "shares":
 				own := shares.New(s, model.Tenants(), planned, seed, now)
 				if fleet != nil { // named before
-					own.Of(fleet)
+					own.UseFleetTotals(fleet)
 				}
 				chain = append(chain, own)
 			case "shared":
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -123,7 +123,7 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\tgeneration %s, %s\n", st.Name, st.Generation, st.Program)
 	if r := st.Rollout; r != nil {
-		fmt.Fprintf(t, "rollout\t%s %s %s, %d left\n", r.State, r.Reason, r.Detail, r.Left)
+		fmt.Fprintf(t, "rollout\t%s %s %s, %d left\n", r.State, r.Reason, r.Detail, r.Remaining)
 	}
 	if o := st.Outcome; o != nil {
 		fmt.Fprintf(t, "last rollout\t%s %s %s, to generation %s in %.1f s\n", o.State, o.Reason, o.Detail, o.To, o.Took)
@@ -214,7 +214,7 @@
 			return nil
 		}
 		if r := st.Rollout; r != nil {
-			if line := fmt.Sprintf("%s %s, %d left", r.State, r.Reason, r.Left); line != said {
+			if line := fmt.Sprintf("%s %s, %d left", r.State, r.Reason, r.Remaining); line != said {
 				fmt.Fprintln(out, line)
 				said = line
 			}
--- a/cmd/masthill/fleet_test.go
+++ b/cmd/masthill/fleet_test.go
@@ -147,7 +147,7 @@
 	if err := b.Order(t.Context(), "rollout", ""); err != nil {
 		t.Fatal(err)
 	}
-	b.until("half done", func(s *fleet.Status) bool { return s.Rollout != nil && s.Rollout.Left <= 2 })
+	b.until("half done", func(s *fleet.Status) bool { return s.Rollout != nil && s.Rollout.Remaining <= 2 })
 	b.up.Process.Kill()
 	b.up.Wait()
 	if n := b.processes(); n < 2 {
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -98,7 +98,7 @@
 		for _, name := range names {
 			fmt.Fprint(t, "\t", now[name])
 		}
-		fmt.Fprintf(t, "\t%s\t%s\t%.2f\t%s\n", e.Instance, e.Reason, e.Score, e.Out)
+		fmt.Fprintf(t, "\t%s\t%s\t%.2f\t%s\n", e.Instance, e.Reason, e.Score, e.ExitCondition)
 	}
 	if len(all) == 0 {
 		fmt.Fprintln(t, "no change")
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -131,7 +131,7 @@
 	}
 	log := in.log.With(logs.Part, "levels")
 	in.levels = levels.New(in.p.Settings, in.p.Seed, in.started.UnixNano(), recovers, func(c levels.Change) {
-		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.Out)
+		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.ExitCondition)
 	})
 	if in.known != nil {
 		in.levels.Restore(in.started.UnixNano(), in.known.Levels)
@@ -161,7 +161,7 @@
 		in.core.Gauge(levels.Descriptors, float64(descriptors)/float64(in.p.Sockets))
 		in.core.Gauge(levels.Inbox, in.core.InboxUsed())
 		if _, heard := in.feed.Position(); !heard.IsZero() {
-			in.core.Gauge(levels.List, time.Since(heard).Seconds()/10)
+			in.core.Gauge(levels.ListAge, time.Since(heard).Seconds()/10)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	if in.own.Shares.Enabled {
 		in.shares = shares.New(in.p.Settings, in.p.Shares, in.p.Planned, in.p.Seed, in.started.UnixNano())
 		if in.shared != nil {
-			in.shares.Of(in.shared)
+			in.shares.UseFleetTotals(in.shared)
 		}
 		in.joins(in.shares)
 	}
@@ -193,8 +193,8 @@
 	if in.own.Goodput.Enabled {
 		log := in.log.With(logs.Part, "goodput")
 		in.joins(goodput.New(goodput.Settings{Control: in.p.Settings}, in.p.Seed, in.started.UnixNano(), func(c goodput.Change) {
-			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Out*10)/10,
-				"in_vain", math.Round(c.Vain*100)/100)
+			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
+				"in_vain", math.Round(c.LateShare*100)/100)
 		}))
 	}
 	return part{}, nil
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -24,11 +24,11 @@
 
 // The states, and their reasons.
 const (
-	Open    = "open"    // nothing has been kept back of late
-	Bounded = "bounded" // calls have met the bound of late
-	InTime  = "in-time" // set-ups come back in time
-	InVain  = "in-vain" // too many set-ups come to nothing in time
-	Redial  = "redial"  // ruling: a caller's retry, while first tries meet the bound
+	Open        = "open"    // nothing has been kept back of late
+	Bounded     = "bounded" // calls have met the bound of late
+	InTime      = "in-time" // set-ups come back in time
+	TooManyLate = "in-vain" // too many set-ups come to nothing in time
+	Redial      = "redial"  // ruling: a caller's retry, while first tries meet the bound
 )
 
 const (
@@ -53,13 +53,13 @@
 
 // Settings are the module's figures. Zero ones have the defaults.
 type Settings struct {
-	Control control.Settings
-	InTime  float64 // part of the shortest aim within which a set-up has to come back
-	Span    float64 // time over which the readings fade, in nanoseconds
-	Least   float64 // set-ups that may be out whatever was seen: with none nothing would ever be learnt again
-	Ease    float64 // how far the bound gives way where most set-ups come back in time
-	Delay   float64 // the wanted delay, as a part of the shortest aim
-	Redials float64 // seconds for which redials stand back after a first try has met the bound
+	Control     control.Settings
+	InTime      float64 // part of the shortest aim within which a set-up has to come back
+	FadeTime    float64 // time over which the readings fade, in nanoseconds
+	MinLimit    float64 // set-ups that may be out whatever was seen: with none nothing would ever be learnt again
+	Headroom    float64 // how far the bound gives way where most set-ups come back in time
+	TargetDelay float64 // the wanted delay, as a part of the shortest aim
+	RedialPause float64 // seconds for which redials stand back after a first try has met the bound
 }
 
 // defaults were chosen on the model, 300 controllers and 24 servers: docs/design/goodput.md has the figures.
@@ -67,7 +67,7 @@
 	for _, d := range []struct {
 		at    *float64
 		value float64
-	}{{&s.InTime, 0.42}, {&s.Span, 5 * float64(second)}, {&s.Least, 1}, {&s.Ease, 2}, {&s.Delay, 0.5}, {&s.Redials, 10}} {
+	}{{&s.InTime, 0.42}, {&s.FadeTime, 5 * float64(second)}, {&s.MinLimit, 1}, {&s.Headroom, 2}, {&s.TargetDelay, 0.5}, {&s.RedialPause, 10}} {
 		if *d.at <= 0 {
 			*d.at = d.value
 		}
@@ -76,8 +76,8 @@
 
 // Change is one change of state, for the log.
 type Change struct {
-	State, Reason    string
-	Limit, Out, Vain float64
+	State, Reason                 string
+	Limit, Outstanding, LateShare float64
 }
 
 // attempt is a set-up without an answer.
@@ -139,13 +139,13 @@
 func (g *Goodput) Name() string { return "goodput" }
 
 // See implements join.Module.
-func (g *Goodput) See(now int64, ev control.Event) {
+func (g *Goodput) OnEvent(now int64, ev control.Event) {
 	g.look(now)
 	switch ev.Kind {
 	case control.Stands:
 		if a := g.take(ev.Call); a != nil {
 			if !a.late {
-				g.good.add(now, g.set.Span, 1)
+				g.good.add(now, g.set.FadeTime, 1)
 			}
 			g.least = min(float64(now-a.at), g.least*(1+float64(now-g.leastAt)/leastSpan))
 			g.leastAt = now
@@ -155,10 +155,10 @@
 		// before it was late tells neither.
 		g.take(ev.Call)
 	case control.Arrival:
-		if ok, _ := g.Room(now, 0); !ok {
+		if ok, _ := g.HasRoom(now, 0); !ok {
 			g.met++
 			g.metAt = now
-			g.turn(now, Bounded, InVain)
+			g.turn(now, Bounded, TooManyLate)
 		}
 	}
 	if g.state == Bounded && now-g.metAt >= leaveAfter {
@@ -167,7 +167,7 @@
 }
 
 // Did implements join.Module.
-func (g *Goodput) Did(now int64, a control.Action) {
+func (g *Goodput) OnAction(now int64, a control.Action) {
 	if a.Kind != control.Send || len(g.out) >= outMost {
 		return
 	}
@@ -217,7 +217,7 @@
 		if !a.over {
 			a.late = true
 			g.late++
-			g.vain.add(now, g.set.Span, 1)
+			g.vain.add(now, g.set.FadeTime, 1)
 		}
 		g.line = g.line[1:]
 	}
@@ -226,11 +226,11 @@
 
 // limit is what may be out now, and the share of set-ups that came to nothing.
 func (g *Goodput) limit(now int64) (limit, vain float64) {
-	good, lost := g.good.read(now, g.set.Span), g.vain.read(now, g.set.Span)
+	good, lost := g.good.read(now, g.set.FadeTime), g.vain.read(now, g.set.FadeTime)
 	vain = lost / (good + lost + prior)
-	limit = g.set.Least + good/g.set.Span*g.set.Delay*g.aim // Little's law
+	limit = g.set.MinLimit + good/g.set.FadeTime*g.set.TargetDelay*g.aim // Little's law
 	if vain < 0.5 {
-		limit += g.set.Ease * (1 - 2*vain) / max(vain, 1e-3) // nothing at a half, and far beyond what is out at a tenth
+		limit += g.set.Headroom * (1 - 2*vain) / max(vain, 1e-3) // nothing at a half, and far beyond what is out at a tenth
 	}
 	return limit, vain
 }
@@ -244,16 +244,16 @@
 // Admit implements join.Module. What becomes of a first try without room is control's decision. A redial is late already
 // or nearly so, and earns a part at most; while first tries meet the bound it has a part of it only, and is asked back
 // after a wait that is drawn, so that those refused together do not return together.
-func (g *Goodput) Admit(now int64, c join.Call) join.Ruling {
+func (g *Goodput) Admit(now int64, c join.Call) join.Decision {
 	if g.state != Bounded || !c.Retry {
-		return join.Ruling{}
+		return join.Decision{}
 	}
 	g.look(now)
-	if float64(now-g.metAt) >= g.set.Redials*float64(second) {
-		return join.Ruling{}
+	if float64(now-g.metAt) >= g.set.RedialPause*float64(second) {
+		return join.Decision{}
 	}
 	g.turned++
-	r := join.Ruling{Verdict: join.Refuse, Reason: Redial}
+	r := join.Decision{Verdict: join.Refuse, Reason: Redial}
 	if most := g.set.Control.MaxRetryAfter; most > 0 {
 		r.Wait = most/2 + g.rng.Int64N(most/2+1)
 	}
@@ -261,10 +261,10 @@
 }
 
 // Room implements join.Module.
-func (g *Goodput) Room(now int64, _ uint64) (bool, string) {
+func (g *Goodput) HasRoom(now int64, _ uint64) (bool, string) {
 	limit, vain := g.limit(now)
 	if g.used(vain)+1 > limit {
-		return false, InVain
+		return false, TooManyLate
 	}
 	return true, ""
 }
@@ -275,15 +275,15 @@
 	}
 	g.state, g.since = state, now
 	limit, vain := g.limit(now)
-	g.onChange(Change{State: state, Reason: reason, Limit: limit, Out: g.used(vain), Vain: vain})
+	g.onChange(Change{State: state, Reason: reason, Limit: limit, Outstanding: g.used(vain), LateShare: vain})
 }
 
 // Status implements join.Module. Held counts the calls that met the bound; control decided on them.
 func (g *Goodput) Status(now int64) join.Status {
 	limit, vain := g.limit(now)
-	s := join.Status{Module: g.Name(), State: g.state, Reason: InTime, Since: g.since, Held: g.met, Turned: g.turned}
+	s := join.Status{Module: g.Name(), State: g.state, Reason: InTime, Since: g.since, Held: g.met, RefusedTotal: g.turned}
 	if g.state == Bounded {
-		s.Reason = InVain
+		s.Reason = TooManyLate
 		s.Out = fmt.Sprintf("no call at the bound for %d s; now %.1f of %.1f out, %.0f in a hundred in vain", leaveAfter/second, g.used(vain), limit, 100*vain)
 	}
 	return s
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -41,16 +41,16 @@
 	next := f.now + every
 	for f.now < end {
 		f.now += 10 * ms
-		f.g.See(f.now, control.Event{Kind: control.TimerFired})
+		f.g.OnEvent(f.now, control.Event{Kind: control.TimerFired})
 		rest := f.out[:0]
 		for _, id := range f.out {
 			switch {
 			case f.due[id] > f.now:
 				rest = append(rest, id)
 			case f.gone[id]:
-				f.g.See(f.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
+				f.g.OnEvent(f.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
 			default:
-				f.g.See(f.now, control.Event{Kind: control.Stands, Call: id})
+				f.g.OnEvent(f.now, control.Event{Kind: control.Stands, Call: id})
 			}
 		}
 		f.out = rest
@@ -60,13 +60,13 @@
 		next += every
 		f.n++
 		id := fmt.Sprint(f.n)
-		f.g.See(f.now, control.Event{Kind: control.Arrival, Call: id})
-		if ok, _ := f.g.Room(f.now, 1); !ok {
+		f.g.OnEvent(f.now, control.Event{Kind: control.Arrival, Call: id})
+		if ok, _ := f.g.HasRoom(f.now, 1); !ok {
 			f.kept++
 			continue
 		}
 		f.sent++
-		f.g.Did(f.now, control.Action{Kind: control.Send, Call: id})
+		f.g.OnAction(f.now, control.Action{Kind: control.Send, Call: id})
 		f.out = append(f.out, id)
 		if f.due[id] = f.now + delay; delay == 0 {
 			f.due[id], f.gone[id] = f.now+3*second, true
@@ -98,7 +98,7 @@
 	if f.most > 3 { // six without a bound
 		t.Errorf("%d out at once in the jam", f.most)
 	}
-	if st := f.g.Status(f.now); st.State != Bounded || st.Reason != InVain || st.Out == "" || st.Held == 0 {
+	if st := f.g.Status(f.now); st.State != Bounded || st.Reason != TooManyLate || st.Out == "" || st.Held == 0 {
 		t.Errorf("%+v", st)
 	}
 	if f.sent == 0 {
@@ -157,7 +157,7 @@
 // While first tries meet the bound redials are refused with a drawn wait, and else they are control's.
 func TestRedialsStandBack(t *testing.T) {
 	f := newFleet(settings())
-	redial := func() join.Ruling { return f.g.Admit(f.now, join.Call{ID: "r", Retry: true}) }
+	redial := func() join.Decision { return f.g.Admit(f.now, join.Call{ID: "r", Retry: true}) }
 	f.play(10*second, 500*ms, 150*ms)
 	if r := redial(); r.Verdict != join.Admit {
 		t.Error("in a healthy fleet", r)
@@ -198,19 +198,19 @@
 			for _, g := range []*Goodput{a, b} {
 				switch kind {
 				case 0:
-					g.Did(now, control.Action{Kind: control.Send, Call: id})
+					g.OnAction(now, control.Action{Kind: control.Send, Call: id})
 				case 1:
-					g.See(now, control.Event{Kind: control.Stands, Call: id})
+					g.OnEvent(now, control.Event{Kind: control.Stands, Call: id})
 				case 2:
-					g.See(now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: outcome})
+					g.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: outcome})
 				case 3:
-					g.See(now, control.Event{Kind: control.Arrival, Call: id})
+					g.OnEvent(now, control.Event{Kind: control.Arrival, Call: id})
 				case 4:
 					g.Admit(now, join.Call{ID: id, Retry: true})
 				}
 				if g == a {
 					for range 3 {
-						g.Room(now, 1) // asked often
+						g.HasRoom(now, 1) // asked often
 					}
 				}
 			}
@@ -244,12 +244,12 @@
 func TestWhatIsLateCountsByTheShareInVain(t *testing.T) {
 	g := New(settings(), 1, 0, nil)
 	for k := range 10 {
-		g.Did(0, control.Action{Kind: control.Send, Call: fmt.Sprint(k)})
+		g.OnAction(0, control.Action{Kind: control.Send, Call: fmt.Sprint(k)})
 	}
 	for now := int64(0); now <= 600*ms; now += 100 * ms {
-		g.See(now, control.Event{Kind: control.TimerFired})
+		g.OnEvent(now, control.Event{Kind: control.TimerFired})
 	}
-	g.Did(600*ms, control.Action{Kind: control.Send, Call: "young"})
+	g.OnAction(600*ms, control.Action{Kind: control.Send, Call: "young"})
 	for vain, want := range map[float64]float64{0: 1, 0.1: 3, 0.5: 11, 0.9: 11} {
 		if got := g.used(vain); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%.1f in vain: %.2f of 11 count, want %.2f", vain, got, want)
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -24,7 +24,7 @@
 func (v Verdict) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
 // Ruling is a module's decision on one call. Wait is in nanoseconds; for a refusal 0 means no advice.
-type Ruling struct {
+type Decision struct {
 	Verdict Verdict
 	Wait    int64
 	Reason  string // a code of the module, for logs and operators; never empty but with Admit
@@ -36,34 +36,34 @@
 	Class, Dest     int
 	Retry           bool // its caller dials again
 	Taken, NotAfter int64
-	Asked           int // how often it has been held
+	TimesHeld       int // how often it has been held
 }
 
 // Module is one decision module beside control.
 type Module interface {
 	Name() string
 	// See takes an event in the order in which control gets it, before control does.
-	See(now int64, ev control.Event)
+	OnEvent(now int64, ev control.Event)
 	// Did takes an action that the core has carried out.
-	Did(now int64, a control.Action)
+	OnAction(now int64, a control.Action)
 	// Admit decides on a call that no module has refused yet.
-	Admit(now int64, c Call) Ruling
+	Admit(now int64, c Call) Decision
 	// Room tells whether one more set-up may go to a server now. It changes nothing, as it is asked often.
-	Room(now int64, server uint64) (ok bool, reason string)
+	HasRoom(now int64, server uint64) (ok bool, reason string)
 	// Status tells what the module does now and why, in words for operators.
 	Status(now int64) Status
 }
 
 // Gauged is a module that wants readings of the instance itself, which no event tells: the part of a resource that is
 // used, or what the module says of a name.
-type Gauged interface {
+type GaugeReceiver interface {
 	Gauge(now int64, name string, used float64)
 }
 
 // Gauge passes a reading on to those who want it.
 func (c Chain) Gauge(now int64, name string, used float64) {
 	for _, m := range c {
-		if g, ok := m.(Gauged); ok {
+		if g, ok := m.(GaugeReceiver); ok {
 			g.Gauge(now, name, used)
 		}
 	}
@@ -71,19 +71,19 @@
 
 // Status is a module's state for operators.
 type Status struct {
-	Module string `json:"module"`
-	State  string `json:"state"`          // the module's own name of it
-	Reason string `json:"reason"`         // a code
-	Since  int64  `json:"since_ns"`       // Unix nanoseconds
-	Out    string `json:"out,omitempty"`  // what would lead out of it
-	Held   int64  `json:"held_total"`     // calls that it held, since the start
-	Turned int64  `json:"refused_total"`  // calls that it refused
-	Capped int64  `json:"capped_offices"` // servers without room at this moment
-	Parts  []Part `json:"parts,omitempty"`
+	Module       string         `json:"module"`
+	State        string         `json:"state"`          // the module's own name of it
+	Reason       string         `json:"reason"`         // a code
+	Since        int64          `json:"since_ns"`       // Unix nanoseconds
+	Out          string         `json:"out,omitempty"`  // what would lead out of it
+	Held         int64          `json:"held_total"`     // calls that it held, since the start
+	RefusedTotal int64          `json:"refused_total"`  // calls that it refused
+	Capped       int64          `json:"capped_offices"` // servers without room at this moment
+	Servers      []ServerStatus `json:"parts,omitempty"`
 }
 
 // Part is one server in a module's status.
-type Part struct {
+type ServerStatus struct {
 	Server uint64 `json:"server"`
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
@@ -93,33 +93,33 @@
 type Chain []Module
 
 // See passes an event on to all.
-func (c Chain) See(now int64, ev control.Event) {
+func (c Chain) OnEvent(now int64, ev control.Event) {
 	for _, m := range c {
-		m.See(now, ev)
+		m.OnEvent(now, ev)
 	}
 }
 
 // Did passes an action on to all.
-func (c Chain) Did(now int64, a control.Action) {
+func (c Chain) OnAction(now int64, a control.Action) {
 	for _, m := range c {
-		m.Did(now, a)
+		m.OnAction(now, a)
 	}
 }
 
 // Admit gives the first ruling that does not admit the call, and the module it came from.
-func (c Chain) Admit(now int64, call Call) (Ruling, string) {
+func (c Chain) Admit(now int64, call Call) (Decision, string) {
 	for _, m := range c {
 		if r := m.Admit(now, call); r.Verdict != Admit {
 			return r, m.Name()
 		}
 	}
-	return Ruling{}, ""
+	return Decision{}, ""
 }
 
 // Room tells whether all modules leave room at a server, and else who does not and why.
-func (c Chain) Room(now int64, server uint64) (ok bool, module, reason string) {
+func (c Chain) HasRoom(now int64, server uint64) (ok bool, module, reason string) {
 	for _, m := range c {
-		if ok, reason := m.Room(now, server); !ok {
+		if ok, reason := m.HasRoom(now, server); !ok {
 			return false, m.Name(), reason
 		}
 	}
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -34,17 +34,17 @@
 
 // The reason codes: readings, and rulings.
 const (
-	TurnedAway  = "turned-away"  // share of calls turned away for want of room
-	Delay       = "delay"        // set-up delay against the aim
-	Full        = "full"         // share of set-ups that servers answered full
-	Memory      = "memory"       // of the instance, against its limit
-	Descriptors = "descriptors"  // the same
-	Inbox       = "inbox"        // events that wait for the core, against its bound
-	List        = "list"         // age of the list's last news
-	Calm        = "calm"         // all readings low for long enough
-	Redial      = "level-redial" // ruling: a redial, from Reduced on
-	Thinned     = "level-room"   // ruling: beyond what is placed, from Severe on
-	Trickle     = "level-own"    // ruling: the instance itself runs short
+	TurnedAway   = "turned-away"  // share of calls turned away for want of room
+	Delay        = "delay"        // set-up delay against the aim
+	Full         = "full"         // share of set-ups that servers answered full
+	Memory       = "memory"       // of the instance, against its limit
+	Descriptors  = "descriptors"  // the same
+	Inbox        = "inbox"        // events that wait for the core, against its bound
+	ListAge      = "list"         // age of the list's last news
+	Calm         = "calm"         // all readings low for long enough
+	Redial       = "level-redial" // ruling: a redial, from Reduced on
+	BeyondPlaced = "level-room"   // ruling: beyond what is placed, from Severe on
+	OwnShortage  = "level-own"    // ruling: the instance itself runs short
 )
 
 const (
@@ -85,13 +85,13 @@
 
 // Change is one change of level, with what caused it.
 type Change struct {
-	At     int64              `json:"at_ns"` // Unix nanoseconds
-	From   Level              `json:"from"`
-	To     Level              `json:"to"`
-	Reason string             `json:"reason"` // the reading's code
-	Score  float64            `json:"score"`  // the highest reading; 1 is where Reduced begins
-	Read   map[string]float64 `json:"read"`   // all readings then
-	Out    string             `json:"out"`    // what would lead out
+	At            int64              `json:"at_ns"` // Unix nanoseconds
+	From          Level              `json:"from"`
+	To            Level              `json:"to"`
+	Reason        string             `json:"reason"` // the reading's code
+	Score         float64            `json:"score"`  // the highest reading; 1 is where Reduced begins
+	Readings      map[string]float64 `json:"read"`   // all readings then
+	ExitCondition string             `json:"out"`    // what would lead out
 }
 
 // count is a count that fades over span.
@@ -170,7 +170,7 @@
 }
 
 // See implements join.Module.
-func (l *Levels) See(now int64, ev control.Event) {
+func (l *Levels) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
 	case control.Stands:
 		l.ended.add(now)
@@ -191,7 +191,7 @@
 }
 
 // Did implements join.Module: a refusal or failure that control decided on.
-func (l *Levels) Did(now int64, a control.Action) {
+func (l *Levels) OnAction(now int64, a control.Action) {
 	if a.Kind == control.Refuse || a.Kind == control.Fail {
 		l.ended.add(now)
 		l.turned.add(now)
@@ -200,11 +200,11 @@
 }
 
 // Room implements join.Module: levels are about callers, not servers.
-func (l *Levels) Room(int64, uint64) (bool, string) { return true, "" }
+func (l *Levels) HasRoom(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
-func (l *Levels) Admit(now int64, c join.Call) join.Ruling {
-	if c.Asked <= 0 {
+func (l *Levels) Admit(now int64, c join.Call) join.Decision {
+	if c.TimesHeld <= 0 {
 		l.offered.add(now)
 	}
 	l.look(now)
@@ -212,18 +212,18 @@
 	switch {
 	case l.level == Emergency:
 		if l.rng.Float64() < trickle {
-			return join.Ruling{}
+			return join.Decision{}
 		}
-		reason = Trickle
+		reason = OwnShortage
 	case l.level >= Reduced && c.Retry:
 		reason = Redial
 	case l.level >= Severe && l.rng.Float64() >= roomOver*l.placed.now(now)/max(l.offered.now(now), 1):
-		reason = Thinned
+		reason = BeyondPlaced
 	default:
-		return join.Ruling{}
+		return join.Decision{}
 	}
 	l.refused++
-	return join.Ruling{Verdict: join.Refuse, Wait: l.spread(), Reason: reason}
+	return join.Decision{Verdict: join.Refuse, Wait: l.spread(), Reason: reason}
 }
 
 // spread is a told wait. The higher the level, the later the refused are asked back; drawn over half of what may be
@@ -251,7 +251,7 @@
 	for name, g := range l.gauges {
 		switch {
 		case now-g.at > gaugeFor:
-		case name == List: // a late list alone is a reason to look, not to turn callers away
+		case name == ListAge: // a late list alone is a reason to look, not to turn callers away
 			read[name] = min(g.used*float64(10*second)/float64(listAt), 1) * enter[Busy]
 		default:
 			read[name] = g.used / gaugeAt
@@ -327,7 +327,7 @@
 }
 
 func (l *Levels) change(now int64, to Level, reason string, score float64, read map[string]float64) {
-	c := Change{At: now, From: l.level, To: to, Reason: reason, Score: score, Read: read, Out: out(to)}
+	c := Change{At: now, From: l.level, To: to, Reason: reason, Score: score, Readings: read, ExitCondition: out(to)}
 	l.level, l.since, l.changed, l.up, l.calmAt = to, now, true, 0, 0
 	if l.history = append(l.history, c); len(l.history) > historyMost {
 		l.history = l.history[1:]
@@ -384,7 +384,7 @@
 
 // Status implements join.Module.
 func (l *Levels) Status(int64) join.Status {
-	st := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, Turned: l.refused, Out: out(l.level)}
+	st := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, RefusedTotal: l.refused, Out: out(l.level)}
 	if n := len(l.history); n > 0 && l.changed {
 		st.Reason = l.history[n-1].Reason
 	}
--- a/control/levels/levels_test.go
+++ b/control/levels/levels_test.go
@@ -30,9 +30,9 @@
 		}
 		if debt += turned; debt >= 1 {
 			debt--
-			l.Did(now, control.Action{Kind: control.Refuse, Call: call})
+			l.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 		} else {
-			l.See(now, control.Event{Kind: control.Stands, Call: call, Elapsed: 50e6})
+			l.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Elapsed: 50e6})
 		}
 	}
 	return now
@@ -148,7 +148,7 @@
 	now := play(l, 100*second, 20, 0.2)
 	for range 60 {
 		now += second
-		l.See(now, control.Event{Kind: control.TimerFired})
+		l.OnEvent(now, control.Event{Kind: control.TimerFired})
 	}
 	if l.Level() != Reduced {
 		t.Errorf("silence counted as calm: %v", l.Level())
@@ -175,9 +175,9 @@
 		steps := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 			return step{rapid.Int64Range(0, 2*second).Draw(t, "after"), rapid.IntRange(0, 7).Draw(t, "kind"), rapid.Float64Range(0, 1.2).Draw(t, "x"), rapid.IntRange(1, 60).Draw(t, "n")}
 		}), 1, 120).Draw(t, "steps")
-		run := func() ([]Change, []join.Ruling) {
+		run := func() ([]Change, []join.Decision) {
 			var told []Change
-			var log []join.Ruling
+			var log []join.Decision
 			l, now := New(settings(), 3, 100*second, nil, func(c Change) { told = append(told, c) }), 100*second
 			for k, s := range steps {
 				for n := range s.N {
@@ -185,7 +185,7 @@
 					call := fmt.Sprint(k, "-", n)
 					switch s.Kind {
 					case 0, 1:
-						l.Gauge(now, []string{Memory, List}[s.Kind], s.X)
+						l.Gauge(now, []string{Memory, ListAge}[s.Kind], s.X)
 						continue
 					}
 					r := l.Admit(now, join.Call{ID: call, Retry: s.Kind == 2})
@@ -193,11 +193,11 @@
 					switch {
 					case r.Verdict != join.Admit:
 					case s.Kind < 5:
-						l.See(now, control.Event{Kind: control.Stands, Call: call, Elapsed: int64(s.X * 1e9)})
+						l.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Elapsed: int64(s.X * 1e9)})
 					case s.Kind == 5:
-						l.See(now, control.Event{Kind: control.AttemptEnded, Call: call, Outcome: control.Saturated})
+						l.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: call, Outcome: control.Saturated})
 					default:
-						l.Did(now, control.Action{Kind: control.Refuse, Call: call})
+						l.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 					}
 				}
 			}
@@ -211,14 +211,14 @@
 			if k > 0 && c.At-told[k-1].At < leastStay {
 				t.Fatalf("two changes within %d ms", (c.At-told[k-1].At)/1e6)
 			}
-			if c.To > c.From && c.To != Emergency && (c.To != c.From+1 || c.Read[c.Reason] < enter[c.To]) {
+			if c.To > c.From && c.To != Emergency && (c.To != c.From+1 || c.Readings[c.Reason] < enter[c.To]) {
 				t.Fatalf("not explained: %+v", c)
 			}
-			if c.To == Emergency && c.Read[c.Reason] < 1 {
+			if c.To == Emergency && c.Readings[c.Reason] < 1 {
 				t.Fatalf("not explained: %+v", c)
 			}
 			if c.To < c.From {
-				for name, x := range c.Read {
+				for name, x := range c.Readings {
 					if c.From != Emergency && x >= leavePart*enter[c.From] || c.To != c.From-1 {
 						t.Fatalf("left with %s at %v: %+v", name, x, c)
 					}
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -67,10 +67,10 @@
 
 // Evidence is what a snapshot of the process before brings about one server.
 type Evidence struct {
-	Server  uint64
-	ReadyAt int64 // of the processor that it speaks of
-	StoodAt int64 // when a set-up last stood there in time, Unix nanoseconds
-	Delay   int64 // its set-up delay then
+	Server      uint64
+	ReadyAt     int64 // of the processor that it speaks of
+	SucceededAt int64 // when a set-up last stood there in time, Unix nanoseconds
+	Delay       int64 // its set-up delay then
 }
 
 // server is what is known of one server since the start.
@@ -128,7 +128,7 @@
 }
 
 // See implements join.Module.
-func (r *Recovery) See(now int64, ev control.Event) {
+func (r *Recovery) OnEvent(now int64, ev control.Event) {
 	if r.done {
 		return
 	}
@@ -166,8 +166,8 @@
 			}
 			// Credit starts at random, so that many instances that start together send spread out.
 			s.readyAt, s.window, s.proven, s.credit, s.at = e.ReadyAt, windowFirst, false, r.rng.Float64(), now
-			if b, ok := r.brought[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.StoodAt <= now &&
-				now-b.StoodAt < provenFor && float64(b.Delay) <= inTime*float64(r.aim) {
+			if b, ok := r.brought[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.SucceededAt <= now &&
+				now-b.SucceededAt < provenFor && float64(b.Delay) <= inTime*float64(r.aim) {
 				s.window, s.proven = windowProven, true
 			}
 		}
@@ -243,7 +243,7 @@
 func (r *Recovery) cold(now int64, s *server) bool { return r.set.Planned > 0 && r.warmth(now, s) < 1 }
 
 // Room implements join.Module.
-func (r *Recovery) Room(now int64, id uint64) (ok bool, reason string) {
+func (r *Recovery) HasRoom(now int64, id uint64) (ok bool, reason string) {
 	s := r.find(id)
 	switch {
 	case r.done || s == nil || r.over(now):
@@ -257,7 +257,7 @@
 }
 
 // Did implements join.Module.
-func (r *Recovery) Did(now int64, a control.Action) {
+func (r *Recovery) OnAction(now int64, a control.Action) {
 	if r.done || a.Kind != control.Send || len(r.out) >= outMost {
 		return
 	}
@@ -271,29 +271,29 @@
 // Admit implements join.Module. A call is held while no server has room, for a part of its aim at most; then, and
 // where as many are held as can have room soon, control decides. A redial is refused there: its caller was turned
 // away before, and callers with a first try come first.
-func (r *Recovery) Admit(now int64, c join.Call) join.Ruling {
+func (r *Recovery) Admit(now int64, c join.Call) join.Decision {
 	if r.done {
-		return join.Ruling{}
+		return join.Decision{}
 	}
 	if r.look(now); r.done || r.listed == 0 || r.anyRoom(now) {
 		delete(r.held, c.ID)
-		return join.Ruling{}
+		return join.Decision{}
 	}
 	left := c.Taken + int64(holdPart*float64(r.aim)) - now
 	switch {
 	case left < holdStep || c.NotAfter-now < 2*holdStep:
 	case r.held[c.ID]:
-		return join.Ruling{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
+		return join.Decision{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
 	case len(r.held) < heldMost*r.listed:
 		r.held[c.ID] = true
 		r.holds++
-		return join.Ruling{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
+		return join.Decision{Verdict: join.Hold, Wait: holdStep, Reason: NoRoom}
 	case c.Retry:
 		r.turned++
-		return join.Ruling{Verdict: join.Refuse, Wait: r.spread(), Reason: Redial}
+		return join.Decision{Verdict: join.Refuse, Wait: r.spread(), Reason: Redial}
 	}
 	delete(r.held, c.ID)
-	return join.Ruling{}
+	return join.Decision{}
 }
 
 // spread is a told wait, drawn over the upper half of what may be told, lest the refused return together.
@@ -307,7 +307,7 @@
 
 func (r *Recovery) anyRoom(now int64) bool {
 	return slices.ContainsFunc(r.servers, func(s *server) bool {
-		ok, _ := r.Room(now, s.id)
+		ok, _ := r.HasRoom(now, s.id)
 		return s.in && ok
 	})
 }
@@ -336,7 +336,7 @@
 
 // Status implements join.Module.
 func (r *Recovery) Status(now int64) join.Status {
-	st := join.Status{Module: r.Name(), Held: r.holds, Turned: r.turned}
+	st := join.Status{Module: r.Name(), Held: r.holds, RefusedTotal: r.turned}
 	if !r.Recovering(now) {
 		st.State, st.Reason, st.Since = "done", r.why, r.doneAt
 		if !r.done {
@@ -351,15 +351,15 @@
 		st.Reason = NoList
 	}
 	for _, s := range r.servers {
-		p := join.Part{Server: s.id, State: "unproven"}
+		p := join.ServerStatus{Server: s.id, State: "unproven"}
 		if s.proven {
 			p.State = "proven"
 		}
-		if ok, why := r.Room(now, s.id); !ok {
+		if ok, why := r.HasRoom(now, s.id); !ok {
 			p.Reason = why
 			st.Capped++
 		}
-		st.Parts = append(st.Parts, p)
+		st.Servers = append(st.Servers, p)
 	}
 	return st
 }
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -27,20 +27,20 @@
 func in(id uint64, ready int64) control.Entry { return control.Entry{Server: id, ReadyAt: ready} }
 
 func send(r *Recovery, now int64, call string, server uint64) {
-	r.Did(now, control.Action{Kind: control.Send, Call: call, Server: server})
+	r.OnAction(now, control.Action{Kind: control.Send, Call: call, Server: server})
 }
 
 // A window opens with evidence and closes without it; when every server is proven the recovery is over.
 func TestEvidenceEndsIt(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.See(now, list(true, in(1, 0)))
+	r.OnEvent(now, list(true, in(1, 0)))
 	for n := range 2 {
-		if ok, why := r.Room(now, 1); !ok {
+		if ok, why := r.HasRoom(now, 1); !ok {
 			t.Fatal(n, why)
 		}
 		send(r, now, fmt.Sprint(n), 1)
 	}
-	if ok, why := r.Room(now, 1); ok || why != Unproven {
+	if ok, why := r.HasRoom(now, 1); ok || why != Unproven {
 		t.Fatal("a third set-up with no answer to any", ok, why)
 	}
 	if got := r.Admit(now, join.Call{ID: "x", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Hold || got.Reason != NoRoom {
@@ -48,7 +48,7 @@
 	}
 	for n := range 6 {
 		call := fmt.Sprint(n)
-		r.See(now, control.Event{Kind: control.Stands, Call: call, Server: 1, Elapsed: 50 * millisecond})
+		r.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Server: 1, Elapsed: 50 * millisecond})
 		send(r, now, fmt.Sprint(n+2), 1)
 	}
 	if st := r.Status(now); st.State != "done" || st.Reason != "evidence" {
@@ -62,15 +62,15 @@
 // Late and refused set-ups close the window instead.
 func TestAQueueClosesTheWindow(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.See(now, list(true, in(1, 0)))
+	r.OnEvent(now, list(true, in(1, 0)))
 	send(r, now, "a", 1)
-	r.See(now, control.Event{Kind: control.Stands, Call: "a", Server: 1, Elapsed: 900 * millisecond})
+	r.OnEvent(now, control.Event{Kind: control.Stands, Call: "a", Server: 1, Elapsed: 900 * millisecond})
 	send(r, now, "b", 1)
-	if ok, _ := r.Room(now, 1); ok {
+	if ok, _ := r.HasRoom(now, 1); ok {
 		t.Fatal("a late set-up left the window open")
 	}
-	r.See(now, control.Event{Kind: control.AttemptEnded, Call: "b", Server: 1, Outcome: control.Saturated})
-	if ok, _ := r.Room(now, 1); !ok {
+	r.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: "b", Server: 1, Outcome: control.Saturated})
+	if ok, _ := r.HasRoom(now, 1); !ok {
 		t.Fatal("no window at all")
 	}
 	if r.Recovering(now+15*second) || !r.Recovering(now+14*second) {
@@ -93,7 +93,7 @@
 		{"from the future", Evidence{1, 7, now + second, 50 * millisecond}, false},
 	} {
 		r := New(settings(), 1, 100*second, []Evidence{tc.e})
-		r.See(now, list(true, in(1, 7)))
+		r.OnEvent(now, list(true, in(1, 7)))
 		if r.Recovering(now) == tc.done {
 			t.Errorf("%s: %+v", tc.name, r.Status(now))
 		}
@@ -103,7 +103,7 @@
 // A redial is refused only once as many calls are held as can have room soon, with a wait from the upper half.
 func TestRedialsAreTurnedAway(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
-	r.See(now, list(true, in(1, 0)))
+	r.OnEvent(now, list(true, in(1, 0)))
 	send(r, now, "a", 1)
 	send(r, now, "b", 1)
 	for n := range heldMost {
@@ -118,7 +118,7 @@
 	if got.Verdict != join.Refuse || got.Reason != Redial || got.Wait < second || got.Wait > 2*second {
 		t.Fatal(got)
 	}
-	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", Taken: now, NotAfter: now + 3*second, Asked: 9}); got.Verdict != join.Admit {
+	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", Taken: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
 		t.Fatal("a call held for a quarter of its aim is control's", got)
 	}
 }
@@ -150,7 +150,7 @@
 			for id := uint64(1); id <= 3; id++ {
 				ready[id] = now - 5*second*int64(id)
 			}
-			r.See(now, list(true, in(1, ready[1]), in(2, ready[2]), in(3, ready[3])))
+			r.OnEvent(now, list(true, in(1, ready[1]), in(2, ready[2]), in(3, ready[3])))
 			for _, s := range steps {
 				now += s.After
 				n++
@@ -165,8 +165,8 @@
 					if got.Verdict != join.Admit {
 						break
 					}
-					r.See(now, control.Event{Kind: control.Arrival, Call: call})
-					if ok, _ := r.Room(now, s.Server); !ok {
+					r.OnEvent(now, control.Event{Kind: control.Arrival, Call: call})
+					if ok, _ := r.HasRoom(now, s.Server); !ok {
 						break
 					}
 					send(r, now, call, s.Server)
@@ -177,7 +177,7 @@
 				case s.Kind == 9:
 					ready[s.Server] = now - s.Ready*second
 					sent[s.Server] = nil
-					r.See(now, list(false, in(s.Server, ready[s.Server])))
+					r.OnEvent(now, list(false, in(s.Server, ready[s.Server])))
 				default:
 					for c, at := range open {
 						if at == s.Server && c == fmt.Sprint(n-1) {
@@ -186,7 +186,7 @@
 							if s.Kind == 8 {
 								kind = control.AttemptEnded
 							}
-							r.See(now, control.Event{Kind: kind, Call: c, Server: at, Elapsed: s.Elapsed, Outcome: control.TimedOut})
+							r.OnEvent(now, control.Event{Kind: kind, Call: c, Server: at, Elapsed: s.Elapsed, Outcome: control.TimedOut})
 						}
 					}
 				}
--- a/control/rollout/rollout.go
+++ b/control/rollout/rollout.go
@@ -24,7 +24,7 @@
 )
 
 // Seen is one instance as it is now.
-type Seen struct {
+type InstanceStatus struct {
 	Name       string `json:"name"`
 	Generation string `json:"generation"` // what its process runs, or what it is to be started as
 	Phase      Phase  `json:"phase"`
@@ -46,50 +46,50 @@
 
 // The states.
 const (
-	Running State = "running"
-	Paused  State = "paused"
-	Halted  State = "halted"  // the new generation failed; nothing more is replaced
-	Turning State = "turning" // back to the generation before
-	Turned  State = "turned-back"
-	Done    State = "done"
+	Running     State = "running"
+	Paused      State = "paused"
+	Halted      State = "halted"  // the new generation failed; nothing more is replaced
+	RollingBack State = "turning" // back to the generation before
+	RolledBack  State = "turned-back"
+	Done        State = "done"
 )
 
 // The reasons of a pause or halt.
 const (
-	Cold       = "cold-office"
-	Away       = "too-many-away"
-	Watching   = "first-watched"
-	Unsettled  = "instance-recovering"
-	StartFails = "start-failed"
-	Crashed    = "crashed"
+	ColdOffice         = "cold-office"
+	TooManyAway        = "too-many-away"
+	WatchingFirst      = "first-watched"
+	InstanceRecovering = "instance-recovering"
+	StartFailed        = "start-failed"
+	Crashed            = "crashed"
 )
 
 // Rollout is one change of a fleet from one generation to another. A restart is a change to a generation of the same
 // program.
 type Rollout struct {
-	From   string `json:"from"`
-	To     string `json:"to"`
-	Began  int64  `json:"began_ns"`
-	Why    string `json:"why"` // restart, upgrade
-	Halted string `json:"halted,omitempty"`
-	Detail string `json:"detail,omitempty"`
-	Back   bool   `json:"back"`    // it is turned back
-	ColdAt int64  `json:"cold_ns"` // since when it pauses for a cold office; 0: it does not
+	From      string `json:"from"`
+	To        string `json:"to"`
+	StartedAt int64  `json:"began_ns"`
+	Cause     string `json:"why"` // restart, upgrade
+	Halted    string `json:"halted,omitempty"`
+	Detail    string `json:"detail,omitempty"`
+	Back      bool   `json:"back"`    // it is turned back
+	ColdSince int64  `json:"cold_ns"` // since when it pauses for a cold office; 0: it does not
 }
 
 // Step is what is to be done now.
 type Step struct {
-	State   State    `json:"state"`
-	Reason  string   `json:"reason,omitempty"`
-	Detail  string   `json:"detail,omitempty"`
-	Replace []string `json:"replace,omitempty"` // instances to stop and start anew
-	As      string   `json:"as"`                // generation to start them as
-	Left    int      `json:"left"`              // instances still to be replaced
+	State     State    `json:"state"`
+	Reason    string   `json:"reason,omitempty"`
+	Detail    string   `json:"detail,omitempty"`
+	Replace   []string `json:"replace,omitempty"` // instances to stop and start anew
+	StartAs   string   `json:"as"`                // generation to start them as
+	Remaining int      `json:"left"`              // instances still to be replaced
 }
 
 // Next decides on what is seen. cold is the number of offices that any instance believes to be cold.
-func (r *Rollout) Next(now int64, l Limits, seen []Seen, cold int) Step {
-	seen = append([]Seen{}, seen...)
+func (r *Rollout) Next(now int64, l Limits, seen []InstanceStatus, cold int) Step {
+	seen = append([]InstanceStatus{}, seen...)
 	sort.Slice(seen, func(i, j int) bool { return seen[i].Name < seen[j].Name })
 	if r.Halted == "" {
 		r.judge(now, l, seen)
@@ -97,13 +97,13 @@
 	target := r.To
 	if r.Halted != "" {
 		if !r.Back {
-			return Step{State: Halted, Reason: r.Halted, Detail: r.Detail, Left: r.left(seen, target)}
+			return Step{State: Halted, Reason: r.Halted, Detail: r.Detail, Remaining: r.left(seen, target)}
 		}
 		target = r.From
 	}
-	step := Step{State: Running, As: target, Detail: r.Detail, Left: r.left(seen, target)}
+	step := Step{State: Running, StartAs: target, Detail: r.Detail, Remaining: r.left(seen, target)}
 	if r.Halted != "" {
-		step.State, step.Reason = Turning, r.Halted
+		step.State, step.Reason = RollingBack, r.Halted
 	}
 	away, settled := 0, true
 	for _, s := range seen {
@@ -115,9 +115,9 @@
 			away++
 		}
 	}
-	if step.Left == 0 && away == 0 {
+	if step.Remaining == 0 && away == 0 {
 		if step.State = Done; r.Halted != "" {
-			step.State = Turned
+			step.State = RolledBack
 		}
 		return step
 	}
@@ -167,7 +167,7 @@
 	return false
 }
 
-func (r *Rollout) left(seen []Seen, target string) (n int) {
+func (r *Rollout) left(seen []InstanceStatus, target string) (n int) {
 	for _, s := range seen {
 		if s.Generation != target {
 			n++
@@ -178,7 +178,7 @@
 
 // judge halts the rollout when an instance of the new generation fails. One is enough: what fails on the first would
 // fail on all.
-func (r *Rollout) judge(now int64, l Limits, seen []Seen) {
+func (r *Rollout) judge(now int64, l Limits, seen []InstanceStatus) {
 	for _, s := range seen {
 		if s.Generation != r.To {
 			continue
@@ -187,7 +187,7 @@
 		case s.Crashes > 0 || s.Phase == Failed:
 			r.Halted, r.Detail = Crashed, fmt.Sprintf("%s crashed as %s", s.Name, r.To)
 		case (s.Phase == Starting || s.Phase == Down) && now-s.Since > l.StartWithin:
-			r.Halted, r.Detail = StartFails, fmt.Sprintf("%s does not serve as %s after %.1f s", s.Name, r.To, float64(now-s.Since)/1e9)
+			r.Halted, r.Detail = StartFailed, fmt.Sprintf("%s does not serve as %s after %.1f s", s.Name, r.To, float64(now-s.Since)/1e9)
 		}
 		if r.Halted != "" {
 			r.Back = l.Back && r.From != "" && r.From != r.To
@@ -197,7 +197,7 @@
 }
 
 // proven tells whether one instance of the new generation has served for long enough.
-func (r *Rollout) proven(now int64, l Limits, seen []Seen) bool {
+func (r *Rollout) proven(now int64, l Limits, seen []InstanceStatus) bool {
 	for _, s := range seen {
 		if s.Generation == r.To && s.Phase == Serving && now-s.Since >= l.HealthyFor {
 			return true
@@ -207,24 +207,24 @@
 }
 
 // pause tells why nothing more may go away now; empty: something may.
-func (r *Rollout) pause(now int64, l Limits, seen []Seen, cold, room int, settled bool) string {
+func (r *Rollout) pause(now int64, l Limits, seen []InstanceStatus, cold, room int, settled bool) string {
 	if cold == 0 {
-		r.ColdAt = 0
-	} else if r.ColdAt == 0 {
-		r.ColdAt = now
+		r.ColdSince = 0
+	} else if r.ColdSince == 0 {
+		r.ColdSince = now
 	}
 	switch {
-	case r.ColdAt > 0 && now-r.ColdAt < l.ColdMost:
-		return Cold
+	case r.ColdSince > 0 && now-r.ColdSince < l.ColdMost:
+		return ColdOffice
 	case !settled:
-		return Unsettled
+		return InstanceRecovering
 	case room <= 0:
-		return Away
+		return TooManyAway
 	}
 	if r.Halted == "" && !r.proven(now, l, seen) {
 		for _, s := range seen {
 			if s.Generation == r.To {
-				return Watching
+				return WatchingFirst
 			}
 		}
 	}
@@ -233,18 +233,18 @@
 
 // Exit is the end of an instance's process that nobody asked for.
 type Exit struct {
-	Code  int   // -1: killed by a signal, or not known
-	Lived int64 // nanoseconds
+	Code   int   // -1: killed by a signal, or not known
+	Uptime int64 // nanoseconds
 }
 
 // Verdict is what is to be done about it.
-type Verdict int
+type ExitAction int
 
 // The verdicts.
 const (
-	Again  Verdict = iota // start it again, after the backoff
-	BadSet                // a file or the command line is wrong: no use before that changes
-	Loop                  // it crashes each time, soon after its start
+	Restart   ExitAction = iota // start it again, after the backoff
+	BadConfig                   // a file or the command line is wrong: no use before that changes
+	CrashLoop                   // it crashes each time, soon after its start
 )
 
 // loopMost young ends in a row are a crash loop: by then the backoff has tried for about half a minute. exitUsage is the
@@ -256,18 +256,18 @@
 
 // Judge decides about an end that nobody asked for. young is how many ends in a row came within YoungFor before this
 // one; the new count comes back.
-func Judge(e Exit, young int) (Verdict, int) {
+func DecideRestart(e Exit, young int) (ExitAction, int) {
 	if e.Code == exitUsage {
-		return BadSet, young
+		return BadConfig, young
 	}
-	if e.Lived >= YoungFor {
-		return Again, 0
+	if e.Uptime >= MinUptime {
+		return Restart, 0
 	}
 	if young++; young >= loopMost {
-		return Loop, young
+		return CrashLoop, young
 	}
-	return Again, young
+	return Restart, young
 }
 
 // YoungFor is how long a process has to live for its end not to count towards a crash loop.
-const YoungFor = int64(20e9)
+const MinUptime = int64(20e9)
--- a/control/rollout/rollout_test.go
+++ b/control/rollout/rollout_test.go
@@ -13,9 +13,9 @@
 
 var limits = Limits{MostAway: 0.28, HealthyFor: 5 * second, StartWithin: 10 * second, ColdMost: 30 * second, Back: true}
 
-func fleet(n int, phase Phase) (all []Seen) {
+func fleet(n int, phase Phase) (all []InstanceStatus) {
 	for k := range n {
-		all = append(all, Seen{Name: fmt.Sprintf("n%02d", k), Generation: "1", Phase: phase})
+		all = append(all, InstanceStatus{Name: fmt.Sprintf("n%02d", k), Generation: "1", Phase: phase})
 	}
 	return all
 }
@@ -23,32 +23,32 @@
 func TestTheFirstGoesAloneThenBatches(t *testing.T) {
 	r, seen := &Rollout{From: "1", To: "2"}, fleet(10, Serving)
 	step := r.Next(0, limits, seen, 0)
-	if !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.Left != 10 || step.As != "2" {
+	if !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.Remaining != 10 || step.StartAs != "2" {
 		t.Fatalf("%+v", step)
 	}
-	seen[0] = Seen{"n00", "2", Starting, 0, 0}
-	if step = r.Next(second, limits, seen, 0); step.State != Paused || step.Reason != Watching || len(step.Replace) > 0 {
+	seen[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
+	if step = r.Next(second, limits, seen, 0); step.State != Paused || step.Reason != WatchingFirst || len(step.Replace) > 0 {
 		t.Fatalf("%+v", step)
 	}
 	seen[0].Phase, seen[0].Since = Recovering, 2*second
-	if step = r.Next(3*second, limits, seen, 0); step.Reason != Unsettled {
+	if step = r.Next(3*second, limits, seen, 0); step.Reason != InstanceRecovering {
 		t.Fatalf("%+v", step)
 	}
 	seen[0].Phase, seen[0].Since = Serving, 4*second
-	if step = r.Next(5*second, limits, seen, 0); step.Reason != Watching {
+	if step = r.Next(5*second, limits, seen, 0); step.Reason != WatchingFirst {
 		t.Fatalf("%+v", step)
 	}
-	if step = r.Next(9*second, limits, seen, 1); step.Reason != Cold {
+	if step = r.Next(9*second, limits, seen, 1); step.Reason != ColdOffice {
 		t.Fatalf("%+v", step)
 	}
 	if step = r.Next(10*second, limits, seen, 0); !reflect.DeepEqual(step.Replace, []string{"n01", "n02"}) {
 		t.Fatalf("%+v", step)
 	}
 	seen[1].Phase, seen[2].Phase = Draining, Down
-	if step = r.Next(11*second, limits, seen, 0); step.Reason != Away {
+	if step = r.Next(11*second, limits, seen, 0); step.Reason != TooManyAway {
 		t.Fatalf("%+v", step)
 	}
-	r.ColdAt = 0
+	r.ColdSince = 0
 	seen[1].Phase, seen[2].Phase = Serving, Serving
 	r.Next(20*second, limits, seen, 1)
 	if step = r.Next(51*second, limits, seen, 1); len(step.Replace) != 2 {
@@ -61,7 +61,7 @@
 		l := limits
 		l.Back = back
 		r, seen := &Rollout{From: "1", To: "2"}, fleet(5, Serving)
-		seen[0] = Seen{"n00", "2", Down, second, 1}
+		seen[0] = InstanceStatus{"n00", "2", Down, second, 1}
 		step := r.Next(2*second, l, seen, 0)
 		if !back {
 			if step.State != Halted || step.Reason != Crashed || len(step.Replace) > 0 {
@@ -69,17 +69,17 @@
 			}
 			continue
 		}
-		if step.State != Turning || !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.As != "1" {
+		if step.State != RollingBack || !reflect.DeepEqual(step.Replace, []string{"n00"}) || step.StartAs != "1" {
 			t.Fatalf("%+v", step)
 		}
-		seen[0] = Seen{"n00", "1", Serving, 3 * second, 0}
-		if step = r.Next(4*second, l, seen, 0); step.State != Turned || step.Left != 0 {
+		seen[0] = InstanceStatus{"n00", "1", Serving, 3 * second, 0}
+		if step = r.Next(4*second, l, seen, 0); step.State != RolledBack || step.Remaining != 0 {
 			t.Fatalf("%+v", step)
 		}
 	}
 	r, seen := &Rollout{From: "1", To: "2"}, fleet(5, Serving)
-	seen[0] = Seen{"n00", "2", Starting, 0, 0}
-	if step := r.Next(11*second, limits, seen, 0); step.Reason != StartFails {
+	seen[0] = InstanceStatus{"n00", "2", Starting, 0, 0}
+	if step := r.Next(11*second, limits, seen, 0); step.Reason != StartFailed {
 		t.Fatalf("%+v", step)
 	}
 }
@@ -87,15 +87,15 @@
 func TestCrashLoopsAndBadSettings(t *testing.T) {
 	young := 0
 	for n := range loopMost {
-		var v Verdict
-		if v, young = Judge(Exit{1, second}, young); (v == Loop) != (n == loopMost-1) {
+		var v ExitAction
+		if v, young = DecideRestart(Exit{1, second}, young); (v == CrashLoop) != (n == loopMost-1) {
 			t.Fatal(n, v)
 		}
 	}
-	if v, n := Judge(Exit{1, 60 * second}, 5); v != Again || n != 0 {
+	if v, n := DecideRestart(Exit{1, 60 * second}, 5); v != Restart || n != 0 {
 		t.Error(v, n)
 	}
-	if v, _ := Judge(Exit{2, 0}, 0); v != BadSet {
+	if v, _ := DecideRestart(Exit{2, 0}, 0); v != BadConfig {
 		t.Error(v)
 	}
 }
@@ -142,9 +142,9 @@
 			if step2 := again.Next(now, l, seen, cold); !reflect.DeepEqual(step, step2) || again != *r {
 				t.Fatal("another decision on the same sight")
 			}
-			if step.State == Done || step.State == Turned || step.State == Halted {
-				if step.State == Done && (step.Left > 0 || bad && n > 1) {
-					t.Fatalf("done with %d left", step.Left)
+			if step.State == Done || step.State == RolledBack || step.State == Halted {
+				if step.State == Done && (step.Remaining > 0 || bad && n > 1) {
+					t.Fatalf("done with %d left", step.Remaining)
 				}
 				if step.State != Done && !bad {
 					t.Fatalf("%s of a good version: %+v", step.State, step)
@@ -167,7 +167,7 @@
 			}
 			for k := range seen {
 				if contains(step.Replace, seen[k].Name) {
-					seen[k] = Seen{seen[k].Name, step.As, Draining, now, 0}
+					seen[k] = InstanceStatus{seen[k].Name, step.StartAs, Draining, now, 0}
 				}
 			}
 		}
--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -19,7 +19,7 @@
 }
 
 // See implements join.Module.
-func (m *Shared) See(now int64, ev control.Event) {
+func (m *Shared) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
 	case control.ListUpdate:
 		m.setServers(ev)
@@ -39,7 +39,7 @@
 }
 
 // Did implements join.Module.
-func (m *Shared) Did(now int64, a control.Action) {
+func (m *Shared) OnAction(now int64, a control.Action) {
 	switch a.Kind {
 	case control.Send:
 		if budget, _, ok := m.coldBudget(now, a.Server); ok {
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -102,9 +102,9 @@
 }
 
 // Admit implements join.Module. It counts each new call once, and admits all.
-func (m *Shared) Admit(now int64, c join.Call) join.Ruling {
-	if c.Asked > 0 {
-		return join.Ruling{}
+func (m *Shared) Admit(now int64, c join.Call) join.Decision {
+	if c.TimesHeld > 0 {
+		return join.Decision{}
 	}
 	m.arrivals.add(now, 1)
 	tenant := c.Tenant
@@ -118,12 +118,12 @@
 	if len(m.callTenants) < maxCalls {
 		m.callTenants[c.ID] = tenant
 	}
-	return join.Ruling{}
+	return join.Decision{}
 }
 
 // Room implements join.Module. It keeps calls from servers that the detector avoids, and from cold servers whose budget is
 // used up.
-func (m *Shared) Room(now int64, server uint64) (ok bool, reason string) {
+func (m *Shared) HasRoom(now int64, server uint64) (ok bool, reason string) {
 	if m.cfg.DetectOutliers {
 		if avoid, why := m.detector.Avoid(now, server); avoid {
 			return false, SecondHand + why
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -28,7 +28,7 @@
 		one.Name, one.Machine, one.Epoch = fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k+1)
 		one.Lease = lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: n}
 		m := New(one, uint64(k), g.now, Callbacks{})
-		m.See(g.now, g.list(0))
+		m.OnEvent(g.now, g.list(0))
 		g.instances = append(g.instances, m)
 	}
 	return g
@@ -74,10 +74,10 @@
 	g.callCount++
 	id = fmt.Sprint(g.callCount)
 	m.Admit(g.now, join.Call{ID: id, Tenant: tenant})
-	if ok, _ := m.Room(g.now, server); !ok {
+	if ok, _ := m.HasRoom(g.now, server); !ok {
 		return id, false
 	}
-	m.Did(g.now, control.Action{Kind: control.Send, Call: id, Server: server})
+	m.OnAction(g.now, control.Action{Kind: control.Send, Call: id, Server: server})
 	return id, true
 }
 
@@ -87,7 +87,7 @@
 	g.run(8*second, nil) // a leader is elected
 	started := g.now
 	for _, m := range g.instances {
-		m.See(g.now, g.list(started))
+		m.OnEvent(g.now, g.list(started))
 	}
 	sent := 0
 	g.run(4*second, func(_ int, m *Shared) {
@@ -102,14 +102,14 @@
 	if float64(sent) > most+12 || float64(sent) < most*0.4 {
 		t.Errorf("%d calls sent in 4 s, the budget is %.1f", sent, most)
 	}
-	if ok, why := g.instances[0].Room(g.now, 1); ok || why != ColdBudget {
+	if ok, why := g.instances[0].HasRoom(g.now, 1); ok || why != ColdBudget {
 		t.Errorf("room %v, reason %q", ok, why)
 	}
-	if ok, why := g.instances[0].Room(g.now, 2); !ok {
+	if ok, why := g.instances[0].HasRoom(g.now, 2); !ok {
 		t.Errorf("warm server has no room: %s", why)
 	}
 	g.run(15*second, nil)
-	if ok, why := g.instances[0].Room(g.now, 1); !ok {
+	if ok, why := g.instances[0].HasRoom(g.now, 1); !ok {
 		t.Errorf("server has no room after it has warmed up: %s", why)
 	}
 }
@@ -130,7 +130,7 @@
 			for len(waiting) > 0 && g.now-waiting[0].at > 200e6 { // a healthy server answers within 200 ms
 				w := waiting[0]
 				waiting = waiting[1:]
-				w.m.See(g.now, control.Event{Kind: control.Stands, Call: w.id, Server: uint64(1)})
+				w.m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: w.id, Server: uint64(1)})
 			}
 			if rng.IntN(12) > 0 { // each instance has a call every 1.2 s on average
 				return
@@ -145,7 +145,7 @@
 			case server == 1:
 				waiting = append(waiting, out{m, id, g.now})
 			default:
-				m.See(g.now, control.Event{Kind: control.Stands, Call: id, Server: server})
+				m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: id, Server: server})
 			}
 		}
 		g.run(10*second, step)
@@ -164,9 +164,9 @@
 		if g.now/1e8%2 == int64(k)%2 { // each instance has five calls a second
 			id, _ := g.call(m, "slaney-vines", 2)
 			if k < 5 {
-				m.See(g.now, control.Event{Kind: control.Stands, Call: id, Server: 2})
+				m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: id, Server: 2})
 			} else {
-				m.Did(g.now, control.Action{Kind: control.Refuse, Call: id})
+				m.OnAction(g.now, control.Action{Kind: control.Refuse, Call: id})
 			}
 		}
 		if k == 0 {
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -82,9 +82,9 @@
 		s.Reason, s.Out = "nobody-heard", "a message of any member"
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
-		if ok, reason := m.Room(now, id); !ok {
+		if ok, reason := m.HasRoom(now, id); !ok {
 			s.Capped++
-			s.Parts = append(s.Parts, join.Part{Server: id, State: "capped", Reason: reason})
+			s.Servers = append(s.Servers, join.ServerStatus{Server: id, State: "capped", Reason: reason})
 		}
 	}
 	if leases := m.lease.Leases(now); len(leases) > 0 {
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -22,9 +22,9 @@
 
 // The codes of rulings and states.
 const (
-	Open     = "open"       // there is room for all
-	Limiting = "limiting"   // members are held to their shares
-	Beyond   = "over-share" // a call beyond its member's share, with nothing left to borrow
+	Open      = "open"       // there is room for all
+	Limiting  = "limiting"   // members are held to their shares
+	OverShare = "over-share" // a call beyond its member's share, with nothing left to borrow
 )
 
 const (
@@ -62,7 +62,7 @@
 type Totals struct{ Offered, Placed, Lost map[string]float64 }
 
 // Fleet tells totals, where instances hear of each other; not ok while they do not.
-type Fleet interface {
+type TotalsSource interface {
 	Totals(now int64) (Totals, bool)
 }
 
@@ -119,7 +119,7 @@
 	pool     float64 // what members left of their parts
 	filledAt int64
 	refused  int64
-	fleet    Fleet
+	fleet    TotalsSource
 	admit    map[string]float64 // by member, the part of its calls that has room, where the fleet's totals are known
 	totals   Totals
 	part     float64 // of the plan, that the room is at least
@@ -130,7 +130,7 @@
 const totalsEvery = second / 4
 
 // Of makes the module go by the whole fleet's counts while there are any, and by its own else.
-func (m *Shares) Of(f Fleet) *Shares {
+func (m *Shares) UseFleetTotals(f TotalsSource) *Shares {
 	m.fleet = f
 	return m
 }
@@ -186,7 +186,7 @@
 }
 
 // See implements join.Module.
-func (m *Shares) See(now int64, ev control.Event) {
+func (m *Shares) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
 	case control.Stands:
 		if m.waiting[ev.Call] {
@@ -200,7 +200,7 @@
 }
 
 // Did implements join.Module.
-func (m *Shares) Did(now int64, a control.Action) {
+func (m *Shares) OnAction(now int64, a control.Action) {
 	if (a.Kind == control.Refuse || a.Kind == control.Fail) && m.waiting[a.Call] {
 		delete(m.waiting, a.Call)
 		m.lost.add(now)
@@ -210,12 +210,12 @@
 }
 
 // Room implements join.Module: shares are about callers, not servers.
-func (m *Shares) Room(int64, uint64) (bool, string) { return true, "" }
+func (m *Shares) HasRoom(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
-func (m *Shares) Admit(now int64, c join.Call) join.Ruling {
+func (m *Shares) Admit(now int64, c join.Call) join.Decision {
 	one := m.member(c.Tenant)
-	if c.Asked <= 0 { // once for each call, however often another module holds it
+	if c.TimesHeld <= 0 { // once for each call, however often another module holds it
 		one.offered.add(now)
 		m.offered.add(now)
 	}
@@ -223,13 +223,13 @@
 	if m.limiting && !m.has(now, c.Tenant, one) {
 		one.refused++
 		m.refused++
-		return join.Ruling{Verdict: join.Refuse, Wait: m.spread(), Reason: Beyond}
+		return join.Decision{Verdict: join.Refuse, Wait: m.spread(), Reason: OverShare}
 	}
 	one.admitted++
 	if len(m.waiting) < waitingMost {
 		m.waiting[c.ID] = true
 	}
-	return join.Ruling{}
+	return join.Decision{}
 }
 
 // has tells whether a call has room. By the fleet's totals a part of the member's calls has, the same at every instance:
@@ -421,11 +421,11 @@
 func (m *Shares) Limiting() bool { return m.limiting }
 
 // Offered is what is offered to this instance, in calls a second.
-func (m *Shares) Offered(now int64) float64 { c := m.offered; return c.rate(now, m.began) }
+func (m *Shares) OfferedRate(now int64) float64 { c := m.offered; return c.rate(now, m.began) }
 
 // Status implements join.Module.
 func (m *Shares) Status(int64) join.Status {
-	st := join.Status{Module: m.Name(), State: Open, Reason: "room-for-all", Since: m.since, Turned: m.refused}
+	st := join.Status{Module: m.Name(), State: Open, Reason: "room-for-all", Since: m.since, RefusedTotal: m.refused}
 	if m.limiting {
 		st.State, st.Reason, st.Out = Limiting, "calls-turned-away", "offered within the room for 5 s"
 	}
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -51,11 +51,11 @@
 			continue
 		}
 		if tokens < 1 {
-			m.Did(now, control.Action{Kind: control.Refuse, Call: call})
+			m.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 			continue
 		}
 		tokens--
-		m.See(now, control.Event{Kind: control.Stands, Call: call})
+		m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
 		if late {
 			stood[name]++
 		}
@@ -132,7 +132,7 @@
 		steps := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 			return step{rapid.Int64Range(0, second/5).Draw(t, "after"), rapid.IntRange(0, 5).Draw(t, "kind"), rapid.IntRange(0, 50).Draw(t, "tenant")}
 		}), 1, 200).Draw(t, "steps")
-		run := func() (log []join.Ruling) {
+		run := func() (log []join.Decision) {
 			m, now := New(settings(), three, 42, 3, 100*second), 100*second
 			for n, s := range steps {
 				now += s.After
@@ -151,11 +151,11 @@
 				}
 				switch s.Kind {
 				case 0, 1:
-					m.Did(now, control.Action{Kind: control.Refuse, Call: call})
+					m.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 				case 2:
-					m.See(now, control.Event{Kind: control.Aborted, Call: call})
+					m.OnEvent(now, control.Event{Kind: control.Aborted, Call: call})
 				case 3, 4:
-					m.See(now, control.Event{Kind: control.Stands, Call: call})
+					m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
 				}
 				if len(m.members) != 4 || len(m.waiting) > len(steps) || m.room < 0 || m.pool > max(m.room, 1) {
 					t.Fatalf("%+v", m)
@@ -165,11 +165,11 @@
 				now += second
 				call := fmt.Sprint("z", k)
 				if m.Admit(now, join.Call{ID: call, Tenant: "slaney-vines"}).Verdict == join.Admit {
-					m.See(now, control.Event{Kind: control.Stands, Call: call})
+					m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
 				}
 			}
 			if m.limiting {
-				t.Fatalf("no end: room %v, offered %v", m.room, m.Offered(now))
+				t.Fatalf("no end: room %v, offered %v", m.room, m.OfferedRate(now))
 			}
 			return log
 		}
@@ -196,7 +196,7 @@
 	fleet := &told{known: true}
 	fleet.Totals = Totals{Offered: map[string]float64{"slaney-vines": 50, "barrow-estate": 300, "suir-growers": 10}, Placed: map[string]float64{"barrow-estate": 90},
 		Lost: map[string]float64{"barrow-estate": 100}}
-	m := New(s, three, 100, 1, second).Of(fleetOf{fleet})
+	m := New(s, three, 100, 1, second).UseFleetTotals(fleetOf{fleet})
 	now, admitted := second, map[string]int{}
 	ask := func(n int) {
 		for k := range n {
@@ -205,7 +205,7 @@
 				r := m.Admit(now, join.Call{ID: fmt.Sprint(now, k, name), Tenant: name})
 				if r.Verdict == join.Admit {
 					admitted[name]++
-				} else if r.Reason != Beyond || r.Wait < second || r.Wait > 2*second {
+				} else if r.Reason != OverShare || r.Wait < second || r.Wait > 2*second {
 					t.Fatalf("%+v", r)
 				}
 			}
@@ -234,7 +234,7 @@
 	for offered, want := range map[float64]bool{120: false, 160: true} {
 		fleet := &told{known: true}
 		fleet.Totals = Totals{Offered: map[string]float64{"barrow-estate": offered}, Placed: map[string]float64{"barrow-estate": 100}}
-		m := New(s, three, 100, 1, second).Of(fleetOf{fleet})
+		m := New(s, three, 100, 1, second).UseFleetTotals(fleetOf{fleet})
 		m.Admit(2*second, join.Call{ID: "a", Tenant: "barrow-estate"})
 		if m.Limiting() != want {
 			t.Errorf("%v offered, of a plan of 100: limiting %v", offered, m.Limiting())
@@ -249,7 +249,7 @@
 	fleet := &told{known: true}
 	fleet.Totals = Totals{Offered: map[string]float64{"slaney-vines": 40, "barrow-estate": 300}, Placed: map[string]float64{"barrow-estate": 8},
 		Lost: map[string]float64{"barrow-estate": 2}}
-	m := New(s, three, 100, 1, second).Of(fleetOf{fleet})
+	m := New(s, three, 100, 1, second).UseFleetTotals(fleetOf{fleet})
 	now, refused := second, 0
 	for k := range 300 { // half a minute
 		now += second / 10
--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -27,7 +27,7 @@
 	fmt.Fprintf(t, "held\t%.1f of %d MB, %d of %d descriptors, %d events waiting\n", s.MemoryMB, s.MemoryMostMB, s.Descriptors,
 		s.SocketsMost, s.Core.InboxLength)
 	for _, m := range s.Core.Modules {
-		fmt.Fprintf(t, "%s\t%s (%s); held %d, refused %d, %d offices capped", m.Module, m.State, m.Reason, m.Held, m.Turned, m.Capped)
+		fmt.Fprintf(t, "%s\t%s (%s); held %d, refused %d, %d offices capped", m.Module, m.State, m.Reason, m.Held, m.RefusedTotal, m.Capped)
 		if m.Out != "" {
 			fmt.Fprintf(t, "; until %s", m.Out)
 		}
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -28,7 +28,7 @@
 		c.unwanted(cl, a.Server)
 		return
 	}
-	room, module, why := c.chain.Room(c.now, a.Server)
+	room, module, why := c.chain.HasRoom(c.now, a.Server)
 	if cl.inFlight || c.now < cl.clearAt || !c.serving(a.Server) || !room {
 		c.log.Error("attempt kept back", "call", cl.ID, "server", a.Server, "out", cl.inFlight,
 			"clear_in_ms", (cl.clearAt-c.now)/1e6, "serving", c.serving(a.Server), "capped_by", module, "why", why)
@@ -40,7 +40,7 @@
 	}
 	n := cl.sent
 	cl.sent, cl.inFlight, cl.server, cl.sentAt = cl.sent+1, true, a.Server, c.now
-	c.chain.Did(c.now, a)
+	c.chain.OnAction(c.now, a)
 	c.afterFor(cl, time.Duration(a.Wait), func(cl *call) {
 		if cl.inFlight && cl.sent == n+1 {
 			c.offices.ReportSilence(cl.server, time.Unix(0, cl.sentAt), false)
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -73,7 +73,7 @@
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
 	r, module := c.chain.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
-		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, Asked: cl.asked})
+		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.asked})
 	if cl.asked > 0 {
 		c.waits--
 	}
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -95,7 +95,7 @@
 	c := &core{most: o.MemoryBytes, chain: o.Join, clock: o.Now, log: o.Log, record: o.Record, stray: o.OnUnknownRelease, module: module, set: o.Settings,
 		calls: map[string]*call{}, known: map[uint64]Office{}, heard: map[uint64]int64{}, kept: map[string]*kept{}}
 	if len(o.Join) > 0 {
-		module.ExcludeServers(func(server uint64) bool { ok, _, _ := c.chain.Room(c.now, server); return !ok })
+		module.ExcludeServers(func(server uint64) bool { ok, _, _ := c.chain.HasRoom(c.now, server); return !ok })
 	}
 	return c
 }
@@ -111,7 +111,7 @@
 	for len(c.events) > 0 {
 		ev = c.events[0]
 		c.events = c.events[1:]
-		c.chain.See(c.now, ev)
+		c.chain.OnEvent(c.now, ev)
 		for _, a := range c.module.Handle(c.now, ev) {
 			c.act(a)
 		}
@@ -141,10 +141,10 @@
 			c.withdraw(cl, control.Canceled)
 		}
 	case control.Refuse:
-		c.chain.Did(c.now, a)
+		c.chain.OnAction(c.now, a)
 		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(a.Wait)})
 	case control.Fail:
-		c.chain.Did(c.now, a)
+		c.chain.OnAction(c.now, a)
 		c.final(cl, FinalAnswer{Verdict: Failed})
 	}
 }
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -19,7 +19,7 @@
 		b := newBed(t)
 		if on {
 			b.chain = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
-			b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+			b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.HasRoom(b.now, s); return !ok })
 		}
 		var list []Office
 		for k := range 40 {
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -12,30 +12,30 @@
 // gate is a joined module that does what a test wants.
 type gate struct {
 	name   string
-	ruling join.Ruling
+	ruling join.Decision
 	shut   map[uint64]bool
 	seen   []control.EventKind
 	did    []control.ActionKind
 }
 
-func (g *gate) Name() string                          { return g.name }
-func (g *gate) See(_ int64, ev control.Event)         { g.seen = append(g.seen, ev.Kind) }
-func (g *gate) Did(_ int64, a control.Action)         { g.did = append(g.did, a.Kind) }
-func (g *gate) Admit(int64, join.Call) join.Ruling    { return g.ruling }
-func (g *gate) Room(_ int64, s uint64) (bool, string) { return !g.shut[s], "shut" }
-func (g *gate) Status(int64) join.Status              { return join.Status{Module: g.name} }
+func (g *gate) Name() string                             { return g.name }
+func (g *gate) OnEvent(_ int64, ev control.Event)        { g.seen = append(g.seen, ev.Kind) }
+func (g *gate) OnAction(_ int64, a control.Action)       { g.did = append(g.did, a.Kind) }
+func (g *gate) Admit(int64, join.Call) join.Decision     { return g.ruling }
+func (g *gate) HasRoom(_ int64, s uint64) (bool, string) { return !g.shut[s], "shut" }
+func (g *gate) Status(int64) join.Status                 { return join.Status{Module: g.name} }
 
 func newGate(t *testing.T) (*bed, *gate) {
 	g := &gate{name: "gate", shut: map[uint64]bool{}}
 	b := newBed(t)
 	b.chain = join.Chain{g}
-	b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.Room(b.now, s); return !ok })
+	b.module.ExcludeServers(func(s uint64) bool { ok, _, _ := b.chain.HasRoom(b.now, s); return !ok })
 	return b, g
 }
 
 func TestAJoinedModuleRefuses(t *testing.T) {
 	b, g := newGate(t)
-	g.ruling = join.Ruling{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
 	b.call("a", 3*time.Second)
 	b.want("answer a refused  2000ms") // at once, and no longer a wait than the settings allow
 	if b.open != 0 || len(b.calls) != 0 {
@@ -48,7 +48,7 @@
 // A held call is asked about again; whatever the module says, control decides after a second at the latest.
 func TestAHeldCallIsControlsInTheEnd(t *testing.T) {
 	b, g := newGate(t)
-	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
 	b.call("a", 3*time.Second)
 	b.call("gone", 3*time.Second)
 	b.pass(500 * ms)
@@ -61,14 +61,14 @@
 	if b.waits != 0 {
 		t.Errorf("%d calls held still", b.waits)
 	}
-	g.ruling = join.Ruling{}
+	g.ruling = join.Decision{}
 	b.call("b", 3*time.Second)
 	b.want("invite b 0 at 10")
 }
 
 func TestAHeldCallStillHasItsAnswerInTime(t *testing.T) {
 	b, g := newGate(t)
-	g.ruling = join.Ruling{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
+	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
 	b.call("a", 300*ms)
 	b.pass(300 * ms)
 	b.want("answer a failed  0ms")
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -323,14 +323,14 @@
 	}
 	m.ends++
 	m.crashes++
-	verdict, young := rollout.Judge(rollout.Exit{Code: code, Lived: int64(lived)}, m.young)
+	verdict, young := rollout.DecideRestart(rollout.Exit{Code: code, Uptime: int64(lived)}, m.young)
 	if m.young = young; young == 0 {
 		m.wait.Reset()
 	}
 	switch verdict {
-	case rollout.BadSet:
+	case rollout.BadConfig:
 		m.failed = "bad configuration: its log names the fault; mend it and reload"
-	case rollout.Loop:
+	case rollout.CrashLoop:
 		m.failed = fmt.Sprintf("crash loop: %d ends in a row soon after the start", young)
 	default:
 		m.why = "crash"
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -44,7 +44,7 @@
 		}
 		from := s.state.Generation
 		s.state.Generation = s.generation(program)
-		s.state.Rollout = &rollout.Rollout{From: from, To: s.state.Generation, Began: time.Now().UnixNano(), Why: why}
+		s.state.Rollout = &rollout.Rollout{From: from, To: s.state.Generation, StartedAt: time.Now().UnixNano(), Cause: why}
 		s.state.Outcome, s.step = nil, rollout.Step{}
 		s.write()
 		s.log.Info("rollout begins", "why", why, "from", from, "to", s.state.Generation, "program", program)
--- a/internal/fleet/rollout.go
+++ b/internal/fleet/rollout.go
@@ -12,21 +12,21 @@
 	if r == nil {
 		return
 	}
-	var seen []rollout.Seen
+	var seen []rollout.InstanceStatus
 	for _, m := range s.members {
-		seen = append(seen, rollout.Seen{Name: m.name, Generation: m.gen, Phase: m.phase, Since: m.since.UnixNano(), Crashes: m.crashes})
+		seen = append(seen, rollout.InstanceStatus{Name: m.name, Generation: m.gen, Phase: m.phase, Since: m.since.UnixNano(), Crashes: m.crashes})
 	}
 	before := s.step
 	s.step = r.Next(time.Now().UnixNano(), s.spec.limits(), seen, s.cold())
 	if s.step.State != before.State || s.step.Reason != before.Reason {
-		s.log.Info("rollout", "state", s.step.State, "reason", s.step.Reason, "detail", s.step.Detail, "left", s.step.Left)
+		s.log.Info("rollout", "state", s.step.State, "reason", s.step.Reason, "detail", s.step.Detail, "left", s.step.Remaining)
 	}
 	for _, name := range s.step.Replace {
 		for _, m := range s.members {
 			if m.name != name {
 				continue
 			}
-			m.gen, m.crashes, m.young, m.failed, m.retryAt, m.why = s.step.As, 0, 0, "", time.Time{}, r.Why
+			m.gen, m.crashes, m.young, m.failed, m.retryAt, m.why = s.step.StartAs, 0, 0, "", time.Time{}, r.Cause
 			m.wait.Reset()
 			if m.phase == rollout.Failed {
 				m.enter(rollout.Down)
@@ -35,10 +35,10 @@
 		}
 	}
 	switch s.step.State {
-	case rollout.Done, rollout.Turned, rollout.Halted:
+	case rollout.Done, rollout.RolledBack, rollout.Halted:
 		s.state.Outcome = &Outcome{State: s.step.State, Reason: s.step.Reason, Detail: s.step.Detail, To: r.To,
-			Took: float64(time.Now().UnixNano()-r.Began) / 1e9}
-		if s.step.State == rollout.Turned {
+			Took: float64(time.Now().UnixNano()-r.StartedAt) / 1e9}
+		if s.step.State == rollout.RolledBack {
 			s.state.Generation = r.From
 		}
 		s.state.Rollout = nil
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -176,14 +176,14 @@
 // gate is a joined module that holds calls while it is shut.
 type gate struct{ shut atomic.Bool }
 
-func (g *gate) Name() string                      { return "gate" }
-func (g *gate) See(int64, control.Event)          {}
-func (g *gate) Did(int64, control.Action)         {}
-func (g *gate) Room(int64, uint64) (bool, string) { return true, "" }
-func (g *gate) Status(int64) join.Status          { return join.Status{Module: "gate"} }
-func (g *gate) Admit(int64, join.Call) join.Ruling {
+func (g *gate) Name() string                         { return "gate" }
+func (g *gate) OnEvent(int64, control.Event)         {}
+func (g *gate) OnAction(int64, control.Action)       {}
+func (g *gate) HasRoom(int64, uint64) (bool, string) { return true, "" }
+func (g *gate) Status(int64) join.Status             { return join.Status{Module: "gate"} }
+func (g *gate) Admit(int64, join.Call) join.Decision {
 	if g.shut.Load() {
-		return join.Ruling{Verdict: join.Hold, Wait: int64(5 * time.Millisecond), Reason: "shut"}
+		return join.Decision{Verdict: join.Hold, Wait: int64(5 * time.Millisecond), Reason: "shut"}
 	}
-	return join.Ruling{}
+	return join.Decision{}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -127,7 +127,7 @@
 func (s *Snapshot) Evidence() (e []recovery.Evidence) {
 	for _, o := range s.Learnt.Servers {
 		if o.EstablishedSentAt > 0 && !o.Down {
-			e = append(e, recovery.Evidence{Server: o.ID, ReadyAt: o.ReadyAt, StoodAt: o.EstablishedSentAt, Delay: int64(o.Delay)})
+			e = append(e, recovery.Evidence{Server: o.ID, ReadyAt: o.ReadyAt, SucceededAt: o.EstablishedSentAt, Delay: int64(o.Delay)})
 		}
 	}
 	return e
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -102,16 +102,16 @@
 func (f *feed) call(now int64, m *Member, call, server uint64) {
 	id := "f" + strconv.FormatUint(call, 16)
 	m.shared.Admit(now, join.Call{ID: id, Tenant: tenants[call%uint64(len(tenants))]})
-	if ok, _ := m.shared.Room(now, server); !ok {
-		m.shared.See(now, control.Event{Kind: control.Aborted, Call: id})
+	if ok, _ := m.shared.HasRoom(now, server); !ok {
+		m.shared.OnEvent(now, control.Event{Kind: control.Aborted, Call: id})
 		return
 	}
-	m.shared.Did(now, control.Action{Kind: control.Send, Call: id, Server: server})
+	m.shared.OnAction(now, control.Action{Kind: control.Send, Call: id, Server: server})
 	if server == f.silent.Load() {
 		f.open = append(f.open, openCall{id, server, now})
 		return
 	}
-	m.shared.See(now, control.Event{Kind: control.Stands, Call: id, Server: server})
+	m.shared.OnEvent(now, control.Event{Kind: control.Stands, Call: id, Server: server})
 }
 
 // overdue ends the calls whose answer did not come.
@@ -119,6 +119,6 @@
 	for len(f.open) > 0 && now-f.open[0].at >= openFor {
 		one := f.open[0]
 		f.open = f.open[1:]
-		m.shared.See(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
+		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
 	}
 }
