--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -18,7 +18,7 @@
 	reportedSilent bool
 }
 
-// See implements join.Module.
+// OnEvent implements join.Module.
 func (m *Shared) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
 	case control.ListUpdate:
@@ -38,7 +38,7 @@
 	}
 }
 
-// Did implements join.Module.
+// OnAction implements join.Module.
 func (m *Shared) OnAction(now int64, a control.Action) {
 	switch a.Kind {
 	case control.Send:
--- a/control/shared/config.go
+++ b/control/shared/config.go
@@ -25,7 +25,7 @@
 
 // Callbacks are how the module reports to its caller; each may be nil.
 type Callbacks struct {
-	Claim    func(lease.Claim)
-	Decision func(outlier.Decision)
-	Leader   func(until int64) // this instance is the leader until this time
+	Claim    func(lease.Claim)      // a lease of this instance has changed
+	Decision func(outlier.Decision) // a decision to avoid a server begins or ends
+	Leader   func(until int64)      // this instance is the leader until this time
 }
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -21,10 +21,10 @@
 
 // The reasons why a server with bad reports is not avoided.
 const (
-	FewObservers   = "few-witnesses"
-	OwnEvidence    = "own-evidence"
-	TooManyAvoided = "too-many-left-out"
-	Expired        = "faded"
+	FewObservers   = "few-witnesses"     // fewer bad reports than MinBad, or a smaller share of the sample than BadShare
+	OwnEvidence    = "own-evidence"      // this instance has recently seen it healthy itself
+	TooManyAvoided = "too-many-left-out" // the allowed share of servers is avoided already
+	Expired        = "faded"             // no report is recent enough
 )
 
 // Avoid tells whether calls should be kept away from a server, and why.
--- a/control/shared/outlier/report.go
+++ b/control/shared/outlier/report.go
@@ -20,6 +20,7 @@
 	Cold                   // healthy after it had been dead: a new process
 )
 
+// String returns the name of the kind as it appears in decisions.
 func (k Kind) String() string {
 	return [...]string{"well", "silent", "dead", "pressed", "cold"}[min(k, Cold)]
 }
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -15,10 +15,10 @@
 
 // The codes of the module's states, and of its reasons to keep calls away from a server.
 const (
-	Together   = "together" // messages of other instances arrive
-	Alone      = "alone"    // no message of another instance has arrived for aloneTimeout
-	ColdBudget = "cold-budget"
-	SecondHand = "hearsay-" // followed by the reason of the decision
+	Together   = "together"    // messages of other instances arrive
+	Alone      = "alone"       // no message of another instance has arrived for aloneTimeout
+	ColdBudget = "cold-budget" // the budget of the cold server is used up
+	SecondHand = "hearsay-"    // followed by the reason of the decision
 )
 
 const (
@@ -121,8 +121,8 @@
 	return join.Decision{}
 }
 
-// Room implements join.Module. It keeps calls from servers that the detector avoids, and from cold servers whose budget is
-// used up.
+// HasRoom implements join.Module. It keeps calls away from servers that the detector avoids, and from cold servers whose
+// budget is used up.
 func (m *Shared) HasRoom(now int64, server uint64) (ok bool, reason string) {
 	if m.cfg.DetectOutliers {
 		if avoid, why := m.detector.Avoid(now, server); avoid {
