--- a/control/distribution/follower.go
+++ b/control/distribution/follower.go
@@ -160,8 +160,8 @@
 	f.dropUnused()
 }
 
-// Age returns the age of what the instance knows of the newest release: the time since it received a head, plus the time
-// since that server was last in touch with a majority of the servers.
+// Age returns the age of what the instance knows of the newest release: the time since it last received a head whose release
+// it has, plus the time since that server was last in touch with a majority of the servers.
 func (f *Follower) Age(now int64) time.Duration {
 	if !f.headReceived {
 		return unknownAge
--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -25,7 +25,7 @@
 	Name, Fleet  string
 	OtherServers []string // their names
 	Keys         []ed25519.PublicKey
-	// HaltAfter is the number of instances failing to apply a release that halts it.
+	// HaltAfter is the number of instances that must fail to apply a release before it is halted.
 	HaltAfter int
 }
 
@@ -260,7 +260,7 @@
 
 // lag returns the time since the server was last in touch with a majority of the servers.
 func (r *Replica) lag(now int64) time.Duration {
-	needed := (len(r.config.OtherServers) + 1) / 2 // besides this server
+	needed := (len(r.config.OtherServers) + 1) / 2 // other servers needed for a majority, besides this one
 	if needed == 0 {
 		return 0
 	}
