--- a/control/shared/outlier/outlier_test.go
+++ b/control/shared/outlier/outlier_test.go
@@ -168,32 +168,32 @@
 
 // When one server replaces another among the avoided ones, the end of the old decision is reported before the new one.
 func TestEndedDecisionsAreReportedFirst(t *testing.T) {
-	out := map[uint64]bool{}
+	avoided := map[uint64]bool{}
 	d := New(Config{}, "me", "here", 1, func(v Decision) {
-		if delete(out, v.Server); v.Avoided {
-			out[v.Server] = true
+		if delete(avoided, v.Server); v.Avoided {
+			avoided[v.Server] = true
 		}
-		if len(out) > 1 {
-			t.Errorf("%v are avoided at once", out)
+		if len(avoided) > 1 {
+			t.Errorf("%v are avoided at once", avoided)
 		}
 	})
 	d.SetServers([]uint64{1, 2, 3, 4})
 	now := int64(100e9)
-	tell := func(server uint64, witnesses int) {
-		for k := range witnesses {
+	report := func(server uint64, observers int) {
+		for k := range observers {
 			d.Receive(now, Message{From: fmt.Sprint("n", k), Machine: fmt.Sprint("m", k), Reports: []Report{{Server: server, Kind: Dead, Streak: 1}}})
 		}
 		now += 100e6
 		d.Avoid(now, 1)
 	}
-	tell(1, 3)
-	tell(2, 5) // more observers than for server 1
-	if !out[2] || out[1] {
-		t.Errorf("%v are avoided", out)
+	report(1, 3)
+	report(2, 5) // more observers than for server 1
+	if !avoided[2] || avoided[1] {
+		t.Errorf("%v are avoided", avoided)
 	}
-	tell(1, 6)
-	if !out[1] {
-		t.Errorf("%v are avoided", out)
+	report(1, 6)
+	if !avoided[1] {
+		t.Errorf("%v are avoided", avoided)
 	}
 }
 
