--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -17,8 +17,8 @@
 // totalsWindow is the window of the totals by tenant. It is short, because decisions by the totals lag by as much.
 const totalsWindow = 2 * second
 
-// Totals implements shares.TotalsSource: what the whole fleet was offered, placed and lost recently, in calls per second. ok is
-// false while no other instance is heard.
+// Totals implements shares.TotalsSource: what the whole fleet was offered, placed and lost recently, in calls per second.
+// ok is false while no other instance is heard.
 func (m *Shared) Totals(now int64) (all shares.Totals, ok bool) {
 	if m.state != Together {
 		return all, false
