--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerOptions{Name: l.Addr().String(), Fleet: testFleet, Keys: publicKeys(), HaltAfter: 1, Dir: dir, Log: netcase.Quiet()})
+	s := NewServer(ServerOptions{Name: l.Addr().String(), Fleet: testFleet, Keys: publicKeys(), HaltAfter: 1, Dir: dir, Log: netcase.DiscardLogger()})
 	runUntilCleanup(t, func(ctx context.Context) error { return s.Serve(ctx, l) })
 	return l.Addr().String()
 }
@@ -87,7 +87,7 @@
 	t.Helper()
 	a := &applied{appliedVersions: make(chan distribution.Version, 16)}
 	m := NewMember(MemberOptions{Name: "m", Zone: "z", Fleet: testFleet, Servers: servers, Keys: publicKeys(), MaxAge: 3 * time.Second,
-		Dir: t.TempDir(), Seed: 1, Log: netcase.Quiet(), Apply: a.apply})
+		Dir: t.TempDir(), Seed: 1, Log: netcase.DiscardLogger(), Apply: a.apply})
 	runUntilCleanup(t, m.Run)
 	return m, a
 }
@@ -205,7 +205,7 @@
 
 // A hanging disk blocks nobody, and only the newest value waits for it.
 func TestHangingDiskDoesNotBlock(t *testing.T) {
-	s := newFileWriter(filepath.Join(t.TempDir(), "kept.json"), netcase.Quiet())
+	s := newFileWriter(filepath.Join(t.TempDir(), "kept.json"), netcase.DiscardLogger())
 	for n := range 1000 { // nothing is written meanwhile
 		s.enqueue(n)
 	}
@@ -213,13 +213,13 @@
 	close(done)
 	s.run(done)
 	var kept int
-	if loadFile(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if loadFile(s.path, &kept, netcase.DiscardLogger()); kept != 999 {
 		t.Error(kept)
 	}
 	if err := os.WriteFile(s.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if loadFile(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if loadFile(s.path, &kept, netcase.DiscardLogger()); kept != 999 {
 		t.Error("the value changed on reading a damaged file", kept)
 	}
 }
