--- a/control/distribution/distribution_test.go
+++ b/control/distribution/distribution_test.go
@@ -15,10 +15,10 @@
 	second    = int64(time.Second)
 )
 
-// testKey is the operators' key, strangerKey one that nobody knows.
-var testKey, strangerKey = keyOf(1), keyOf(2)
+// testKey is the operators' key, unknownKey a key that is not configured anywhere.
+var testKey, unknownKey = newKey(1), newKey(2)
 
-func keyOf(b byte) ed25519.PrivateKey {
+func newKey(b byte) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = b
 	return ed25519.NewKeyFromSeed(seed)
@@ -28,7 +28,7 @@
 	return []ed25519.PublicKey{testKey.Public().(ed25519.PublicKey)}
 }
 
-// newRelease is a release that zone a takes at once and all others after 4 s.
+// newRelease makes a release that zone a applies at once and all other zones after 4 s.
 func newRelease(version Version, content string) Release {
 	r := Release{Fleet: testFleet, Version: version, Content: []byte(content),
 		Stages: []Stage{{Zones: []string{"a"}}, {After: 4 * time.Second}}}
@@ -45,7 +45,7 @@
 	return NewReplica(ReplicaConfig{Name: name, Fleet: testFleet, OtherServers: others, Keys: publicKeys(), HaltAfter: 1}, StoredState{})
 }
 
-// follow has an instance hear a server, fetch what it wants and apply what is due; apply tells what comes of that.
+// follow has an instance receive a server's head, fetch what it wants and apply what is due; apply returns the result.
 func follow(t *testing.T, f *Follower, r *Replica, now int64, apply func(Release) error) {
 	t.Helper()
 	if err := f.ReceiveHead(now, r.Head(now)); err != nil {
@@ -54,7 +54,7 @@
 	for v := f.Wanted(); v > 0; v = f.Wanted() {
 		release := r.Release(v)
 		if release == nil {
-			t.Fatalf("version %d is wanted, and the server has it not", v)
+			t.Fatalf("version %d is wanted, but the server does not have it", v)
 		}
 		if err := f.ReceiveRelease(now, *release); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 	r.Acknowledge(now, f.Acknowledge(now))
 }
 
-func fine(Release) error { return nil }
+func applySucceeds(Release) error { return nil }
 
 func publish(t *testing.T, r *Replica, now int64, release Release) {
 	t.Helper()
@@ -75,33 +75,33 @@
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
-	stranger := newRelease(1, "x")
-	stranger.Sign(strangerKey)
-	changed := newRelease(1, "x")
-	changed.Content = []byte("y")
-	other := newRelease(1, "x")
-	other.Fleet = "another"
-	other.Sign(testKey)
-	noRest := Release{Fleet: testFleet, Version: 1, Stages: []Stage{{Zones: []string{"a"}}}}
-	noRest.Sign(testKey)
-	large := newRelease(1, strings.Repeat("x", MaxContent+1))
+func TestInvalidReleasesAreRefused(t *testing.T) {
+	signedByUnknownKey := newRelease(1, "x")
+	signedByUnknownKey.Sign(unknownKey)
+	changedContent := newRelease(1, "x")
+	changedContent.Content = []byte("y")
+	otherFleet := newRelease(1, "x")
+	otherFleet.Fleet = "another"
+	otherFleet.Sign(testKey)
+	noDefaultStage := Release{Fleet: testFleet, Version: 1, Stages: []Stage{{Zones: []string{"a"}}}}
+	noDefaultStage.Sign(testKey)
+	tooLarge := newRelease(1, strings.Repeat("x", MaxContent+1))
 	for name, tc := range map[string]struct {
 		release Release
 		want    error
-	}{"a stranger's": {stranger, ErrUnsigned}, "changed": {changed, ErrUnsigned}, "another fleet's": {other, ErrWrongFleet},
-		"no stage for the rest": {noRest, ErrOutOfBounds}, "too large": {large, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
+	}{"signed by an unknown key": {signedByUnknownKey, ErrUnsigned}, "changed": {changedContent, ErrUnsigned}, "another fleet's": {otherFleet, ErrWrongFleet},
+		"no stage for other zones": {noDefaultStage, ErrOutOfBounds}, "too large": {tooLarge, ErrOutOfBounds}, "version 0": {newRelease(0, ""), ErrOutOfBounds}} {
 		if err := newReplica("s1").Publish(0, tc.release); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		f := newFollower("a")
 		f.ReceiveHead(0, Head{Version: max(tc.release.Version, 1), Digest: tc.release.Digest()})
 		if err := f.ReceiveRelease(0, tc.release); err == nil {
-			t.Errorf("%s: an instance takes it", name)
+			t.Errorf("%s: an instance accepts it", name)
 		}
 	}
 	order := HaltOrder{Fleet: testFleet, Version: 1}
-	order.Sign(strangerKey)
+	order.Sign(unknownKey)
 	if err := newReplica("s1").Halt(order); !errors.Is(err, ErrUnsigned) {
 		t.Error(err)
 	}
@@ -111,13 +111,13 @@
 	r, a, b := newReplica("s1"), newFollower("a"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
 	for now := int64(0); now < 4*second; now += second / 2 {
-		follow(t, a, r, now, fine)
-		follow(t, b, r, now, fine)
+		follow(t, a, r, now, applySucceeds)
+		follow(t, b, r, now, applySucceeds)
 		if a.Running() != 1 || b.Running() != 0 {
 			t.Fatalf("at %d: a runs %d, b %d", now, a.Running(), b.Running())
 		}
 	}
-	follow(t, b, r, 4*second, fine)
+	follow(t, b, r, 4*second, applySucceeds)
 	if b.Running() != 1 || b.Acknowledge(4*second).State != Applied {
 		t.Errorf("%+v", b.Acknowledge(4*second))
 	}
@@ -130,24 +130,24 @@
 	}
 }
 
-// One instance that cannot apply a release halts it: those that run it go back, and the rest never take it.
+// One instance that fails to apply a release halts it: instances that run it roll back, and the others never apply it.
 func TestAFailureHaltsTheRelease(t *testing.T) {
 	r := newReplica("s1")
 	a, a2, b := newFollower("a"), newFollower("a"), newFollower("b")
 	a2.config.Member = "m-a2"
 	publish(t, r, 0, newRelease(1, "one"))
 	for _, f := range []*Follower{a, a2, b} {
-		follow(t, f, r, 4*second, fine)
+		follow(t, f, r, 4*second, applySucceeds)
 	}
 	publish(t, r, 10*second, newRelease(2, "two"))
-	follow(t, a, r, 10*second, fine)
+	follow(t, a, r, 10*second, applySucceeds)
 	follow(t, a2, r, 10*second, func(Release) error { return errors.New("line 3: no such tenant") })
 	if a.Running() != 2 || a2.Running() != 1 || a2.Acknowledge(10*second).State != Failed {
 		t.Fatal(a.Running(), a2.Acknowledge(10*second))
 	}
 	for now := 11 * second; now < 20*second; now += second {
 		for _, f := range []*Follower{a, a2, b} {
-			follow(t, f, r, now, fine)
+			follow(t, f, r, now, applySucceeds)
 			if f.Running() != 1 {
 				t.Fatalf("at %d %s runs %d", now/second, f.config.Member, f.Running())
 			}
@@ -156,42 +156,43 @@
 	if got := a.Acknowledge(20 * second); got.State != RolledBack || got.Newest != 2 {
 		t.Errorf("%+v", got)
 	}
-	publish(t, r, 20*second, newRelease(3, "three")) // at once: the one before is halted
-	follow(t, a, r, 20*second, fine)
+	publish(t, r, 20*second, newRelease(3, "three")) // no waiting: the previous release is halted
+	follow(t, a, r, 20*second, applySucceeds)
 	if a.Running() != 3 || r.Head(20*second).LastGood != 1 {
 		t.Error(a.Running(), r.Head(20*second))
 	}
 }
 
-// The first release of all that is halted leaves instances with their own files.
-func TestBackToTheOwnFiles(t *testing.T) {
+// If the first release is halted, instances return to their own files.
+func TestHaltOfTheFirstReleaseRestoresOwnFiles(t *testing.T) {
 	r, a := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
-	follow(t, a, r, 0, fine)
+	follow(t, a, r, 0, applySucceeds)
 	order := HaltOrder{Fleet: testFleet, Version: 1, Reason: "wrong"}
 	order.Sign(testKey)
 	if err := r.Halt(order); err != nil {
 		t.Fatal(err)
 	}
-	follow(t, a, r, second, fine)
+	follow(t, a, r, second, applySucceeds)
 	if a.Running() != 0 || a.Acknowledge(second).State != RolledBack {
 		t.Errorf("%+v", a.Acknowledge(second))
 	}
 }
 
-// A server that is behind, or that tells a release that it does not have, is left, and changes nothing.
-func TestServersThatMislead(t *testing.T) {
+// A server that is behind, that has a conflicting release, or that announces a release it does not have is refused, and
+// changes nothing.
+func TestStaleAndConflictingServersAreRefused(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(5, "five"))
-	follow(t, f, r, 0, fine)
-	old := newReplica("s2")
-	publish(t, old, 0, newRelease(4, "four"))
-	if err := f.ReceiveHead(second, old.Head(second)); !errors.Is(err, ErrStaleServer) {
+	follow(t, f, r, 0, applySucceeds)
+	staleServer := newReplica("s2")
+	publish(t, staleServer, 0, newRelease(4, "four"))
+	if err := f.ReceiveHead(second, staleServer.Head(second)); !errors.Is(err, ErrStaleServer) {
 		t.Error(err)
 	}
-	twin := newReplica("s3")
-	publish(t, twin, 0, newRelease(5, "another five"))
-	if err := f.ReceiveHead(second, twin.Head(second)); !errors.Is(err, ErrConflict) {
+	conflictingServer := newReplica("s3")
+	publish(t, conflictingServer, 0, newRelease(5, "another five"))
+	if err := f.ReceiveHead(second, conflictingServer.Head(second)); !errors.Is(err, ErrConflict) {
 		t.Error(err)
 	}
 	if err := f.ReceiveHead(9*second, Head{Version: 900}); err != nil || f.Wanted() != 900 {
@@ -201,39 +202,39 @@
 		t.Error(err)
 	}
 	if got := f.Age(9 * second); got != 9*time.Second {
-		t.Error("words about a release that nobody has shown count as news", got)
+		t.Error("a head whose release was not verified counts for the age", got)
 	}
 	if f.Running() != 5 || f.Newest() != 5 {
 		t.Error(f.Running(), f.Newest())
 	}
 }
 
-// Nothing heard, or heard from a server that is cut off from the others: what runs goes on, nothing new is applied, and the
-// age is told.
-func TestAgesAreHonest(t *testing.T) {
+// An instance that receives nothing, or follows a server that is cut off from the others, keeps running its release, applies
+// nothing new, and reports how old its knowledge is.
+func TestAgeAndLag(t *testing.T) {
 	r, f := newReplica("s1", "s2", "s3"), newFollower("b")
 	publish(t, r, 0, newRelease(1, "one"))
 	r.ReceiveServerHead(0, Head{Server: "s2"})
-	follow(t, f, r, 2*second, fine)
-	if got := f.Age(3 * second); got != 3*time.Second { // 2 s since s1 heard a majority, and 1 s since s1 was heard
+	follow(t, f, r, 2*second, applySucceeds)
+	if got := f.Age(3 * second); got != 3*time.Second { // 2 s of lag of s1, and 1 s since the head of s1
 		t.Error(got)
 	}
-	follow(t, f, r, 8*second, fine) // its turn came at 4 s, but the server has heard no majority for 8 s
+	follow(t, f, r, 8*second, applySucceeds) // due since 4 s, but the server's lag is 8 s
 	if f.Running() != 0 || f.Acknowledge(8*second).State != Waiting || f.Acknowledge(11*second).State != Stale {
 		t.Error(f.Running(), f.Acknowledge(8*second), f.Acknowledge(11*second))
 	}
 	r.ReceiveServerHead(12*second, Head{Server: "s3"})
-	follow(t, f, r, 12*second, fine)
+	follow(t, f, r, 12*second, applySucceeds)
 	if f.Running() != 1 {
-		t.Error("healed, and it does not run the release")
+		t.Error("the release is not applied after the server is in touch with a majority again")
 	}
 	if r := NewReplica(ReplicaConfig{Name: "s1", OtherServers: []string{"s2"}}, StoredState{}); r.Head(0).Lag < time.Hour {
-		t.Error("a server that never heard another tells no lag")
+		t.Error("a server that was never in touch with another reports no lag")
 	}
 }
 
-// Two operators publish one version at two servers: both are given up.
-func TestTwoReleasesOfOneVersion(t *testing.T) {
+// If different releases of one version are published at two servers, both are halted.
+func TestConflictingReleasesAreHalted(t *testing.T) {
 	one, two := newReplica("s1", "s2"), newReplica("s2", "s1")
 	publish(t, one, 0, newRelease(1, "one"))
 	publish(t, two, 0, newRelease(1, "another"))
@@ -244,27 +245,27 @@
 	}
 }
 
-// What a server and an instance keep over their ends is taken up.
-func TestOverAnEnd(t *testing.T) {
+// Servers and instances restore their state after a restart; releases with an invalid signature are dropped.
+func TestStateSurvivesRestart(t *testing.T) {
 	r, f := newReplica("s1"), newFollower("a")
 	publish(t, r, 0, newRelease(1, "one"))
 	publish(t, r, 10*second, newRelease(2, "two"))
-	follow(t, f, r, 10*second, fine)
-	again := NewReplica(r.config, r.StoredState())
-	if head := again.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
+	follow(t, f, r, 10*second, applySucceeds)
+	restoredReplica := NewReplica(r.config, r.StoredState())
+	if head := restoredReplica.Head(12 * second); head.Version != 2 || head.LastGood != 1 || head.Elapsed != 2*time.Second {
 		t.Errorf("%+v", head)
 	}
-	back := NewFollower(f.config, f.RunningRelease(), f.Newest())
-	if back.Running() != 2 || back.Acknowledge(0).State != Stale {
-		t.Errorf("%+v", back.Acknowledge(0))
+	restoredFollower := NewFollower(f.config, f.RunningRelease(), f.Newest())
+	if restoredFollower.Running() != 2 || restoredFollower.Acknowledge(0).State != Stale {
+		t.Errorf("%+v", restoredFollower.Acknowledge(0))
 	}
 	forged := newRelease(3, "three")
-	forged.Sign(strangerKey)
-	if back := NewFollower(f.config, &forged, 2); back.Running() != 0 || back.Newest() != 2 {
-		t.Errorf("%+v", back.Acknowledge(0))
+	forged.Sign(unknownKey)
+	if restoredFollower := NewFollower(f.config, &forged, 2); restoredFollower.Running() != 0 || restoredFollower.Newest() != 2 {
+		t.Errorf("%+v", restoredFollower.Acknowledge(0))
 	}
-	if again := NewReplica(r.config, StoredState{Newest: &forged}); again.Head(0).Version != 0 {
-		t.Error("a release that no key has signed is taken up")
+	if restoredReplica := NewReplica(r.config, StoredState{Newest: &forged}); restoredReplica.Head(0).Version != 0 {
+		t.Error("a release with an invalid signature is restored")
 	}
 }
 
@@ -277,15 +278,16 @@
 	if n := len(r.Status(0).Members); n != maxMembers {
 		t.Error(n)
 	}
-	r.Acknowledge(int64(retention)+1, Acknowledgement{Member: "late"})
-	if n := len(r.Status(int64(retention) + 1).Members); n != 1 {
+	r.Acknowledge(int64(memberRetention)+1, Acknowledgement{Member: "late"})
+	if n := len(r.Status(int64(memberRetention) + 1).Members); n != 1 {
 		t.Error(n)
 	}
 }
 
-// Servers and instances that hear each other at random, with releases, failures and cuts among them: no instance ever runs
-// what was not signed, one that was halted before its stage, or a version older than one that it gave up for nothing.
-func TestAnyOrder(t *testing.T) {
+// Servers and instances exchange heads and releases in random order, among publications and releases that fail to apply: no
+// zone applies a release before its stage, and in the end all instances run the newest release, or the last good one if that
+// is halted, and never the bad one.
+func TestRandomOrderConverges(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		names := []string{"s1", "s2", "s3"}
@@ -294,17 +296,17 @@
 			others := append(append([]string{}, names[:k]...), names[k+1:]...)
 			servers = append(servers, newReplica(name, others...))
 		}
-		var all []*Follower
+		var followers []*Follower
 		for n := range 6 {
 			f := newFollower([]string{"a", "b"}[n%2])
 			f.config.Member = fmt.Sprint("m", n)
-			all = append(all, f)
+			followers = append(followers, f)
 		}
-		bad := Version(rng.IntN(6))
+		badVersion := Version(rng.IntN(6))
 		published := map[Version]int64{}
 		version := Version(0)
 		now := int64(0)
-		sync := func(from, to *Replica) {
+		exchangeHeads := func(from, to *Replica) {
 			head := from.Head(now)
 			switch wanted := to.ReceiveServerHead(now, head); wanted {
 			case 0:
@@ -316,7 +318,7 @@
 				}
 			}
 		}
-		step := func(f *Follower, r *Replica) {
+		followOnce := func(f *Follower, r *Replica) {
 			if f.ReceiveHead(now, r.Head(now)) != nil {
 				return
 			}
@@ -330,10 +332,10 @@
 				return
 			}
 			var err error
-			if release.Version == bad && release.Version > 0 {
+			if release.Version == badVersion && release.Version > 0 {
 				err = errors.New("bad")
-			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.delay(f.config.Zone)) {
-				t.Fatalf("seed %d: %s takes %d too early", seed, f.config.Member, release.Version)
+			} else if release.Version > f.Running() && now-published[release.Version] < int64(release.stageDelay(f.config.Zone)) {
+				t.Fatalf("seed %d: %s applies %d too early", seed, f.config.Member, release.Version)
 			}
 			f.RecordResult(release.Version, err)
 			r.Acknowledge(now, f.Acknowledge(now))
@@ -348,22 +350,22 @@
 					published[version] = now
 				}
 			case 1, 2, 3, 4:
-				sync(servers[rng.IntN(len(servers))], r)
+				exchangeHeads(servers[rng.IntN(len(servers))], r)
 			default:
-				step(all[rng.IntN(len(all))], r)
+				followOnce(followers[rng.IntN(len(followers))], r)
 			}
 		}
-		for range 4 * len(servers) { // all hear all, in the end
+		for range 4 * len(servers) { // finally, all servers and instances are in touch
 			now += second
 			for _, from := range servers {
 				for _, to := range servers {
 					if from != to {
-						sync(from, to)
+						exchangeHeads(from, to)
 					}
 				}
 			}
-			for n, f := range all {
-				step(f, servers[n%len(servers)])
+			for n, f := range followers {
+				followOnce(f, servers[n%len(servers)])
 			}
 		}
 		head := servers[0].Head(now)
@@ -371,40 +373,40 @@
 		if head.Halted != "" {
 			want = head.LastGood
 		}
-		for _, f := range all {
-			if f.Running() != want || f.Running() == bad && bad > 0 {
-				t.Fatalf("seed %d: %s runs %d, wanted %d (head %+v, bad %d)", seed, f.config.Member, f.Running(), want, head, bad)
+		for _, f := range followers {
+			if f.Running() != want || f.Running() == badVersion && badVersion > 0 {
+				t.Fatalf("seed %d: %s runs %d, wanted %d (head %+v, bad %d)", seed, f.config.Member, f.Running(), want, head, badVersion)
 			}
 		}
 	}
 }
 
-// A server that had not heard of a halt when the next release came takes the halted one for good, until it hears a server that
-// knows better; then it fetches the release that is good.
-func TestTheLowerGoodReleaseHolds(t *testing.T) {
-	knows, missed := newReplica("s1", "s2"), newReplica("s2", "s1")
-	for _, r := range []*Replica{knows, missed} {
+// A server that missed the halt of a release considers it good when the next one is published. It learns the lower last good
+// version from a server that knows of the halt, and fetches that release.
+func TestLowerLastGoodVersionWins(t *testing.T) {
+	informed, uninformed := newReplica("s1", "s2"), newReplica("s2", "s1")
+	for _, r := range []*Replica{informed, uninformed} {
 		publish(t, r, 0, newRelease(1, "one"))
 		publish(t, r, 10*second, newRelease(2, "two"))
 	}
 	order := HaltOrder{Fleet: testFleet, Version: 2}
 	order.Sign(testKey)
-	if err := knows.Halt(order); err != nil {
+	if err := informed.Halt(order); err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []*Replica{knows, missed} {
+	for _, r := range []*Replica{informed, uninformed} {
 		publish(t, r, 20*second, newRelease(3, "three"))
 	}
-	if knows.Head(20*second).LastGood != 1 || missed.Head(20*second).LastGood != 2 {
-		t.Fatal(knows.Head(20*second), missed.Head(20*second))
+	if informed.Head(20*second).LastGood != 1 || uninformed.Head(20*second).LastGood != 2 {
+		t.Fatal(informed.Head(20*second), uninformed.Head(20*second))
 	}
-	if wanted := missed.ReceiveServerHead(21*second, knows.Head(21*second)); wanted != 1 {
-		t.Errorf("it fetches version %d", wanted)
+	if wanted := uninformed.ReceiveServerHead(21*second, informed.Head(21*second)); wanted != 1 {
+		t.Errorf("wanted version is %d", wanted)
 	}
-	if err := missed.CopyLastGood(*knows.Release(1)); err != nil {
+	if err := uninformed.CopyLastGood(*informed.Release(1)); err != nil {
 		t.Fatal(err)
 	}
-	if wanted := knows.ReceiveServerHead(21*second, missed.Head(21*second)); wanted != 0 || missed.Head(21*second).LastGood != 1 || missed.Release(1) == nil {
-		t.Error(wanted, missed.Head(21*second))
+	if wanted := informed.ReceiveServerHead(21*second, uninformed.Head(21*second)); wanted != 0 || uninformed.Head(21*second).LastGood != 1 || uninformed.Release(1) == nil {
+		t.Error(wanted, uninformed.Head(21*second))
 	}
 }
