--- a/internal/releases/disk.go
+++ b/internal/releases/disk.go
@@ -11,20 +11,20 @@
 	"github.com/google/renameio/v2"
 )
 
-// saver writes a value to a file whenever it changes. One goroutine writes: a disk that hangs holds that one alone, and what
-// came meanwhile is written once, in its newest form.
-type saver struct {
+// fileWriter writes a value to a file whenever it changes. A goroutine of its own does the writing, so that a hanging disk
+// blocks nothing else; of the values put meanwhile only the newest is written.
+type fileWriter struct {
 	path    string
 	log     *slog.Logger
 	changed chan any
 }
 
-func newSaver(path string, log *slog.Logger) *saver {
-	return &saver{path: path, log: log, changed: make(chan any, 1)}
+func newFileWriter(path string, log *slog.Logger) *fileWriter {
+	return &fileWriter{path: path, log: log, changed: make(chan any, 1)}
 }
 
-// put has a value written, in place of one that still waits. One goroutine at a time may call it.
-func (s *saver) put(value any) {
+// enqueue schedules a value to be written and replaces one that is still waiting. Calls must not be concurrent.
+func (s *fileWriter) enqueue(value any) {
 	select {
 	case <-s.changed:
 	default:
@@ -32,8 +32,8 @@
 	s.changed <- value
 }
 
-// run writes until done is closed, and what still waits then.
-func (s *saver) run(done <-chan struct{}) {
+// run writes values until done is closed, and then the one that is still waiting.
+func (s *fileWriter) run(done <-chan struct{}) {
 	failing := false
 	for {
 		var value any
@@ -54,7 +54,7 @@
 	}
 }
 
-func (s *saver) write(value any) error {
+func (s *fileWriter) write(value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -65,12 +65,12 @@
 	return renameio.WriteFile(s.path, text, 0o600, renameio.WithTempDir(filepath.Dir(s.path)))
 }
 
-// load reads a value that a saver wrote. A file that is not there, or is damaged, leaves the value as it is: what was kept
-// can be had from the servers again.
-func load(path string, into any, log *slog.Logger) {
+// loadFile reads a value that a fileWriter wrote. If the file is missing or damaged, the value is left unchanged, because
+// its content can be fetched from the servers again.
+func loadFile(path string, destination any, log *slog.Logger) {
 	text, err := os.ReadFile(path)
 	if err == nil {
-		err = json.Unmarshal(text, into)
+		err = json.Unmarshal(text, destination)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		log.Error("release of before not taken up", "file", path, "err", err)
