--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Entry is one server on the list.
+// Entry is one server in the list of servers.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -24,83 +24,86 @@
 	Started int64   `json:"started_ms"`
 }
 
-type hosts struct {
+// serverList is the body of an event: the full list, or the changed entries.
+type serverList struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
+// event is one numbered event of the journal.
 type event struct {
-	Pos   int64 `json:"pos"`
-	Hosts hosts `json:"hosts"`
+	Pos   int64      `json:"pos"`
+	Hosts serverList `json:"hosts"`
 }
 
-// List is the service that tells one instance the list of servers. Changes are told late.
+// ListService is the service that sends one instance the list of servers. Changes are announced with a delay.
 type ListService struct {
-	mu     sync.Mutex
-	events []event
-	due    []time.Time // when each event is told
-	change chan struct{}
-	l      net.Listener
-	onTold func(e Entry, at time.Time)
+	mu          sync.Mutex
+	events      []event
+	due         []time.Time   // when each event is announced
+	changed     chan struct{} // closed, and replaced, when an event is added
+	listener    net.Listener
+	onAnnounced func(e Entry, at time.Time)
 }
 
-// NewList makes the service with the list of the start. onTold, if any, hears of each entry as it becomes known.
-func NewListService(first []Entry, onTold func(e Entry, at time.Time)) (*ListService, error) {
+// NewListService makes the service with the initial list. onAnnounced, if not nil, is called for each change as it is added,
+// with the time when it will be announced.
+func NewListService(initial []Entry, onAnnounced func(e Entry, at time.Time)) (*ListService, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &ListService{l: l, change: make(chan struct{}), onTold: onTold}
-	s.events = []event{{1, hosts{1, true, first}}}
+	s := &ListService{listener: l, changed: make(chan struct{}), onAnnounced: onAnnounced}
+	s.events = []event{{1, serverList{1, true, initial}}}
 	s.due = []time.Time{time.Now()}
 	return s, nil
 }
 
 // Addr is the service's address.
-func (s *ListService) Addr() string { return s.l.Addr().String() }
+func (s *ListService) Addr() string { return s.listener.Addr().String() }
 
-// Change tells a changed entry after a delay.
-func (s *ListService) AnnounceChange(e Entry, late time.Duration) {
+// AnnounceChange announces a changed entry after a delay, but not before earlier changes.
+func (s *ListService) AnnounceChange(e Entry, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	due := time.Now().Add(late)
-	if last := s.due[len(s.due)-1]; due.Before(last) { // in order, as they are numbered
+	due := time.Now().Add(delay)
+	if last := s.due[len(s.due)-1]; due.Before(last) { // events are announced in the order of their numbers
 		due = last
 	}
 	n := int64(len(s.events) + 1)
-	s.events = append(s.events, event{n, hosts{n, false, []Entry{e}}})
+	s.events = append(s.events, event{n, serverList{n, false, []Entry{e}}})
 	s.due = append(s.due, due)
-	close(s.change)
-	s.change = make(chan struct{})
-	if s.onTold != nil {
-		s.onTold(e, due)
+	close(s.changed)
+	s.changed = make(chan struct{})
+	if s.onAnnounced != nil {
+		s.onAnnounced(e, due)
 	}
 }
 
-// Known is the list as told up to now, in the form of the configuration. The numbers go on from there.
+// KnownList gives the events announced so far, in the form that the platform's configuration has them.
 func (s *ListService) KnownList() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	told := []event{}
+	announced := []event{}
 	for k, e := range s.events {
 		if !s.due[k].After(now) {
-			told = append(told, e)
+			announced = append(announced, e)
 		}
 	}
-	text, _ := json.Marshal(map[string]any{"pos": len(told), "entries": told})
+	text, _ := json.Marshal(map[string]any{"pos": len(announced), "entries": announced})
 	return text
 }
 
 // Run serves until ctx ends.
 func (s *ListService) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /journal", s.stream)
+	mux.HandleFunc("GET /journal", s.serveJournal)
 	server := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		if err := server.Serve(s.l); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
@@ -109,15 +112,17 @@
 	return g.Wait()
 }
 
-func (s *ListService) stream(w http.ResponseWriter, r *http.Request) {
+// serveJournal sends the events after Last-Event-ID as server-sent events, each when it is due, and a comment every second
+// to keep the connection alive.
+func (s *ListService) serveJournal(w http.ResponseWriter, r *http.Request) {
 	pos, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
-	flush := http.NewResponseController(w)
-	comment := time.NewTicker(time.Second)
-	defer comment.Stop()
+	response := http.NewResponseController(w)
+	keepAlive := time.NewTicker(time.Second)
+	defer keepAlive.Stop()
 	fmt.Fprint(w, ":\n\n")
 	for {
 		s.mu.Lock()
-		change := s.change
+		changed := s.changed
 		wait := time.Hour
 		for pos < len(s.events) {
 			if wait = time.Until(s.due[pos]); wait > 0 {
@@ -129,28 +134,28 @@
 			wait = time.Hour
 		}
 		s.mu.Unlock()
-		if flush.Flush() != nil {
+		if response.Flush() != nil {
 			return
 		}
-		later := time.NewTimer(wait)
+		nextDue := time.NewTimer(wait)
 		select {
 		case <-r.Context().Done():
-			later.Stop()
+			nextDue.Stop()
 			return
-		case <-later.C:
-		case <-change:
-		case <-comment.C:
+		case <-nextDue.C:
+		case <-changed:
+		case <-keepAlive.C:
 			fmt.Fprint(w, ":\n\n")
 		}
-		later.Stop()
+		nextDue.Stop()
 	}
 }
 
-// EntryOf is a server's entry in an instance's list.
-func NewEntry(s *Server, instance, state string, started time.Time) Entry {
+// NewEntry makes a server's entry for an instance's list.
+func NewEntry(s *Server, instance, state string, startedAt time.Time) Entry {
 	e := Entry{ID: s.ID, Addr: s.Addr(instance), Cell: s.Cell, State: state, Weight: 1}
-	if !started.IsZero() {
-		e.Started = started.UnixMilli()
+	if !startedAt.IsZero() {
+		e.Started = startedAt.UnixMilli()
 	}
 	return e
 }
