--- a/control/pressure.go
+++ b/control/pressure.go
@@ -5,315 +5,315 @@
 	"slices"
 )
 
-// What presses and marks a server, how large it is, and the draw among the unmarked ones.
+// Overload of a server and backoff from it, its capacity, and the choice among the open servers.
 
-// hot is a number whose lines were all found busy: how long it is left alone, and until when.
-type hot struct{ wait, until int64 }
+// busyNumber is a dialled number whose lines were all busy: how long it gets no calls, and until when.
+type busyNumber struct{ wait, until int64 }
 
-// size is a server's capacity: at present, or when well. Its reported rate comes first, while fresh; without
-// one, its listed share in the measure of those that report, cold ones in part.
-func (c *Controller) size(s *server, present bool) float64 {
-	if present && s.rate > 0 && c.now-s.rateAt < rateFresh {
+// capacity is a server's capacity, at present or at its best: its reported rate while that is valid; else its peak
+// rate, or for want of one its listed share, scaled to those that report, and as far as it has warmed up.
+func (c *Controller) capacity(s *server, present bool) float64 {
+	if present && s.rate > 0 && c.now-s.rateAt < rateMaxAge {
 		return s.rate
 	}
-	size := s.well
+	size := s.peakRate
 	if size == 0 {
-		var well, share float64
+		var rates, shares float64
 		for _, o := range c.servers {
-			if o.well > 0 {
-				well, share = well+o.well, share+o.share
+			if o.peakRate > 0 {
+				rates, shares = rates+o.peakRate, shares+o.share
 			}
 		}
-		if size = s.share; share > 0 {
-			size *= well / share
+		if size = s.share; shares > 0 {
+			size *= rates / shares
 		}
 	}
 	if present {
-		size *= c.warmth(s)
+		size *= c.capacityFraction(s)
 	}
 	return size
 }
 
-// fading is a count that is forgotten with time; now gives what is left of it.
-type fading struct {
+// decayingCount is a count that decays exponentially; decayed gives what is left of it.
+type decayingCount struct {
 	n  float64
 	at int64
 }
 
-func (f *fading) now(now int64, span float64) float64 {
-	f.n *= math.Exp(-float64(now-f.at) / span)
-	f.at = now
-	return f.n
+func (d *decayingCount) decayed(now int64, decay float64) float64 {
+	d.n *= math.Exp(-float64(now-d.at) / decay)
+	d.at = now
+	return d.n
 }
 
-// rate makes a count over bornSpan one of calls a second; after a start it has seen less.
-func (c *Controller) rate(f *fading) float64 {
-	seen := bornSpan * (1 - math.Exp(-float64(max(c.now-c.began, second))/bornSpan))
-	return f.now(c.now, bornSpan) * float64(second) / seen
+// perSecond turns a count over loadAveraging into a rate a second, allowing for the shorter time since a start.
+func (c *Controller) perSecond(d *decayingCount) float64 {
+	seen := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
+	return d.decayed(c.now, loadAveraging) * float64(second) / seen
 }
 
-// refresh does once an event what takes all servers together: the share of lost answers, and the most that
-// this front's calls have lately borne, in all and on a unit of size. The present load would not do: while
-// servers are away it is small, and a new processor, held to its part of that, would stay idle when needed
-// most.
-func (c *Controller) refresh() {
-	if c.freshAt == c.now {
+// refreshTotals updates, once an event, what concerns all servers: the share of lost answers, and the recent peaks of
+// this instance's carried load, in total and for a unit of capacity. The present load would not do: it is small while
+// servers are away, and a new processor held to its part of that would stay idle when it is needed most.
+func (c *Controller) refreshTotals() {
+	if c.refreshedAt == c.now {
 		return
 	}
-	kept := math.Exp(-float64(c.now-c.freshAt) / unitSpan)
-	c.freshAt, c.listed = c.now, 0
-	var total, lost, all float64
+	decay := math.Exp(-float64(c.now-c.refreshedAt) / peakDecay)
+	c.refreshedAt, c.available = c.now, 0
+	var capacity, lost, all float64
 	for _, o := range c.servers {
-		l := o.lost.now(c.now, lossFade)
-		lost, all = lost+l, all+l+o.came.now(c.now, lossFade)
-		if o.in {
-			total += c.size(o, false) * c.warmth(o)
-			c.listed++
+		oneLost := o.lost.decayed(c.now, lossDecay)
+		lost, all = lost+oneLost, all+oneLost+o.answered.decayed(c.now, lossDecay)
+		if o.available {
+			capacity += c.capacity(o, false) * c.capacityFraction(o)
+			c.available++
 		}
 	}
 	c.loss = lost / max(all, 1)
-	borne := c.rate(&c.borne)
-	c.top, c.unit = max(c.top*kept, borne), c.unit*kept
-	if total > 0 {
-		c.unit = max(c.unit, borne/total)
+	carried := c.perSecond(&c.carried)
+	c.peakLoad, c.loadPerUnit = max(c.peakLoad*decay, carried), c.loadPerUnit*decay
+	if capacity > 0 {
+		c.loadPerUnit = max(c.loadPerUnit, carried/capacity)
 	}
 }
 
-// fair is this front's fair part of a server's present capacity, in calls a second.
-func (c *Controller) fair(s *server) float64 {
-	c.refresh()
-	return c.unit * c.size(s, true)
+// fairRate is this instance's fair share of a server's present capacity, in calls a second.
+func (c *Controller) fairRate(s *server) float64 {
+	c.refreshTotals()
+	return c.loadPerUnit * c.capacity(s, true)
 }
 
-// delayAt is the set-up delay to expect at a server, the worst of three: what stood last, fading without
-// news, and the integral; the age of the longest unanswered set-up, which sees a hang or a jam before any
-// answer; and the time that the unanswered ones take at this front's fair part of the server (Little's law,
-// if the others do alike), which keeps a burst off a small or long unused server. The last can hold calls off
-// a server much larger than its share says, down to one out at a time.
-func (c *Controller) delayAt(s *server) float64 {
-	gap := float64(c.now - s.newsAt)
-	d := s.delay*math.Exp(-gap/c.span(newsFade)) +
-		s.press*math.Exp(-float64(c.now-s.pressAt)/c.span(pressFade))
-	if n, first, last := s.silent(); n > 0 {
-		// Silence shuts a server only between trials, rarer with each unanswered one. Where answers get lost
-		// it counts for no more than the loss leaves unexplained.
-		rest := c.span(float64(min(trialFirst<<min(n-1, 8), trialMax)))
-		each := 0.0 // time that a set-up takes at this front's fair part, as far as that is known
-		if c.stood >= littleFrom {
-			each = float64(second) / max(c.fair(s), littleLeast)
+// expectedDelay is the set-up delay to expect at a server, the greatest of three: the delay of the last answers,
+// decaying without new ones, plus the integral of excess delay; the age of the oldest unanswered set-up, which shows a
+// hang or an overload before any answer; and the time that the unanswered ones take at this instance's fair share
+// (Little's law, if others do alike), which keeps a burst off a small or long unused server. The last can limit a
+// server much larger than its listed share to one set-up at a time.
+func (c *Controller) expectedDelay(s *server) float64 {
+	age := float64(c.now - s.delayAt)
+	delay := s.delay*math.Exp(-age/c.scaled(delayDecay)) +
+		s.excessDelay*math.Exp(-float64(c.now-s.excessDelayAt)/c.scaled(excessDecay))
+	if n, first, last := s.silentSetUps(); n > 0 {
+		// Silence blocks a server only between trials, which are rarer with each unanswered one, and counts only as far
+		// as lost answers do not explain it.
+		trialInterval := c.scaled(float64(min(minTrialInterval<<min(n-1, 8), maxTrialInterval)))
+		perSetUp := 0.0 // time per set-up at this instance's fair share, as far as known
+		if c.established >= minEstablished {
+			perSetUp = float64(second) / max(c.fairRate(s), minFairRate)
 		}
-		if float64(c.now-last) < max(rest, trialParts*each) {
-			unsaid := float64(c.now-first) * lossDoubt / (lossDoubt + math.Pow(c.lossAt(s), float64(n)))
-			d = max(d, float64(s.pending())*each, unsaid)
+		if float64(c.now-last) < max(trialInterval, callsPerTrial*perSetUp) {
+			silence := float64(c.now-first) * silentPrior / (silentPrior + math.Pow(c.lossShare(s), float64(n)))
+			delay = max(delay, float64(s.pending())*perSetUp, silence)
 		}
 	}
-	return d
+	return delay
 }
 
-// worth is what a call can still earn, in units of the least class's worth.
-func (c *Controller) worth(cl *call) float64 {
-	g := c.set.Classes[cl.class]
-	w := g.Worth / c.minWorth
-	if c.now-cl.first > g.Aim {
-		w *= g.LateValue
+// value is what a call is still worth, in units of the least valuable class.
+func (c *Controller) value(cl *call) float64 {
+	class := c.cfg.Classes[cl.class]
+	value := class.Worth / c.minValue
+	if c.now-cl.firstAt > class.Aim {
+		value *= class.LateValue
 	}
-	return w
+	return value
 }
 
-// marked tells whether a server is no room for this call: it answered it with a fault, or is marked by an
-// answer, on trial, out of lines, out of its cold budget, or pressed beyond what its worth and luck bear.
-func (c *Controller) marked(s *server, cl *call) bool {
-	if slices.Contains(cl.faults, s) || c.now < s.markEnd || s.down && s.pending() > 0 || !c.coldRoom(s) {
+// blocked tells whether a server is closed to this call: it answered this call with a fault, is in backoff, under
+// trial, out of lines, out of its cold budget, or overloaded beyond what the call's value and threshold allow.
+func (c *Controller) blocked(s *server, cl *call) bool {
+	if slices.Contains(cl.faultyServers, s) || c.now < s.backoffUntil || s.down && s.pending() > 0 ||
+		!c.hasColdCredit(s) {
 		return true
 	}
-	shut := s.cut.now(c.now, cutFade) > cutMost || c.faulty(s)
-	if shut && float64(c.now-s.sentAt) < c.span(float64(trialMax)) {
+	trialsOnly := s.earlyCuts.decayed(c.now, badShareDecay) > maxBadShare || c.faulty(s)
+	if trialsOnly && float64(c.now-s.sentAt) < c.scaled(float64(maxTrialInterval)) {
 		return true
 	}
-	worth := c.worth(cl)
-	if float64(c.now-s.lineAt) < float64(markMin)*min(max(1/(worth*worth), lineLeast), lineMost) {
+	value := c.value(cl)
+	if float64(c.now-s.noLineAt) < float64(minBackoff)*min(max(1/(value*value), minLineFactor), maxLineFactor) {
 		return true
 	}
-	scale := min(max(worth, worthMin), worthMax)
-	way := 0.0
-	if s.least < math.MaxFloat64 {
-		way = max(s.least-wayPart*c.ref, 0)
+	scale := min(max(value, minValueScale), maxValueScale)
+	pathDelay := 0.0
+	if s.minDelay < math.MaxFloat64 {
+		pathDelay = max(s.minDelay-pathDelayPart*c.refDelay, 0)
 	}
-	from, full := pressFrom*scale*c.ref+way, pressFull*scale*c.ref+way
-	g := c.set.Classes[cl.class]
-	if limit := aimShare * float64(g.Aim); c.now-cl.first <= g.Aim && full > limit {
-		from, full = min(from, limit/2), limit
+	open, closed := rampStart*scale*c.refDelay+pathDelay, rampEnd*scale*c.refDelay+pathDelay
+	class := c.cfg.Classes[cl.class]
+	if limit := targetFraction * float64(class.Aim); c.now-cl.firstAt <= class.Aim && closed > limit {
+		open, closed = min(open, limit/2), limit
 	}
-	return c.delayAt(s) > from+(full-from)*cl.luck
+	return c.expectedDelay(s) > open+(closed-open)*cl.threshold
 }
 
-// allowed tells whether a server may take the call at all, now that no module beside this one keeps it off.
+// allowed tells whether a server may take the call by the list, the call's class and other modules.
 func (c *Controller) allowed(s *server, cl *call) bool {
-	if !s.in || s.cell == c.set.ThisNode || c.capped(s.id) || cl.inTransit && s.cell != cl.cell {
+	if !s.available || s.cell == c.cfg.ThisNode || c.excluded(s.id) || cl.inTransit && s.cell != cl.firstChoice {
 		return false
 	}
-	cells := c.set.Classes[cl.class].Cells
-	return c.set.Meshed || len(cells) == 0 || slices.Contains(cells, s.cell)
+	cells := c.cfg.Classes[cl.class].Cells
+	return c.cfg.Meshed || len(cells) == 0 || slices.Contains(cells, s.cell)
 }
 
-// draw picks a server by weight and size among the allowed and unmarked ones.
-func (c *Controller) draw(cl *call) *server {
+// pick draws a server at random, by weight and capacity, among those that may take the call and are open to it.
+func (c *Controller) pick(cl *call) *server {
 	var total float64
-	var from []*server
+	var open []*server
 	for _, s := range c.servers {
-		if c.allowed(s, cl) && !c.marked(s, cl) {
+		if c.allowed(s, cl) && !c.blocked(s, cl) {
 			age := float64(c.now-s.weightAt) / float64(second)
-			s.weight += (1 - s.weight) * (1 - math.Exp(-weightReturn*age))
+			s.weight += (1 - s.weight) * (1 - math.Exp(-weightRecovery*age))
 			s.weightAt = c.now
-			total += s.weight * c.size(s, true)
-			from = append(from, s)
+			total += s.weight * c.capacity(s, true)
+			open = append(open, s)
 		}
 	}
-	u := c.rng.Float64() * total
-	for k, s := range from {
-		if u -= s.weight * c.size(s, true); u < 0 || k == len(from)-1 {
+	left := c.rng.Float64() * total
+	for k, s := range open {
+		if left -= s.weight * c.capacity(s, true); left < 0 || k == len(open)-1 {
 			return s
 		}
 	}
 	return nil
 }
 
-// answered takes a server's answer to one set-up: its delay is news, of at least so much for one that did not
-// stand.
-func (c *Controller) answered(s *server, id string, least float64) {
-	a, ok := s.take(id)
+// recordAnswer takes a server's answer to a set-up. Its delay counts as at least the given one, 0 for a success.
+func (c *Controller) recordAnswer(s *server, id string, least float64) {
+	a, ok := s.removeAttempt(id)
 	if !ok {
 		return
 	}
-	s.came.n = s.came.now(c.now, lossFade) + 1
-	c.overtaken(s, a.at)
-	delay, gap := max(float64(c.now-a.at), least), float64(c.now-s.newsAt)
+	s.answered.n = s.answered.decayed(c.now, lossDecay) + 1
+	c.cancelOvertaken(s, a.sentAt)
+	delay, gap := max(float64(c.now-a.sentAt), least), float64(c.now-s.delayAt)
 	if least == 0 {
-		s.provenAt = max(s.provenAt, a.at)
-		c.x = max(c.x+spacingGain*(delay-c.x), float64(c.set.Resolution), 1)
+		s.establishedSentAt = max(s.establishedSentAt, a.sentAt)
+		c.spacing = max(c.spacing+spacingSmoothing*(delay-c.spacing), float64(c.cfg.Resolution), 1)
 	}
-	s.least = min(delay, s.least*(1+gap/leastSpan))
-	c.push(s, delay)
-	if gap > c.span(newsFade) {
+	s.minDelay = min(delay, s.minDelay*(1+gap/minDelayDecay))
+	c.addExcessDelay(s, delay)
+	if gap > c.scaled(delayDecay) {
 		s.delay = delay
 	}
-	s.delay += delayGain * (delay - s.delay)
-	s.weight = min(s.weight, c.ref/(c.ref+delay))
-	s.newsAt, s.weightAt = c.now, c.now
+	s.delay += delaySmoothing * (delay - s.delay)
+	s.weight = min(s.weight, c.refDelay/(c.refDelay+delay))
+	s.delayAt, s.weightAt = c.now, c.now
 }
 
-// push feeds the integral of delays beyond the aimed-at one, which presses a server however few the samples
-// are: many fronts that each look seldom would else swing between flood and drought together. It counts by
-// the chance that no news comes while the tracked delay fades, so that many samples leave it out. It covers
-// slow processors, jams, overload and lines that are short alike; it can hold calls off a recovered server
-// for some seconds.
-func (c *Controller) push(s *server, delay float64) {
-	if c.stood < littleFrom {
+// addExcessDelay updates the integral of delays beyond the threshold, which counts as overload however few the samples
+// are: many instances that sample a server seldom would otherwise swing between flooding and avoiding it together. The
+// integral is scaled by the chance that no answer comes while the tracked delay decays, so that frequent samples hardly
+// add to it. It covers slow processors, overload and a lack of lines; it can keep calls off a recovered server for
+// seconds.
+func (c *Controller) addExcessDelay(s *server, delay float64) {
+	if c.established < minEstablished {
 		return
 	}
-	gap := float64(c.now - s.pressAt)
-	aim := min(max(pressAim*c.ref, 2*s.least), pressFull*c.ref) // a small server is slow by itself
-	seldom := math.Exp(-c.fair(s) * c.span(newsFade) / float64(second))
-	more := pressGain * (delay - aim) * min(gap, c.span(pressSpan)) / c.span(float64(second)) * seldom
-	s.press = min(max(s.press*math.Exp(-gap/c.span(pressFade))+more, 0), pressMost*c.ref)
-	s.pressAt = c.now
+	gap := float64(c.now - s.excessDelayAt)
+	threshold := min(max(excessFrom*c.refDelay, 2*s.minDelay), rampEnd*c.refDelay) // a small server is always slow
+	noAnswer := math.Exp(-c.fairRate(s) * c.scaled(delayDecay) / float64(second))
+	more := excessGain * (delay - threshold) * min(gap, c.scaled(maxExcessGap)) / c.scaled(float64(second)) * noAnswer
+	s.excessDelay = min(max(s.excessDelay*math.Exp(-gap/c.scaled(excessDecay))+more, 0), maxExcess*c.refDelay)
+	s.excessDelayAt = c.now
 }
 
-// report takes a load report. Own delays press a server whatever it reports. Free lines are old news within a
-// moment, as calls end all the time: none free marks for as long as an answer without a line would.
-func (c *Controller) report(s *server, r []float64) {
-	value := func(at int) float64 { // -1: none
-		if at < 0 || at >= len(r) {
+// onLoadReport takes a load report. Measured delays count as overload whatever is reported. The number of free lines is
+// soon out of date, as calls end all the time: no free line counts as long as an answer for lack of lines does.
+func (c *Controller) onLoadReport(s *server, r []float64) {
+	value := func(index int) float64 { // -1: none
+		if index < 0 || index >= len(r) {
 			return -1
 		}
-		return r[at]
+		return r[index]
 	}
-	if rate := value(c.rateAt); rate > 0 {
-		if s.rate == 0 || c.now-s.rateAt >= rateFresh {
+	if rate := value(c.rateField); rate > 0 {
+		if s.rate == 0 || c.now-s.rateAt >= rateMaxAge {
 			s.rate = rate
 		}
-		s.rate += rateGain * (rate - s.rate)
-		s.well = max(s.well*math.Exp(-float64(c.now-s.rateAt)/unitSpan), s.rate)
+		s.rate += rateSmoothing * (rate - s.rate)
+		s.peakRate = max(s.peakRate*math.Exp(-float64(c.now-s.rateAt)/peakDecay), s.rate)
 		s.rateAt = c.now
 	}
-	if spare := value(c.spareAt); spare >= 0 && spare < 1 {
-		s.lineAt = c.now
+	if spare := value(c.spareField); spare >= 0 && spare < 1 {
+		s.noLineAt = c.now
 	}
 }
 
-// ended follows how calls that stood came to an end. A server that stands calls and cuts them again looks
-// quick and well to all else; while most are cut young it gets one trial at a time. A crash, a drain or lost
-// lines cut calls of any age, once, and hardly count; a server with few calls may be shut by one.
-func (c *Controller) ended(s *server, young bool) {
-	s.cut.n = s.cut.now(c.now, cutFade) * (1 - cutGain)
-	if young {
-		s.cut.n += cutGain
+// recordCallEnd counts how established calls end. A server that establishes calls and cuts them at once looks fast and
+// healthy otherwise; while most are cut early it gets one trial at a time. A crash, a drain or lost lines cut calls of
+// any age once and hardly count, but one may close a server with few calls.
+func (c *Controller) recordCallEnd(s *server, early bool) {
+	s.earlyCuts.n = s.earlyCuts.decayed(c.now, badShareDecay) * (1 - badShareSmoothing)
+	if early {
+		s.earlyCuts.n += badShareSmoothing
 	}
 }
 
-// judge marks a server by how an attempt ended.
-func (c *Controller) judge(s *server, ev Event) {
+// recordOutcome takes what the outcome of an attempt tells about the server.
+func (c *Controller) recordOutcome(s *server, ev Event) {
 	switch {
-	case !slices.ContainsFunc(s.out, func(a attempt) bool { return a.call == ev.Call && !a.off }):
-		return // it stood before; a cut call tells nothing of the processor's queue
-	case ev.Outcome == Canceled || ev.Outcome == Unavailable || ev.Note == noLine:
-		s.take(ev.Call) // called off, or without a line: it tells nothing of the processor
+	case !slices.ContainsFunc(s.unanswered, func(a attempt) bool { return a.call == ev.Call && !a.abandoned }):
+		return // it was established; a cut call tells nothing about the processor's queue
+	case ev.Outcome == Canceled || ev.Outcome == Unavailable || ev.Note == noteNoLine:
+		s.removeAttempt(ev.Call) // canceled, or without a line: it tells nothing about the processor
 		if ev.Outcome != Canceled {
-			s.lineAt = c.now
-			c.push(s, fullDelay*c.ref)
+			s.noLineAt = c.now
+			c.addExcessDelay(s, saturatedDelay*c.refDelay)
 		}
 	case ev.Outcome == TimedOut || ev.Outcome == ConnectionLost:
-		c.missed(s, ev.Call, ev.Outcome == ConnectionLost)
+		c.recordMiss(s, ev.Call, ev.Outcome == ConnectionLost)
 	case ev.Outcome == ConnectionRefused:
-		s.take(ev.Call)
-		s.markEnd = max(s.markEnd, c.now+trialFirst)
-		c.fell(s)
+		s.removeAttempt(ev.Call)
+		s.backoffUntil = max(s.backoffUntil, c.now+minTrialInterval)
+		c.markDown(s)
 	case ev.Outcome == Errored:
-		if ev.Note == busyLine {
-			c.answered(s, ev.Call, 1)
+		if ev.Note == noteNumberBusy {
+			c.recordAnswer(s, ev.Call, 1)
 			return
 		}
-		s.take(ev.Call) // a quick fault overtakes others in the queue, and is no delay of a set-up
-		s.came.n = s.came.now(c.now, lossFade) + 1
+		s.removeAttempt(ev.Call) // a fast fault overtakes others in the queue, and is no set-up delay
+		s.answered.n = s.answered.decayed(c.now, lossDecay) + 1
 		if cl := c.calls[ev.Call]; cl != nil {
-			cl.faults = append(cl.faults, s)
-			s.fault.n = s.fault.now(c.now, cutFade)*(1-cutGain) + cutGain
+			cl.faultyServers = append(cl.faultyServers, s)
+			s.faults.n = s.faults.decayed(c.now, badShareDecay)*(1-badShareSmoothing) + badShareSmoothing
 		}
 	case ev.Outcome == Saturated:
-		// A quick "full" is no quick set-up: taken as one, it would draw calls to a sick server. This covers
-		// any server that fails fast; one full for an instant is shunned about two seconds for it.
-		c.answered(s, ev.Call, fullDelay*c.ref)
-		// A told wait is kept up to trialMax; a longer one is then tested by a single trial, as a processor
-		// that dropped its queue or came back would stand idle else.
-		s.down = s.down || ev.WaitMS*1e6 > trialMax
-		s.markEnd = max(s.markEnd, c.now+max(int64(c.x), markMin, min(ev.WaitMS*1e6, trialMax)))
+		// A fast "full" must not count as a fast set-up, or it would attract calls to a failing server. This covers any
+		// server that fails fast; one that is full for an instant is avoided for about two seconds.
+		c.recordAnswer(s, ev.Call, saturatedDelay*c.refDelay)
+		// A told wait is kept up to maxTrialInterval; a longer one is then tested by a single trial, as a processor
+		// that dropped its queue or restarted would otherwise stay idle.
+		s.down = s.down || ev.WaitMS*1e6 > maxTrialInterval
+		s.backoffUntil = max(s.backoffUntil,
+			c.now+max(int64(c.spacing), minBackoff, min(ev.WaitMS*1e6, maxTrialInterval)))
 	}
 }
 
-// blame marks a server for a fault on a call that stood elsewhere. A server that answers with faults is as
-// quick and as useless as one that cuts what stood; a single chance fault costs it a moment.
-func (c *Controller) blame(s *server) {
-	s.markEnd = max(s.markEnd, c.now+markMin)
-	s.weight *= lossWeight
-	c.ended(s, true)
+// recordFault takes a fault of a server on a call that another server established. A server that answers with faults is
+// as fast and as useless as one that cuts established calls; a single chance fault costs it a moment.
+func (c *Controller) recordFault(s *server) {
+	s.backoffUntil = max(s.backoffUntil, c.now+minBackoff)
+	s.weight *= faultWeightFactor
+	c.recordCallEnd(s, true)
 }
 
-// faulty tells whether a server answers with faults what another takes. A call that nobody can use gets a
-// fault anywhere, and callers that send such ones would shut all servers to the others: so only its excess
-// over the best server's share counts. Where all servers turn to faults at once, none is shut.
+// faulty tells whether a server answers with faults where another succeeds. A call that nobody can handle gets a fault
+// everywhere, and callers that send such calls would close all servers to everyone: so only the excess over the best
+// server's share of faults counts. If all servers fail at once, none is closed.
 func (c *Controller) faulty(s *server) bool {
-	own := s.fault.now(c.now, cutFade)
-	return own > cutMost && slices.ContainsFunc(c.servers, func(o *server) bool {
-		return o.in && own > o.fault.now(c.now, cutFade)+cutMost
+	own := s.faults.decayed(c.now, badShareDecay)
+	return own > maxBadShare && slices.ContainsFunc(c.servers, func(o *server) bool {
+		return o.available && own > o.faults.decayed(c.now, badShareDecay)+maxBadShare
 	})
 }
 
-// busyNumber leaves a number alone for a while whose lines are all busy. It covers any flood to one number; a
-// line that comes free in the meantime stays unused for up to hotMax.
-func (c *Controller) busyNumber(key string) {
-	if len(c.hots) >= turnedMost {
-		clear(c.hots) // all at once, so that map order decides nothing
+// recordBusyNumber keeps calls from a number whose lines are all busy. It covers any flood to one number; a line that
+// is freed meanwhile stays unused for up to maxBusyWait.
+func (c *Controller) recordBusyNumber(key string) {
+	if len(c.busyNumbers) >= maxNumbers {
+		clear(c.busyNumbers) // all at once, so that the result does not depend on map order
 	}
-	wait := min(max(hotFirst, 2*c.hots[key].wait), hotMax)
-	c.hots[key] = hot{wait, c.now + wait}
+	wait := min(max(minBusyWait, 2*c.busyNumbers[key].wait), maxBusyWait)
+	c.busyNumbers[key] = busyNumber{wait, c.now + wait}
 }
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -10,120 +10,122 @@
 	"masthill/control/join"
 )
 
-// kept is a final answer that a caller may ask for again.
-type kept struct {
-	id, owner string
-	sum       uint64 // of the set-up
-	f         FinalAnswer
-	over      bool // it stood and is over
-	cut       bool
-	at        int64
+// recordedAnswer is the final answer to a call, kept for callers that repeat its set-up.
+type recordedAnswer struct {
+	id, owner   string
+	fingerprint uint64 // of the set-up
+	answer      FinalAnswer
+	ended       bool // the call was established and has ended
+	cut         bool
+	at          int64
 }
 
-func (c *core) arrive(s Setup, from Caller) {
+// submit handles a set-up: a new call is admitted, a repeated one joins its call or gets the recorded answer.
+func (c *core) submit(s Setup, caller Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
 		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
-			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
+			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
 		cl.disconnected = false
-		if cl.from = from; cl.established {
-			from.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.desc})
+		if cl.caller = caller; cl.established {
+			caller.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.officeDescription})
 		}
 		return
 	}
-	if k := c.kept[s.ID]; k != nil {
-		if k.owner != s.Owner || k.sum != s.Fingerprint() { // another call under that id: its answer is not this caller's
-			from.Answer(s.ID, FinalAnswer{Verdict: Failed})
+	if recorded := c.answers[s.ID]; recorded != nil {
+		if recorded.owner != s.Owner || recorded.fingerprint != s.Fingerprint() { // another call with the same id
+			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
 			return
 		}
-		if from.Answer(s.ID, k.f); k.over {
-			from.Release(s.ID, k.cut)
+		if caller.Answer(s.ID, recorded.answer); recorded.ended {
+			caller.Release(s.ID, recorded.cut)
 		}
 		return
 	}
 	c.serial++
-	cl := &call{Setup: s, serial: c.serial, from: from}
+	cl := &call{Setup: s, serial: c.serial, caller: caller}
 	c.calls[s.ID] = cl
-	c.open++
-	if c.load += loadBytesEach + len(s.Description); c.load > c.most/loadShare || c.ending {
-		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+	c.unanswered++
+	if c.loadBytes += bytesPerCall + len(s.Description); c.loadBytes > c.memoryBytes/callMemoryDivisor || c.refusingAll {
+		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
 		return
 	}
-	notAfter := s.ExpiresAt.Add(-answerLead).UnixNano()
+	notAfter := s.ExpiresAt.Add(-answerMargin).UnixNano()
 	cl.notAfter = notAfter
-	// The module ends every call in time by itself. Should it ever not, the caller is still owed an answer.
-	c.afterFor(cl, time.Duration(notAfter-c.now), func(cl *call) {
+	// The controller ends every call in time by itself. If it ever did not, the caller would still be owed an answer.
+	c.afterForCall(cl, time.Duration(notAfter-c.now), func(cl *call) {
 		if cl.established {
 			return
 		}
 		if cl.inFlight {
-			c.withdraw(cl, control.TimedOut)
+			c.withdrawAttempt(cl, control.TimedOut)
 		}
 		if c.calls[cl.ID] == cl {
-			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
-			c.final(cl, FinalAnswer{Verdict: Failed})
+			c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
+			c.answer(cl, FinalAnswer{Verdict: Failed})
 		}
 	})
 	c.admit(cl)
 }
 
-// admit has the joined modules decide on a new call, and then control. A refusal goes out at once; a call that is held
-// is asked about again, until its bound.
+// admit asks the joined modules about a new call, and then the controller. A refusal is answered at once. A held call
+// is asked about again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.Taken.UnixNano()
-	r, module := c.chain.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
-		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.asked})
-	if cl.asked > 0 {
-		c.waits--
+	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
+		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.holds})
+	if cl.holds > 0 {
+		c.heldByModules--
 	}
 	switch {
-	case r.Verdict == join.Refuse:
-		c.log.Debug("call turned away", "call", cl.ID, "by", module, "why", r.Reason, "later_ms", r.Wait/1e6)
-		cl.asked = -1
-		c.tell(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; control never had it
-		if !c.set.RetryAfter {
-			r.Wait = 0
+	case ruling.Verdict == join.Refuse:
+		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", ruling.Reason, "later_ms", ruling.Wait/1e6)
+		cl.holds = -1
+		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; the controller never saw the call
+		if !c.settings.RetryAfter {
+			ruling.Wait = 0
 		}
-		c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(r.Wait, 0), c.set.MaxRetryAfter))})
-	case r.Verdict == join.Hold && waited < int64(maxHold) && c.waits*loadBytesEach < c.most/heldShare:
-		cl.asked++
-		c.waits++
-		c.afterFor(cl, max(time.Duration(r.Wait), holdStep), c.admit)
+		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(ruling.Wait, 0), c.settings.MaxRetryAfter))})
+	case ruling.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
+		cl.holds++
+		c.heldByModules++
+		c.afterForCall(cl, max(time.Duration(ruling.Wait), minHoldInterval), c.admit)
 	default:
-		if cl.asked == 0 { // decided at once, as it would be without the seam
+		if cl.holds == 0 { // decided at once, as without joined modules
 			waited = 0
 		}
-		cl.asked = -1
-		c.tell(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
+		cl.holds = -1
+		c.dispatch(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
 			FarEnd: cl.Dest, Redialed: cl.Retry, Waited: waited})
 	}
 }
 
-// final gives a call its one final answer.
-func (c *core) final(cl *call, f FinalAnswer) {
+// answer gives a call its one final answer.
+func (c *core) answer(cl *call, answer FinalAnswer) {
 	if c.calls[cl.ID] != cl || cl.established {
 		return
 	}
-	c.open--
-	c.given[f.Verdict]++
-	cl.answered = c.now
-	c.log.Debug("answer", "call", cl.ID, "verdict", f.Verdict, "later_ms", f.Wait.Milliseconds(), "attempts",
-		cl.sent, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
-	if f.Verdict == Stands {
-		cl.established, cl.desc = true, f.Description
-		c.load += len(f.Description)
+	c.unanswered--
+	c.answersGiven[answer.Verdict]++
+	cl.answeredAt = c.now
+	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Verdict, "later_ms", answer.Wait.Milliseconds(), "attempts",
+		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
+	if answer.Verdict == Stands {
+		cl.established, cl.officeDescription = true, answer.Description
+		c.loadBytes += len(answer.Description)
 	} else {
-		c.drop(cl)
-		c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: f, at: c.now})
+		c.remove(cl)
+		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: answer, at: c.now})
 	}
-	c.write(cl, Record{Verdict: f.Verdict.String(), Wait: f.Wait})
-	cl.from.Answer(cl.ID, f)
+	c.recordCall(cl, Record{Verdict: answer.Verdict.String(), Wait: answer.Wait})
+	cl.caller.Answer(cl.ID, answer)
 }
 
-// afterFor sets an alarm for a call that is still in hand then. The alarm does not hold the call: set-ups that are
-// turned away at once come by the thousands, and their descriptions would stay until their callers' time is up.
-func (c *core) afterFor(cl *call, wait time.Duration, do func(*call)) {
+// afterForCall sets a timer for a call, which runs only if the call still exists. The timer does not reference the
+// call: set-ups that are refused at once arrive by the thousands, and their descriptions would stay in memory until
+// their callers' deadlines.
+func (c *core) afterForCall(cl *call, wait time.Duration, do func(*call)) {
 	id, serial := cl.ID, cl.serial
 	c.after(wait, func() {
 		if cl := c.calls[id]; cl != nil && cl.serial == serial {
@@ -132,77 +134,79 @@
 	})
 }
 
-func (c *core) drop(cl *call) {
-	if cl.asked > 0 {
-		c.waits--
+// remove deletes a call and its share of the memory count.
+func (c *core) remove(cl *call) {
+	if cl.holds > 0 {
+		c.heldByModules--
 	}
 	delete(c.calls, cl.ID)
-	c.load -= loadBytesEach + len(cl.Description) + len(cl.desc)
+	c.loadBytes -= bytesPerCall + len(cl.Description) + len(cl.officeDescription)
 }
 
-// write hands a record to the store: one with the answer, and one more when a call that stood is over.
-func (c *core) write(cl *call, r Record) {
+// recordCall passes a record to the store: one with the answer, and another when an established call ends.
+func (c *core) recordCall(cl *call, r Record) {
 	r.ID, r.Owner, r.Class, r.Tenant, r.Number = cl.ID, cl.Owner, cl.Name, cl.Tenant, cl.Number
-	r.Attempts, r.Server, r.Taken = cl.sent, cl.server, cl.Taken
-	if cl.answered > 0 {
-		r.Answered = time.Unix(0, cl.answered)
+	r.Attempts, r.Server, r.Taken = cl.attempts, cl.server, cl.Taken
+	if cl.answeredAt > 0 {
+		r.Answered = time.Unix(0, cl.answeredAt)
 	}
 	if r.Verdict != Stands.String() || c.calls[cl.ID] != cl {
 		r.Ended = time.Unix(0, c.now)
 	}
-	c.record(r)
+	c.onRecord(r)
 }
 
-// keep remembers a final answer, and forgets the oldest ones beyond the bounds.
-func (c *core) keep(k *kept) {
-	c.kept[k.id] = k
-	c.queue = append(c.queue, k)
-	c.bytes += len(k.f.Description)
-	for len(c.queue) > c.most/retainedShare/retainedBytesEach || c.bytes > c.most/retainedShare ||
-		len(c.queue) > 0 && c.now-c.queue[0].at > int64(retention) {
-		old := c.queue[0]
-		c.queue[0] = nil
-		c.queue = c.queue[1:]
-		c.bytes -= len(old.f.Description)
-		if c.kept[old.id] == old {
-			delete(c.kept, old.id)
+// recordAnswer keeps a final answer and removes the oldest ones beyond the bounds.
+func (c *core) recordAnswer(recorded *recordedAnswer) {
+	c.answers[recorded.id] = recorded
+	c.answerQueue = append(c.answerQueue, recorded)
+	c.answerBytes += len(recorded.answer.Description)
+	for len(c.answerQueue) > c.memoryBytes/answerMemoryDivisor/bytesPerAnswer || c.answerBytes > c.memoryBytes/answerMemoryDivisor ||
+		len(c.answerQueue) > 0 && c.now-c.answerQueue[0].at > int64(answerRetention) {
+		oldest := c.answerQueue[0]
+		c.answerQueue[0] = nil
+		c.answerQueue = c.answerQueue[1:]
+		c.answerBytes -= len(oldest.answer.Description)
+		if c.answers[oldest.id] == oldest {
+			delete(c.answers, oldest.id)
 		}
 	}
 }
 
-func (c *core) giveUp(id, owner string, from Caller) {
+func (c *core) giveUp(id, owner string, caller Caller) {
 	cl := c.calls[id]
-	if cl == nil || cl.Owner != owner || from != nil && cl.from != from {
+	if cl == nil || cl.Owner != owner || caller != nil && cl.caller != caller {
 		return
 	}
-	if cl.established { // its answer crossed the caller's leaving
+	if cl.established { // the answer crossed the caller's giving up
 		c.hangUp(id, owner)
 		return
 	}
-	c.drop(cl)
-	c.open--
-	c.keep(&kept{id: id, owner: owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Failed}, at: c.now})
-	c.write(cl, Record{Verdict: "left"})
-	c.tell(control.Event{Kind: control.Aborted, Call: id})
+	c.remove(cl)
+	c.unanswered--
+	c.recordAnswer(&recordedAnswer{id: id, owner: owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Failed}, at: c.now})
+	c.recordCall(cl, Record{Verdict: "left"})
+	c.dispatch(control.Event{Kind: control.Aborted, Call: id})
 	if cl.inFlight {
-		c.withdraw(cl, control.Canceled)
+		c.withdrawAttempt(cl, control.Canceled)
 	}
 }
 
-func (c *core) left(id, owner string) {
+func (c *core) callerDisconnected(id, owner string) {
 	if cl := c.calls[id]; cl != nil && cl.Owner == owner && !cl.established {
 		cl.disconnected = true
 	}
 }
 
-// over ends a standing call: the module learns it, and the memory of its answer begins.
-func (c *core) over(cl *call, e Result, cut bool) {
-	c.drop(cl)
-	c.keep(&kept{id: cl.ID, owner: cl.Owner, sum: cl.Fingerprint(), f: FinalAnswer{Verdict: Stands, Description: cl.desc}, over: true,
+// endEstablished ends an established call: it reports the end to the controller and keeps the answer for repeated
+// set-ups.
+func (c *core) endEstablished(cl *call, result Result, cut bool) {
+	c.remove(cl)
+	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.officeDescription}, ended: true,
 		cut: cut, at: c.now})
-	c.write(cl, Record{Verdict: Stands.String(), Cut: cut})
-	c.tell(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
-		Outcome: e.Outcome, Report: e.Report, CallEnded: true})
+	c.recordCall(cl, Record{Verdict: Stands.String(), Cut: cut})
+	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
+		Outcome: result.Outcome, Report: result.Report, CallEnded: true})
 }
 
 func (c *core) hangUp(id, owner string) {
@@ -210,44 +214,45 @@
 	if cl == nil || !cl.established || cl.Owner != owner {
 		return
 	}
-	c.offices.Bye(cl.server, id, cl.sent-1, false)
-	c.over(cl, Result{Outcome: control.Canceled}, false)
+	c.offices.Bye(cl.server, id, cl.attempts-1, false)
+	c.endEstablished(cl, Result{Outcome: control.Canceled}, false)
 }
 
-func (c *core) released(server uint64, id string, cut bool, report []float64) {
-	c.heard[server] = c.now
+func (c *core) callReleased(server uint64, id string, cut bool, report []float64) {
+	c.lastHeard[server] = c.now
 	cl := c.calls[id]
 	if cl == nil || !cl.established || cl.server != server {
 		if report != nil {
-			c.state(server, report)
+			c.reportReceived(server, report)
 		}
-		if cl == nil && c.kept[id] == nil {
-			c.stray(id, cut)
+		if cl == nil && c.answers[id] == nil {
+			c.onUnknownRelease(id, cut)
 		}
 		return
 	}
-	e := Result{Outcome: control.Completed, Report: report}
+	result := Result{Outcome: control.Completed, Report: report}
 	if cut {
-		e.Outcome = control.ConnectionLost
+		result.Outcome = control.ConnectionLost
 	}
-	c.over(cl, e, cut)
-	cl.from.Release(id, cut)
+	c.endEstablished(cl, result, cut)
+	cl.caller.Release(id, cut)
 }
 
-// inOrder gives the calls in the order in which they came: the module's decisions must not hang on a map's order.
-func (c *core) inOrder() []*call {
+// callsInOrder returns the calls in order of arrival, since the controller's decisions must not depend on map order.
+func (c *core) callsInOrder() []*call {
 	return slices.SortedFunc(maps.Values(c.calls), func(a, b *call) int { return cmp.Compare(a.serial, b.serial) })
 }
 
+// refuseAll refuses all unanswered calls, and every later one.
 func (c *core) refuseAll() {
-	c.ending = true
-	for _, cl := range c.inOrder() {
+	c.refusingAll = true
+	for _, cl := range c.callsInOrder() {
 		if !cl.established {
-			c.tell(control.Event{Kind: control.Aborted, Call: cl.ID})
+			c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
 			if cl.inFlight {
-				c.withdraw(cl, control.Canceled)
+				c.withdrawAttempt(cl, control.Canceled)
 			}
-			c.final(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.set.MaxRetryAfter)})
+			c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
 		}
 	}
 }
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -14,42 +14,46 @@
 )
 
 const (
-	// redialFirst and redialMost bound the wait between two connects that nothing but the list asks for, lest
-	// a dead office see a connect storm from the fleet. An attempt connects at once.
-	redialFirst, redialMost = 200 * time.Millisecond, 3 * time.Second
-	// unheardStep is the wait until a client whose input waits to be read is asked for again.
-	unheardStep = 2 * time.Millisecond
+	// minRedialDelay and maxRedialDelay bound the delay between two connects that no attempt waits for, so that the fleet
+	// does not flood a dead office with connects. A waiting attempt connects at once.
+	minRedialDelay, maxRedialDelay = 200 * time.Millisecond, 3 * time.Second
+	// presencePollInterval is how often the presence of a client with unread input is checked again.
+	presencePollInterval = 2 * time.Millisecond
 )
 
-// link is one office on the list and the connections to it.
+// link holds the connections to one office on the list, and what waits to be sent there.
 type link struct {
-	pool    *Pool
-	server  uint64
-	addr    string
-	cancel  context.CancelFunc
-	kick    chan struct{} // an attempt waits, or the session has gone
-	cur     *session
-	prev    *session // the one before, while attempts are out on it
-	waiting []exchange.Attempt
-	byes    []bye
-	check   bool // calls stand there and nothing is heard: a connect will tell
-	silence silence
-	probe   *time.Timer // the next connect that may prove the server dead; nil: none is due
+	pool            *Pool
+	server          uint64
+	addr            string
+	cancel          context.CancelFunc
+	wakeup          chan struct{} // wakes run: an attempt waits, or the current session was found stale
+	current         *session
+	previous        *session // the replaced one, as long as attempts are outstanding on it
+	waiting         []exchange.Attempt
+	pendingReleases []release
+	forceConnect    bool // connect even if nothing waits to be sent, to learn whether the office is there
+	liveness        liveness
+	probe           *time.Timer // starts the next connect that may prove the server dead; nil: none is scheduled
 }
 
-type bye struct {
+// release is a request to the office to release a call.
+type release struct {
 	id  string
 	n   int
 	cut bool
 	at  time.Time // when it was sent
 }
 
-// olderThan tells whether the connection leads to a process before the one that started then. The list tells of
-// a start late: a connection that is newer already leads to the new process, and set-ups are out on it.
-func (l *link) olderThan(start int64) bool { return l.cur != nil && l.cur.began.UnixNano() < start }
+// connectedBefore tells whether the current connection was opened before start, and so leads to a process older than
+// the one that started then. The list reports a start with a delay: a newer connection already leads to the new
+// process, with set-ups outstanding on it, and must be kept.
+func (l *link) connectedBefore(start int64) bool {
+	return l.current != nil && l.current.connectedAt.UnixNano() < start
+}
 
-// fail ends all attempts that wait for a connection: they never ran.
-func (l *link) fail(o control.Outcome) {
+// failWaiting ends all attempts that wait for a connection with the given outcome. They were never sent.
+func (l *link) failWaiting(o control.Outcome) {
 	for _, a := range l.waiting {
 		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: o})
 	}
@@ -58,40 +62,40 @@
 
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run keeps the link connected: at once when an attempt waits, else at growing intervals, also where an office
-// takes connections only to end them.
+// run keeps the link connected. It redials at once when an attempt waits, else at growing intervals, also where an
+// office accepts connections only to close them.
 func (l *link) run(ctx context.Context) {
-	pause := redialFirst
-	rest := func() {
-		wait := time.NewTimer(pause/2 + rand.N(pause/2))
-		defer wait.Stop()
+	pause := minRedialDelay
+	waitToRedial := func() {
+		timer := time.NewTimer(pause/2 + rand.N(pause/2))
+		defer timer.Stop()
 		select {
 		case <-ctx.Done():
-		case <-l.kick:
-		case <-wait.C:
+		case <-l.wakeup:
+		case <-timer.C:
 		}
-		pause = min(2*pause, redialMost)
+		pause = min(2*pause, maxRedialDelay)
 	}
 	var latest *session
 	for ctx.Err() == nil {
 		if latest.hasEnded() {
-			if time.Since(latest.began) > redialMost {
-				pause = redialFirst
+			if time.Since(latest.connectedAt) > maxRedialDelay {
+				pause = minRedialDelay
 			}
 			latest = nil
-			rest()
+			waitToRedial()
 			continue
 		}
-		if s := l.useful(); s != nil {
+		if s := l.usableSession(); s != nil {
 			select {
 			case <-ctx.Done():
-			case <-l.kick:
-			case <-s.ended:
+			case <-l.wakeup:
+			case <-s.done:
 			}
 			continue
 		}
@@ -99,55 +103,57 @@
 		peer, err := l.pool.dial(dialCtx, l.addr)
 		cancel()
 		if err != nil {
-			l.down(err)
-			rest()
+			l.onConnectFailure(err)
+			waitToRedial()
 			continue
 		}
 		s := newSession(l, peer)
 		latest = s
-		l.pool.up(s)
+		l.pool.onConnected(s)
 		l.pool.group.Go(func() error { return s.serve(ctx) })
 	}
 }
 
-// useful gives the session in use, or nil where a new connection is wanted. One that spoke again after it had
-// been stale gets what waited.
-func (l *link) useful() *session {
+// usableSession returns the current session, or nil if a new connection is needed. What waits is sent if the session is
+// not stale, or no longer.
+func (l *link) usableSession() *session {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	if l.cur == nil || l.cur.stale && (len(l.waiting) > 0 || l.check) {
+	if l.current == nil || l.current.stale && (len(l.waiting) > 0 || l.forceConnect) {
 		return nil
 	}
-	if !l.cur.stale {
-		l.flush(l.cur)
+	if !l.current.stale {
+		l.flush(l.current)
 	}
-	return l.cur
+	return l.current
 }
 
-// flush sends what waited for a connection.
+// flush sends all that waited for a connection.
 func (l *link) flush(s *session) {
-	for _, b := range l.byes {
-		s.bye(b)
+	for _, b := range l.pendingReleases {
+		s.release(b)
 	}
 	waiting := l.waiting
-	l.waiting, l.byes, l.check = nil, nil, false
+	l.waiting, l.pendingReleases, l.forceConnect = nil, nil, false
 	for _, a := range waiting {
 		l.sendWaiting(s, a)
 	}
 }
 
-// sendWaiting sends an attempt that waited, for a client that is still there.
+// sendWaiting sends an attempt that waited for a connection. It ends the attempt if the client has left meanwhile, and
+// keeps it waiting while the client has unread input, or a duplicate of the previous answer to the call may still
+// arrive.
 func (l *link) sendWaiting(s *session, a exchange.Attempt) {
 	presence := exchange.Connected
 	if a.Presence != nil {
 		presence = a.Presence()
 	}
-	wait := s.copies(a.ID)
+	wait := s.duplicateWait(a.ID)
 	if presence == exchange.InputPending {
-		wait = max(wait, unheardStep)
+		wait = max(wait, presencePollInterval)
 	}
 	switch {
-	case presence == exchange.Gone: // it never ran
+	case presence == exchange.Gone: // the attempt was never sent
 		l.pool.Core.Ended(l.server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
 	case wait > 0:
 		l.waiting = append(l.waiting, a)
@@ -164,38 +170,38 @@
 	}
 	dial := p.Dials[scheme]
 	if dial == nil {
-		return nil, errors.New("no way to speak to " + addr)
+		return nil, errors.New("no protocol for address " + addr)
 	}
 	return dial(ctx, addr)
 }
 
-// down takes a connect that failed. What it proves of the calls there is decided by silence.dead; where it proves nothing
-// yet, the next connect comes when it may.
-func (l *link) down(err error) {
+// onConnectFailure handles a failed connect. liveness.dead decides whether it proves that the server's process, and all
+// calls there, have ended; if not, a connect is scheduled for the moment at which it may prove it.
+func (l *link) onConnectFailure(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	if descriptors.Exhausted(err) || errors.Is(err, descriptors.ErrShareTaken) {
-		l.notTried(err)
+		l.onNoDescriptor(err)
 		return
 	}
 	now := time.Now()
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	l.pool.mu.Lock()
-	l.fail(control.ConnectionRefused)
-	l.silence.connectFailed(now, refused, l.cur != nil)
-	dead := l.silence.dead(now, l.cur != nil, l.pool.ListLive())
-	switch s := l.cur; {
+	l.failWaiting(control.ConnectionRefused)
+	l.liveness.recordConnectFailure(now, refused, l.current != nil)
+	dead := l.liveness.dead(now, l.current != nil, l.pool.ListLive())
+	switch s := l.current; {
 	case s == nil:
-	case refused: // the machine is there; whether the process is, a connection that was ever heard would tell
-		s.asked, s.stale, l.check = now, false, false
+	case refused: // the machine is up and would reset the open connection if the process had ended
+		s.lastRefused, s.stale, l.forceConnect = now, false, false
 	default:
-		l.check = s.stale // tried again until one of the two connections speaks
+		l.forceConnect = s.stale // retried until a new connection is up or something is received on the current one
 	}
 	if dead {
 		l.cancelProbe()
 	} else {
-		l.probeAt(now)
+		l.scheduleProbe(now)
 	}
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", dead, "err", err)
@@ -204,20 +210,20 @@
 	}
 }
 
-// notTried takes a connect for which this process had no descriptor. It tells nothing of the server.
-func (l *link) notTried(err error) {
+// onNoDescriptor handles a connect for which this process had no file descriptor. It proves nothing about the server.
+func (l *link) onNoDescriptor(err error) {
 	l.pool.mu.Lock()
-	l.fail(control.ConnectionRefused)
+	l.failWaiting(control.ConnectionRefused)
 	l.pool.mu.Unlock()
 	l.pool.Log.Warn("office connect failed", "server", l.server, "addr", l.addr, "gone", false, "err", err)
 }
 
-// probeAt arranges for the connect that may prove the server dead. It does not wait for the growing pause between
-// connects, as clients are owed the release of their calls in a fixed time. Called under the lock.
-func (l *link) probeAt(now time.Time) {
+// scheduleProbe schedules the connect that may prove the server dead. It is independent of the growing delay between
+// redials, as the calls of clients must be released within a fixed time. The caller holds the lock.
+func (l *link) scheduleProbe(now time.Time) {
 	l.cancelProbe()
-	wait := l.silence.nextProbe(l.cur != nil).Sub(now)
-	l.probe = time.AfterFunc(max(wait, listStep), l.probeNow)
+	wait := l.liveness.nextProbeAt(l.current != nil).Sub(now)
+	l.probe = time.AfterFunc(max(wait, listPollInterval), l.runProbe)
 }
 
 func (l *link) cancelProbe() {
@@ -227,40 +233,42 @@
 	}
 }
 
-// probeNow connects, or waits on while the server list would tell of the server's end.
-func (l *link) probeNow() {
+// runProbe has run connect, or schedules the probe again if a failed connect would not yet prove the server dead, such
+// as while the server list would report its end.
+func (l *link) runProbe() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
 	now := time.Now()
 	switch {
 	case l.probe == nil || l.pool.links[l.server] != l:
-	case !l.silence.failing(): // a connection came up or spoke since
-	case !l.silence.dead(now, l.cur != nil, l.pool.ListLive()):
-		l.probeAt(now)
+	case !l.liveness.failing(): // a connection came up, or something was received, since then
+	case !l.liveness.dead(now, l.current != nil, l.pool.ListLive()):
+		l.scheduleProbe(now)
 	default:
-		if l.cur != nil {
-			l.cur.stale = true
+		if l.current != nil {
+			l.current.stale = true
 		}
-		l.check = true
+		l.forceConnect = true
 		l.wake()
 	}
 }
 
-// up takes a new connection into use. The one before stays as long as attempts are out on it: it may only be slow.
-// Once a later attempt stands over the new one it is known to be dead, as a processor takes set-ups in turn; and
-// once a report came over the new one alone, as offices send those on all connections.
-func (p *Pool) up(s *session) {
+// onConnected makes a new connection the current one. The previous one stays as long as attempts are outstanding on it,
+// as it may only be slow. It is known to be dead once the office has accepted a later attempt over the new one, as an
+// office handles set-ups in order, or once a report has arrived over the new one only, as offices send reports on all
+// connections.
+func (p *Pool) onConnected(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := s.cur
-	s.cur = s
-	s.silence.connected(s.began)
+	old := s.current
+	s.current = s
+	s.liveness.recordConnected(s.connectedAt)
 	s.cancelProbe()
-	if s.prev != nil {
-		s.prev.peer.Close()
+	if s.previous != nil {
+		s.previous.peer.Close()
 	}
-	if s.prev = old; old != nil {
-		old.spent()
+	if s.previous = old; old != nil {
+		old.closeIfUnused()
 	}
 	s.flush(s)
 }
