--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,9 +21,9 @@
 const (
 	// DefaultMaxOpen bounds the connections where nothing else is set. Where all places are taken, the oldest makes room
 	// as soon as it has had youngFor: an honest call is over in a moment.
-	DefaultMaxConnections, youngFor = 16, 100 * time.Millisecond
+	DefaultMaxConnections, minEvictionAge = 16, 100 * time.Millisecond
 	// callFor is the time for a whole call, headerMost its size.
-	callFor, headerMost = 2 * time.Second, 4 << 10
+	requestTimeout, maxHeaderBytes = 2 * time.Second, 4 << 10
 )
 
 // Server answers the operators' calls.
@@ -32,13 +32,13 @@
 	Log            *slog.Logger
 	MaxConnections int // connections held at once, but for one that waits for a place
 	mu             sync.Mutex
-	open           []held        // the oldest first
+	open           []openConn    // the oldest first
 	freed          chan struct{} // a place is free, or may be
 }
 
-type held struct {
+type openConn struct {
 	net.Conn
-	since time.Time
+	openedAt time.Time
 }
 
 // New makes a server.
@@ -48,8 +48,8 @@
 
 // Serve answers until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	server := &http.Server{Handler: http.HandlerFunc(s.answer), ConnState: s.state, ReadTimeout: callFor, WriteTimeout: callFor,
-		MaxHeaderBytes: headerMost, ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug)}
+	server := &http.Server{Handler: http.HandlerFunc(s.handle), ConnState: s.onConnState, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false) // one call a connection
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -69,11 +69,11 @@
 }
 
 // state keeps the connections within their bound. The server calls it for a new one before it accepts the next.
-func (s *Server) state(c net.Conn, state http.ConnState) {
+func (s *Server) onConnState(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		for !s.admit(c) {
-			wait := time.NewTimer(youngFor)
+			wait := time.NewTimer(minEvictionAge)
 			select {
 			case <-s.freed:
 			case <-wait.C:
@@ -83,7 +83,7 @@
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.open = slices.DeleteFunc(s.open, func(h held) bool { return h.Conn == c })
+		s.open = slices.DeleteFunc(s.open, func(h openConn) bool { return h.Conn == c })
 		select {
 		case s.freed <- struct{}{}:
 		default:
@@ -97,18 +97,18 @@
 	defer s.mu.Unlock()
 	if len(s.open) >= s.MaxConnections {
 		oldest := s.open[0]
-		if time.Since(oldest.since) < youngFor {
+		if time.Since(oldest.openedAt) < minEvictionAge {
 			return false
 		}
 		s.Log.Warn("second address", "reason", "evicted", "peer", oldest.RemoteAddr().String())
 		oldest.Close() // the server hears of it and tells so
 		s.open = s.open[1:]
 	}
-	s.open = append(s.open, held{c, time.Now()})
+	s.open = append(s.open, openConn{c, time.Now()})
 	return true
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	status, phase := http.StatusOK, s.State.Phase()
 	get := r.Method == http.MethodGet || r.Method == http.MethodHead
 	switch path := r.URL.Path; {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -14,7 +14,7 @@
 )
 
 // call makes one call and tells its status and body.
-func call(t *testing.T, addr, method, path string) (int, string) {
+func request(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return status, body
 }
 
-func TestCalls(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	addr := netcase.Serve(t, s.Serve)
 	for k, step := range []struct {
@@ -69,7 +69,7 @@
 		case "end":
 			s.State.End()
 		default:
-			if status, body := call(t, addr, step.method, step.path); status != step.status || body != step.body {
+			if status, body := request(t, addr, step.method, step.path); status != step.status || body != step.body {
 				t.Errorf("step %d: %s %s: %d %q, want %d %q", k, step.method, step.path, status, body, step.status, step.body)
 			}
 		}
@@ -77,7 +77,7 @@
 }
 
 // Callers that say nothing, or half a call, keep no answer waiting, and are gone after callFor.
-func TestHalfCallsKeepNobodyOut(t *testing.T) {
+func TestIncompleteRequestsDoNotBlock(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
@@ -92,7 +92,7 @@
 			io.WriteString(c, "GET /healthcheck HT")
 		}
 		half = append(half, c)
-		if status, _ := call(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
+		if status, _ := request(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
 			t.Fatalf("beside %d half calls: %d", k, status)
 		}
 	}
@@ -102,7 +102,7 @@
 	}
 	s.mu.Unlock()
 	for _, c := range half {
-		c.SetReadDeadline(time.Now().Add(10 * callFor))
+		c.SetReadDeadline(time.Now().Add(10 * requestTimeout))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Fatal("a half call is held")
 		}
@@ -110,14 +110,14 @@
 }
 
 // Honest calls at once, more than there are places: each has its answer, as none is old enough to make room.
-func TestManyCallsAtOnce(t *testing.T) {
+func TestMoreRequestsThanConnections(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var wg sync.WaitGroup
 	for range 8 * DefaultMaxConnections {
 		wg.Go(func() {
-			if status, _ := call(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
+			if status, _ := request(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		})
--- a/internal/callws/answers.go
+++ b/internal/callws/answers.go
@@ -16,13 +16,13 @@
 	if c == nil {
 		return
 	}
-	if c.socket != nil && !c.stands {
-		c.socket.open--
+	if c.socket != nil && !c.accepted {
+		c.socket.unanswered--
 	}
 	if final.Verdict != exchange.Stands {
 		delete(f.calls, key)
 	} else if c.socket != nil {
-		c.stands = true
+		c.accepted = true
 	}
 	if c.socket != nil {
 		c.socket.send(reply{Type: final.Verdict.String(), ID: c.id, LaterMS: final.Wait.Milliseconds(),
@@ -32,12 +32,12 @@
 
 // Presence implements exchange.PresenceChecker. A call belongs to the socket that it came on last.
 func (f *Front) Presence(key string) exchange.Presence {
-	c, s := f.waiting(key)
+	c, s := f.lookup(key)
 	if s == nil {
 		return exchange.Gone
 	}
 	input := s.in.State()
-	now, at := f.waiting(key)
+	now, at := f.lookup(key)
 	switch {
 	case now != c || at == nil: // cancelled or closed before the look, which then finds nothing unread
 		return exchange.Gone
@@ -52,7 +52,7 @@
 }
 
 // waiting gives a call that waits for its answer and the socket that it belongs to, or nil.
-func (f *Front) waiting(key string) (*call, *socket) {
+func (f *Front) lookup(key string) (*call, *socket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.calls[key]
@@ -78,7 +78,7 @@
 		}
 	}
 	if to == nil {
-		c.over, c.cut, c.since = true, cut, time.Now()
+		c.released, c.cut, c.detachedAt = true, cut, time.Now()
 		return
 	}
 	delete(f.calls, key)
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -23,33 +23,35 @@
 const token = "a token of sixteen"
 
 // core notes what the front hands to the exchange, and answers as a test wants.
-type core struct {
-	mu    sync.Mutex
-	told  chan string
-	calls map[string]exchange.Setup
-	away  atomic.Bool // the readiness test fails
+type fakeCore struct {
+	mu       sync.Mutex
+	events   chan string
+	calls    map[string]exchange.Setup
+	notReady atomic.Bool // the readiness test fails
 }
 
-func (c *core) Submit(s exchange.Setup, _ exchange.Caller) {
+func (c *fakeCore) Submit(s exchange.Setup, _ exchange.Caller) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[s.ID] = s
-	c.told <- "arrive " + s.ID
+	c.events <- "arrive " + s.ID
 }
-func (c *core) GiveUp(id, owner string, _ exchange.Caller) { c.told <- "give up " + id + " " + owner }
-func (c *core) HangUp(id, owner string)                    { c.told <- "hang up " + id + " " + owner }
-func (c *core) CallerDisconnected(id, owner string)        { c.told <- "left " + id + " " + owner }
+func (c *fakeCore) GiveUp(id, owner string, _ exchange.Caller) {
+	c.events <- "give up " + id + " " + owner
+}
+func (c *fakeCore) HangUp(id, owner string)             { c.events <- "hang up " + id + " " + owner }
+func (c *fakeCore) CallerDisconnected(id, owner string) { c.events <- "left " + id + " " + owner }
 
-type bed struct {
-	*core
+type fixture struct {
+	*fakeCore
 	*Front
 	t    *testing.T
 	addr string
 }
 
-func newBed(t *testing.T, mostOpen int, resume ...time.Duration) *bed {
-	b := &bed{core: &core{told: make(chan string, 1000), calls: map[string]exchange.Setup{}}, t: t}
-	b.Front = New(Options{Core: b.core, Log: netcase.DiscardLogger(), Ready: func() bool { return !b.away.Load() }, MaxConnections: mostOpen, Callers: map[string]string{"station-7": token},
+func newFixture(t *testing.T, mostOpen int, resume ...time.Duration) *fixture {
+	b := &fixture{fakeCore: &fakeCore{events: make(chan string, 1000), calls: map[string]exchange.Setup{}}, t: t}
+	b.Front = New(Options{Core: b.fakeCore, Log: netcase.DiscardLogger(), Ready: func() bool { return !b.notReady.Load() }, MaxConnections: mostOpen, Callers: map[string]string{"station-7": token},
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}}})
 	b.resume = time.Hour // no machine is too slow to come back in that
 	for _, r := range resume {
@@ -59,13 +61,13 @@
 	return b
 }
 
-func (b *bed) dial(token string) (*websocket.Conn, error) {
+func (b *fixture) dial(token string) (*websocket.Conn, error) {
 	ws, _, err := websocket.Dial(b.t.Context(), "ws://"+b.addr+"/v1/calls", &websocket.DialOptions{
 		Subprotocols: []string{protocol}, HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
 	return ws, err
 }
 
-func (b *bed) open() *websocket.Conn {
+func (b *fixture) open() *websocket.Conn {
 	b.t.Helper()
 	ws, err := b.dial(token)
 	if err != nil {
@@ -74,23 +76,23 @@
 	return ws
 }
 
-func (b *bed) write(ws *websocket.Conn, text string) {
+func (b *fixture) write(ws *websocket.Conn, text string) {
 	b.t.Helper()
 	if err := ws.Write(b.t.Context(), websocket.MessageText, []byte(text)); err != nil {
 		b.t.Fatal(err)
 	}
 }
 
-func (b *bed) read(ws *websocket.Conn, want string) {
+func (b *fixture) read(ws *websocket.Conn, want string) {
 	b.t.Helper()
 	if _, got, err := ws.Read(b.t.Context()); err != nil || string(got) != want {
 		b.t.Errorf("read %s, %v, want %s", got, err, want)
 	}
 }
 
-func (b *bed) expect(want string) {
+func (b *fixture) expect(want string) {
 	b.t.Helper()
-	if got := <-b.told; got != want {
+	if got := <-b.events; got != want {
 		b.t.Errorf("told %q, want %q", got, want)
 	}
 }
@@ -100,12 +102,12 @@
 
 var key = Key("station-7", "c1")
 
-func TestACallOverWebSocket(t *testing.T) {
-	b := newBed(t, 10)
+func TestCallLifecycle(t *testing.T) {
+	b := newFixture(t, 10)
 	ws := b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
-	s := b.core.calls[key]
+	s := b.fakeCore.calls[key]
 	if string(s.Description) != "offer" || s.Dest != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.Taken) != 3*time.Second {
 		t.Errorf("set-up %+v", s)
 	}
@@ -138,13 +140,13 @@
 		t.Errorf("at the end: %v", err)
 	}
 	<-ended
-	if len(b.told) != 0 {
-		t.Errorf("told %s", <-b.told)
+	if len(b.events) != 0 {
+		t.Errorf("told %s", <-b.events)
 	}
 }
 
 func TestInvalidRequests(t *testing.T) {
-	b := newBed(t, 10)
+	b := newFixture(t, 10)
 	ws := b.open()
 	for in, want := range map[string]string{
 		`{"type":"call","id":""}`:                                                             `{"type":"error","code":400,"text":"id: empty or over 128 bytes"}`,
@@ -164,8 +166,8 @@
 	}
 }
 
-func TestStrangersAndLimits(t *testing.T) {
-	b := newBed(t, 2)
+func TestAuthenticationReadinessAndLimit(t *testing.T) {
+	b := newFixture(t, 2)
 	if _, err := b.dial("another token of sixteen"); err == nil || !strings.Contains(err.Error(), "401") {
 		t.Errorf("stranger: %v", err)
 	}
@@ -174,7 +176,7 @@
 	if err != nil || ready.StatusCode != 200 {
 		t.Errorf("ready: %v, %v", ready, err)
 	}
-	b.away.Store(true)
+	b.notReady.Store(true)
 	ready, err = http.Get("http://" + b.addr + "/v1/ready")
 	if err != nil || ready.StatusCode != 503 {
 		t.Errorf("ready while ending: %v, %v", ready, err)
@@ -192,14 +194,14 @@
 
 // A connection that has been claimed for a socket never makes room, however early that is; one that has made room
 // is no socket any more. Without the claim before the 101, callers that had read it were evicted.
-func TestAClaimedConnectionMakesNoRoom(t *testing.T) {
-	l := &boundedListener{most: 1, open: map[*trackedConn]bool{}}
+func TestClaimedConnectionIsNotEvicted(t *testing.T) {
+	l := &boundedListener{limit: 1, open: map[*trackedConn]bool{}}
 	pipe := func() net.Conn { c, _ := net.Pipe(); return c }
 	first := l.admit(pipe()).(*trackedConn)
 	if !first.claim() || l.admit(pipe()) != nil {
 		t.Fatal("a claimed connection made room")
 	}
-	first.disclaim()
+	first.unclaim()
 	if l.admit(pipe()) == nil || first.claim() {
 		t.Fatal("an upgrade that failed keeps its place, or a connection that made room became a socket")
 	}
@@ -208,7 +210,7 @@
 // A socket that closes mid-set-up keeps the call for a while. A resend after the reconnect joins it; a release
 // finds the caller's next socket; without a resend the call is given up.
 func TestSocketClosesMidSetUp(t *testing.T) {
-	b := newBed(t, 10)
+	b := newFixture(t, 10)
 	ws := b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
@@ -227,7 +229,7 @@
 	ws = b.open()
 	b.read(ws, `{"type":"released","id":"c1","cut":false}`)
 
-	b = newBed(t, 10, 0)
+	b = newFixture(t, 10, 0)
 	ws = b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
@@ -237,8 +239,8 @@
 }
 
 // A call's id with another description is another call: joined to the first, it would get the answer to that.
-func TestTheIDOfAnOpenCallWithAnotherDescription(t *testing.T) {
-	b := newBed(t, 10)
+func TestCallIDReusedWithAnotherDescription(t *testing.T) {
+	b := newFixture(t, 10)
 	ws := b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
@@ -249,8 +251,8 @@
 }
 
 // Connections that say nothing make room for sockets, and a socket with hundreds of calls does not fill the table.
-func TestSilentPeersMakeRoom(t *testing.T) {
-	b := newBed(t, 2)
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	b := newFixture(t, 2)
 	ws := b.open()
 	for range 5 {
 		if _, err := net.Dial("tcp", b.addr); err != nil {
@@ -269,13 +271,13 @@
 	b.write(ws, setup)
 	b.write(ws, `{"type":"cancel","id":"c1"}`)
 	for told := ""; told != "give up "+key+" ws/station-7"; {
-		told = <-b.told
+		told = <-b.events
 	}
 }
 
 // A drain: sockets that have nothing open are closed, those with a call once that is answered, and new ones are served.
 func TestDrain(t *testing.T) {
-	b := newBed(t, 10)
+	b := newFixture(t, 10)
 	idle, busy := b.open(), b.open()
 	b.write(idle, strings.Replace(setup, "c1", "c0", 1))
 	b.expect("arrive " + Key("station-7", "c0"))
@@ -306,25 +308,29 @@
 }
 
 // openSockets counts the sockets that the front holds.
-func (b *bed) openSockets() int {
+func (b *fixture) openSockets() int {
 	b.Front.mu.Lock()
 	defer b.Front.mu.Unlock()
 	return len(b.sockets)
 }
 
 // heard takes what a server's connection hears.
-type heard struct{ lines chan string }
+type recordingHandler struct{ lines chan string }
 
-func (h heard) Accepted(id string, desc []byte)           { h.lines <- "stood " + id + " " + string(desc) }
-func (h heard) Ended(id string, e exchange.Result)        { h.line("ended "+id, e) }
-func (h heard) Released(id string, cut bool, r []float64) { h.line("released "+id, []any{cut, r}) }
-func (h heard) State(r []float64)                         { h.line("state", r) }
-func (h heard) line(what string, v any) {
+func (h recordingHandler) Accepted(id string, desc []byte) {
+	h.lines <- "stood " + id + " " + string(desc)
+}
+func (h recordingHandler) Ended(id string, e exchange.Result) { h.line("ended "+id, e) }
+func (h recordingHandler) Released(id string, cut bool, r []float64) {
+	h.line("released "+id, []any{cut, r})
+}
+func (h recordingHandler) State(r []float64) { h.line("state", r) }
+func (h recordingHandler) line(what string, v any) {
 	b, _ := json.Marshal(v)
 	h.lines <- what + " " + string(b)
 }
 
-func TestServersThatSpeakIt(t *testing.T) {
+func TestServerConnection(t *testing.T) {
 	got := make(chan *websocket.Conn, 1)
 	addr := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{serverProtocol}})
@@ -338,13 +344,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ws, h := <-got, heard{make(chan string, 20)}
+	ws, h := <-got, recordingHandler{make(chan string, 20)}
 	ended := make(chan string, 1)
 	go func() {
 		reason, _ := peer.Run(t.Context(), h)
 		ended <- string(reason)
 	}()
-	b := &bed{t: t}
+	b := &fixture{t: t}
 	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Description: []byte{0xff}, Wait: time.Second})
 	b.read(ws, `{"type":"setup","call":"5","class":"open-log","number":"17","patience_ms":1000,"description_base64":"/w=="}`)
 	peer.Cancel("5", 0)
@@ -373,20 +379,20 @@
 // Garbage makes an error or a reply, and never a panic.
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
-		f := New(Options{Core: &core{told: make(chan string, 1), calls: map[string]exchange.Setup{}}, Log: netcase.DiscardLogger()})
+		f := New(Options{Core: &fakeCore{events: make(chan string, 1), calls: map[string]exchange.Setup{}}, Log: netcase.DiscardLogger()})
 		s := &socket{conn: &conn{out: sip.NewQueue(), closing: make(chan struct{})}, front: f}
-		if err := s.take(netcase.Garbage(t, []byte(setup))); err != nil && err != errUnreadable {
+		if err := s.handleMessage(netcase.Garbage(t, []byte(setup))); err != nil && err != errUnreadable {
 			t.Fatal(err)
 		}
 		server := &server{s.conn, office.Fields{"spare"}}
-		server.take(netcase.Garbage(t, []byte(`{"type":"refuse","call":"5","wait_ms":1,"state":{"x0":1}}`)),
-			heard{make(chan string, 1)})
+		server.handleMessage(netcase.Garbage(t, []byte(`{"type":"refuse","call":"5","wait_ms":1,"state":{"x0":1}}`)),
+			recordingHandler{make(chan string, 1)})
 	})
 }
 
 // A caller whose token changes is answered what it has asked, takes no further call and is closed then; the others stay.
-func TestATokenChanges(t *testing.T) {
-	b := newBed(t, 10)
+func TestTokenChange(t *testing.T) {
+	b := newFixture(t, 10)
 	ws := b.open()
 	b.write(ws, setup)
 	b.expect("arrive " + key)
--- a/internal/callws/conn.go
+++ b/internal/callws/conn.go
@@ -45,18 +45,18 @@
 
 // conn is one WebSocket with a bounded write queue and a deadline on each write.
 type conn struct {
-	ws      *websocket.Conn
-	raw     net.Conn    // beneath it
-	left    func() bool // the peer has gone, whatever it sent before stands unread
-	out     *sip.Queue
-	full    atomic.Bool
-	closing chan struct{}
-	closed  atomic.Bool
+	ws        *websocket.Conn
+	raw       net.Conn    // beneath it
+	peerGone  func() bool // the peer has gone, whatever it sent before stands unread
+	out       *sip.Queue
+	queueFull atomic.Bool
+	closing   chan struct{}
+	closed    atomic.Bool
 }
 
 func newConn(ws *websocket.Conn, raw net.Conn) *conn {
 	ws.SetReadLimit(maxMessage)
-	return &conn{ws: ws, raw: raw, left: func() bool { return false }, out: sip.NewQueue(), closing: make(chan struct{})}
+	return &conn{ws: ws, raw: raw, peerGone: func() bool { return false }, out: sip.NewQueue(), closing: make(chan struct{})}
 }
 
 // send queues one message and never blocks: a peer that does not read loses its connection.
@@ -66,7 +66,7 @@
 		return // no type sent here can fail
 	}
 	if !c.out.Put(b) {
-		c.full.Store(true)
+		c.queueFull.Store(true)
 		c.Close()
 	}
 }
@@ -91,7 +91,7 @@
 				err = handle(data)
 			}
 			if err == nil {
-				err = c.out.WaitForRoom(ctx, c.left)
+				err = c.out.WaitForRoom(ctx, c.peerGone)
 			}
 			if err != nil {
 				return err
@@ -102,17 +102,17 @@
 	g.Go(func() error { return c.ping(ctx) })
 	err := g.Wait()
 	if errors.Is(err, errUnreadable) {
-		c.shut(websocket.StatusInvalidFramePayloadData, errUnreadable.Error())
+		c.closeWithTimeout(websocket.StatusInvalidFramePayloadData, errUnreadable.Error())
 	}
 	c.ws.CloseNow()
-	return c.reason(err), err
+	return c.endReason(err), err
 }
 
 // shut closes in order, but waits no longer for the peer than closeTimeout.
-func (c *conn) shut(code websocket.StatusCode, why string) {
-	cut := time.AfterFunc(closeTimeout, func() { c.raw.Close() })
-	defer cut.Stop()
-	c.ws.Close(code, why)
+func (c *conn) closeWithTimeout(code websocket.StatusCode, reason string) {
+	timer := time.AfterFunc(closeTimeout, func() { c.raw.Close() })
+	defer timer.Stop()
+	c.ws.Close(code, reason)
 }
 
 func (c *conn) write(ctx context.Context) error {
@@ -125,14 +125,14 @@
 		case <-c.closing:
 			closing = true
 		}
-		if c.full.Load() {
+		if c.queueFull.Load() {
 			return errClose
 		}
 		if err := c.out.Write(func(batch [][]byte) error { return c.flush(ctx, batch) }); err != nil {
 			return err
 		}
 		if closing { // what was queued went first
-			c.shut(websocket.StatusGoingAway, "ending")
+			c.closeWithTimeout(websocket.StatusGoingAway, "ending")
 			return errClose
 		}
 	}
@@ -170,9 +170,9 @@
 	}
 }
 
-func (c *conn) reason(err error) sip.Reason {
+func (c *conn) endReason(err error) sip.Reason {
 	switch {
-	case c.full.Load():
+	case c.queueFull.Load():
 		return sip.QueueFull
 	case c.closed.Load():
 		return sip.Closed
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -57,32 +57,32 @@
 // Front takes calls over WebSocket.
 type Front struct {
 	Options
-	mu       sync.Mutex
-	refusing bool      // nothing more is taken
-	drainAt  time.Time // from then on sockets are closed as they have nothing open; zero: no drain
-	sockets  map[*socket]bool
-	calls    map[string]*call // by the id that offices know
-	group    *errgroup.Group
-	ctx      context.Context
-	over     bool          // no socket joins the group any more
-	resume   time.Duration // resumeTimeout, but for tests
-	accepts  *boundedListener
+	mu        sync.Mutex
+	refusing  bool      // nothing more is taken
+	drainFrom time.Time // from then on sockets are closed as they have nothing open; zero: no drain
+	sockets   map[*socket]bool
+	calls     map[string]*call // by the id that offices know
+	group     *errgroup.Group
+	ctx       context.Context
+	stopped   bool          // no socket joins the group any more
+	resume    time.Duration // resumeTimeout, but for tests
+	listener  *boundedListener
 }
 
 // call is a call of this front, until it has its refusal or its release has been told.
 type call struct {
-	id, identity string
-	sum          uint64  // of the set-up
-	socket       *socket // nil: its socket closed
-	stands, over bool
-	cut          bool
-	since        time.Time // it lost its socket, or is over without one
+	id, identity       string
+	fingerprint        uint64  // of the set-up
+	socket             *socket // nil: its socket closed
+	accepted, released bool
+	cut                bool
+	detachedAt         time.Time // it lost its socket, or is over without one
 }
 
 // New makes a front.
 func New(o Options) *Front {
 	return &Front{Options: o, sockets: map[*socket]bool{}, calls: map[string]*call{}, resume: resumeTimeout,
-		accepts: &boundedListener{log: o.Log, most: o.MaxConnections, open: map[*trackedConn]bool{}}}
+		listener: &boundedListener{log: o.Log, limit: o.MaxConnections, open: map[*trackedConn]bool{}}}
 }
 
 // Key is the id that offices know a call by: 16 hex digits of the caller's identity and its own id, so that
@@ -96,11 +96,11 @@
 func (f *Front) Drain(after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drainAt = time.Now().Add(after)
+	f.drainFrom = time.Now().Add(after)
 }
 
 // SetMaxOpen changes how many connections are held at once. Of those beyond, the ones that never became a socket make room.
-func (f *Front) SetMaxOpen(n int) { f.accepts.setMost(n) }
+func (f *Front) SetMaxOpen(n int) { f.listener.setLimit(n) }
 
 // SetCallers changes who may connect. A socket whose caller has another token now takes no further calls, and is closed once
 // all that it has taken are answered.
@@ -119,21 +119,21 @@
 func (f *Front) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drainAt = time.Time{}
+	f.drainFrom = time.Time{}
 }
 
 // leave closes the sockets that a drain has no more use for, and those of callers whose token has changed. Called under the lock.
-func (f *Front) leave() {
+func (f *Front) closeDrained() {
 	for s := range f.sockets {
-		if s.revoked && s.open == 0 {
+		if s.revoked && s.unanswered == 0 {
 			s.Close()
 		}
 	}
-	if f.drainAt.IsZero() || time.Now().Before(f.drainAt) {
+	if f.drainFrom.IsZero() || time.Now().Before(f.drainFrom) {
 		return
 	}
 	for s := range f.sockets {
-		if s.open == 0 && (s.asked || time.Since(s.since) > headerTimeout) {
+		if s.unanswered == 0 && (s.hasCalled || time.Since(s.openedAt) > headerTimeout) {
 			s.Close()
 		}
 	}
@@ -150,13 +150,13 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	server := &http.Server{Handler: mux, ConnState: f.state, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+	server := &http.Server{Handler: mux, ConnState: f.logNotUpgraded, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, rawConn{}, c)
 	}, ReadHeaderTimeout: headerTimeout, IdleTimeout: headerTimeout,
 		MaxHeaderBytes: maxMessage, ErrorLog: slog.NewLogLogger(f.Log.Handler(), slog.LevelWarn)}
 	g.Go(func() error {
-		f.accepts.Listener = l
-		if err := server.Serve(f.accepts); !errors.Is(err, http.ErrServerClosed) &&
+		f.listener.Listener = l
+		if err := server.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) &&
 			!errors.Is(err, net.ErrClosed) {
 			return err
 		}
@@ -165,7 +165,7 @@
 	g.Go(func() error {
 		<-ctx.Done()
 		f.mu.Lock()
-		f.over = true
+		f.stopped = true
 		f.mu.Unlock()
 		if err := server.Close(); !errors.Is(err, net.ErrClosed) { // the end of the program closes the listener first
 			return err
@@ -177,7 +177,7 @@
 }
 
 // state logs the end of a connection that never became a socket; a socket's own line comes from serve.
-func (f *Front) state(c net.Conn, state http.ConnState) {
+func (f *Front) logNotUpgraded(c net.Conn, state http.ConnState) {
 	if state == http.StateClosed {
 		f.Log.Info("call socket ended", "reason", noUpgrade, "peer", c.RemoteAddr().String())
 	}
@@ -188,7 +188,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for s := range f.sockets {
-		if s.open > 0 {
+		if s.unanswered > 0 {
 			n++
 		}
 	}
@@ -210,7 +210,7 @@
 	for {
 		f.mu.Lock()
 		for s := range f.sockets {
-			if s.open == 0 {
+			if s.unanswered == 0 {
 				s.Close()
 			}
 		}
@@ -256,16 +256,16 @@
 	}
 	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{protocol}})
 	if err != nil {
-		raw.disclaim()
+		raw.unclaim()
 		f.Log.Warn("call socket turned down", "status", http.StatusBadRequest, "peer", r.RemoteAddr, "err", err)
 		return
 	}
-	s := &socket{conn: newConn(ws, raw), in: raw.in, front: f, identity: identity, since: time.Now()}
-	s.left = raw.in.PeerClosed
+	s := &socket{conn: newConn(ws, raw), in: raw.in, front: f, identity: identity, openedAt: time.Now()}
+	s.peerGone = raw.in.PeerClosed
 	peer := r.RemoteAddr
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over { // the group may have been waited for already
+	if f.stopped { // the group may have been waited for already
 		ws.CloseNow()
 		return
 	}
@@ -277,19 +277,19 @@
 	began := time.Now()
 	f.mu.Lock()
 	for key, c := range f.calls { // releases that found no socket
-		if c.over && c.identity == s.identity {
+		if c.released && c.identity == s.identity {
 			s.send(reply{Type: "released", ID: c.id, Cut: &c.cut})
 			delete(f.calls, key)
 		}
 	}
 	f.mu.Unlock()
-	reason, err := s.run(ctx, s.take)
+	reason, err := s.run(ctx, s.handleMessage)
 	f.mu.Lock()
 	delete(f.sockets, s)
 	waiting := 0
 	for key, c := range f.calls {
 		if c.socket == s {
-			if c.socket, c.since = nil, time.Now(); !c.stands {
+			if c.socket, c.detachedAt = nil, time.Now(); !c.accepted {
 				waiting++
 				f.Core.CallerDisconnected(key, s.owner())
 			}
@@ -312,13 +312,13 @@
 		case <-tick.C:
 		}
 		f.mu.Lock()
-		f.leave()
+		f.closeDrained()
 		for key, c := range f.calls {
 			switch {
 			case c.socket != nil:
-			case c.over && time.Since(c.since) > releaseTimeout:
+			case c.released && time.Since(c.detachedAt) > releaseTimeout:
 				delete(f.calls, key)
-			case !c.over && !c.stands && time.Since(c.since) > f.resume:
+			case !c.released && !c.accepted && time.Since(c.detachedAt) > f.resume:
 				delete(f.calls, key)
 				f.Core.GiveUp(key, "ws/"+c.identity, f)
 			}
--- a/internal/callws/listener.go
+++ b/internal/callws/listener.go
@@ -16,10 +16,10 @@
 // that connect and say nothing must not keep callers out.
 type boundedListener struct {
 	net.Listener
-	log  *slog.Logger
-	most int
-	mu   sync.Mutex
-	open map[*trackedConn]bool
+	log   *slog.Logger
+	limit int
+	mu    sync.Mutex
+	open  map[*trackedConn]bool
 }
 
 // trackedConn is a connection that counts until it is closed.
@@ -27,9 +27,9 @@
 	net.Conn
 	in       *sip.Input
 	listener *boundedListener
-	since    time.Time
+	openedAt time.Time
 	// Under the lock of boundedListener: it is a socket, or about to be; it has made room for another connection.
-	socket, spared bool
+	claimed, evicted bool
 }
 
 // claim makes the connection a socket, unless it has made room already. It comes before the 101: a caller that has
@@ -37,15 +37,15 @@
 func (c *trackedConn) claim() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.socket = !c.spared
-	return c.socket
+	c.claimed = !c.evicted
+	return c.claimed
 }
 
 // disclaim takes a claim back whose upgrade failed.
-func (c *trackedConn) disclaim() {
+func (c *trackedConn) unclaim() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.socket = false
+	c.claimed = false
 }
 
 // Read implements net.Conn.
@@ -73,9 +73,9 @@
 }
 
 // spare is the connection that makes room next, or nil. Called under the lock.
-func (l *boundedListener) spare() (spare *trackedConn) {
+func (l *boundedListener) oldestUnclaimed() (spare *trackedConn) {
 	for c := range l.open {
-		if !c.socket && !c.spared && (spare == nil || c.since.Before(spare.since)) {
+		if !c.claimed && !c.evicted && (spare == nil || c.openedAt.Before(spare.openedAt)) {
 			spare = c
 		}
 	}
@@ -83,16 +83,16 @@
 }
 
 // setMost changes the bound.
-func (l *boundedListener) setMost(n int) {
+func (l *boundedListener) setLimit(n int) {
 	var beyond []*trackedConn
 	l.mu.Lock()
-	l.most = n
+	l.limit = n
 	for len(l.open)-len(beyond) > n {
-		c := l.spare()
+		c := l.oldestUnclaimed()
 		if c == nil {
 			break
 		}
-		c.spared = true
+		c.evicted = true
 		beyond = append(beyond, c)
 	}
 	l.mu.Unlock()
@@ -103,16 +103,16 @@
 
 func (l *boundedListener) admit(raw net.Conn) net.Conn {
 	l.mu.Lock()
-	spare := l.spare()
-	full := len(l.open) >= l.most
+	spare := l.oldestUnclaimed()
+	full := len(l.open) >= l.limit
 	if full && spare == nil {
 		l.mu.Unlock()
 		return nil
 	}
-	c := &trackedConn{Conn: raw, in: sip.NewInput(raw), listener: l, since: time.Now()}
+	c := &trackedConn{Conn: raw, in: sip.NewInput(raw), listener: l, openedAt: time.Now()}
 	l.open[c] = true
 	if full {
-		spare.spared = true
+		spare.evicted = true
 	}
 	l.mu.Unlock()
 	if full {
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -18,7 +18,7 @@
 const serverProtocol = "callserver.v1"
 
 // order is what a server is told.
-type order struct {
+type serverCommand struct {
 	Type       string `json:"type"`
 	Call       string `json:"call"`
 	Class      string `json:"class,omitempty"`
@@ -29,7 +29,7 @@
 }
 
 // news is what a server says.
-type news struct {
+type serverMessage struct {
 	Type, Call, Reason, Note string
 	WaitMS                   int64 `json:"wait_ms"`
 	Cut                      bool
@@ -38,7 +38,7 @@
 }
 
 // ends maps a server's reason for a refusal to an outcome; any other is an error.
-var ends = map[string]control.Outcome{"full": control.Saturated, "moot": control.Unavailable, "reset": control.ConnectionLost}
+var refusalOutcomes = map[string]control.Outcome{"full": control.Saturated, "moot": control.Unavailable, "reset": control.ConnectionLost}
 
 // Dial connects to servers that speak call control over WebSocket; the list gives such a one a ws:// address.
 func Dial(fields office.Fields) office.Dial {
@@ -66,21 +66,23 @@
 }
 
 func (s *server) Invite(a exchange.Attempt) {
-	s.send(order{Type: "setup", Call: a.ID, Class: a.Class, Number: a.Number,
+	s.send(serverCommand{Type: "setup", Call: a.ID, Class: a.Class, Number: a.Number,
 		PatienceMS: max(a.Wait.Milliseconds(), 1), description: describe(a.Description)})
 }
 
-func (s *server) Cancel(id string, _ int) { s.send(order{Type: "cancel", Call: id}) }
+func (s *server) Cancel(id string, _ int) { s.send(serverCommand{Type: "cancel", Call: id}) }
 
-func (s *server) Bye(id string, _ int, cut bool) { s.send(order{Type: "release", Call: id, Cut: cut}) }
+func (s *server) Bye(id string, _ int, cut bool) {
+	s.send(serverCommand{Type: "release", Call: id, Cut: cut})
+}
 
 func (s *server) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
-	return s.run(ctx, func(data []byte) error { return s.take(data, h) })
+	return s.run(ctx, func(data []byte) error { return s.handleMessage(data, h) })
 }
 
 // take handles one message of a server; unknown types are passed over.
-func (s *server) take(data []byte, h office.Handler) error {
-	var m news
+func (s *server) handleMessage(data []byte, h office.Handler) error {
+	var m serverMessage
 	if json.Unmarshal(data, &m) != nil {
 		return errUnreadable
 	}
@@ -92,7 +94,7 @@
 	case "accept":
 		h.Accepted(m.Call, m.raw())
 	case "refuse":
-		outcome, ok := ends[m.Reason]
+		outcome, ok := refusalOutcomes[m.Reason]
 		if !ok {
 			outcome = control.Errored
 		}
--- a/internal/callws/socket.go
+++ b/internal/callws/socket.go
@@ -11,13 +11,13 @@
 // socket is one caller's socket.
 type socket struct {
 	*conn
-	in       *sip.Input
-	front    *Front
-	identity string
-	open     int // calls without their answer
-	asked    bool
-	revoked  bool // its caller has another token now, or none
-	since    time.Time
+	in         *sip.Input
+	front      *Front
+	identity   string
+	unanswered int // calls without their answer
+	hasCalled  bool
+	revoked    bool // its caller has another token now, or none
+	openedAt   time.Time
 }
 
 // request is what a caller sends.
@@ -41,7 +41,7 @@
 }
 
 // take handles one message of a caller.
-func (s *socket) take(data []byte) error {
+func (s *socket) handleMessage(data []byte) error {
 	at := time.Now()
 	var m request
 	if json.Unmarshal(data, &m) != nil {
@@ -51,14 +51,14 @@
 	case m.ID == "" || len(m.ID) > maxIDBytes:
 		s.send(reply{Type: "error", ID: m.ID, Code: 400, Text: "id: empty or over 128 bytes"})
 	case m.Type == "call":
-		if code, text := s.call(&m, at); code != 0 {
+		if code, text := s.submit(&m, at); code != 0 {
 			s.front.Log.Warn("call turned down", "code", code, "why", text, "identity", s.identity)
 			s.send(reply{Type: "error", ID: m.ID, Code: code, Text: text})
 		}
 	case m.Type == "cancel":
-		s.forget(Key(s.identity, m.ID))
+		s.endCall(Key(s.identity, m.ID))
 	case m.Type == "hangup":
-		if !s.forget(Key(s.identity, m.ID)) {
+		if !s.endCall(Key(s.identity, m.ID)) {
 			s.send(reply{Type: "error", ID: m.ID, Code: 481, Text: "no such call"})
 			return nil
 		}
@@ -72,13 +72,13 @@
 func (s *socket) owner() string { return "ws/" + s.identity }
 
 // forget drops a call that its caller ended. The core is told under the lock, lest that overtake a set-up sent again.
-func (s *socket) forget(key string) bool {
+func (s *socket) endCall(key string) bool {
 	f := s.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c, ok := f.calls[key]
-	if ok && c.socket != nil && !c.stands {
-		c.socket.open--
+	if ok && c.socket != nil && !c.accepted {
+		c.socket.unanswered--
 	}
 	if ok {
 		delete(f.calls, key)
@@ -89,7 +89,7 @@
 
 // call takes a set-up, or one sent again after a reconnect: the exchange joins it to the running call or gives
 // the recorded answer.
-func (s *socket) call(m *request, at time.Time) (code int, text string) {
+func (s *socket) submit(m *request, at time.Time) (code int, text string) {
 	if m.Number == "" {
 		return 400, "number: empty"
 	}
@@ -108,11 +108,11 @@
 	f := s.front
 	f.mu.Lock()
 	c, sum := f.calls[key], setup.Fingerprint()
-	if c != nil && c.sum != sum { // joined, it would get the answer to another description
+	if c != nil && c.fingerprint != sum { // joined, it would get the answer to another description
 		f.mu.Unlock()
 		return 482, "id of another call"
 	}
-	if late := !f.drainAt.IsZero() && time.Since(f.drainAt) > drainTimeout; c == nil && (f.refusing || late && s.open > 0) {
+	if late := !f.drainFrom.IsZero() && time.Since(f.drainFrom) > drainTimeout; c == nil && (f.refusing || late && s.unanswered > 0) {
 		f.mu.Unlock()
 		return 503, "the instance ends"
 	}
@@ -120,21 +120,21 @@
 		f.mu.Unlock()
 		return 401, "the token has changed"
 	}
-	if c == nil && (len(f.calls) >= maxCalls || s.open >= maxOpenCalls) {
+	if c == nil && (len(f.calls) >= maxCalls || s.unanswered >= maxOpenCalls) {
 		f.mu.Unlock()
 		return 503, "too many calls"
 	}
 	if c == nil {
-		c = &call{id: m.ID, identity: s.identity, sum: sum}
+		c = &call{id: m.ID, identity: s.identity, fingerprint: sum}
 		f.calls[key] = c
 	}
-	if !c.stands {
+	if !c.accepted {
 		if c.socket != nil {
-			c.socket.open--
+			c.socket.unanswered--
 		}
-		s.open++
+		s.unanswered++
 	}
-	c.socket, s.asked = s, true
+	c.socket, s.hasCalled = s, true
 	f.mu.Unlock()
 	f.Core.Submit(setup, f)
 	return 0, ""
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -27,9 +27,9 @@
 	// clientsDivisor is the part of the limit that is always the clients': honest ones hold no more than a third.
 	clientsDivisor = 3
 	// partingDivisor is the part of a front's places that connections keep which make room for others and end in order.
-	partingDivisor = 8
+	closingDivisor = 8
 	// acceptedSpare is the connection that has been accepted and not been judged yet, and one that is being closed.
-	acceptedSpare = 2
+	acceptReserve = 2
 	// webSocketShare of webSocketOf is the WebSocket front's part of the clients' share.
 	webSocketShare, webSocketOf = 3, 7
 )
@@ -68,7 +68,7 @@
 // Plan makes the budget. What the servers need beyond their floor comes from the clients, down to a third of all; servers
 // beyond that go without a connection until another one ends.
 func Plan(d Demand) Budget {
-	b := Budget{Total: d.Limit, Runtime: d.runtime(), Discovery: discoveryShare}
+	b := Budget{Total: d.Limit, Runtime: d.runtimeDescriptors(), Discovery: discoveryShare}
 	if d.Upgrade {
 		b.Total /= 2
 	}
@@ -88,7 +88,7 @@
 	return b
 }
 
-func (d Demand) runtime() int {
+func (d Demand) runtimeDescriptors() int {
 	n := baseRuntime
 	if d.WebSocket {
 		n += webSocketRuntime
@@ -110,11 +110,11 @@
 
 // clientsFront keeps room for connections that end in order.
 func clientsFront(descriptors int) FrontShare {
-	places := (descriptors - acceptedSpare) * partingDivisor / (partingDivisor + 1)
+	places := (descriptors - acceptReserve) * closingDivisor / (closingDivisor + 1)
 	return FrontShare{Descriptors: descriptors, MaxConnections: max(places, 1)}
 }
 
 // webSocketFront closes at once what makes room.
 func webSocketFront(descriptors int) FrontShare {
-	return FrontShare{Descriptors: descriptors, MaxConnections: max(descriptors-acceptedSpare, 1)}
+	return FrontShare{Descriptors: descriptors, MaxConnections: max(descriptors-acceptReserve, 1)}
 }
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -33,7 +33,7 @@
 				if b.Discovery < 2 || b.Servers < 1 || b.Clients.MaxConnections < 1 || d.Operators && b.Operators < minOperators || d.WebSocket && b.WebSocket.MaxConnections < 1 {
 					t.Errorf("%+v: somebody has none: %+v", d, b)
 				}
-				if f := b.Clients; f.MaxConnections > 1 && f.MaxConnections+f.MaxConnections/partingDivisor+acceptedSpare > f.Descriptors {
+				if f := b.Clients; f.MaxConnections > 1 && f.MaxConnections+f.MaxConnections/closingDivisor+acceptReserve > f.Descriptors {
 					t.Errorf("%+v: clients have more places than descriptors: %+v", d, f)
 				}
 			}
@@ -42,7 +42,7 @@
 }
 
 // A list that outgrows the servers' floor is served from the clients' share, and that ends at a third of all.
-func TestServersThatOutgrowTheirShare(t *testing.T) {
+func TestServersBeyondTheirMinimum(t *testing.T) {
 	last := Plan(Demand{Limit: 1024})
 	for servers := 1; servers < 2000; servers++ {
 		b := Plan(Demand{Limit: 1024, Servers: servers})
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestGate(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	g := NewLimiter(2)
 	for k := range 3 {
 		if g.TryAcquire() != (k < 2) {
@@ -75,7 +75,7 @@
 }
 
 // A connect that finds no descriptor goes on as soon as there is one, and tells of the shortage; any other error ends it.
-func TestPersist(t *testing.T) {
+func TestOpenWithRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began, shortages := time.Now(), 0
 		open := func(context.Context) (int, error) {
@@ -87,7 +87,7 @@
 		if got, err := OpenWithRetry(t.Context(), func() { shortages++ }, open); got != 7 || err != nil || shortages == 0 {
 			t.Errorf("%d, %v, %d shortages", got, err, shortages)
 		}
-		if took := time.Since(began); took > time.Second+retryEvery {
+		if took := time.Since(began); took > time.Second+retryInterval {
 			t.Errorf("%v after the descriptor was free", took-time.Second)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -104,7 +104,7 @@
 }
 
 // An instance that follows configuration releases keeps descriptors for that.
-func TestReleasesHaveTheirShare(t *testing.T) {
+func TestReleasesReserveDescriptors(t *testing.T) {
 	without, with := Plan(Demand{Limit: 1024}), Plan(Demand{Limit: 1024, Releases: true})
 	if with.Runtime != without.Runtime+releasesRuntime {
 		t.Errorf("%+v, and %+v without", with, without)
--- a/internal/descriptors/gate.go
+++ b/internal/descriptors/gate.go
@@ -10,7 +10,7 @@
 )
 
 // retryEvery is how often a connect is tried again while the process or the machine has no descriptor left.
-const retryEvery = 10 * time.Millisecond
+const retryInterval = 10 * time.Millisecond
 
 // ErrShareTaken tells that a share is taken: nothing was sent.
 var ErrShareExhausted = errors.New("the share of descriptors is taken")
@@ -76,7 +76,7 @@
 		select {
 		case <-ctx.Done():
 			return opened, err
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/listener/bounded.go
+++ b/internal/listener/bounded.go
@@ -13,36 +13,36 @@
 // room, is lower; this one holds also while connections that make room still end.
 type Bounded struct {
 	*Listener
-	gate   *descriptors.Limiter
-	freed  chan struct{} // a connection was closed, or the gate's limit has changed
-	closed chan struct{}
-	once   sync.Once
+	limiter *descriptors.Limiter
+	wakeUp  chan struct{} // a connection was closed, or the gate's limit has changed
+	closing chan struct{}
+	once    sync.Once
 }
 
 // Bound bounds a listener's connections.
-func NewBounded(l *Listener, gate *descriptors.Limiter) *Bounded {
-	return &Bounded{Listener: l, gate: gate, freed: make(chan struct{}, 1), closed: make(chan struct{})}
+func NewBounded(l *Listener, limiter *descriptors.Limiter) *Bounded {
+	return &Bounded{Listener: l, limiter: limiter, wakeUp: make(chan struct{}, 1), closing: make(chan struct{})}
 }
 
 // SetLimit changes the bound. Connections held beyond it stay.
 func (b *Bounded) SetLimit(limit int) {
-	b.gate.SetLimit(limit)
+	b.limiter.SetLimit(limit)
 	b.wake()
 }
 
 // Held tells how many descriptors the connections hold.
-func (b *Bounded) Held() int { return b.gate.Held() }
+func (b *Bounded) Held() int { return b.limiter.Held() }
 
 func (b *Bounded) wake() {
 	select {
-	case b.freed <- struct{}{}:
+	case b.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
 // Close implements net.Listener.
 func (b *Bounded) Close() error {
-	b.once.Do(func() { close(b.closed) })
+	b.once.Do(func() { close(b.closing) })
 	return b.Listener.Close()
 }
 
@@ -50,10 +50,10 @@
 // core a crowd that connects without end would have clients make room whose requests are there and unread.
 func (b *Bounded) Accept() (net.Conn, error) {
 	runtime.Gosched()
-	for !b.gate.TryAcquire() {
+	for !b.limiter.TryAcquire() {
 		select {
-		case <-b.freed:
-		case <-b.closed:
+		case <-b.wakeUp:
+		case <-b.closing:
 			return nil, net.ErrClosed
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 func (b *Bounded) release() {
-	b.gate.Release()
+	b.limiter.Release()
 	b.wake()
 }
 
--- a/internal/listener/bounded_test.go
+++ b/internal/listener/bounded_test.go
@@ -12,7 +12,7 @@
 )
 
 // bounded opens a bounded listener.
-func bounded(t *testing.T, limit int) *Bounded {
+func openBounded(t *testing.T, limit int) *Bounded {
 	t.Helper()
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
@@ -24,8 +24,8 @@
 }
 
 // Nothing is accepted beyond the bound, so no descriptor is taken first and judged afterwards; a close lets the next one in.
-func TestNothingIsAcceptedBeyondTheBound(t *testing.T) {
-	b := bounded(t, 2)
+func TestNoAcceptBeyondLimit(t *testing.T) {
+	b := openBounded(t, 2)
 	for range 5 {
 		c, err := net.Dial("tcp", b.Addr().String())
 		if err != nil {
@@ -76,7 +76,7 @@
 
 // A crowd that goes on connecting, and connects again whenever it is closed, does not keep a drained listener open: a process
 // that was told to end went on accepting for minutes.
-func TestADrainUnderConnectsEnds(t *testing.T) {
+func TestDrainEndsUnderConstantConnects(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 }
 
 // Where no descriptor is left, an accept goes on as soon as there is one.
-func TestAcceptGoesOnAfterAShortage(t *testing.T) {
+func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -18,19 +18,19 @@
 
 const (
 	// retryEvery is how often an accept is tried again while no descriptor is left.
-	retryEvery = 10 * time.Millisecond
+	retryInterval = 10 * time.Millisecond
 	// drainFor bounds a drain: what had come before it has long been taken then, and a crowd that goes on connecting must
 	// not keep the listener open.
-	drainFor = 250 * time.Millisecond
+	drainTimeout = 250 * time.Millisecond
 )
 
 // Listener is a TCP listener that can be drained.
 type Listener struct {
 	*net.TCPListener
 	// Shortage, if not nil, is called each time that no descriptor was left for a connection.
-	OnShortage func()
-	draining   atomic.Bool
-	until      atomic.Int64 // the end of the drain, in Unix nanoseconds
+	OnShortage    func()
+	draining      atomic.Bool
+	drainDeadline atomic.Int64 // the end of the drain, in Unix nanoseconds
 }
 
 // Open listens at an address. Shared, another process may listen there too, such as the next one in an upgrade.
@@ -59,7 +59,7 @@
 // Drain has Accept give what the kernel has taken in already, and then close the listener: a plain close resets those
 // connections, and their callers have been told that they are connected. It ends after drainFor.
 func (l *Listener) Drain() {
-	l.until.Store(time.Now().Add(drainFor).UnixNano())
+	l.drainDeadline.Store(time.Now().Add(drainTimeout).UnixNano())
 	l.draining.Store(true)
 	l.SetDeadline(time.Unix(1, 0)) // wakes Accept
 }
@@ -75,7 +75,7 @@
 		if l.OnShortage != nil {
 			l.OnShortage()
 		}
-		time.Sleep(retryEvery)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -86,8 +86,8 @@
 			return c, err
 		}
 	}
-	if time.Now().UnixNano() < l.until.Load() {
-		if c, err := l.waiting(); c != nil || err != nil {
+	if time.Now().UnixNano() < l.drainDeadline.Load() {
+		if c, err := l.acceptQueued(); c != nil || err != nil {
 			return c, err
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // waiting gives a connection from the kernel's queue, or none: a listener past its deadline does not look there.
-func (l *Listener) waiting() (c net.Conn, err error) {
+func (l *Listener) acceptQueued() (c net.Conn, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -9,7 +9,7 @@
 
 // Connections that wait in the kernel's queue when the listener closes were reset, though their callers were connected
 // and had sent their requests. Drained, the listener gives each of them, and then it is closed.
-func TestDrainGivesWhatTheKernelHasTakenIn(t *testing.T) {
+func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 }
 
 // Two processes listen at one address in an upgrade; without asking for it, a port that is taken is a failed start.
-func TestShared(t *testing.T) {
+func TestSharedAddress(t *testing.T) {
 	first, err := Open("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -16,20 +16,20 @@
 )
 
 // smallMemory makes an instance whose inbox is full with one event, so that a front's reader waits behind it.
-const smallMemory = 256 << 10
+const memoryBytes = 256 << 10
 
 // pastWaits is longer than all that the core may wait for between two attempts, in the settings of Core.
-const pastWaits = 2 * time.Second
+const beyondAllWaits = 2 * time.Second
 
 // Core is a running Exchange.
 type Core struct {
 	*exchange.Exchange
-	t       *testing.T
-	ahead   atomic.Int64 // of the clock
-	mu      sync.Mutex
-	invited map[string]int // attempts by call
-	fresh   chan exchange.Attempt
-	gate    gate
+	t           *testing.T
+	clockOffset atomic.Int64 // of the clock
+	mu          sync.Mutex
+	attempts    map[string]int // attempts by call
+	newAttempts chan exchange.Attempt
+	module      holdModule
 }
 
 // State is one in which a call waits for an attempt.
@@ -49,9 +49,9 @@
 // New runs an Exchange with two servers until the test ends.
 func New(t *testing.T) *Core {
 	t.Helper()
-	c := &Core{t: t, invited: map[string]int{}, fresh: make(chan exchange.Attempt, 100)}
-	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.DiscardLogger(), MemoryBytes: smallMemory,
-		Now: func() time.Time { return time.Now().Add(time.Duration(c.ahead.Load())) }, Join: join.Chain{&c.gate}})
+	c := &Core{t: t, attempts: map[string]int{}, newAttempts: make(chan exchange.Attempt, 100)}
+	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.DiscardLogger(), MemoryBytes: memoryBytes,
+		Now: func() time.Time { return time.Now().Add(time.Duration(c.clockOffset.Load())) }, Join: join.Chain{&c.module}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,18 +85,18 @@
 // Enter brings a call into a state; send has its client send the set-up. For First nothing is sent yet.
 func (c *Core) Enter(state State, send func()) {
 	c.t.Helper()
-	c.gate.shut.Store(state == HeldByModule)
+	c.module.holding.Store(state == HeldByModule)
 	switch state {
 	case FirstAttempt:
 	case HeldByModule:
 		send()
-		c.until(func() bool { return c.Status().HeldByModules == 1 })
+		c.waitUntil(func() bool { return c.Status().HeldByModules == 1 })
 	default:
 		send()
 		outcome := map[State]control.Outcome{ReleaseWait: control.ConnectionLost, HeldByPolicy: control.Saturated}[state]
-		c.until(func() bool {
+		c.waitUntil(func() bool {
 			select {
-			case a := <-c.fresh:
+			case a := <-c.newAttempts:
 				c.Ended(a.Server, a.ID, a.Index, exchange.Result{Outcome: outcome})
 			default:
 			}
@@ -105,7 +105,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.invited)
+	clear(c.attempts)
 }
 
 // Busy keeps the core's goroutine busy until the function that it gives is called; by then all that a call waits for is
@@ -115,8 +115,8 @@
 	go c.Look(func() { close(busy); <-goOn })
 	<-busy
 	return func() {
-		c.gate.shut.Store(false)
-		c.ahead.Add(int64(pastWaits))
+		c.module.holding.Store(false)
+		c.clockOffset.Add(int64(beyondAllWaits))
 		close(goOn)
 	}
 }
@@ -125,7 +125,7 @@
 func (c *Core) Settle() {
 	for range 3 {
 		c.Look(func() {})
-		c.ahead.Add(int64(pastWaits))
+		c.clockOffset.Add(int64(beyondAllWaits))
 	}
 	c.Look(func() {})
 }
@@ -134,11 +134,11 @@
 func (c *Core) AttemptCount(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.invited[id]
+	return c.attempts[id]
 }
 
 // until waits for a condition, for which the machine may take its time.
-func (c *Core) until(met func() bool) {
+func (c *Core) waitUntil(met func() bool) {
 	c.t.Helper()
 	WaitUntil(c.t, met)
 }
@@ -156,9 +156,9 @@
 // Invite implements exchange.Offices.
 func (c *Core) Invite(a exchange.Attempt) {
 	c.mu.Lock()
-	c.invited[a.ID]++
+	c.attempts[a.ID]++
 	c.mu.Unlock()
-	c.fresh <- a
+	c.newAttempts <- a
 }
 
 // List implements exchange.Offices.
@@ -174,15 +174,15 @@
 func (c *Core) ReportSilence(uint64, time.Time, bool) {}
 
 // gate is a joined module that holds calls while it is shut.
-type gate struct{ shut atomic.Bool }
-
-func (g *gate) Name() string                         { return "gate" }
-func (g *gate) OnEvent(int64, control.Event)         {}
-func (g *gate) OnAction(int64, control.Action)       {}
-func (g *gate) HasRoom(int64, uint64) (bool, string) { return true, "" }
-func (g *gate) Status(int64) join.Status             { return join.Status{Module: "gate"} }
-func (g *gate) Admit(int64, join.Call) join.Decision {
-	if g.shut.Load() {
+type holdModule struct{ holding atomic.Bool }
+
+func (g *holdModule) Name() string                         { return "gate" }
+func (g *holdModule) OnEvent(int64, control.Event)         {}
+func (g *holdModule) OnAction(int64, control.Action)       {}
+func (g *holdModule) HasRoom(int64, uint64) (bool, string) { return true, "" }
+func (g *holdModule) Status(int64) join.Status             { return join.Status{Module: "gate"} }
+func (g *holdModule) Admit(int64, join.Call) join.Decision {
+	if g.holding.Load() {
 		return join.Decision{Verdict: join.Hold, Wait: int64(5 * time.Millisecond), Reason: "shut"}
 	}
 	return join.Decision{}
--- a/internal/netcase/netcase.go
+++ b/internal/netcase/netcase.go
@@ -30,14 +30,14 @@
 }
 
 // Cut gives the data in pieces of random sizes, as a network does.
-func RandomReader(t *rapid.T, data []byte) io.Reader { return &cut{t, data} }
+func RandomReader(t *rapid.T, data []byte) io.Reader { return &randomReader{t, data} }
 
-type cut struct {
+type randomReader struct {
 	t    *rapid.T
 	data []byte
 }
 
-func (c *cut) Read(p []byte) (int, error) {
+func (c *randomReader) Read(p []byte) (int, error) {
 	if len(c.data) == 0 {
 		return 0, io.EOF
 	}
--- a/internal/sibling/sibling.go
+++ b/internal/sibling/sibling.go
@@ -17,9 +17,9 @@
 	// Files is how many descriptors a watch holds.
 	LockFiles = 3
 	// pollEvery is how often the locks are looked at.
-	pollEvery = 50 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 	// roomFor is how long the leader may take to make room for a new process.
-	roomFor = 2500 * time.Millisecond
+	roomTimeout = 2500 * time.Millisecond
 	// fileMode keeps other users from holding the locks.
 	fileMode = 0o600
 )
@@ -27,12 +27,12 @@
 // Watch follows whether there is another process. The leader holds the lock of its place, the follower that of the second
 // place; the leader holds the lock of the room once it has made room for the follower.
 type Watcher struct {
-	log     *slog.Logger
-	changed func(present bool) // returns once room is made
-	leader  *flock.Flock
-	second  *flock.Flock
-	room    *flock.Flock
-	present bool
+	log      *slog.Logger
+	onChange func(present bool) // returns once room is made
+	leader   *flock.Flock
+	follower *flock.Flock
+	roomMade *flock.Flock
+	present  bool
 }
 
 // Open looks whether another process serves an address, and calls changed with the answer, now and from Run whenever it
@@ -40,17 +40,17 @@
 func Open(dir, addr string, log *slog.Logger, changed func(present bool)) *Watcher {
 	name := filepath.Join(dir, "masthill-"+strings.NewReplacer(":", "-", "/", "-").Replace(addr))
 	lock := func(suffix string) *flock.Flock { return flock.New(name+suffix, flock.SetPermissions(fileMode)) }
-	w := &Watcher{log: log, changed: changed, leader: lock(".leader"), second: lock(".second"), room: lock(".room")}
-	w.present = !w.take(w.leader)
+	w := &Watcher{log: log, onChange: changed, leader: lock(".leader"), follower: lock(".second"), roomMade: lock(".room")}
+	w.present = !w.tryLock(w.leader)
 	if w.present {
-		w.awaitRoom()
+		w.waitForRoom()
 	}
 	changed(w.present)
 	return w
 }
 
 // take tries to get a lock, and tells whether this process holds it.
-func (w *Watcher) take(lock *flock.Flock) bool {
+func (w *Watcher) tryLock(lock *flock.Flock) bool {
 	held, err := lock.TryLock()
 	if err != nil {
 		w.log.Warn("other processes not noticed", "reason", "no_lock", "path", lock.Path(), "err", err)
@@ -59,8 +59,8 @@
 }
 
 // taken tells whether another process holds a lock.
-func (w *Watcher) taken(lock *flock.Flock) bool {
-	if !w.take(lock) {
+func (w *Watcher) heldByOther(lock *flock.Flock) bool {
+	if !w.tryLock(lock) {
 		return true
 	}
 	lock.Unlock()
@@ -68,9 +68,9 @@
 }
 
 // awaitRoom takes the second place and waits until the leader has made room, for a bounded time.
-func (w *Watcher) awaitRoom() {
-	for until := time.Now().Add(roomFor); time.Now().Before(until); time.Sleep(pollEvery) {
-		if w.take(w.second) && w.taken(w.room) {
+func (w *Watcher) waitForRoom() {
+	for until := time.Now().Add(roomTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
+		if w.tryLock(w.follower) && w.heldByOther(w.roomMade) {
 			return
 		}
 	}
@@ -79,40 +79,40 @@
 // Close ends the watch before its process ends. It is not to be called while Run runs.
 func (w *Watcher) Close() {
 	w.leader.Close()
-	w.second.Close()
-	w.room.Close()
+	w.follower.Close()
+	w.roomMade.Close()
 }
 
 // Run follows changes until ctx ends. The locks are held then: what this process holds is free only when it has ended.
 func (w *Watcher) Run(ctx context.Context) error {
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			w.look()
+			w.poll()
 		}
 	}
 }
 
 // look takes the leader's place where it is free, and tells the leader whether there is a follower.
-func (w *Watcher) look() {
-	if !w.leader.Locked() && !w.take(w.leader) {
-		w.take(w.second)
+func (w *Watcher) poll() {
+	if !w.leader.Locked() && !w.tryLock(w.leader) {
+		w.tryLock(w.follower)
 		return
 	}
-	if w.second.Locked() { // this process was the follower
-		w.second.Unlock()
+	if w.follower.Locked() { // this process was the follower
+		w.follower.Unlock()
 	}
-	if present := w.taken(w.second); present != w.present {
+	if present := w.heldByOther(w.follower); present != w.present {
 		w.present = present
-		w.changed(present)
+		w.onChange(present)
 	}
 	if w.present {
-		w.take(w.room)
+		w.tryLock(w.roomMade)
 	} else {
-		w.room.Unlock()
+		w.roomMade.Unlock()
 	}
 }
--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -13,17 +13,17 @@
 // process is one watch in a test.
 type process struct {
 	present chan bool
-	end     func()
+	stop    func()
 }
 
-func begin(t *testing.T, dir, addr string) *process {
+func startProcess(t *testing.T, dir, addr string) *process {
 	t.Helper()
 	p := &process{present: make(chan bool, 100)}
 	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) { p.present <- present })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	p.end = func() {
+	p.stop = func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -34,7 +34,7 @@
 }
 
 // want waits for the present answer to be that one.
-func (p *process) want(t *testing.T, present bool) {
+func (p *process) waitFor(t *testing.T, present bool) {
 	t.Helper()
 	for got := range p.present {
 		if got == present {
@@ -44,34 +44,34 @@
 }
 
 // An upgrade, and one more: each process notices that the other one comes and goes, whichever of them was first.
-func TestEachNoticesTheOther(t *testing.T) {
+func TestProcessesDetectEachOther(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
-	first := begin(t, dir, addr)
+	first := startProcess(t, dir, addr)
 	if <-first.present {
 		t.Error("not alone at first")
 	}
-	second := begin(t, dir, addr)
+	second := startProcess(t, dir, addr)
 	if !<-second.present {
 		t.Error("the second does not notice the first")
 	}
-	first.want(t, true)
-	first.end()
-	second.want(t, false)
-	third := begin(t, dir, addr)
-	third.want(t, true)
-	second.want(t, true)
-	third.end()
-	second.want(t, false)
-	second.end()
+	first.waitFor(t, true)
+	first.stop()
+	second.waitFor(t, false)
+	third := startProcess(t, dir, addr)
+	third.waitFor(t, true)
+	second.waitFor(t, true)
+	third.stop()
+	second.waitFor(t, false)
+	second.stop()
 }
 
 // Another address is another instance.
-func TestAnotherAddress(t *testing.T) {
+func TestDifferentAddresses(t *testing.T) {
 	dir := t.TempDir()
-	first := begin(t, dir, netcase.Listen(t).Addr().String())
-	defer first.end()
-	second := begin(t, dir, netcase.Listen(t).Addr().String())
-	defer second.end()
+	first := startProcess(t, dir, netcase.Listen(t).Addr().String())
+	defer first.stop()
+	second := startProcess(t, dir, netcase.Listen(t).Addr().String())
+	defer second.stop()
 	if <-first.present || <-second.present {
 		t.Error("taken for one another")
 	}
@@ -85,8 +85,8 @@
 	defer first.Close()
 	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits in vain for room, as nothing runs
 	defer second.Close()
-	first.look()
-	second.look()
+	first.poll()
+	second.poll()
 	opened := 0
 	for name, target := range descriptors(t) {
 		if before[name] == target || !strings.HasPrefix(target, dir) && !strings.HasPrefix(target, "socket:") {
@@ -119,7 +119,7 @@
 }
 
 // The second process starts only once the first has made room.
-func TestTheSecondWaitsForRoom(t *testing.T) {
+func TestFollowerWaitsForRoom(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	room := make(chan bool)
 	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) {
