--- a/internal/callws/answers.go
+++ b/internal/callws/answers.go
@@ -7,8 +7,8 @@
 	"masthill/internal/sip"
 )
 
-// Answer implements exchange.Caller. An answer that finds no socket is on record: the caller gets it when it
-// sends the call again.
+// Answer implements exchange.Caller. An answer to a call without a socket is not lost: the exchange has it on record, and
+// the caller gets it when it sends the call again.
 func (f *Front) Answer(key string, final exchange.FinalAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,18 +30,18 @@
 	}
 }
 
-// Presence implements exchange.PresenceChecker. A call belongs to the socket that it came on last.
+// Presence implements exchange.PresenceChecker. A call belongs to the socket on which it was last received.
 func (f *Front) Presence(key string) exchange.Presence {
 	c, s := f.lookup(key)
 	if s == nil {
 		return exchange.Gone
 	}
 	input := s.in.State()
-	now, at := f.lookup(key)
+	current, currentSocket := f.lookup(key)
 	switch {
-	case now != c || at == nil: // cancelled or closed before the look, which then finds nothing unread
+	case current != c || currentSocket == nil: // canceled or closed before State was called, which then finds nothing unread
 		return exchange.Gone
-	case at != s: // joined from another socket meanwhile, which was heard in that moment
+	case currentSocket != s: // meanwhile joined from another socket, on which the caller has just been heard
 		return exchange.Connected
 	case input == sip.InputEnded:
 		return exchange.Gone
@@ -51,7 +51,7 @@
 	return exchange.Connected
 }
 
-// waiting gives a call that waits for its answer and the socket that it belongs to, or nil.
+// lookup returns a call of this front and the socket that it belongs to; each is nil if there is none.
 func (f *Front) lookup(key string) (*call, *socket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,8 +62,8 @@
 	return c, c.socket
 }
 
-// Release implements exchange.Caller. It goes to the call's socket, to another of the same caller, or to the
-// next one that the caller opens.
+// Release implements exchange.Caller. The message is sent on the call's socket, on another one of the same caller, or on
+// the next one that the caller opens.
 func (f *Front) Release(key string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/callws/conn.go
+++ b/internal/callws/conn.go
@@ -1,5 +1,5 @@
-// Package callws is call control over WebSocket: a front for callers, and the way to servers that speak the
-// same JSON. The messages are described in docs/callws.md.
+// Package callws implements call control over WebSocket: a front that takes calls from callers, and the client side of
+// connections to servers that use JSON messages of the same kind. The messages are described in docs/callws.md.
 package callws
 
 import (
@@ -20,17 +20,17 @@
 )
 
 const (
-	// maxMessage bounds one message, as on the platform's port.
+	// maxMessage limits the size of a message, as on the platform's port.
 	maxMessage = sip.MaxMessage
-	// writeTimeout is the deadline of a write: an answer that takes longer is not whole in time.
+	// writeTimeout is the deadline of a write: an answer that takes longer would not be complete in time.
 	writeTimeout = time.Second
-	// closeTimeout is how long a peer may take to close in turn: the program's end does not wait for it.
+	// closeTimeout is how long a peer may take to complete the closing handshake; shutdown does not wait longer.
 	closeTimeout = 100 * time.Millisecond
-	// pingInterval and pingTimeout find a peer that has vanished without a word.
+	// pingInterval and pingTimeout detect a peer that has disappeared without closing the connection.
 	pingInterval, pingTimeout = 20 * time.Second, 5 * time.Second
 )
 
-// The reasons of this front beside those of package sip.
+// Reasons for the end of a connection, in addition to those of package sip.
 const (
 	badMessage sip.Reason = "bad_message"
 	noPong     sip.Reason = "no_pong"
@@ -39,15 +39,15 @@
 
 var (
 	errUnreadable = errors.New("message is no JSON object")
-	errNoPong     = errors.New("no pong")
-	errClose      = errors.New("closed by this side")
+	errNoPong     = errors.New("no pong received in time")
+	errClose      = errors.New("connection closed by this side")
 )
 
-// conn is one WebSocket with a bounded write queue and a deadline on each write.
+// conn is a WebSocket connection with a bounded write queue and a deadline on each write.
 type conn struct {
 	ws        *websocket.Conn
-	raw       net.Conn    // beneath it
-	peerGone  func() bool // the peer has gone, whatever it sent before stands unread
+	raw       net.Conn    // the underlying connection
+	peerGone  func() bool // reports that the peer has disconnected, even if data that it sent before is still unread
 	out       *sip.Queue
 	queueFull atomic.Bool
 	closing   chan struct{}
@@ -59,7 +59,7 @@
 	return &conn{ws: ws, raw: raw, peerGone: func() bool { return false }, out: sip.NewQueue(), closing: make(chan struct{})}
 }
 
-// send queues one message and never blocks: a peer that does not read loses its connection.
+// send queues one message and never blocks: if the peer does not read and the queue is full, the connection is closed.
 func (c *conn) send(v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -71,14 +71,15 @@
 	}
 }
 
-// Close ends the connection after what is queued has been written; a peer that does not read is cut off.
+// Close closes the connection once the queued messages have been written. A peer that does not read is disconnected when a
+// write times out.
 func (c *conn) Close() {
 	if c.closed.CompareAndSwap(false, true) {
 		close(c.closing)
 	}
 }
 
-// run serves the connection until it ends and tells why.
+// run serves the connection until it ends and returns the reason.
 func (c *conn) run(ctx context.Context, handle func([]byte) error) (sip.Reason, error) {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -108,7 +109,7 @@
 	return c.endReason(err), err
 }
 
-// shut closes in order, but waits no longer for the peer than closeTimeout.
+// closeWithTimeout performs the closing handshake, but waits no longer for the peer than closeTimeout.
 func (c *conn) closeWithTimeout(code websocket.StatusCode, reason string) {
 	timer := time.AfterFunc(closeTimeout, func() { c.raw.Close() })
 	defer timer.Stop()
@@ -120,7 +121,7 @@
 		closing := false
 		select {
 		case <-ctx.Done():
-			return nil // the reader has the reason
+			return nil // the reader returns the cause
 		case <-c.out.Ready():
 		case <-c.closing:
 			closing = true
@@ -131,19 +132,19 @@
 		if err := c.out.Write(func(batch [][]byte) error { return c.flush(ctx, batch) }); err != nil {
 			return err
 		}
-		if closing { // what was queued went first
+		if closing { // the queued messages have been written
 			c.closeWithTimeout(websocket.StatusGoingAway, "ending")
 			return errClose
 		}
 	}
 }
 
-// flush writes messages. Not under ctx: the library breaks the connection off when the context of a write ends, and
-// the peer would miss why it was closed.
+// flush writes messages. The writes ignore the cancellation of ctx: the library drops the connection when the context of a
+// write ends, and the peer would not receive the reason for the close.
 func (c *conn) flush(ctx context.Context, batch [][]byte) error {
 	for _, b := range batch {
-		limit, cancel := context.WithTimeout(context.WithoutCancel(ctx), writeTimeout)
-		err := c.ws.Write(limit, websocket.MessageText, b)
+		writeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), writeTimeout)
+		err := c.ws.Write(writeCtx, websocket.MessageText, b)
 		cancel()
 		if err != nil {
 			return err
@@ -161,8 +162,8 @@
 			return nil
 		case <-tick.C:
 		}
-		limit, cancel := context.WithTimeout(ctx, pingTimeout)
-		err := c.ws.Ping(limit)
+		pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
+		err := c.ws.Ping(pingCtx)
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			return errors.Join(errNoPong, err)
@@ -192,7 +193,7 @@
 	return sip.IOError
 }
 
-// description is a description as JSON holds it: text, or base64 where it is none.
+// description is the JSON form of a call's description: text, or base64 if it is not valid UTF-8.
 type description struct {
 	Text  string `json:"description,omitempty"`
 	Bytes []byte `json:"description_base64,omitempty"`
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -20,90 +20,91 @@
 )
 
 const (
-	// protocol is the WebSocket subprotocol that callers ask for.
+	// protocol is the WebSocket subprotocol for callers.
 	protocol = "callcontrol.v1"
-	// resumeTimeout is how long a call whose socket closed mid-set-up waits for its caller to come back, if its
-	// deadline is not sooner: time for a station's reconnect, and short against the work that an office does
-	// for a caller who has left.
+	// resumeTimeout is how long a call whose socket closed during set-up waits for its caller to reconnect, if its
+	// deadline is not earlier: enough for a station to reconnect, and short compared with the work that an office would
+	// do for a caller that has disconnected.
 	resumeTimeout = 2 * time.Second
-	// sweepInterval is how often calls without a socket are looked at.
+	// sweepInterval is how often calls without a socket are checked.
 	sweepInterval = 100 * time.Millisecond
 	// releaseTimeout is how long the release of a call waits for a socket of its caller.
 	releaseTimeout = 30 * time.Second
-	// drainTimeout is how long after the begin of a drain a socket that is never without a call may bring new ones.
+	// drainTimeout is how long after the start of a drain a socket that always has a call open may send new ones.
 	drainTimeout = time.Second
-	// shutdownInterval is how often an orderly end looks whether it is through.
+	// shutdownInterval is how often Shutdown checks whether all sockets are closed.
 	shutdownInterval = 2 * time.Millisecond
-	// maxOpenCalls bounds the calls of one socket that wait for their answer, as on the platform's port.
+	// maxOpenCalls limits the unanswered calls of one socket, as on the platform's port.
 	maxOpenCalls = 256
-	// maxCalls bounds the calls of this front, maxIDBytes a caller's call id.
+	// maxCalls limits the calls of this front, maxIDBytes the length of a caller's call id.
 	maxCalls, maxIDBytes = 20000, 128
-	// maxDescription is what a message to an office has room for beside its headers.
+	// maxDescription is the size of a message to an office less 1 KiB for its headers.
 	maxDescription = maxMessage - 1<<10
-	// headerTimeout is the time for an upgrade's request, so that silent connections go.
+	// headerTimeout is the time limit for an upgrade request, so that silent connections are closed.
 	headerTimeout = 2500 * time.Millisecond
 )
 
-// Options is what a Front is made from.
+// Options configures a Front.
 type Options struct {
 	Core           exchange.CallHandler
 	Log            *slog.Logger
 	Names          exchange.Names
 	Callers        map[string]string // tokens by identity
 	Ready          func() bool       // whether the readiness test passes
-	MaxConnections int               // connections held at once
+	MaxConnections int               // open at the same time
 }
 
-// Front takes calls over WebSocket.
+// Front accepts calls from callers over WebSocket.
 type Front struct {
 	Options
 	mu        sync.Mutex
-	refusing  bool      // nothing more is taken
-	drainFrom time.Time // from then on sockets are closed as they have nothing open; zero: no drain
+	refusing  bool      // new calls are refused
+	drainFrom time.Time // sockets without unanswered calls are closed from this time on; zero: no drain
 	sockets   map[*socket]bool
-	calls     map[string]*call // by the id that offices know
+	calls     map[string]*call // by Key
 	group     *errgroup.Group
 	ctx       context.Context
-	stopped   bool          // no socket joins the group any more
-	resume    time.Duration // resumeTimeout, but for tests
+	stopped   bool          // no more sockets are added to group
+	resume    time.Duration // resumeTimeout, except in tests
 	listener  *boundedListener
 }
 
-// call is a call of this front, until it has its refusal or its release has been told.
+// call is a call of this front, kept until its caller has been sent a final answer other than acceptance, or its release.
 type call struct {
 	id, identity       string
 	fingerprint        uint64  // of the set-up
 	socket             *socket // nil: its socket closed
 	accepted, released bool
 	cut                bool
-	detachedAt         time.Time // it lost its socket, or is over without one
+	detachedAt         time.Time // when it lost its socket, or was released without one
 }
 
-// New makes a front.
+// New returns a Front; Serve runs it.
 func New(o Options) *Front {
 	return &Front{Options: o, sockets: map[*socket]bool{}, calls: map[string]*call{}, resume: resumeTimeout,
 		listener: &boundedListener{log: o.Log, limit: o.MaxConnections, open: map[*trackedConn]bool{}}}
 }
 
-// Key is the id that offices know a call by: 16 hex digits of the caller's identity and its own id, so that
-// callers can't reach each other's calls and a resend is the same call.
+// Key is the id by which offices know a call: 16 hex digits of a hash of the caller's identity and its own call id, so that
+// callers can't access each other's calls and a call that is sent again keeps its id.
 func Key(identity, id string) string {
 	sum := sha256.Sum256([]byte(identity + "\x00" + id))
 	return hex.EncodeToString(sum[:8])
 }
 
-// Drain closes sockets as soon as no call waits for its answer there, beginning after that time. What still comes is served.
+// Drain closes, once the given time has passed, each socket as soon as it has no unanswered call. Calls that still arrive
+// are served.
 func (f *Front) Drain(after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drainFrom = time.Now().Add(after)
 }
 
-// SetMaxOpen changes how many connections are held at once. Of those beyond, the ones that never became a socket make room.
+// SetMaxOpen changes the limit on open connections. Of those beyond it, the ones that have not become a socket are closed.
 func (f *Front) SetMaxOpen(n int) { f.listener.setLimit(n) }
 
-// SetCallers changes who may connect. A socket whose caller has another token now takes no further calls, and is closed once
-// all that it has taken are answered.
+// SetCallers changes who may connect. A socket whose caller now has another token accepts no further calls, and is closed
+// once all calls that it has accepted are answered.
 func (f *Front) SetCallers(callers map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,14 +116,15 @@
 	f.Callers = callers
 }
 
-// Resume ends a drain: sockets are kept again.
+// Resume ends a drain: sockets without calls stay open again.
 func (f *Front) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drainFrom = time.Time{}
 }
 
-// leave closes the sockets that a drain has no more use for, and those of callers whose token has changed. Called under the lock.
+// closeDrained closes the sockets without unanswered calls that a drain no longer waits for, and those of callers whose token
+// has changed. f.mu must be held.
 func (f *Front) closeDrained() {
 	for s := range f.sockets {
 		if s.revoked && s.unanswered == 0 {
@@ -139,7 +141,7 @@
 	}
 }
 
-// Serve takes connections until ctx ends.
+// Serve accepts connections until ctx ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	f.group, f.ctx = g, ctx
@@ -167,7 +169,7 @@
 		f.mu.Lock()
 		f.stopped = true
 		f.mu.Unlock()
-		if err := server.Close(); !errors.Is(err, net.ErrClosed) { // the end of the program closes the listener first
+		if err := server.Close(); !errors.Is(err, net.ErrClosed) { // shutdown of the program closes the listener first
 			return err
 		}
 		return nil
@@ -176,14 +178,14 @@
 	return g.Wait()
 }
 
-// state logs the end of a connection that never became a socket; a socket's own line comes from serve.
+// logNotUpgraded logs the end of a connection that never became a socket; serve logs the end of a socket.
 func (f *Front) logNotUpgraded(c net.Conn, state http.ConnState) {
 	if state == http.StateClosed {
 		f.Log.Info("call socket ended", "reason", noUpgrade, "peer", c.RemoteAddr().String())
 	}
 }
 
-// Unfinished tells how many sockets are still to be served in a drain.
+// Unfinished returns the number of sockets with unanswered calls, which a drain waits for.
 func (f *Front) Unfinished() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,15 +197,15 @@
 	return n
 }
 
-// Refuse has all that still comes refused here, at once: nothing more reaches the core.
+// Refuse has the front refuse all new calls at once, without passing them to the exchange.
 func (f *Front) Refuse() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refusing = true
 }
 
-// Shutdown ends all sockets in order, and waits for that until ctx ends. Refuse and the core's own refusal of all that
-// waits come before it, so that every call that was read gets its answer first.
+// Shutdown closes every socket that has no unanswered call, and waits until all are closed or ctx ends. Before it, Refuse is
+// to be called and the exchange is to refuse all calls that wait, so that every call that was read gets its answer first.
 func (f *Front) Shutdown(ctx context.Context) {
 	tick := time.NewTicker(shutdownInterval)
 	defer tick.Stop()
@@ -227,7 +229,7 @@
 	}
 }
 
-// identify finds the caller by its token.
+// identify returns the identity of the caller whose token the request carries.
 func (f *Front) identify(r *http.Request) (identity string, ok bool) {
 	token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	f.mu.Lock()
@@ -250,7 +252,7 @@
 		return
 	}
 	raw := r.Context().Value(rawConn{}).(*trackedConn)
-	if !raw.claim() { // it is being closed to make room
+	if !raw.claim() { // it is being closed to make room for another connection
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -265,18 +267,18 @@
 	peer := r.RemoteAddr
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped { // the group may have been waited for already
+	if f.stopped { // Serve may have returned from group.Wait already
 		ws.CloseNow()
 		return
 	}
-	f.sockets[s] = true // here, lest an orderly end pass over a socket that its caller already uses
+	f.sockets[s] = true // here and not in serve, so that Shutdown can't miss a socket that its caller already uses
 	f.group.Go(func() error { f.serve(f.ctx, s, peer); return nil })
 }
 
 func (f *Front) serve(ctx context.Context, s *socket, peer string) {
-	began := time.Now()
+	startedAt := time.Now()
 	f.mu.Lock()
-	for key, c := range f.calls { // releases that found no socket
+	for key, c := range f.calls { // calls that were released while their caller had no socket
 		if c.released && c.identity == s.identity {
 			s.send(reply{Type: "released", ID: c.id, Cut: &c.cut})
 			delete(f.calls, key)
@@ -297,11 +299,11 @@
 	}
 	f.mu.Unlock()
 	f.Log.Info("call socket ended", "reason", reason, "peer", peer, "identity", s.identity, "waiting", waiting,
-		"age_ms", time.Since(began).Milliseconds(), "err", err)
+		"age_ms", time.Since(startedAt).Milliseconds(), "err", err)
 }
 
-// sweep gives up calls whose caller has not come back, and forgets releases that nobody came for. A standing
-// call belongs to no socket and goes on, if its caller had heard that it stands.
+// sweep gives up calls whose caller has not reconnected in time, and drops releases that no caller came back for. An accepted
+// call does not depend on a socket and goes on, provided that its caller has been sent the acceptance.
 func (f *Front) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
--- a/internal/callws/listener.go
+++ b/internal/callws/listener.go
@@ -9,11 +9,11 @@
 	"masthill/internal/sip"
 )
 
-// rawConn is the key of a request's connection in its context.
+// rawConn is the context key for the connection of a request.
 type rawConn struct{}
 
-// boundedListener bounds the connections held at once. Those that never became a socket make room, the oldest first: peers
-// that connect and say nothing must not keep callers out.
+// boundedListener limits the number of open connections. At the limit, a new connection replaces the oldest one that has not
+// become a socket: peers that connect and send nothing must not keep callers out.
 type boundedListener struct {
 	net.Listener
 	log   *slog.Logger
@@ -22,18 +22,18 @@
 	open  map[*trackedConn]bool
 }
 
-// trackedConn is a connection that counts until it is closed.
+// trackedConn is a connection that counts towards the limit until it is closed.
 type trackedConn struct {
 	net.Conn
 	in       *sip.Input
 	listener *boundedListener
 	openedAt time.Time
-	// Under the lock of boundedListener: it is a socket, or about to be; it has made room for another connection.
+	// Guarded by listener.mu. claimed: it is a socket, or about to become one; evicted: it is being closed to make room.
 	claimed, evicted bool
 }
 
-// claim makes the connection a socket, unless it has made room already. It comes before the 101: a caller that has
-// read that believes that it is connected, and must not be the one that makes room.
+// claim marks the connection as a socket, so that it is not evicted, and reports false if it has been evicted already. It is
+// called before the 101 response: a caller that has read that response considers itself connected.
 func (c *trackedConn) claim() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -41,7 +41,7 @@
 	return c.claimed
 }
 
-// disclaim takes a claim back whose upgrade failed.
+// unclaim undoes a claim after a failed upgrade.
 func (c *trackedConn) unclaim() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -51,6 +51,7 @@
 // Read implements net.Conn.
 func (c *trackedConn) Read(b []byte) (int, error) { return c.in.Read(b) }
 
+// Close implements net.Conn.
 func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.open, c)
@@ -58,6 +59,7 @@
 	return c.Conn.Close()
 }
 
+// Accept implements net.Listener. Connections that cannot be admitted are closed.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -72,51 +74,52 @@
 	}
 }
 
-// spare is the connection that makes room next, or nil. Called under the lock.
-func (l *boundedListener) oldestUnclaimed() (spare *trackedConn) {
+// oldestUnclaimed returns the connection to evict next, or nil. l.mu must be held.
+func (l *boundedListener) oldestUnclaimed() (oldest *trackedConn) {
 	for c := range l.open {
-		if !c.claimed && !c.evicted && (spare == nil || c.openedAt.Before(spare.openedAt)) {
-			spare = c
+		if !c.claimed && !c.evicted && (oldest == nil || c.openedAt.Before(oldest.openedAt)) {
+			oldest = c
 		}
 	}
-	return spare
+	return oldest
 }
 
-// setMost changes the bound.
+// setLimit changes the limit and evicts connections beyond it, as far as they have not become sockets.
 func (l *boundedListener) setLimit(n int) {
-	var beyond []*trackedConn
+	var excess []*trackedConn
 	l.mu.Lock()
 	l.limit = n
-	for len(l.open)-len(beyond) > n {
+	for len(l.open)-len(excess) > n {
 		c := l.oldestUnclaimed()
 		if c == nil {
 			break
 		}
 		c.evicted = true
-		beyond = append(beyond, c)
+		excess = append(excess, c)
 	}
 	l.mu.Unlock()
-	for _, c := range beyond {
+	for _, c := range excess {
 		c.Close()
 	}
 }
 
+// admit tracks a new connection, if need be in place of one that it evicts. It returns nil if there is no room.
 func (l *boundedListener) admit(raw net.Conn) net.Conn {
 	l.mu.Lock()
-	spare := l.oldestUnclaimed()
+	victim := l.oldestUnclaimed()
 	full := len(l.open) >= l.limit
-	if full && spare == nil {
+	if full && victim == nil {
 		l.mu.Unlock()
 		return nil
 	}
 	c := &trackedConn{Conn: raw, in: sip.NewInput(raw), listener: l, openedAt: time.Now()}
 	l.open[c] = true
 	if full {
-		spare.evicted = true
+		victim.evicted = true
 	}
 	l.mu.Unlock()
 	if full {
-		spare.Close() // the server logs it as one that never became a socket
+		victim.Close() // logNotUpgraded logs it
 	}
 	return c
 }
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -14,10 +14,10 @@
 	"masthill/internal/sip"
 )
 
-// serverProtocol is the subprotocol towards servers.
+// serverProtocol is the WebSocket subprotocol for servers.
 const serverProtocol = "callserver.v1"
 
-// order is what a server is told.
+// serverCommand is a message to a server.
 type serverCommand struct {
 	Type       string `json:"type"`
 	Call       string `json:"call"`
@@ -28,7 +28,7 @@
 	description
 }
 
-// news is what a server says.
+// serverMessage is a message from a server.
 type serverMessage struct {
 	Type, Call, Reason, Note string
 	WaitMS                   int64 `json:"wait_ms"`
@@ -37,15 +37,17 @@
 	description
 }
 
-// ends maps a server's reason for a refusal to an outcome; any other is an error.
+// refusalOutcomes maps a server's reason for a refusal to an outcome; any other reason counts as an error.
 var refusalOutcomes = map[string]control.Outcome{"full": control.Saturated, "moot": control.Unavailable, "reset": control.ConnectionLost}
 
-// Dial connects to servers that speak call control over WebSocket; the list gives such a one a ws:// address.
+// Dial returns a function that connects to servers with call control over WebSocket, which have a ws:// address in the server
+// list.
 func Dial(fields office.Fields) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
 		var raw net.Conn
 		client := &http.Client{Transport: &http.Transport{
-			// Under the connect's own context: the transport leaves a connect that hangs to itself when its request ends.
+			// Uses the context of this attempt to connect: the transport lets a connect that hangs go on in the background
+			// when its request ends.
 			DialContext: func(_ context.Context, network, host string) (c net.Conn, err error) {
 				raw, err = new(net.Dialer).DialContext(ctx, network, host)
 				return raw, err
@@ -59,28 +61,32 @@
 	}
 }
 
-// server is one connection to a server.
+// server is a connection to a server; it implements office.Peer.
 type server struct {
 	*conn
 	fields office.Fields
 }
 
+// Invite implements office.Peer.
 func (s *server) Invite(a exchange.Attempt) {
 	s.send(serverCommand{Type: "setup", Call: a.ID, Class: a.Class, Number: a.Number,
 		PatienceMS: max(a.Wait.Milliseconds(), 1), description: describe(a.Description)})
 }
 
+// Cancel implements office.Peer.
 func (s *server) Cancel(id string, _ int) { s.send(serverCommand{Type: "cancel", Call: id}) }
 
+// Bye implements office.Peer.
 func (s *server) Bye(id string, _ int, cut bool) {
 	s.send(serverCommand{Type: "release", Call: id, Cut: cut})
 }
 
+// Run implements office.Peer.
 func (s *server) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
 	return s.run(ctx, func(data []byte) error { return s.handleMessage(data, h) })
 }
 
-// take handles one message of a server; unknown types are passed over.
+// handleMessage handles a message from a server; messages of unknown types are ignored.
 func (s *server) handleMessage(data []byte, h office.Handler) error {
 	var m serverMessage
 	if json.Unmarshal(data, &m) != nil {
--- a/internal/callws/socket.go
+++ b/internal/callws/socket.go
@@ -8,19 +8,19 @@
 	"masthill/internal/sip"
 )
 
-// socket is one caller's socket.
+// socket is a WebSocket connection of a caller. A caller may have several.
 type socket struct {
 	*conn
 	in         *sip.Input
 	front      *Front
 	identity   string
-	unanswered int // calls without their answer
+	unanswered int // calls that have no answer yet
 	hasCalled  bool
-	revoked    bool // its caller has another token now, or none
+	revoked    bool // its caller now has another token, or none
 	openedAt   time.Time
 }
 
-// request is what a caller sends.
+// request is a message from a caller.
 type request struct {
 	Type, ID, Class, Tenant, Number string
 	PatienceMS                      *int64 `json:"patience_ms"`
@@ -29,7 +29,7 @@
 	description
 }
 
-// reply is what a caller is told.
+// reply is a message to a caller.
 type reply struct {
 	Type    string `json:"type"`
 	ID      string `json:"id,omitempty"`
@@ -40,9 +40,9 @@
 	description
 }
 
-// take handles one message of a caller.
+// handleMessage handles a message from a caller.
 func (s *socket) handleMessage(data []byte) error {
-	at := time.Now()
+	receivedAt := time.Now()
 	var m request
 	if json.Unmarshal(data, &m) != nil {
 		return errUnreadable
@@ -51,7 +51,7 @@
 	case m.ID == "" || len(m.ID) > maxIDBytes:
 		s.send(reply{Type: "error", ID: m.ID, Code: 400, Text: "id: empty or over 128 bytes"})
 	case m.Type == "call":
-		if code, text := s.submit(&m, at); code != 0 {
+		if code, text := s.submit(&m, receivedAt); code != 0 {
 			s.front.Log.Warn("call turned down", "code", code, "why", text, "identity", s.identity)
 			s.send(reply{Type: "error", ID: m.ID, Code: code, Text: text})
 		}
@@ -71,7 +71,8 @@
 
 func (s *socket) owner() string { return "ws/" + s.identity }
 
-// forget drops a call that its caller ended. The core is told under the lock, lest that overtake a set-up sent again.
+// endCall removes a call that its caller has ended, and reports whether it was known. The exchange is told under the lock, so
+// that a set-up that is sent again can't overtake this.
 func (s *socket) endCall(key string) bool {
 	f := s.front
 	f.mu.Lock()
@@ -87,9 +88,9 @@
 	return ok
 }
 
-// call takes a set-up, or one sent again after a reconnect: the exchange joins it to the running call or gives
-// the recorded answer.
-func (s *socket) submit(m *request, at time.Time) (code int, text string) {
+// submit passes on a set-up, or one that is sent again after a reconnect, which the exchange joins to the running call or
+// answers with the recorded answer. If it refuses the set-up, it returns the code and text of the error message.
+func (s *socket) submit(m *request, receivedAt time.Time) (code int, text string) {
 	if m.Number == "" {
 		return 400, "number: empty"
 	}
@@ -102,13 +103,13 @@
 	if m.FirstChoice != nil {
 		setup.Dest = *m.FirstChoice
 	}
-	if err := s.front.Names.Apply(&setup, m.Class, m.Tenant, m.PatienceMS, at); err != nil {
+	if err := s.front.Names.Apply(&setup, m.Class, m.Tenant, m.PatienceMS, receivedAt); err != nil {
 		return 400, err.Error()
 	}
 	f := s.front
 	f.mu.Lock()
-	c, sum := f.calls[key], setup.Fingerprint()
-	if c != nil && c.fingerprint != sum { // joined, it would get the answer to another description
+	c, fingerprint := f.calls[key], setup.Fingerprint()
+	if c != nil && c.fingerprint != fingerprint { // joined, it would get the answer to another description
 		f.mu.Unlock()
 		return 482, "id of another call"
 	}
@@ -125,7 +126,7 @@
 		return 503, "too many calls"
 	}
 	if c == nil {
-		c = &call{id: m.ID, identity: s.identity, fingerprint: sum}
+		c = &call{id: m.ID, identity: s.identity, fingerprint: fingerprint}
 		f.calls[key] = c
 	}
 	if !c.accepted {
