--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -22,7 +22,7 @@
 
 const token = "a token of sixteen"
 
-// core notes what the front hands to the exchange, and answers as a test wants.
+// fakeCore stands in for the exchange and records what the front passes to it. Tests give the answers themselves.
 type fakeCore struct {
 	mu       sync.Mutex
 	events   chan string
@@ -34,13 +34,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[s.ID] = s
-	c.events <- "arrive " + s.ID
+	c.events <- "submit " + s.ID
 }
 func (c *fakeCore) GiveUp(id, owner string, _ exchange.Caller) {
 	c.events <- "give up " + id + " " + owner
 }
-func (c *fakeCore) HangUp(id, owner string)             { c.events <- "hang up " + id + " " + owner }
-func (c *fakeCore) CallerDisconnected(id, owner string) { c.events <- "left " + id + " " + owner }
+func (c *fakeCore) HangUp(id, owner string) { c.events <- "hang up " + id + " " + owner }
+func (c *fakeCore) CallerDisconnected(id, owner string) {
+	c.events <- "disconnected " + id + " " + owner
+}
 
 type fixture struct {
 	*fakeCore
@@ -49,51 +51,51 @@
 	addr string
 }
 
-func newFixture(t *testing.T, mostOpen int, resume ...time.Duration) *fixture {
-	b := &fixture{fakeCore: &fakeCore{events: make(chan string, 1000), calls: map[string]exchange.Setup{}}, t: t}
-	b.Front = New(Options{Core: b.fakeCore, Log: netcase.DiscardLogger(), Ready: func() bool { return !b.notReady.Load() }, MaxConnections: mostOpen, Callers: map[string]string{"station-7": token},
+func newFixture(t *testing.T, maxConnections int, resume ...time.Duration) *fixture {
+	f := &fixture{fakeCore: &fakeCore{events: make(chan string, 1000), calls: map[string]exchange.Setup{}}, t: t}
+	f.Front = New(Options{Core: f.fakeCore, Log: netcase.DiscardLogger(), Ready: func() bool { return !f.notReady.Load() }, MaxConnections: maxConnections, Callers: map[string]string{"station-7": token},
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}}})
-	b.resume = time.Hour // no machine is too slow to come back in that
+	f.resume = time.Hour // long enough to reconnect on the slowest machine
 	for _, r := range resume {
-		b.resume = r
+		f.resume = r
 	}
-	b.addr = netcase.Serve(t, b.Serve)
-	return b
+	f.addr = netcase.Serve(t, f.Serve)
+	return f
 }
 
-func (b *fixture) dial(token string) (*websocket.Conn, error) {
-	ws, _, err := websocket.Dial(b.t.Context(), "ws://"+b.addr+"/v1/calls", &websocket.DialOptions{
+func (f *fixture) dial(token string) (*websocket.Conn, error) {
+	ws, _, err := websocket.Dial(f.t.Context(), "ws://"+f.addr+"/v1/calls", &websocket.DialOptions{
 		Subprotocols: []string{protocol}, HTTPHeader: http.Header{"Authorization": {"Bearer " + token}}})
 	return ws, err
 }
 
-func (b *fixture) open() *websocket.Conn {
-	b.t.Helper()
-	ws, err := b.dial(token)
+func (f *fixture) open() *websocket.Conn {
+	f.t.Helper()
+	ws, err := f.dial(token)
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return ws
 }
 
-func (b *fixture) write(ws *websocket.Conn, text string) {
-	b.t.Helper()
-	if err := ws.Write(b.t.Context(), websocket.MessageText, []byte(text)); err != nil {
-		b.t.Fatal(err)
+func (f *fixture) write(ws *websocket.Conn, text string) {
+	f.t.Helper()
+	if err := ws.Write(f.t.Context(), websocket.MessageText, []byte(text)); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-func (b *fixture) read(ws *websocket.Conn, want string) {
-	b.t.Helper()
-	if _, got, err := ws.Read(b.t.Context()); err != nil || string(got) != want {
-		b.t.Errorf("read %s, %v, want %s", got, err, want)
+func (f *fixture) read(ws *websocket.Conn, want string) {
+	f.t.Helper()
+	if _, got, err := ws.Read(f.t.Context()); err != nil || string(got) != want {
+		f.t.Errorf("read %s, %v, want %s", got, err, want)
 	}
 }
 
-func (b *fixture) expect(want string) {
-	b.t.Helper()
-	if got := <-b.events; got != want {
-		b.t.Errorf("told %q, want %q", got, want)
+func (f *fixture) expect(want string) {
+	f.t.Helper()
+	if got := <-f.events; got != want {
+		f.t.Errorf("event %q, want %q", got, want)
 	}
 }
 
@@ -103,51 +105,51 @@
 var key = Key("station-7", "c1")
 
 func TestCallLifecycle(t *testing.T) {
-	b := newFixture(t, 10)
-	ws := b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
-	s := b.fakeCore.calls[key]
+	f := newFixture(t, 10)
+	ws := f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
+	s := f.fakeCore.calls[key]
 	if string(s.Description) != "offer" || s.Dest != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.Taken) != 3*time.Second {
 		t.Errorf("set-up %+v", s)
 	}
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log\r\n")})
-	b.read(ws, `{"type":"stands","id":"c1","description":"log\r\n"}`)
-	b.Release(key, true)
-	b.read(ws, `{"type":"released","id":"c1","cut":true}`)
-	b.write(ws, setup)
-	b.expect("arrive " + key)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 1500 * time.Millisecond})
-	b.read(ws, `{"type":"refused","id":"c1","later_ms":1500}`)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer finds nobody
-	b.write(ws, `{"type":"hangup","id":"c1"}`)
-	b.read(ws, `{"type":"error","id":"c1","code":481,"text":"no such call"}`)
-	b.write(ws, setup)
-	b.expect("arrive " + key)
-	b.write(ws, `{"type":"cancel","id":"c1"}`)
-	b.expect("give up " + key + " ws/station-7")
-	b.Front.mu.Lock()
-	if n := len(b.Front.calls); n != 0 {
-		t.Errorf("%d calls left", n)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log\r\n")})
+	f.read(ws, `{"type":"stands","id":"c1","description":"log\r\n"}`)
+	f.Release(key, true)
+	f.read(ws, `{"type":"released","id":"c1","cut":true}`)
+	f.write(ws, setup)
+	f.expect("submit " + key)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 1500 * time.Millisecond})
+	f.read(ws, `{"type":"refused","id":"c1","later_ms":1500}`)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is not sent
+	f.write(ws, `{"type":"hangup","id":"c1"}`)
+	f.read(ws, `{"type":"error","id":"c1","code":481,"text":"no such call"}`)
+	f.write(ws, setup)
+	f.expect("submit " + key)
+	f.write(ws, `{"type":"cancel","id":"c1"}`)
+	f.expect("give up " + key + " ws/station-7")
+	f.Front.mu.Lock()
+	if n := len(f.Front.calls); n != 0 {
+		t.Errorf("%d calls are still known", n)
 	}
-	b.Front.mu.Unlock()
-	b.Refuse() // what still comes at the end is refused here
-	b.write(ws, setup)
-	b.read(ws, `{"type":"error","id":"c1","code":503,"text":"the instance ends"}`)
+	f.Front.mu.Unlock()
+	f.Refuse() // during shutdown the front refuses new calls
+	f.write(ws, setup)
+	f.read(ws, `{"type":"error","id":"c1","code":503,"text":"the instance ends"}`)
 	ended := make(chan bool)
-	go func() { b.Shutdown(t.Context()); close(ended) }()
+	go func() { f.Shutdown(t.Context()); close(ended) }()
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("close by Shutdown: %v", err)
 	}
 	<-ended
-	if len(b.events) != 0 {
-		t.Errorf("told %s", <-b.events)
+	if len(f.events) != 0 {
+		t.Errorf("unexpected event %s", <-f.events)
 	}
 }
 
 func TestInvalidRequests(t *testing.T) {
-	b := newFixture(t, 10)
-	ws := b.open()
+	f := newFixture(t, 10)
+	ws := f.open()
 	for in, want := range map[string]string{
 		`{"type":"call","id":""}`:                                                             `{"type":"error","code":400,"text":"id: empty or over 128 bytes"}`,
 		`{"type":"dance","id":"x"}`:                                                           `{"type":"error","id":"x","code":400,"text":"type: unknown"}`,
@@ -157,168 +159,169 @@
 		`{"type":"call","id":"x","number":"1","class":"open-log","patience_ms":-5}`:           `{"type":"error","id":"x","code":400,"text":"patience is no time between 1 ms and a day"}`,
 		`{"type":"call","id":"x","number":"1\r\nX: 1","class":"open-log","patience_ms":1000}`: `{"type":"error","id":"x","code":400,"text":"number is too long, or no visible ASCII"}`,
 	} {
-		b.write(ws, in)
-		b.read(ws, want)
+		f.write(ws, in)
+		f.read(ws, want)
 	}
-	b.write(ws, "{")
+	f.write(ws, "{")
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusInvalidFramePayloadData {
 		t.Errorf("unreadable message: %v", err)
 	}
 }
 
 func TestAuthenticationReadinessAndLimit(t *testing.T) {
-	b := newFixture(t, 2)
-	if _, err := b.dial("another token of sixteen"); err == nil || !strings.Contains(err.Error(), "401") {
-		t.Errorf("stranger: %v", err)
+	f := newFixture(t, 2)
+	if _, err := f.dial("another token of sixteen"); err == nil || !strings.Contains(err.Error(), "401") {
+		t.Errorf("unknown token: %v", err)
 	}
 	http.DefaultClient.CloseIdleConnections()
-	ready, err := http.Get("http://" + b.addr + "/v1/ready")
+	ready, err := http.Get("http://" + f.addr + "/v1/ready")
 	if err != nil || ready.StatusCode != 200 {
 		t.Errorf("ready: %v, %v", ready, err)
 	}
-	b.notReady.Store(true)
-	ready, err = http.Get("http://" + b.addr + "/v1/ready")
+	f.notReady.Store(true)
+	ready, err = http.Get("http://" + f.addr + "/v1/ready")
 	if err != nil || ready.StatusCode != 503 {
 		t.Errorf("ready while ending: %v, %v", ready, err)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	for n := 0; ; n++ {
-		if _, err := b.dial(token); err != nil {
+		if _, err := f.dial(token); err != nil {
 			break
 		}
 		if n == 2 {
-			t.Fatal("a third socket of two")
+			t.Fatal("opened a third socket with a limit of two")
 		}
 	}
 }
 
-// A connection that has been claimed for a socket never makes room, however early that is; one that has made room
-// is no socket any more. Without the claim before the 101, callers that had read it were evicted.
+// A connection that has been claimed for a socket is never evicted, and one that has been evicted can't become a socket.
+// Without the claim before the 101 response, callers that had read the response were evicted.
 func TestClaimedConnectionIsNotEvicted(t *testing.T) {
 	l := &boundedListener{limit: 1, open: map[*trackedConn]bool{}}
 	pipe := func() net.Conn { c, _ := net.Pipe(); return c }
 	first := l.admit(pipe()).(*trackedConn)
 	if !first.claim() || l.admit(pipe()) != nil {
-		t.Fatal("a claimed connection made room")
+		t.Fatal("a claimed connection was evicted")
 	}
 	first.unclaim()
 	if l.admit(pipe()) == nil || first.claim() {
-		t.Fatal("an upgrade that failed keeps its place, or a connection that made room became a socket")
+		t.Fatal("a connection whose upgrade failed was not evicted, or an evicted connection became a socket")
 	}
 }
 
-// A socket that closes mid-set-up keeps the call for a while. A resend after the reconnect joins it; a release
-// finds the caller's next socket; without a resend the call is given up.
+// When a socket closes during set-up, its call is kept for a while: a set-up that is sent again after a reconnect joins it,
+// and otherwise the call is given up. A release without a socket is sent on the caller's next one.
 func TestSocketClosesMidSetUp(t *testing.T) {
-	b := newFixture(t, 10)
-	ws := b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
+	f := newFixture(t, 10)
+	ws := f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
 	ws.CloseNow()
-	b.expect("left " + key + " ws/station-7")
-	ws = b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
-	b.read(ws, `{"type":"stands","id":"c1"}`)
+	f.expect("disconnected " + key + " ws/station-7")
+	ws = f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.read(ws, `{"type":"stands","id":"c1"}`)
 	ws.CloseNow()
-	for b.openSockets() > 0 { // the server has seen the close
+	for f.openSockets() > 0 { // until the front has seen the close
 		time.Sleep(time.Millisecond)
 	}
-	b.Release(key, false)
-	ws = b.open()
-	b.read(ws, `{"type":"released","id":"c1","cut":false}`)
+	f.Release(key, false)
+	ws = f.open()
+	f.read(ws, `{"type":"released","id":"c1","cut":false}`)
 
-	b = newFixture(t, 10, 0)
-	ws = b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
+	f = newFixture(t, 10, 0)
+	ws = f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
 	ws.CloseNow()
-	b.expect("left " + key + " ws/station-7")
-	b.expect("give up " + key + " ws/station-7")
+	f.expect("disconnected " + key + " ws/station-7")
+	f.expect("give up " + key + " ws/station-7")
 }
 
-// A call's id with another description is another call: joined to the first, it would get the answer to that.
+// A call with the id of an open call but another description is refused: joined to the open call, it would get the answer to
+// the other description.
 func TestCallIDReusedWithAnotherDescription(t *testing.T) {
-	b := newFixture(t, 10)
-	ws := b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
-	b.write(ws, strings.Replace(setup, "offer", "another", 1))
-	b.read(ws, `{"type":"error","id":"c1","code":482,"text":"id of another call"}`)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
-	b.read(ws, `{"type":"stands","id":"c1"}`)
+	f := newFixture(t, 10)
+	ws := f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
+	f.write(ws, strings.Replace(setup, "offer", "another", 1))
+	f.read(ws, `{"type":"error","id":"c1","code":482,"text":"id of another call"}`)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.read(ws, `{"type":"stands","id":"c1"}`)
 }
 
-// Connections that say nothing make room for sockets, and a socket with hundreds of calls does not fill the table.
+// Connections that send nothing are evicted in favor of sockets, and the unanswered calls of one socket are limited.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	b := newFixture(t, 2)
-	ws := b.open()
+	f := newFixture(t, 2)
+	ws := f.open()
 	for range 5 {
-		if _, err := net.Dial("tcp", b.addr); err != nil {
+		if _, err := net.Dial("tcp", f.addr); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
+	f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
 	for n := range maxOpenCalls {
-		b.write(ws, strings.Replace(setup, `"c1"`, fmt.Sprintf(`"d%d"`, n), 1))
+		f.write(ws, strings.Replace(setup, `"c1"`, fmt.Sprintf(`"d%d"`, n), 1))
 	}
-	b.read(ws, fmt.Sprintf(`{"type":"error","id":"d%d","code":503,"text":"too many calls"}`, maxOpenCalls-1))
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed})
-	b.read(ws, `{"type":"failed","id":"c1"}`)
-	b.write(ws, setup)
-	b.write(ws, `{"type":"cancel","id":"c1"}`)
-	for told := ""; told != "give up "+key+" ws/station-7"; {
-		told = <-b.events
+	f.read(ws, fmt.Sprintf(`{"type":"error","id":"d%d","code":503,"text":"too many calls"}`, maxOpenCalls-1))
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed})
+	f.read(ws, `{"type":"failed","id":"c1"}`)
+	f.write(ws, setup)
+	f.write(ws, `{"type":"cancel","id":"c1"}`)
+	for event := ""; event != "give up "+key+" ws/station-7"; {
+		event = <-f.events
 	}
 }
 
-// A drain: sockets that have nothing open are closed, those with a call once that is answered, and new ones are served.
+// In a drain, sockets without unanswered calls are closed, those with one once it is answered, and new ones are served.
 func TestDrain(t *testing.T) {
-	b := newFixture(t, 10)
-	idle, busy := b.open(), b.open()
-	b.write(idle, strings.Replace(setup, "c1", "c0", 1))
-	b.expect("arrive " + Key("station-7", "c0"))
-	b.Answer(Key("station-7", "c0"), exchange.FinalAnswer{Verdict: exchange.Refused})
-	b.read(idle, `{"type":"refused","id":"c0"}`)
-	b.write(busy, setup)
-	b.expect("arrive " + key)
-	b.Drain(0)
+	f := newFixture(t, 10)
+	idle, busy := f.open(), f.open()
+	f.write(idle, strings.Replace(setup, "c1", "c0", 1))
+	f.expect("submit " + Key("station-7", "c0"))
+	f.Answer(Key("station-7", "c0"), exchange.FinalAnswer{Verdict: exchange.Refused})
+	f.read(idle, `{"type":"refused","id":"c0"}`)
+	f.write(busy, setup)
+	f.expect("submit " + key)
+	f.Drain(0)
 	if _, _, err := idle.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 		t.Errorf("an idle socket: %v", err)
 	}
-	fresh := b.open()
-	b.write(fresh, strings.Replace(setup, "c1", "c2", 1))
-	b.expect("arrive " + Key("station-7", "c2"))
-	b.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Verdict: exchange.Refused})
-	b.read(fresh, `{"type":"refused","id":"c2"}`)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
-	b.read(busy, `{"type":"stands","id":"c1"}`)
+	fresh := f.open()
+	f.write(fresh, strings.Replace(setup, "c1", "c2", 1))
+	f.expect("submit " + Key("station-7", "c2"))
+	f.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Verdict: exchange.Refused})
+	f.read(fresh, `{"type":"refused","id":"c2"}`)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.read(busy, `{"type":"stands","id":"c1"}`)
 	for _, ws := range []*websocket.Conn{fresh, busy} {
 		if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 			t.Errorf("after the answer: %v", err)
 		}
 	}
-	b.Resume()
-	kept := b.open()
-	b.write(kept, setup)
-	b.expect("arrive " + key)
+	f.Resume()
+	kept := f.open()
+	f.write(kept, setup)
+	f.expect("submit " + key)
 }
 
-// openSockets counts the sockets that the front holds.
-func (b *fixture) openSockets() int {
-	b.Front.mu.Lock()
-	defer b.Front.mu.Unlock()
-	return len(b.sockets)
+// openSockets returns the number of sockets that the front has.
+func (f *fixture) openSockets() int {
+	f.Front.mu.Lock()
+	defer f.Front.mu.Unlock()
+	return len(f.sockets)
 }
 
-// heard takes what a server's connection hears.
+// recordingHandler records the messages that a connection to a server delivers.
 type recordingHandler struct{ lines chan string }
 
 func (h recordingHandler) Accepted(id string, desc []byte) {
-	h.lines <- "stood " + id + " " + string(desc)
+	h.lines <- "accepted " + id + " " + string(desc)
 }
 func (h recordingHandler) Ended(id string, e exchange.Result) { h.line("ended "+id, e) }
 func (h recordingHandler) Released(id string, cut bool, r []float64) {
@@ -350,33 +353,33 @@
 		reason, _ := peer.Run(t.Context(), h)
 		ended <- string(reason)
 	}()
-	b := &fixture{t: t}
+	f := &fixture{t: t}
 	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Description: []byte{0xff}, Wait: time.Second})
-	b.read(ws, `{"type":"setup","call":"5","class":"open-log","number":"17","patience_ms":1000,"description_base64":"/w=="}`)
+	f.read(ws, `{"type":"setup","call":"5","class":"open-log","number":"17","patience_ms":1000,"description_base64":"/w=="}`)
 	peer.Cancel("5", 0)
-	b.read(ws, `{"type":"cancel","call":"5"}`)
+	f.read(ws, `{"type":"cancel","call":"5"}`)
 	peer.Bye("5", 0, true)
-	b.read(ws, `{"type":"release","call":"5","cut":true}`)
+	f.read(ws, `{"type":"release","call":"5","cut":true}`)
 	for _, tc := range [][2]string{
-		{`{"type":"accept","call":"5","description":"log"}`, "stood 5 log"},
+		{`{"type":"accept","call":"5","description":"log"}`, "accepted 5 log"},
 		{`{"type":"refuse","call":"5","reason":"full","note":"cpu_full","wait_ms":900,"state":{"util":0.5,"x":1}}`,
 			`ended 5 {"Outcome":2,"Note":3,"WaitMS":900,"Report":[-1,0.5]}`},
 		{`{"type":"refuse","call":"5","reason":"?"}`, `ended 5 {"Outcome":1,"Note":0,"WaitMS":0,"Report":null}`},
 		{`{"type":"released","call":"5","cut":true}`, `released 5 [true,null]`},
 		{`{"type":"state","state":{"x0":7}}`, `state [7,-1]`},
 	} {
-		b.write(ws, tc[0])
+		f.write(ws, tc[0])
 		if line := <-h.lines; line != tc[1] {
-			t.Errorf("%s: heard %s", tc[0], line)
+			t.Errorf("%s: got %s", tc[0], line)
 		}
 	}
-	b.write(ws, `[]`)
+	f.write(ws, `[]`)
 	if reason := <-ended; reason != string(badMessage) {
 		t.Errorf("reason %s", reason)
 	}
 }
 
-// Garbage makes an error or a reply, and never a panic.
+// Malformed messages lead to an error or a reply, never to a panic.
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		f := New(Options{Core: &fakeCore{events: make(chan string, 1), calls: map[string]exchange.Setup{}}, Log: netcase.DiscardLogger()})
@@ -390,28 +393,29 @@
 	})
 }
 
-// A caller whose token changes is answered what it has asked, takes no further call and is closed then; the others stay.
+// When a caller's token changes, its socket accepts no further calls and is closed once its open calls are answered.
+// Connecting takes the new token.
 func TestTokenChange(t *testing.T) {
-	b := newFixture(t, 10)
-	ws := b.open()
-	b.write(ws, setup)
-	b.expect("arrive " + key)
+	f := newFixture(t, 10)
+	ws := f.open()
+	f.write(ws, setup)
+	f.expect("submit " + key)
 	const another = "another-token-0123456789"
-	b.SetCallers(map[string]string{"station-7": another})
-	if _, err := b.dial(token); err == nil {
-		t.Error("the token of before opens a socket")
+	f.SetCallers(map[string]string{"station-7": another})
+	if _, err := f.dial(token); err == nil {
+		t.Error("the old token still opens a socket")
 	}
-	fresh, err := b.dial(another)
+	fresh, err := f.dial(another)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.write(ws, strings.Replace(setup, "c1", "c2", 1))
-	b.read(ws, `{"type":"error","id":"c2","code":401,"text":"the token has changed"}`)
-	b.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
-	b.read(ws, `{"type":"stands","id":"c1"}`)
+	f.write(ws, strings.Replace(setup, "c1", "c2", 1))
+	f.read(ws, `{"type":"error","id":"c2","code":401,"text":"the token has changed"}`)
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.read(ws, `{"type":"stands","id":"c1"}`)
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 		t.Errorf("after the answer: %v", err)
 	}
-	b.write(fresh, strings.Replace(setup, "c1", "c3", 1))
-	b.expect("arrive " + Key("station-7", "c3"))
+	f.write(fresh, strings.Replace(setup, "c1", "c3", 1))
+	f.expect("submit " + Key("station-7", "c3"))
 }
