--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,45 +1,48 @@
-// Package descriptors divides a process's file descriptors between those that need them, so that no user can take what
-// another one must have: clients may fill their share and no more.
+// Package descriptors divides a process's file descriptors among its users (clients, servers, peers, operators and others),
+// so that none can take what another one needs: clients may use up their own share and no more.
 package descriptors
 
 const (
-	// baseRuntime is what the program holds without any connection: standard streams, the poller's two, the clients'
-	// listening socket, and three files that are open for a moment (configuration, snapshot, readings of /proc).
+	// baseRuntime is what the program holds without any connection: the standard streams, two of the network poller, the
+	// clients' listening socket, and three files that are open for short times (configuration, snapshot, readings of /proc).
 	baseRuntime = 9
-	// webSocketRuntime is the second front's listening socket.
+	// webSocketRuntime is the WebSocket front's listening socket.
 	webSocketRuntime = 1
-	// operatorsRuntime is the operators' listening socket, and the locks that watch for another process at the same address.
+	// operatorsRuntime is the operators' listening socket, and the locks that detect another process at the same address.
 	operatorsRuntime = 4
 	// controlRuntime is the control socket with its connections, storeRuntime the database's files or connection.
 	controlRuntime, storeRuntime = 9, 8
 	// releasesRuntime is the connection to a configuration server, the one that replaces it, and the file of the release.
 	releasesRuntime = 3
-	// discoveryShare is three connects that hang beside each other, and the stream before that is being closed.
+	// discoveryShare is three pending connects at the same time, and the previous stream, which is being closed.
 	discoveryShare = 4
-	// minOperators and maxOperators bound the operators' connections; one in operatorsDivisor of the limit is theirs, in an
-	// upgrade of each process.
+	// minOperators and maxOperators bound the operators' connections. Their share is the limit divided by operatorsDivisor,
+	// in an upgrade for each of the two processes.
 	minOperators, maxOperators, operatorsDivisor = 6, 16, 16
-	// connectionsPerServer is one connection in use and one that replaces it; spareServers is room for those of servers
-	// that have just left the list.
+	// connectionsPerServer is one connection in use and one that replaces it; spareServers is room for the connections of
+	// servers that have just left the list.
 	connectionsPerServer, spareServers = 2, 4
-	// connectionsPerPeer is a member's own stream and the membership library's; peersDivisor bounds them all by the limit.
+	// connectionsPerPeer is a member's own stream and the membership library's. Together the peers have no more than the
+	// total divided by peersDivisor.
 	connectionsPerPeer, peersDivisor = 2, 4
-	// clientsDivisor is the part of the limit that is always the clients': honest ones hold no more than a third.
+	// clientsDivisor sets the minimum share of the clients, the total divided by it: well-behaved clients need no more than
+	// a third.
 	clientsDivisor = 3
-	// partingDivisor is the part of a front's places that connections keep which make room for others and end in order.
+	// closingDivisor sets the room for connections that are being closed in order to make room for others: a front's
+	// MaxConnections divided by it.
 	closingDivisor = 8
-	// acceptedSpare is the connection that has been accepted and not been judged yet, and one that is being closed.
+	// acceptReserve is a connection that has been accepted but not admitted or refused yet, and one that is being closed.
 	acceptReserve = 2
-	// webSocketShare of webSocketOf is the WebSocket front's part of the clients' share.
+	// webSocketShare divided by webSocketOf is the part of the clients' share that goes to the WebSocket front.
 	webSocketShare, webSocketOf = 3, 7
 )
 
-// Demand is what a budget is made for.
+// Demand describes the process that a budget is planned for.
 type Demand struct {
 	Limit     int  // descriptors that the processes at this address may hold together
-	Upgrade   bool // another process is there: each has half
+	Upgrade   bool // another process runs at this address: each has half
 	Servers   int  // on the list
-	Peers     int  // other members of the fleet; 0: none is talked to
+	Peers     int  // other members of the fleet; 0: no peer connections
 	Operators bool // there is an operators' address
 	WebSocket bool // there is a WebSocket front
 	Control   bool // there is a control socket
@@ -47,12 +50,12 @@
 	Releases  bool // configuration releases are followed
 }
 
-// Budget is the share of each user. The shares add up to Total, which is the limit or this process's half of it.
+// Budget holds the share of each user. The shares add up to Total, which is the limit or this process's half of it.
 type Budget struct {
 	Total     int
 	Runtime   int
 	Discovery int
-	Operators int // with the one that waits for a place
+	Operators int // including one connection that waits to be admitted
 	Peers     int
 	Servers   int
 	Clients   FrontShare
@@ -61,12 +64,12 @@
 
 // Front is the share of one front for clients.
 type FrontShare struct {
-	Descriptors    int // held at once, whatever state their connections are in
-	MaxConnections int // connections in use; the rest is for those that end, and the one just accepted
+	Descriptors    int // for all connections, whatever state they are in
+	MaxConnections int // in use; the other descriptors are for connections that are closing or just accepted
 }
 
-// Plan makes the budget. What the servers need beyond their floor comes from the clients, down to a third of all; servers
-// beyond that go without a connection until another one ends.
+// Plan computes the budget. The servers get what they need as long as a third of the total is left for the clients; servers
+// beyond that have no connection until another one is closed.
 func Plan(d Demand) Budget {
 	b := Budget{Total: d.Limit, Runtime: d.runtimeDescriptors(), Discovery: discoveryShare}
 	if d.Upgrade {
@@ -88,6 +91,7 @@
 	return b
 }
 
+// runtimeDescriptors returns what the program's own sockets and files need.
 func (d Demand) runtimeDescriptors() int {
 	n := baseRuntime
 	if d.WebSocket {
@@ -108,13 +112,13 @@
 	return n
 }
 
-// clientsFront keeps room for connections that end in order.
+// clientsFront splits the share of the clients' front, which needs room for connections that are closed in order.
 func clientsFront(descriptors int) FrontShare {
-	places := (descriptors - acceptReserve) * closingDivisor / (closingDivisor + 1)
-	return FrontShare{Descriptors: descriptors, MaxConnections: max(places, 1)}
+	maxConnections := (descriptors - acceptReserve) * closingDivisor / (closingDivisor + 1)
+	return FrontShare{Descriptors: descriptors, MaxConnections: max(maxConnections, 1)}
 }
 
-// webSocketFront closes at once what makes room.
+// webSocketFront splits the share of the WebSocket front, which closes at once the connections that make room.
 func webSocketFront(descriptors int) FrontShare {
 	return FrontShare{Descriptors: descriptors, MaxConnections: max(descriptors-acceptReserve, 1)}
 }
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -15,8 +15,8 @@
 	return b.Runtime + b.Discovery + b.Operators + b.Peers + b.Servers + b.Clients.Descriptors + b.WebSocket.Descriptors
 }
 
-// At each limit and with each set of parts the shares add up to the limit, alone and as one of two processes, and no user
-// goes without. Half of 96 is not enough for a control socket and a store as well; docs/operation.md says so.
+// For each limit and each combination of users, the shares add up to the total, for a single process and for one of two, and
+// every user has descriptors. Half of 96 is not enough for a control socket and a store as well; docs/operation.md says so.
 func TestSharesAddUp(t *testing.T) {
 	for _, limit := range []int{96, 128, 192, 256, 384, 512, 1024, 4096} {
 		for parts := range 64 {
@@ -28,20 +28,20 @@
 				}
 				b := Plan(d)
 				if b.sum() != b.Total || b.Total > limit || d.Upgrade && 2*b.Total > limit {
-					t.Errorf("%+v: %+v, in all %d", d, b, b.sum())
+					t.Errorf("%+v: %+v, sum %d", d, b, b.sum())
 				}
 				if b.Discovery < 2 || b.Servers < 1 || b.Clients.MaxConnections < 1 || d.Operators && b.Operators < minOperators || d.WebSocket && b.WebSocket.MaxConnections < 1 {
-					t.Errorf("%+v: somebody has none: %+v", d, b)
+					t.Errorf("%+v: a user has too few descriptors: %+v", d, b)
 				}
 				if f := b.Clients; f.MaxConnections > 1 && f.MaxConnections+f.MaxConnections/closingDivisor+acceptReserve > f.Descriptors {
-					t.Errorf("%+v: clients have more places than descriptors: %+v", d, f)
+					t.Errorf("%+v: too few descriptors for the clients' connections: %+v", d, f)
 				}
 			}
 		}
 	}
 }
 
-// A list that outgrows the servers' floor is served from the clients' share, and that ends at a third of all.
+// As the list grows, the servers' share grows at the expense of the clients' share, but leaves it a third of the total.
 func TestServersBeyondTheirMinimum(t *testing.T) {
 	last := Plan(Demand{Limit: 1024})
 	for servers := 1; servers < 2000; servers++ {
@@ -60,13 +60,13 @@
 	g := NewLimiter(2)
 	for k := range 3 {
 		if g.TryAcquire() != (k < 2) {
-			t.Fatalf("take %d", k)
+			t.Fatalf("unexpected result of TryAcquire %d", k)
 		}
 	}
 	g.SetLimit(1)
 	g.Release()
 	if g.TryAcquire() {
-		t.Error("beyond a limit that was lowered")
+		t.Error("acquired beyond a limit that was lowered")
 	}
 	g.Release()
 	if !g.TryAcquire() || g.Held() != 1 {
@@ -74,12 +74,12 @@
 	}
 }
 
-// A connect that finds no descriptor goes on as soon as there is one, and tells of the shortage; any other error ends it.
+// A connect that finds no descriptor is retried until there is one, and reports the shortage; any other error ends it.
 func TestOpenWithRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began, shortages := time.Now(), 0
+		startedAt, shortages := time.Now(), 0
 		open := func(context.Context) (int, error) {
-			if time.Since(began) < time.Second {
+			if time.Since(startedAt) < time.Second {
 				return 0, &net.OpError{Op: "dial", Err: fmt.Errorf("socket: %w", syscall.EMFILE)}
 			}
 			return 7, nil
@@ -87,14 +87,14 @@
 		if got, err := OpenWithRetry(t.Context(), func() { shortages++ }, open); got != 7 || err != nil || shortages == 0 {
 			t.Errorf("%d, %v, %d shortages", got, err, shortages)
 		}
-		if took := time.Since(began); took > time.Second+retryInterval {
+		if took := time.Since(startedAt); took > time.Second+retryInterval {
 			t.Errorf("%v after the descriptor was free", took-time.Second)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began = time.Now().Add(time.Hour)
+		startedAt = time.Now().Add(time.Hour)
 		if _, err := OpenWithRetry(ctx, nil, open); !Exhausted(err) {
-			t.Errorf("at the end: %v", err)
+			t.Errorf("after the end of the context: %v", err)
 		}
 		refused := errors.New("refused")
 		if _, err := OpenWithRetry(t.Context(), nil, func(context.Context) (int, error) { return 0, refused }); err != refused {
@@ -103,7 +103,7 @@
 	})
 }
 
-// An instance that follows configuration releases keeps descriptors for that.
+// An instance that follows configuration releases reserves descriptors for that.
 func TestReleasesReserveDescriptors(t *testing.T) {
 	without, with := Plan(Demand{Limit: 1024}), Plan(Demand{Limit: 1024, Releases: true})
 	if with.Runtime != without.Runtime+releasesRuntime {
--- a/internal/listener/bounded.go
+++ b/internal/listener/bounded.go
@@ -8,31 +8,32 @@
 	"masthill/internal/descriptors"
 )
 
-// Bounded is a listener whose connections hold no more descriptors than its gate has: beyond them nothing is accepted,
-// and clients wait in the kernel's queue until a connection is closed. The front's own bound, which has idle clients make
-// room, is lower; this one holds also while connections that make room still end.
+// Bounded is a listener whose connections hold no more descriptors than its limiter allows: at the limit nothing is accepted,
+// and clients wait in the kernel's queue until a connection is closed. The front has a lower limit of its own, at which it
+// closes idle connections to make room; this one also covers the connections that are still being closed.
 type Bounded struct {
 	*Listener
 	limiter *descriptors.Limiter
-	wakeUp  chan struct{} // a connection was closed, or the gate's limit has changed
+	wakeUp  chan struct{} // a connection was closed, or the limit has changed
 	closing chan struct{}
 	once    sync.Once
 }
 
-// Bound bounds a listener's connections.
+// NewBounded returns a listener that accepts the connections of l as far as limiter allows.
 func NewBounded(l *Listener, limiter *descriptors.Limiter) *Bounded {
 	return &Bounded{Listener: l, limiter: limiter, wakeUp: make(chan struct{}, 1), closing: make(chan struct{})}
 }
 
-// SetLimit changes the bound. Connections held beyond it stay.
+// SetLimit changes the limit. Connections beyond it stay open.
 func (b *Bounded) SetLimit(limit int) {
 	b.limiter.SetLimit(limit)
 	b.wake()
 }
 
-// Held tells how many descriptors the connections hold.
+// Held returns the number of descriptors that the connections hold.
 func (b *Bounded) Held() int { return b.limiter.Held() }
 
+// wake has a waiting Accept check the limit again.
 func (b *Bounded) wake() {
 	select {
 	case b.wakeUp <- struct{}{}:
@@ -46,8 +47,9 @@
 	return b.Listener.Close()
 }
 
-// Accept implements net.Listener. The descriptor is taken before the connection is. Readers of connections go first: on one
-// core a crowd that connects without end would have clients make room whose requests are there and unread.
+// Accept implements net.Listener. It acquires the descriptor before it accepts the connection. It yields first to the
+// goroutines that read from connections: on one core, clients that connect without end would otherwise cause connections to
+// be closed whose requests have arrived but are unread.
 func (b *Bounded) Accept() (net.Conn, error) {
 	runtime.Gosched()
 	for !b.limiter.TryAcquire() {
@@ -63,7 +65,7 @@
 		return nil, err
 	}
 	tcp, ok := c.(*net.TCPConn)
-	if !ok { // none of a TCP listener's
+	if !ok { // can't happen with a TCP listener
 		c.Close()
 		b.release()
 		return nil, net.ErrClosed
@@ -76,15 +78,15 @@
 	b.wake()
 }
 
-// conn gives its descriptor back once it is closed.
+// conn is a connection that releases its descriptor to the limiter once it is closed.
 type conn struct {
 	*net.TCPConn
 	owner *Bounded
 	once  sync.Once
 }
 
-// Close implements net.Conn. It does not wait until the connection's reader and writer have left, as net's own does: on a
-// busy core that takes long, and fronts close connections under their lock.
+// Close implements net.Conn. Unlike the method of package net, it does not wait until pending reads and writes have returned:
+// on a busy core that takes long, and fronts close connections while they hold their lock.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		go func() {
--- a/internal/listener/bounded_test.go
+++ b/internal/listener/bounded_test.go
@@ -11,7 +11,7 @@
 	"masthill/internal/descriptors"
 )
 
-// bounded opens a bounded listener.
+// openBounded opens a bounded listener, closed with the test.
 func openBounded(t *testing.T, limit int) *Bounded {
 	t.Helper()
 	l, err := Open("127.0.0.1:0", false)
@@ -23,7 +23,7 @@
 	return b
 }
 
-// Nothing is accepted beyond the bound, so no descriptor is taken first and judged afterwards; a close lets the next one in.
+// No connection is accepted beyond the limit, not even to be closed again; when one is closed, the next is accepted.
 func TestNoAcceptBeyondLimit(t *testing.T) {
 	b := openBounded(t, 2)
 	for range 5 {
@@ -47,15 +47,15 @@
 	first, second := <-accepted, <-accepted
 	select {
 	case <-accepted:
-		t.Fatal("beyond the bound")
-	case <-time.After(50 * time.Millisecond): // one that is wrong would be there at once
+		t.Fatal("accepted a connection beyond the limit")
+	case <-time.After(50 * time.Millisecond): // a connection beyond the limit would be accepted at once
 	}
 	first.Close()
-	first.Close() // twice gives one place back
+	first.Close() // the second Close must not release another descriptor
 	third := <-accepted
 	select {
 	case <-accepted:
-		t.Fatal("beyond the bound")
+		t.Fatal("accepted a connection beyond the limit")
 	case <-time.After(50 * time.Millisecond):
 	}
 	b.SetLimit(3)
@@ -67,29 +67,29 @@
 	for _, c := range []net.Conn{second, third, fourth} {
 		c.Close()
 	}
-	for began := time.Now(); b.Held() != 0; time.Sleep(time.Millisecond) {
-		if time.Since(began) > 10*time.Second {
-			t.Fatalf("%d held at the end", b.Held())
+	for startedAt := time.Now(); b.Held() != 0; time.Sleep(time.Millisecond) {
+		if time.Since(startedAt) > 10*time.Second {
+			t.Fatalf("%d descriptors held after all connections were closed", b.Held())
 		}
 	}
 }
 
-// A crowd that goes on connecting, and connects again whenever it is closed, does not keep a drained listener open: a process
-// that was told to end went on accepting for minutes.
+// Clients that keep connecting, and reconnect whenever their connection is closed, do not keep a draining listener open: a
+// process that was told to shut down went on accepting for minutes.
 func TestDrainEndsUnderConstantConnects(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	join := func() {
+	connect := func() {
 		if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 			defer c.Close()
 		}
 	}
-	join()
+	connect()
 	l.Drain()
-	began := time.Now()
+	startedAt := time.Now()
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -99,14 +99,14 @@
 			t.Fatal(err)
 		}
 		c.Close()
-		join() // so that the queue is never empty
-		if time.Since(began) > 10*time.Second {
-			t.Fatal("never ends")
+		connect() // so that the queue is never empty
+		if time.Since(startedAt) > 10*time.Second {
+			t.Fatal("the drain does not end")
 		}
 	}
 }
 
-// Where no descriptor is left, an accept goes on as soon as there is one.
+// When no descriptor is left, Accept waits and goes on as soon as one is free.
 func TestAcceptRetriesWithoutDescriptors(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
@@ -133,7 +133,7 @@
 			spare.Close()
 		}
 	}
-	lowest := syscall.Rlimit{Cur: uint64(spare.Fd()) + 1, Max: before.Max} // every descriptor below is taken
+	lowest := syscall.Rlimit{Cur: uint64(spare.Fd()) + 1, Max: before.Max} // every descriptor below is in use
 	var fill []int
 	for {
 		fd, err := syscall.Dup(int(spare.Fd()))
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener owns a listening socket for callers: how it is opened, and how it is closed without losing the
-// connections that the kernel has taken in and the program has not.
+// Package listener opens listening sockets for callers, and closes them without losing the connections that the kernel has
+// established and the program has not accepted yet.
 package listener
 
 import (
@@ -17,23 +17,23 @@
 )
 
 const (
-	// retryEvery is how often an accept is tried again while no descriptor is left.
+	// retryInterval is how often an accept is tried again while no descriptor is left.
 	retryInterval = 10 * time.Millisecond
-	// drainFor bounds a drain: what had come before it has long been taken then, and a crowd that goes on connecting must
-	// not keep the listener open.
+	// drainTimeout limits a drain: all connections that came before it have long been accepted by then, and clients that go
+	// on connecting must not keep the listener open.
 	drainTimeout = 250 * time.Millisecond
 )
 
 // Listener is a TCP listener that can be drained.
 type Listener struct {
 	*net.TCPListener
-	// Shortage, if not nil, is called each time that no descriptor was left for a connection.
+	// OnShortage, if not nil, is called each time that no descriptor was left for a connection.
 	OnShortage    func()
 	draining      atomic.Bool
 	drainDeadline atomic.Int64 // the end of the drain, in Unix nanoseconds
 }
 
-// Open listens at an address. Shared, another process may listen there too, such as the next one in an upgrade.
+// Open listens at an address. If shared, another process may listen there too, such as the new one in an upgrade.
 func Open(addr string, shared bool) (*Listener, error) {
 	var config net.ListenConfig
 	if shared {
@@ -53,19 +53,19 @@
 	return New(l.(*net.TCPListener)), nil
 }
 
-// New takes over a listener, such as one that was passed on.
+// New returns a Listener for an open TCP listener, such as one that another process has passed on.
 func New(l *net.TCPListener) *Listener { return &Listener{TCPListener: l} }
 
-// Drain has Accept give what the kernel has taken in already, and then close the listener: a plain close resets those
-// connections, and their callers have been told that they are connected. It ends after drainFor.
+// Drain has Accept return the connections that the kernel has established already, and then close the listener: a plain close
+// resets those connections, although their callers count as connected. The drain ends after drainTimeout at the latest.
 func (l *Listener) Drain() {
 	l.drainDeadline.Store(time.Now().Add(drainTimeout).UnixNano())
 	l.draining.Store(true)
 	l.SetDeadline(time.Unix(1, 0)) // wakes Accept
 }
 
-// Accept implements net.Listener; net.ErrClosed tells that the listener is closed. Where no descriptor is left it goes on
-// as soon as there is one.
+// Accept implements net.Listener; it returns net.ErrClosed once the listener is closed. When no descriptor is left, it waits
+// and goes on as soon as one is free.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.accept()
@@ -79,6 +79,7 @@
 	}
 }
 
+// accept is Accept without the wait for a descriptor.
 func (l *Listener) accept() (net.Conn, error) {
 	if !l.draining.Load() {
 		c, err := l.TCPListener.Accept()
@@ -95,27 +96,28 @@
 	return nil, net.ErrClosed
 }
 
-// waiting gives a connection from the kernel's queue, or none: a listener past its deadline does not look there.
+// acceptQueued returns a connection from the kernel's queue, or nil if it is empty. TCPListener.Accept can't be used for
+// that, as it does not look there once the deadline has passed.
 func (l *Listener) acceptQueued() (c net.Conn, err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	fd, got := -1, error(nil)
+	fd, acceptErr := -1, error(nil)
 	err = raw.Control(func(l uintptr) {
 		for {
-			if fd, _, got = syscall.Accept4(int(l), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC); got != syscall.EINTR && got != syscall.ECONNABORTED {
+			if fd, _, acceptErr = syscall.Accept4(int(l), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC); acceptErr != syscall.EINTR && acceptErr != syscall.ECONNABORTED {
 				return
 			}
 		}
 	})
-	if err != nil || errors.Is(got, syscall.EAGAIN) {
+	if err != nil || errors.Is(acceptErr, syscall.EAGAIN) {
 		return nil, err
 	}
-	if got != nil {
-		return nil, os.NewSyscallError("accept4", got)
+	if acceptErr != nil {
+		return nil, os.NewSyscallError("accept4", acceptErr)
 	}
 	f := os.NewFile(uintptr(fd), "caller")
-	defer f.Close() // net makes a copy
+	defer f.Close() // net.FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Connections that wait in the kernel's queue when the listener closes were reset, though their callers were connected
-// and had sent their requests. Drained, the listener gives each of them, and then it is closed.
+// Connections in the kernel's queue were reset when the listener was closed, although their callers were connected and had
+// sent their requests. A drain accepts each of them before it closes the listener.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
@@ -47,20 +47,20 @@
 		got++
 	}
 	if got != callers {
-		t.Errorf("%d of %d connections", got, callers)
+		t.Errorf("accepted %d of %d connections", got, callers)
 	}
 	for _, c := range conns {
 		if b, err := io.ReadAll(c); string(b) != "answer" || err != nil {
-			t.Errorf("told %q, %v", b, err)
+			t.Errorf("answer %q, %v", b, err)
 		}
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
-		t.Error("a drained listener still takes connections")
+		t.Error("a drained listener still accepts connections")
 	}
 }
 
-// An Accept that waits when the drain begins ends at once.
+// A pending Accept returns as soon as a drain starts.
 func TestDrainWakesAccept(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Two processes listen at one address in an upgrade; without asking for it, a port that is taken is a failed start.
+// Two processes can share an address during an upgrade. If sharing is not requested, an address in use is an error.
 func TestSharedAddress(t *testing.T) {
 	first, err := Open("127.0.0.1:0", true)
 	if err != nil {
@@ -86,7 +86,7 @@
 	defer first.Close()
 	if l, err := Open(first.Addr().String(), false); err == nil {
 		l.Close()
-		t.Error("listens at a port that is taken")
+		t.Error("opened an address in use without sharing")
 	}
 	second, err := Open(first.Addr().String(), true)
 	if err != nil {
