--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' second address: the health check, and the calls that send callers away and have them
-// come again. It reads and sets the instance's readiness and asks nothing else, so that it answers under any load.
+// Package admin implements the HTTP server for operators at the instance's second address: the health check, and the requests
+// that start a drain and end it. It only reads and sets the instance's readiness, so that it answers under any load.
 package admin
 
 import (
@@ -19,38 +19,39 @@
 )
 
 const (
-	// DefaultMaxOpen bounds the connections where nothing else is set. Where all places are taken, the oldest makes room
-	// as soon as it has had youngFor: an honest call is over in a moment.
+	// DefaultMaxConnections is the default of Server.MaxConnections. At the limit, a new connection replaces the oldest one
+	// once that is minEvictionAge old: a well-behaved client needs less for its request.
 	DefaultMaxConnections, minEvictionAge = 16, 100 * time.Millisecond
-	// callFor is the time for a whole call, headerMost its size.
+	// requestTimeout limits the time for reading a request and for writing its answer, maxHeaderBytes the size of its header.
 	requestTimeout, maxHeaderBytes = 2 * time.Second, 4 << 10
 )
 
-// Server answers the operators' calls.
+// Server answers the operators' requests.
 type Server struct {
 	State          *readiness.State
 	Log            *slog.Logger
-	MaxConnections int // connections held at once, but for one that waits for a place
+	MaxConnections int // open at the same time, not counting one that waits to be admitted
 	mu             sync.Mutex
 	open           []openConn    // the oldest first
-	freed          chan struct{} // a place is free, or may be
+	freed          chan struct{} // a connection may have been closed
 }
 
+// openConn is a connection and the time from which it is open.
 type openConn struct {
 	net.Conn
 	openedAt time.Time
 }
 
-// New makes a server.
+// New returns a Server with the default limit; Serve runs it.
 func New(state *readiness.State, log *slog.Logger) *Server {
 	return &Server{State: state, Log: log, MaxConnections: DefaultMaxConnections, freed: make(chan struct{}, 1)}
 }
 
-// Serve answers until ctx ends.
+// Serve answers requests until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: http.HandlerFunc(s.handle), ConnState: s.onConnState, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug)}
-	server.SetKeepAlivesEnabled(false) // one call a connection
+	server.SetKeepAlivesEnabled(false) // one request per connection
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -68,7 +69,8 @@
 	return g.Wait()
 }
 
-// state keeps the connections within their bound. The server calls it for a new one before it accepts the next.
+// onConnState keeps the number of connections within the limit. The HTTP server calls it for a new connection before it
+// accepts the next one.
 func (s *Server) onConnState(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -91,7 +93,7 @@
 	}
 }
 
-// admit gives a connection a place, if need be that of the oldest.
+// admit adds a connection to the open ones, if need be in place of the oldest, and reports whether there was room.
 func (s *Server) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,13 +103,14 @@
 			return false
 		}
 		s.Log.Warn("second address", "reason", "evicted", "peer", oldest.RemoteAddr().String())
-		oldest.Close() // the server hears of it and tells so
+		oldest.Close() // the HTTP server then calls onConnState
 		s.open = s.open[1:]
 	}
 	s.open = append(s.open, openConn{c, time.Now()})
 	return true
 }
 
+// handle answers a request: with the status that its path calls for, and with the phase of the instance as the body.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
 	status, phase := http.StatusOK, s.State.Phase()
 	get := r.Method == http.MethodGet || r.Method == http.MethodHead
@@ -121,7 +124,7 @@
 		s.Log.Info("second address", "call", "fail", "phase", phase, "peer", r.RemoteAddr)
 	case path == "/healthcheck/ok" && r.Method == http.MethodPost:
 		if phase = s.State.Resume(); phase == readiness.Ending {
-			status = http.StatusConflict // the end is final
+			status = http.StatusConflict // shutdown can't be undone
 		}
 		s.Log.Info("second address", "call", "ok", "phase", phase, "peer", r.RemoteAddr)
 	case path == "/healthcheck":
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,7 @@
 	"masthill/internal/readiness"
 )
 
-// call makes one call and tells its status and body.
+// request sends a request and returns the status and body of the answer.
 func request(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -22,7 +22,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n")
-	all, err := io.ReadAll(c) // the server closes: one call a connection
+	all, err := io.ReadAll(c) // the server closes the connection after one request
 	head, body, _ := strings.Cut(string(all), "\r\n\r\n")
 	fields := strings.Fields(head)
 	if err != nil || len(fields) < 2 {
@@ -76,12 +76,13 @@
 	}
 }
 
-// Callers that say nothing, or half a call, keep no answer waiting, and are gone after callFor.
+// Clients that send nothing or an incomplete request do not keep others from being answered, and are disconnected after
+// requestTimeout.
 func TestIncompleteRequestsDoNotBlock(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
-	var half []net.Conn
+	var incomplete []net.Conn
 	for k := range 4 * DefaultMaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -91,25 +92,25 @@
 		if k%2 == 0 {
 			io.WriteString(c, "GET /healthcheck HT")
 		}
-		half = append(half, c)
+		incomplete = append(incomplete, c)
 		if status, _ := request(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
-			t.Fatalf("beside %d half calls: %d", k, status)
+			t.Fatalf("with %d incomplete requests before: status %d", k, status)
 		}
 	}
 	s.mu.Lock()
 	if n := len(s.open); n > DefaultMaxConnections {
-		t.Errorf("%d connections held", n)
+		t.Errorf("%d connections open", n)
 	}
 	s.mu.Unlock()
-	for _, c := range half {
+	for _, c := range incomplete {
 		c.SetReadDeadline(time.Now().Add(10 * requestTimeout))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Fatal("a half call is held")
+			t.Fatal("the connection of an incomplete request stays open")
 		}
 	}
 }
 
-// Honest calls at once, more than there are places: each has its answer, as none is old enough to make room.
+// Of more simultaneous complete requests than MaxConnections each is answered, as no connection is old enough to be replaced.
 func TestMoreRequestsThanConnections(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
--- a/internal/sibling/sibling.go
+++ b/internal/sibling/sibling.go
@@ -1,6 +1,6 @@
-// Package sibling tells whether another process serves the same address on this machine, as in an upgrade. The processes
-// share a directory and hold locks on files in it, which the kernel releases when their process ends and no sooner; no
-// socket is opened.
+// Package sibling detects whether another process serves the same address on this machine, as during an upgrade. The
+// processes share a directory and hold locks on files in it, which the kernel releases when the process ends and not before;
+// no socket is opened.
 package sibling
 
 import (
@@ -14,51 +14,51 @@
 )
 
 const (
-	// Files is how many descriptors a watch holds.
+	// LockFiles is the number of descriptors that a Watcher holds at most.
 	LockFiles = 3
-	// pollEvery is how often the locks are looked at.
+	// pollInterval is how often the locks are checked.
 	pollInterval = 50 * time.Millisecond
-	// roomFor is how long the leader may take to make room for a new process.
+	// roomTimeout is how long a new process waits for the leader to make room for it.
 	roomTimeout = 2500 * time.Millisecond
 	// fileMode keeps other users from holding the locks.
 	fileMode = 0o600
 )
 
-// Watch follows whether there is another process. The leader holds the lock of its place, the follower that of the second
-// place; the leader holds the lock of the room once it has made room for the follower.
+// Watcher watches for another process at the same address. The process that was first holds the leader lock, the other one the
+// follower lock. While the leader has made room for a follower, it also holds the roomMade lock.
 type Watcher struct {
 	log      *slog.Logger
-	onChange func(present bool) // returns once room is made
+	onChange func(present bool) // returns once this process has made room
 	leader   *flock.Flock
 	follower *flock.Flock
 	roomMade *flock.Flock
 	present  bool
 }
 
-// Open looks whether another process serves an address, and calls changed with the answer, now and from Run whenever it
-// changes. Where that can't be found out, there may be one. The directory is one that both processes see.
-func Open(dir, addr string, log *slog.Logger, changed func(present bool)) *Watcher {
+// Open checks whether another process serves an address, and calls onChange with the result, now and from Run whenever it
+// changes. If that can't be determined, another process is assumed. dir must be the same directory for both processes.
+func Open(dir, addr string, log *slog.Logger, onChange func(present bool)) *Watcher {
 	name := filepath.Join(dir, "masthill-"+strings.NewReplacer(":", "-", "/", "-").Replace(addr))
 	lock := func(suffix string) *flock.Flock { return flock.New(name+suffix, flock.SetPermissions(fileMode)) }
-	w := &Watcher{log: log, onChange: changed, leader: lock(".leader"), follower: lock(".second"), roomMade: lock(".room")}
+	w := &Watcher{log: log, onChange: onChange, leader: lock(".leader"), follower: lock(".second"), roomMade: lock(".room")}
 	w.present = !w.tryLock(w.leader)
 	if w.present {
 		w.waitForRoom()
 	}
-	changed(w.present)
+	onChange(w.present)
 	return w
 }
 
-// take tries to get a lock, and tells whether this process holds it.
+// tryLock tries to acquire a lock, and reports whether this process holds it.
 func (w *Watcher) tryLock(lock *flock.Flock) bool {
 	held, err := lock.TryLock()
 	if err != nil {
-		w.log.Warn("other processes not noticed", "reason", "no_lock", "path", lock.Path(), "err", err)
+		w.log.Warn("cannot detect other processes", "reason", "no_lock", "path", lock.Path(), "err", err)
 	}
 	return held
 }
 
-// taken tells whether another process holds a lock.
+// heldByOther reports whether another process holds a lock, or may hold it because locking failed.
 func (w *Watcher) heldByOther(lock *flock.Flock) bool {
 	if !w.tryLock(lock) {
 		return true
@@ -67,23 +67,23 @@
 	return false
 }
 
-// awaitRoom takes the second place and waits until the leader has made room, for a bounded time.
+// waitForRoom acquires the follower lock and waits until the leader has made room, or for roomTimeout.
 func (w *Watcher) waitForRoom() {
-	for until := time.Now().Add(roomTimeout); time.Now().Before(until); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(roomTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if w.tryLock(w.follower) && w.heldByOther(w.roomMade) {
 			return
 		}
 	}
 }
 
-// Close ends the watch before its process ends. It is not to be called while Run runs.
+// Close releases the locks before the process ends. It must not be called while Run runs.
 func (w *Watcher) Close() {
 	w.leader.Close()
 	w.follower.Close()
 	w.roomMade.Close()
 }
 
-// Run follows changes until ctx ends. The locks are held then: what this process holds is free only when it has ended.
+// Run checks for changes until ctx ends. It keeps the locks after that, so that they are free only once the process has ended.
 func (w *Watcher) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -97,7 +97,7 @@
 	}
 }
 
-// look takes the leader's place where it is free, and tells the leader whether there is a follower.
+// poll acquires the leader lock if it is free. In the leader, it calls onChange when a follower appears or disappears.
 func (w *Watcher) poll() {
 	if !w.leader.Locked() && !w.tryLock(w.leader) {
 		w.tryLock(w.follower)
--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -10,7 +10,7 @@
 	"masthill/internal/netcase"
 )
 
-// process is one watch in a test.
+// process stands for a process with a running Watcher.
 type process struct {
 	present chan bool
 	stop    func()
@@ -33,7 +33,7 @@
 	return p
 }
 
-// want waits for the present answer to be that one.
+// waitFor waits until the watcher reports the given result.
 func (p *process) waitFor(t *testing.T, present bool) {
 	t.Helper()
 	for got := range p.present {
@@ -43,16 +43,16 @@
 	}
 }
 
-// An upgrade, and one more: each process notices that the other one comes and goes, whichever of them was first.
+// In two upgrades one after the other, each process detects that the other one starts and ends, whichever of them was first.
 func TestProcessesDetectEachOther(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	first := startProcess(t, dir, addr)
 	if <-first.present {
-		t.Error("not alone at first")
+		t.Error("the first process reports another one")
 	}
 	second := startProcess(t, dir, addr)
 	if !<-second.present {
-		t.Error("the second does not notice the first")
+		t.Error("the second process does not detect the first")
 	}
 	first.waitFor(t, true)
 	first.stop()
@@ -65,7 +65,7 @@
 	second.stop()
 }
 
-// Another address is another instance.
+// Processes at different addresses do not detect each other.
 func TestDifferentAddresses(t *testing.T) {
 	dir := t.TempDir()
 	first := startProcess(t, dir, netcase.Listen(t).Addr().String())
@@ -73,17 +73,18 @@
 	second := startProcess(t, dir, netcase.Listen(t).Addr().String())
 	defer second.stop()
 	if <-first.present || <-second.present {
-		t.Error("taken for one another")
+		t.Error("a process detects one at another address")
 	}
 }
 
-// The platform allows no listener but the one told: a watch holds files, no more than it says, and no socket.
+// The platform allows no listening socket but the one that it assigns: a Watcher holds no socket, and no more files than
+// LockFiles.
 func TestNoSocketIsOpened(t *testing.T) {
 	before := descriptors(t)
 	dir := t.TempDir()
 	first := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {})
 	defer first.Close()
-	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits in vain for room, as nothing runs
+	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits for room until the timeout, as Run does not run
 	defer second.Close()
 	first.poll()
 	second.poll()
@@ -98,11 +99,11 @@
 		}
 	}
 	if opened < 2 || opened > 2*LockFiles {
-		t.Errorf("%d descriptors for two watches", opened)
+		t.Errorf("%d descriptors for two watchers", opened)
 	}
 }
 
-// descriptors gives what this process holds open, by number.
+// descriptors returns the targets of this process's open descriptors by number.
 func descriptors(t *testing.T) map[string]string {
 	const list = "/proc/self/fd"
 	entries, err := os.ReadDir(list)
@@ -118,7 +119,7 @@
 	return open
 }
 
-// The second process starts only once the first has made room.
+// Open returns in the second process only once the first has made room.
 func TestFollowerWaitsForRoom(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	room := make(chan bool)
@@ -143,7 +144,7 @@
 	}()
 	select {
 	case <-opened:
-		t.Error("before there is room")
+		t.Error("the second process did not wait for room")
 	case room <- true:
 	}
 	<-opened
