--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -1,5 +1,5 @@
-// Package corecase is the helper of the fronts' tests that need the core: a running Exchange whose goroutine and clock the
-// test holds, between a front and servers that only note what they get.
+// Package corecase helps tests of fronts that need a real exchange. It runs an Exchange whose goroutine the test can block and
+// whose clock it can advance, with servers that only record their attempts.
 package corecase
 
 import (
@@ -15,27 +15,27 @@
 	"masthill/internal/netcase"
 )
 
-// smallMemory makes an instance whose inbox is full with one event, so that a front's reader waits behind it.
-const memoryBytes = 256 << 10
+// inboxMemory is so little memory that one event fills the inbox, and a front's reader has to wait.
+const inboxMemory = 256 << 10
 
-// pastWaits is longer than all that the core may wait for between two attempts, in the settings of Core.
+// beyondAllWaits is longer than every wait between two attempts of a call with the settings of a Core.
 const beyondAllWaits = 2 * time.Second
 
-// Core is a running Exchange.
+// Core is a running Exchange, and the Offices that it sends attempts to.
 type Core struct {
 	*exchange.Exchange
 	t           *testing.T
-	clockOffset atomic.Int64 // of the clock
+	clockOffset atomic.Int64 // nanoseconds that the exchange's clock is ahead of real time
 	mu          sync.Mutex
-	attempts    map[string]int // attempts by call
+	attempts    map[string]int // number of attempts by call
 	newAttempts chan exchange.Attempt
 	module      holdModule
 }
 
-// State is one in which a call waits for an attempt.
+// State is a state in which a call waits for an attempt.
 type State string
 
-// The states in which a call waits for an attempt.
+// The states in which a call can wait for an attempt.
 const (
 	FirstAttempt State = "first attempt"
 	ReleaseWait  State = "release wait"
@@ -43,14 +43,14 @@
 	HeldByModule State = "held by a joined module"
 )
 
-// States are all of them.
+// AllStates lists all states.
 var AllStates = []State{FirstAttempt, ReleaseWait, HeldByPolicy, HeldByModule}
 
-// New runs an Exchange with two servers until the test ends.
+// New starts an Exchange with two servers, which runs until the test ends.
 func New(t *testing.T) *Core {
 	t.Helper()
 	c := &Core{t: t, attempts: map[string]int{}, newAttempts: make(chan exchange.Attempt, 100)}
-	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.DiscardLogger(), MemoryBytes: memoryBytes,
+	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.DiscardLogger(), MemoryBytes: inboxMemory,
 		Now: func() time.Time { return time.Now().Add(time.Duration(c.clockOffset.Load())) }, Join: join.Chain{&c.module}})
 	if err != nil {
 		t.Fatal(err)
@@ -74,6 +74,7 @@
 	return c
 }
 
+// settings returns control settings with one class of calls, which may go to both servers of New.
 func settings() control.Settings {
 	return control.Settings{GroupSize: 4, ThisNode: -1, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: int64(2 * time.Second),
 		Fields: []string{"spare", "total"}, Resolution: int64(5 * time.Millisecond), ClearWait: int64(300 * time.Millisecond),
@@ -82,7 +83,8 @@
 			Worth: 1, LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
-// Enter brings a call into a state; send has its client send the set-up. For First nothing is sent yet.
+// Enter brings a call into a state; send has its client send the set-up. For FirstAttempt it does not call send: the set-up is
+// to be sent once the exchange is blocked.
 func (c *Core) Enter(state State, send func()) {
 	c.t.Helper()
 	c.module.holding.Store(state == HeldByModule)
@@ -108,20 +110,21 @@
 	clear(c.attempts)
 }
 
-// Busy keeps the core's goroutine busy until the function that it gives is called; by then all that a call waits for is
-// over.
-func (c *Core) Block() (free func()) {
-	busy, goOn := make(chan bool), make(chan bool)
-	go c.Look(func() { close(busy); <-goOn })
-	<-busy
+// Block blocks the goroutine of the exchange until the returned function is called. That also ends everything that a call may
+// wait for: the module holds it no longer, and the clock advances beyond all waits.
+func (c *Core) Block() (unblock func()) {
+	blocked, resume := make(chan bool), make(chan bool)
+	go c.Look(func() { close(blocked); <-resume })
+	<-blocked
 	return func() {
 		c.module.holding.Store(false)
 		c.clockOffset.Add(int64(beyondAllWaits))
-		close(goOn)
+		close(resume)
 	}
 }
 
-// Settle waits until the core has done all that it had been told and that was due.
+// Settle waits until the exchange has handled all events received so far and all that is due, also within the next few
+// seconds of its clock.
 func (c *Core) Settle() {
 	for range 3 {
 		c.Look(func() {})
@@ -130,25 +133,25 @@
 	c.Look(func() {})
 }
 
-// Invited tells how many attempts of a call have begun since it entered its state.
+// AttemptCount returns the number of attempts of a call that have been started since Enter brought it into its state.
 func (c *Core) AttemptCount(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.attempts[id]
 }
 
-// until waits for a condition, for which the machine may take its time.
+// waitUntil is WaitUntil for the test of this Core.
 func (c *Core) waitUntil(met func() bool) {
 	c.t.Helper()
 	WaitUntil(c.t, met)
 }
 
-// Until waits for a condition, for which the machine may take its time.
+// WaitUntil waits until a condition is met, and fails the test after 20 s, which leaves time for a slow machine.
 func WaitUntil(t *testing.T, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it never came to it")
+			t.Fatal("the condition was not met within 20 s")
 		}
 	}
 }
@@ -161,7 +164,7 @@
 	c.newAttempts <- a
 }
 
-// List implements exchange.Offices.
+// UpdateList implements exchange.Offices.
 func (c *Core) UpdateList([]exchange.Office, bool) {}
 
 // Cancel implements exchange.Offices.
@@ -170,10 +173,10 @@
 // Bye implements exchange.Offices.
 func (c *Core) Bye(uint64, string, int, bool) {}
 
-// Suspect implements exchange.Offices.
+// ReportSilence implements exchange.Offices.
 func (c *Core) ReportSilence(uint64, time.Time, bool) {}
 
-// gate is a joined module that holds calls while it is shut.
+// holdModule is a joined module that holds all calls while holding is true.
 type holdModule struct{ holding atomic.Bool }
 
 func (g *holdModule) Name() string                         { return "gate" }
--- a/internal/netcase/netcase.go
+++ b/internal/netcase/netcase.go
@@ -1,5 +1,5 @@
-// Package netcase is the one helper of the tests of network code: random cuts of valid messages and random
-// garbage, from a fixed seed.
+// Package netcase has helpers for tests of network code: reads of random sizes and random malformed messages, both from a
+// fixed seed, and servers on loopback ports that are closed with the test.
 package netcase
 
 import (
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// Check runs a property with the project's fixed seed, so that every run gives the same verdict.
+// Check checks a property with a fixed seed, so that every run has the same result.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": "150",
@@ -29,7 +29,7 @@
 	rapid.Check(t, prop)
 }
 
-// Cut gives the data in pieces of random sizes, as a network does.
+// RandomReader returns a reader that delivers data in pieces of random sizes, as a network does.
 func RandomReader(t *rapid.T, data []byte) io.Reader { return &randomReader{t, data} }
 
 type randomReader struct {
@@ -47,7 +47,7 @@
 	return n, nil
 }
 
-// Garbage gives random bytes, or a valid message with some of its bytes changed, doubled or left out.
+// Garbage returns random bytes, or a valid message with up to six bytes changed, doubled or left out.
 func Garbage(t *rapid.T, valid []byte) []byte {
 	if rapid.Bool().Draw(t, "random") {
 		return rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "bytes")
@@ -70,28 +70,28 @@
 	return b
 }
 
-// Arrived tells whether all that was written to a connection has come to the other side's machine. A closed connection
-// does not tell, and counts as arrived.
+// AllAcknowledged reports whether the peer's kernel has acknowledged all data written to a connection. For a closed connection
+// that can't be determined, and it reports true.
 func AllAcknowledged(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	left := 0
-	if raw.Control(func(fd uintptr) { left, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) != nil {
+	unacknowledged := 0
+	if raw.Control(func(fd uintptr) { unacknowledged, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }) != nil {
 		return true
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return left == 0
+	return unacknowledged == 0
 }
 
-// Quiet is a logger for tests that do not look at the log.
+// DiscardLogger returns a logger that discards all messages.
 func DiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// Listen opens a loopback port of the machine's choice, closed with the test.
+// Listen listens on a free loopback port. The listener is closed with the test.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +102,7 @@
 	return l
 }
 
-// Accept serves a stand-in's connections until the test ends, and gives its address.
+// ServeConns calls handle for each connection to a new loopback port until the test ends, and returns the port's address.
 func ServeConns(t *testing.T, handle func(c net.Conn)) string {
 	t.Helper()
 	l := Listen(t)
@@ -124,7 +124,7 @@
 	return l.Addr().String()
 }
 
-// HTTP serves a stand-in's requests until the test ends, and gives its address.
+// ServeHTTP calls handle for each HTTP request to a new loopback port until the test ends, and returns the port's address.
 func ServeHTTP(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	l := Listen(t)
@@ -134,7 +134,8 @@
 	return l.Addr().String()
 }
 
-// Serve runs a front on a loopback port until the test ends, and gives its address.
+// Serve runs a server such as a front on a new loopback port until the test ends, and returns the port's address. An error
+// that serve returns fails the test.
 func Serve(t *testing.T, serve func(ctx context.Context, l net.Listener) error) string {
 	t.Helper()
 	l := Listen(t)
