--- a/control/distribution/replica.go
+++ b/control/distribution/replica.go
@@ -10,142 +10,142 @@
 )
 
 const (
-	// settleTime is how long after its last stage a release is watched before the next one may come, so that it is known
-	// for good or bad by then.
-	settleTime = 2 * time.Second
-	// maxMembers bounds the instances whose acknowledgements are kept, retention how long one is kept without a word.
-	maxMembers = 4096
-	retention  = 10 * time.Minute
-	// noteNever is the lag of a server that has heard no majority yet.
-	noteNever = 24 * time.Hour
+	// observationTime is how long after its last stage a release must be observed before the next one may be published, so
+	// that failures to apply it are known by then.
+	observationTime = 2 * time.Second
+	// maxMembers bounds the number of stored acknowledgements, memberRetention their age.
+	maxMembers      = 4096
+	memberRetention = 10 * time.Minute
+	// unknownLag is the lag of a server that has not been in touch with a majority yet.
+	unknownLag = 24 * time.Hour
 )
 
-// ReplicaConfig is what a server needs to know.
+// ReplicaConfig configures a Replica.
 type ReplicaConfig struct {
 	Name, Fleet  string
-	OtherServers []string // the other servers
+	OtherServers []string // their names
 	Keys         []ed25519.PublicKey
-	// HaltAfter is how many instances that cannot apply a release halt it.
+	// HaltAfter is the number of instances that must fail to apply a release before it is halted.
 	HaltAfter int
 }
 
-// The reasons for which a server refuses a release.
+// The errors with which a server refuses a release or an order.
 var (
 	ErrNotNewer          = errors.New("not newer than the newest release")
-	ErrRolloutInProgress = errors.New("the release before it is under way")
+	ErrRolloutInProgress = errors.New("the rollout of the previous release is under way")
 )
 
-// Kept is what a server keeps over its end.
+// StoredState is the state of a server that outlives its process.
 type StoredState struct {
 	Newest          *Release `json:"newest,omitempty"`
-	LastGoodVersion Version  `json:"good_version"`   // the newest one before it that was not halted
+	LastGoodVersion Version  `json:"good_version"`   // the newest earlier version that was not halted
 	LastGood        *Release `json:"good,omitempty"` // nil: not copied from another server yet
-	PublishedAt     int64    `json:"published_ns"`   // when the newest one was, by this server's clock
+	PublishedAt     int64    `json:"published_ns"`   // when Newest was published, by this server's clock
 	Halted          string   `json:"halted,omitempty"`
 }
 
-// memberState is the last acknowledgement of an instance.
+// memberState is the last acknowledgement of an instance and when it was received.
 type memberState struct {
 	Acknowledgement
 	at int64
 }
 
-// otherServer is what was heard of another server.
+// otherServer is the last head of another server and when it was received.
 type otherServer struct {
 	head Head
 	at   int64
 }
 
-// Replica is the state of one server. It is not safe for concurrent use.
+// Replica is the state of one distribution server. It is not safe for concurrent use.
 type Replica struct {
 	config  ReplicaConfig
-	kept    StoredState
-	digest  Digest // of the newest release: each question is answered with it
+	stored  StoredState
+	digest  Digest // of the newest release; stored because each poll is answered with it
 	members map[string]memberState
 	others  map[string]otherServer
 }
 
-// NewReplica makes the state of a server from what it kept. Releases that no key has signed are left out.
-func NewReplica(config ReplicaConfig, kept StoredState) *Replica {
-	for _, release := range []**Release{&kept.Newest, &kept.LastGood} {
+// NewReplica restores the state of a server. Releases without a valid signature are dropped.
+func NewReplica(config ReplicaConfig, stored StoredState) *Replica {
+	for _, release := range []**Release{&stored.Newest, &stored.LastGood} {
 		if *release != nil && (*release).Verify(config.Fleet, config.Keys) != nil {
 			*release = nil
 		}
 	}
-	if kept.Newest == nil {
-		kept = StoredState{}
+	if stored.Newest == nil {
+		stored = StoredState{}
 	}
-	r := &Replica{config: config, kept: kept, members: map[string]memberState{}, others: map[string]otherServer{}}
-	if kept.Newest != nil {
-		r.digest = kept.Newest.Digest()
+	r := &Replica{config: config, stored: stored, members: map[string]memberState{}, others: map[string]otherServer{}}
+	if stored.Newest != nil {
+		r.digest = stored.Newest.Digest()
 	}
 	return r
 }
 
-// Kept is what is to be kept over the server's end.
-func (r *Replica) StoredState() StoredState { return r.kept }
+// StoredState returns the state to store for the next process of this server.
+func (r *Replica) StoredState() StoredState { return r.stored }
 
-// Publish takes a release from the operators.
+// Publish accepts a new release from the operators.
 func (r *Replica) Publish(now int64, release Release) error {
-	if r.kept.Newest != nil && release.Digest() == r.digest {
-		return nil // the publisher tries again
+	if r.stored.Newest != nil && release.Digest() == r.digest {
+		return nil // the publisher repeats its request
 	}
-	if newest := r.kept.Newest; newest != nil && r.kept.Halted == "" && release.Version > newest.Version {
-		if left := newest.RolloutDuration() + settleTime - r.elapsed(now); left > 0 {
-			return fmt.Errorf("%w: version %d, for another %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
+	if newest := r.stored.Newest; newest != nil && r.stored.Halted == "" && release.Version > newest.Version {
+		if left := newest.RolloutDuration() + observationTime - r.elapsed(now); left > 0 {
+			return fmt.Errorf("%w: version %d, done in %v", ErrRolloutInProgress, newest.Version, left.Round(100*time.Millisecond))
 		}
 	}
-	good := r.kept.LastGoodVersion
-	if r.kept.Newest != nil && r.kept.Halted == "" {
-		good = r.kept.Newest.Version
+	good := r.stored.LastGoodVersion
+	if r.stored.Newest != nil && r.stored.Halted == "" {
+		good = r.stored.Newest.Version
 	}
-	return r.take(now, release, good)
+	return r.accept(now, release, good)
 }
 
-// Copy takes the newest release of another server, which told it by a head.
+// Copy accepts the newest release of another server, which was announced by the given head.
 func (r *Replica) Copy(now int64, release Release, head Head) error {
-	return r.take(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
+	return r.accept(now-int64(max(head.Elapsed, 0)), release, head.LastGood)
 }
 
-func (r *Replica) take(published int64, release Release, good Version) error {
+func (r *Replica) accept(published int64, release Release, good Version) error {
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if r.kept.Newest != nil && release.Version <= r.kept.Newest.Version {
-		return fmt.Errorf("%w: version %d, newest is %d", ErrNotNewer, release.Version, r.kept.Newest.Version)
+	if r.stored.Newest != nil && release.Version <= r.stored.Newest.Version {
+		return fmt.Errorf("%w: version %d, newest is %d", ErrNotNewer, release.Version, r.stored.Newest.Version)
 	}
-	r.kept = StoredState{Newest: &release, LastGoodVersion: good, LastGood: r.Release(good), PublishedAt: published}
+	r.stored = StoredState{Newest: &release, LastGoodVersion: good, LastGood: r.Release(good), PublishedAt: published}
 	r.digest = release.Digest()
 	return nil
 }
 
-// CopyGood takes the last good release from another server, for one that has not seen it published.
+// CopyLastGood accepts the last good release of another server. A server needs it if it missed that release's publication.
 func (r *Replica) CopyLastGood(release Release) error {
 	if err := release.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if release.Version != r.kept.LastGoodVersion {
+	if release.Version != r.stored.LastGoodVersion {
 		return ErrNotNewer
 	}
-	r.kept.LastGood = &release
+	r.stored.LastGood = &release
 	return nil
 }
 
-// hearGood takes another server's word on the last good release before the newest one. The lower one holds: the other
-// server knows of a halt that this one has not heard of.
-func (r *Replica) hearGood(good Version) (wanted Version) {
-	if good < r.kept.LastGoodVersion {
-		r.kept.LastGoodVersion, r.kept.LastGood = good, nil
+// reconcileLastGood compares the last good version of another server with this one's. The lower version wins, because the
+// other server knows of a halt that this one has not received. It returns the version to fetch; 0: none.
+func (r *Replica) reconcileLastGood(good Version) (wanted Version) {
+	if good < r.stored.LastGoodVersion {
+		r.stored.LastGoodVersion, r.stored.LastGood = good, nil
 	}
-	if r.kept.LastGood == nil && good == r.kept.LastGoodVersion {
+	if r.stored.LastGood == nil && good == r.stored.LastGoodVersion {
 		return good
 	}
 	return 0
 }
 
-// Release is a release that the server has; nil: it has not.
+// Release returns the stored release of a version; nil: it is not stored.
 func (r *Replica) Release(version Version) *Release {
-	for _, release := range []*Release{r.kept.Newest, r.kept.LastGood} {
+	for _, release := range []*Release{r.stored.Newest, r.stored.LastGood} {
 		if release != nil && release.Version == version {
 			return release
 		}
@@ -153,77 +153,78 @@
 	return nil
 }
 
-// Acknowledge takes what an instance tells.
+// Acknowledge records the acknowledgement of an instance.
 func (r *Replica) Acknowledge(now int64, a Acknowledgement) {
 	if a.Member == "" || len(a.Member) > MaxNameLength || len(a.Zone) > MaxNameLength {
 		return
 	}
 	if _, known := r.members[a.Member]; !known && len(r.members) >= maxMembers {
-		r.forget(now)
+		r.expireMembers(now)
 		if len(r.members) >= maxMembers {
 			return
 		}
 	}
-	a.Detail = clip(a.Detail, maxDetail)
+	a.Detail = truncate(a.Detail, maxDetail)
 	r.members[a.Member] = memberState{a, now}
-	r.judge(now)
+	r.haltOnFailures(now)
 }
 
-func (r *Replica) forget(now int64) {
+func (r *Replica) expireMembers(now int64) {
 	for name, m := range r.members {
-		if now-m.at > int64(retention) {
+		if now-m.at > int64(memberRetention) {
 			delete(r.members, name)
 		}
 	}
 }
 
-// HearServer takes another server's head. It tells which release is to be fetched from it, by Copy or CopyGood; 0: none.
+// ReceiveServerHead records the head of another server. It returns the version to fetch from that server, for Copy or
+// CopyLastGood; 0: none.
 func (r *Replica) ReceiveServerHead(now int64, head Head) (wanted Version) {
 	if !slices.Contains(r.config.OtherServers, head.Server) {
 		return 0
 	}
 	r.others[head.Server] = otherServer{head, now}
-	if r.kept.Newest == nil || head.Version > r.kept.Newest.Version {
+	if r.stored.Newest == nil || head.Version > r.stored.Newest.Version {
 		return head.Version
 	}
-	if head.Version == r.kept.Newest.Version {
+	if head.Version == r.stored.Newest.Version {
 		if head.Digest != r.digest {
 			r.halt(ErrConflict.Error())
 		} else if head.Halted != "" {
 			r.halt(head.Halted)
 		}
-		wanted = r.hearGood(head.LastGood)
+		wanted = r.reconcileLastGood(head.LastGood)
 	}
-	r.judge(now)
+	r.haltOnFailures(now)
 	return wanted
 }
 
-// Halt takes an operator's order to give a version up.
+// Halt carries out an operator's order to halt a version.
 func (r *Replica) Halt(order HaltOrder) error {
 	if err := order.Verify(r.config.Fleet, r.config.Keys); err != nil {
 		return err
 	}
-	if r.kept.Newest == nil || r.kept.Newest.Version != order.Version {
+	if r.stored.Newest == nil || r.stored.Newest.Version != order.Version {
 		return fmt.Errorf("%w: version %d", ErrNotNewer, order.Version)
 	}
-	r.halt(cmp.Or(clip(order.Reason, maxDetail), "halted by its operators"))
+	r.halt(cmp.Or(truncate(order.Reason, maxDetail), "halted by its operators"))
 	return nil
 }
 
 func (r *Replica) halt(reason string) {
-	if r.kept.Halted == "" {
-		r.kept.Halted = reason
+	if r.stored.Halted == "" {
+		r.stored.Halted = reason
 	}
 }
 
-// judge halts the newest release once enough instances could not apply it, here and as other servers tell.
-func (r *Replica) judge(now int64) {
-	if r.kept.Newest == nil {
+// haltOnFailures halts the newest release once HaltAfter instances, of this and of the other servers, could not apply it.
+func (r *Replica) haltOnFailures(now int64) {
+	if r.stored.Newest == nil {
 		return
 	}
 	failures := r.failures()
 	for _, o := range r.others {
-		if o.head.Version == r.kept.Newest.Version && now-o.at < int64(retention) {
+		if o.head.Version == r.stored.Newest.Version && now-o.at < int64(memberRetention) {
 			failures += o.head.Failures
 		}
 	}
@@ -232,10 +233,10 @@
 	}
 }
 
-// failures counts the instances of this server that could not apply the newest release.
+// failures counts the instances following this server that could not apply the newest release.
 func (r *Replica) failures() (n int) {
 	for _, m := range r.members {
-		if m.State == Failed && m.Newest == r.kept.Newest.Version {
+		if m.State == Failed && m.Newest == r.stored.Newest.Version {
 			n++
 		}
 	}
@@ -243,23 +244,23 @@
 }
 
 func (r *Replica) elapsed(now int64) time.Duration {
-	return time.Duration(max(now-r.kept.PublishedAt, 0))
+	return time.Duration(max(now-r.stored.PublishedAt, 0))
 }
 
-// Head is what the server tells.
+// Head returns the head that the server sends to instances and to other servers.
 func (r *Replica) Head(now int64) Head {
 	head := Head{Server: r.config.Name, Lag: r.lag(now)}
-	if r.kept.Newest != nil {
-		head.Version, head.Digest, head.Elapsed = r.kept.Newest.Version, r.digest, r.elapsed(now)
-		head.Halted, head.Failures = r.kept.Halted, r.failures()
+	if r.stored.Newest != nil {
+		head.Version, head.Digest, head.Elapsed = r.stored.Newest.Version, r.digest, r.elapsed(now)
+		head.Halted, head.Failures = r.stored.Halted, r.failures()
 	}
-	head.LastGood = r.kept.LastGoodVersion
+	head.LastGood = r.stored.LastGoodVersion
 	return head
 }
 
-// lag is how long ago a majority of the servers was last heard.
+// lag returns the time since the server was last in touch with a majority of the servers.
 func (r *Replica) lag(now int64) time.Duration {
-	needed := (len(r.config.OtherServers) + 1) / 2 // of the others, beside this server
+	needed := (len(r.config.OtherServers) + 1) / 2 // other servers needed for a majority, besides this one
 	if needed == 0 {
 		return 0
 	}
@@ -268,27 +269,27 @@
 		ages = append(ages, time.Duration(now-o.at))
 	}
 	if len(ages) < needed {
-		return noteNever
+		return unknownLag
 	}
 	slices.Sort(ages)
 	return max(ages[needed-1], 0)
 }
 
-// MemberStatus is an instance as its server sees it.
+// MemberStatus is the last acknowledgement of an instance, with its age.
 type MemberStatus struct {
 	Acknowledgement
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Status is what a server tells its operators.
+// Status is what a server reports to its operators.
 type Status struct {
 	Head    Head           `json:"head"`
 	Members []MemberStatus `json:"members"`
 }
 
-// Status looks at everything.
+// Status returns the status of the server and of the instances that follow it.
 func (r *Replica) Status(now int64) Status {
-	r.forget(now)
+	r.expireMembers(now)
 	s := Status{Head: r.Head(now), Members: make([]MemberStatus, 0, len(r.members))}
 	for _, m := range r.members {
 		s.Members = append(s.Members, MemberStatus{m.Acknowledgement, (now - m.at) / int64(time.Millisecond)})
