--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin implements the HTTP server for operators at the instance's second address: the health check, and the requests
-// that start a drain and end it. It only reads and sets the instance's readiness, so that it answers under any load.
+// Package admin implements the HTTP server for operators at the instance's second address: the health check, and the
+// requests that start a drain and end it. It only reads and sets the instance's readiness, so that it answers under any
+// load.
 package admin
 
 import (
@@ -19,10 +20,11 @@
 )
 
 const (
-	// DefaultMaxConnections is the default of Server.MaxConnections. At the limit, a new connection replaces the oldest one
-	// once that is minEvictionAge old: a well-behaved client needs less for its request.
+	// DefaultMaxConnections is the default of Server.MaxConnections. At the limit, a new connection replaces the oldest
+	// one once that is minEvictionAge old: a well-behaved client needs less for its request.
 	DefaultMaxConnections, minEvictionAge = 16, 100 * time.Millisecond
-	// requestTimeout limits the time for reading a request and for writing its answer, maxHeaderBytes the size of its header.
+	// requestTimeout limits the time for reading a request and for writing its answer, maxHeaderBytes the size of its
+	// header.
 	requestTimeout, maxHeaderBytes = 2 * time.Second, 4 << 10
 )
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// Of more simultaneous complete requests than MaxConnections each is answered, as no connection is old enough to be replaced.
+// Of more simultaneous complete requests than MaxConnections each is answered, as no connection is old enough to be
+// replaced.
 func TestMoreRequestsThanConnections(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -104,7 +104,7 @@
 
 var key = Key("station-7", "c1")
 
-func TestCallLifecycle(t *testing.T) {
+func TestACallOverWebSocket(t *testing.T) {
 	f := newFixture(t, 10)
 	ws := f.open()
 	f.write(ws, setup)
@@ -209,8 +209,8 @@
 	}
 }
 
-// When a socket closes during set-up, its call is kept for a while: a set-up that is sent again after a reconnect joins it,
-// and otherwise the call is given up. A release without a socket is sent on the caller's next one.
+// When a socket closes during set-up, its call is kept for a while: a set-up that is sent again after a reconnect joins
+// it, and otherwise the call is given up. A release without a socket is sent on the caller's next one.
 func TestSocketClosesMidSetUp(t *testing.T) {
 	f := newFixture(t, 10)
 	ws := f.open()
@@ -240,8 +240,8 @@
 	f.expect("give up " + key + " ws/station-7")
 }
 
-// A call with the id of an open call but another description is refused: joined to the open call, it would get the answer to
-// the other description.
+// A call with the id of an open call but another description is refused: if it joined the open call, it would get the
+// answer to that call's description.
 func TestCallIDReusedWithAnotherDescription(t *testing.T) {
 	f := newFixture(t, 10)
 	ws := f.open()
--- a/internal/callws/conn.go
+++ b/internal/callws/conn.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Close closes the connection once the queued messages have been written. A peer that does not read is disconnected when a
-// write times out.
+// Close closes the connection once the queued messages have been written. A peer that does not read is disconnected when
+// a write times out.
 func (c *conn) Close() {
 	if c.closed.CompareAndSwap(false, true) {
 		close(c.closing)
@@ -139,8 +139,8 @@
 	}
 }
 
-// flush writes messages. The writes ignore the cancellation of ctx: the library drops the connection when the context of a
-// write ends, and the peer would not receive the reason for the close.
+// flush writes messages. The writes ignore the cancellation of ctx: the library drops the connection when the context of
+// a write ends, and the peer would not receive the reason for the close.
 func (c *conn) flush(ctx context.Context, batch [][]byte) error {
 	for _, b := range batch {
 		writeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), writeTimeout)
--- a/internal/callws/disconnect_test.go
+++ b/internal/callws/disconnect_test.go
@@ -64,9 +64,9 @@
 	return ws, raw
 }
 
-// A client disconnects while the exchange is busy with other work and an attempt of its call falls due. The disconnect waits
-// in the inbox of the exchange, behind the timer, or unread in the kernel, as the reader waits too. The attempt was started
-// all the same, however long ago the client had disconnected.
+// A client disconnects while the exchange is busy with other work and an attempt of its call falls due. The disconnect
+// waits in the inbox of the exchange, behind the timer, or unread in the kernel, as the reader waits too. The attempt
+// was started all the same, however long ago the client had disconnected.
 func TestNoAttemptAfterClientDisconnects(t *testing.T) {
 	for _, state := range corecase.AllStates {
 		for name, disconnect := range disconnects {
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -85,8 +85,8 @@
 		listener: &boundedListener{log: o.Log, limit: o.MaxConnections, open: map[*trackedConn]bool{}}}
 }
 
-// Key is the id by which offices know a call: 16 hex digits of a hash of the caller's identity and its own call id, so that
-// callers can't access each other's calls and a call that is sent again keeps its id.
+// Key is the id by which offices know a call: 16 hex digits of a hash of the caller's identity and its own call id, so
+// that callers can't access each other's calls and a call that is sent again keeps its id.
 func Key(identity, id string) string {
 	sum := sha256.Sum256([]byte(identity + "\x00" + id))
 	return hex.EncodeToString(sum[:8])
@@ -100,7 +100,8 @@
 	f.drainFrom = time.Now().Add(after)
 }
 
-// SetMaxOpen changes the limit on open connections. Of those beyond it, the ones that have not become a socket are closed.
+// SetMaxOpen changes the limit on open connections. Of those beyond it, the ones that have not become a socket are
+// closed.
 func (f *Front) SetMaxOpen(n int) { f.listener.setLimit(n) }
 
 // SetCallers changes who may connect. A socket whose caller now has another token accepts no further calls, and is closed
@@ -123,8 +124,8 @@
 	f.drainFrom = time.Time{}
 }
 
-// closeDrained closes the sockets without unanswered calls that a drain no longer waits for, and those of callers whose token
-// has changed. f.mu must be held.
+// closeDrained closes the sockets without unanswered calls that a drain no longer waits for, and those of callers whose
+// token has changed. f.mu must be held.
 func (f *Front) closeDrained() {
 	for s := range f.sockets {
 		if s.revoked && s.unanswered == 0 {
@@ -204,8 +205,9 @@
 	f.refusing = true
 }
 
-// Shutdown closes every socket that has no unanswered call, and waits until all are closed or ctx ends. Before it, Refuse is
-// to be called and the exchange is to refuse all calls that wait, so that every call that was read gets its answer first.
+// Shutdown closes every socket that has no unanswered call, and waits until all are closed or ctx ends. Before it,
+// Refuse is to be called and the exchange is to refuse all calls that wait, so that every call that was read gets its
+// answer first.
 func (f *Front) Shutdown(ctx context.Context) {
 	tick := time.NewTicker(shutdownInterval)
 	defer tick.Stop()
@@ -302,8 +304,8 @@
 		"age_ms", time.Since(startedAt).Milliseconds(), "err", err)
 }
 
-// sweep gives up calls whose caller has not reconnected in time, and drops releases that no caller came back for. An accepted
-// call does not depend on a socket and goes on, provided that its caller has been sent the acceptance.
+// sweep gives up calls whose caller has not reconnected in time, and drops releases that no caller came back for. An
+// accepted call does not depend on a socket and goes on, provided that its caller has been sent the acceptance.
 func (f *Front) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
--- a/internal/callws/listener.go
+++ b/internal/callws/listener.go
@@ -12,8 +12,8 @@
 // rawConn is the context key for the connection of a request.
 type rawConn struct{}
 
-// boundedListener limits the number of open connections. At the limit, a new connection replaces the oldest one that has not
-// become a socket: peers that connect and send nothing must not keep callers out.
+// boundedListener limits the number of open connections. At the limit, a new connection replaces the oldest one that has
+// not become a socket: peers that connect and send nothing must not keep callers out.
 type boundedListener struct {
 	net.Listener
 	log   *slog.Logger
@@ -32,8 +32,8 @@
 	claimed, evicted bool
 }
 
-// claim marks the connection as a socket, so that it is not evicted, and reports false if it has been evicted already. It is
-// called before the 101 response: a caller that has read that response considers itself connected.
+// claim marks the connection as a socket, so that it is not evicted, and reports false if it has been evicted already.
+// It is called before the 101 response: a caller that has read that response considers itself connected.
 func (c *trackedConn) claim() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -40,14 +40,14 @@
 // refusalOutcomes maps a server's reason for a refusal to an outcome; any other reason counts as an error.
 var refusalOutcomes = map[string]control.Outcome{"full": control.Saturated, "moot": control.Unavailable, "reset": control.ConnectionLost}
 
-// Dial returns a function that connects to servers with call control over WebSocket, which have a ws:// address in the server
-// list.
+// Dial returns a function that connects to servers with call control over WebSocket, which have a ws:// address in the
+// server list.
 func Dial(fields office.Fields) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
 		var raw net.Conn
 		client := &http.Client{Transport: &http.Transport{
-			// Uses the context of this attempt to connect: the transport lets a connect that hangs go on in the background
-			// when its request ends.
+			// Uses the context of this attempt to connect: the transport lets a connect that hangs go on in the
+			// background when its request ends.
 			DialContext: func(_ context.Context, network, host string) (c net.Conn, err error) {
 				raw, err = new(net.Dialer).DialContext(ctx, network, host)
 				return raw, err
--- a/internal/callws/socket.go
+++ b/internal/callws/socket.go
@@ -71,8 +71,8 @@
 
 func (s *socket) owner() string { return "ws/" + s.identity }
 
-// endCall removes a call that its caller has ended, and reports whether it was known. The exchange is told under the lock, so
-// that a set-up that is sent again can't overtake this.
+// endCall removes a call that its caller has ended, and reports whether it was known. The exchange is told under the
+// lock, so that a set-up that is sent again can't overtake this.
 func (s *socket) endCall(key string) bool {
 	f := s.front
 	f.mu.Lock()
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -1,10 +1,11 @@
-// Package descriptors divides a process's file descriptors among its users (clients, servers, peers, operators and others),
-// so that none can take what another one needs: clients may use up their own share and no more.
+// Package descriptors divides a process's file descriptors among its users (clients, servers, peers, operators and
+// others), so that none can take what another one needs: clients may use up their own share and no more.
 package descriptors
 
 const (
 	// baseRuntime is what the program holds without any connection: the standard streams, two of the network poller, the
-	// clients' listening socket, and three files that are open for short times (configuration, snapshot, readings of /proc).
+	// clients' listening socket, and three files that are open for short times (configuration, snapshot, readings of
+	// /proc).
 	baseRuntime = 9
 	// webSocketRuntime is the WebSocket front's listening socket.
 	webSocketRuntime = 1
@@ -16,8 +17,8 @@
 	releasesRuntime = 3
 	// discoveryShare is three pending connects at the same time, and the previous stream, which is being closed.
 	discoveryShare = 4
-	// minOperators and maxOperators bound the operators' connections. Their share is the limit divided by operatorsDivisor,
-	// in an upgrade for each of the two processes.
+	// minOperators and maxOperators bound the operators' connections. Their share is the limit divided by
+	// operatorsDivisor, in an upgrade for each of the two processes.
 	minOperators, maxOperators, operatorsDivisor = 6, 16, 16
 	// connectionsPerServer is one connection in use and one that replaces it; spareServers is room for the connections of
 	// servers that have just left the list.
@@ -25,10 +26,10 @@
 	// connectionsPerPeer is a member's own stream and the membership library's. Together the peers have no more than the
 	// total divided by peersDivisor.
 	connectionsPerPeer, peersDivisor = 2, 4
-	// clientsDivisor sets the minimum share of the clients, the total divided by it: well-behaved clients need no more than
-	// a third.
+	// clientsDivisor sets the minimum share of the clients, the total divided by it: well-behaved clients need no more
+	// than a third.
 	clientsDivisor = 3
-	// closingDivisor sets the room for connections that are being closed in order to make room for others: a front's
+	// closingDivisor sets the room for connections that are being closed gracefully to make room for others: a front's
 	// MaxConnections divided by it.
 	closingDivisor = 8
 	// acceptReserve is a connection that has been accepted but not admitted or refused yet, and one that is being closed.
@@ -68,8 +69,8 @@
 	MaxConnections int // in use; the other descriptors are for connections that are closing or just accepted
 }
 
-// Plan computes the budget. The servers get what they need as long as a third of the total is left for the clients; servers
-// beyond that have no connection until another one is closed.
+// Plan computes the budget. The servers get what they need as long as a third of the total is left for the clients;
+// servers beyond that have no connection until another one is closed.
 func Plan(d Demand) Budget {
 	b := Budget{Total: d.Limit, Runtime: d.runtimeDescriptors(), Discovery: discoveryShare}
 	if d.Upgrade {
@@ -112,7 +113,7 @@
 	return n
 }
 
-// clientsFront splits the share of the clients' front, which needs room for connections that are closed in order.
+// clientsFront splits the share of the clients' front, which needs room for connections that are being closed gracefully.
 func clientsFront(descriptors int) FrontShare {
 	maxConnections := (descriptors - acceptReserve) * closingDivisor / (closingDivisor + 1)
 	return FrontShare{Descriptors: descriptors, MaxConnections: max(maxConnections, 1)}
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -15,8 +15,9 @@
 	return b.Runtime + b.Discovery + b.Operators + b.Peers + b.Servers + b.Clients.Descriptors + b.WebSocket.Descriptors
 }
 
-// For each limit and each combination of users, the shares add up to the total, for a single process and for one of two, and
-// every user has descriptors. Half of 96 is not enough for a control socket and a store as well; docs/operation.md says so.
+// For each limit and each combination of users, the shares add up to the total, for a single process and for one of two,
+// and every user has descriptors. Half of 96 is not enough for a control socket and a store as well; docs/operation.md
+// says so.
 func TestSharesAddUp(t *testing.T) {
 	for _, limit := range []int{96, 128, 192, 256, 384, 512, 1024, 4096} {
 		for parts := range 64 {
--- a/internal/descriptors/limiter.go
+++ b/internal/descriptors/limiter.go
@@ -62,8 +62,8 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// OpenWithRetry calls open and repeats it while no descriptor is left, until ctx ends, so that a connect goes on as soon as
-// one is free. onShortage, if not nil, is called each time that there was none.
+// OpenWithRetry calls open and repeats it while no descriptor is left, until ctx ends, so that a connect goes on as soon
+// as one is free. onShortage, if not nil, is called each time that there was none.
 func OpenWithRetry[T any](ctx context.Context, onShortage func(), open func(context.Context) (T, error)) (T, error) {
 	for {
 		opened, err := open(ctx)
--- a/internal/listener/bounded.go
+++ b/internal/listener/bounded.go
@@ -8,9 +8,9 @@
 	"masthill/internal/descriptors"
 )
 
-// Bounded is a listener whose connections hold no more descriptors than its limiter allows: at the limit nothing is accepted,
-// and clients wait in the kernel's queue until a connection is closed. The front has a lower limit of its own, at which it
-// closes idle connections to make room; this one also covers the connections that are still being closed.
+// Bounded is a listener whose connections hold no more descriptors than its limiter allows: at the limit nothing is
+// accepted, and clients wait in the kernel's queue until a connection is closed. The front has a lower limit of its own,
+// at which it closes idle connections to make room; this one also covers the connections that are still being closed.
 type Bounded struct {
 	*Listener
 	limiter *descriptors.Limiter
@@ -48,8 +48,8 @@
 }
 
 // Accept implements net.Listener. It acquires the descriptor before it accepts the connection. It yields first to the
-// goroutines that read from connections: on one core, clients that connect without end would otherwise cause connections to
-// be closed whose requests have arrived but are unread.
+// goroutines that read from connections: on one core, clients that connect without end would otherwise cause connections
+// to be closed whose requests have arrived but are unread.
 func (b *Bounded) Accept() (net.Conn, error) {
 	runtime.Gosched()
 	for !b.limiter.TryAcquire() {
@@ -85,8 +85,8 @@
 	once  sync.Once
 }
 
-// Close implements net.Conn. Unlike the method of package net, it does not wait until pending reads and writes have returned:
-// on a busy core that takes long, and fronts close connections while they hold their lock.
+// Close implements net.Conn. Unlike the method of package net, it does not wait until pending reads and writes have
+// returned: on a busy core that takes long, and fronts close connections while they hold their lock.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		go func() {
--- a/internal/listener/bounded_test.go
+++ b/internal/listener/bounded_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Clients that keep connecting, and reconnect whenever their connection is closed, do not keep a draining listener open: a
-// process that was told to shut down went on accepting for minutes.
+// Clients that keep connecting, and reconnect whenever their connection is closed, do not keep a draining listener open:
+// a process that was told to shut down went on accepting for minutes.
 func TestDrainEndsUnderConstantConnects(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener opens listening sockets for callers, and closes them without losing the connections that the kernel has
-// established and the program has not accepted yet.
+// Package listener opens listening sockets for callers, and closes them without losing the connections that the kernel
+// has established and the program has not accepted yet.
 package listener
 
 import (
@@ -19,8 +19,8 @@
 const (
 	// retryInterval is how often an accept is tried again while no descriptor is left.
 	retryInterval = 10 * time.Millisecond
-	// drainTimeout limits a drain: all connections that came before it have long been accepted by then, and clients that go
-	// on connecting must not keep the listener open.
+	// drainTimeout limits a drain: all connections that came before it have long been accepted by then, and clients that
+	// go on connecting must not keep the listener open.
 	drainTimeout = 250 * time.Millisecond
 )
 
@@ -56,16 +56,17 @@
 // New returns a Listener for an open TCP listener, such as one that another process has passed on.
 func New(l *net.TCPListener) *Listener { return &Listener{TCPListener: l} }
 
-// Drain has Accept return the connections that the kernel has established already, and then close the listener: a plain close
-// resets those connections, although their callers count as connected. The drain ends after drainTimeout at the latest.
+// Drain has Accept return the connections that the kernel has established already, and then close the listener: a plain
+// close resets those connections, although their callers count as connected. The drain ends after drainTimeout at the
+// latest.
 func (l *Listener) Drain() {
 	l.drainDeadline.Store(time.Now().Add(drainTimeout).UnixNano())
 	l.draining.Store(true)
 	l.SetDeadline(time.Unix(1, 0)) // wakes Accept
 }
 
-// Accept implements net.Listener; it returns net.ErrClosed once the listener is closed. When no descriptor is left, it waits
-// and goes on as soon as one is free.
+// Accept implements net.Listener; it returns net.ErrClosed once the listener is closed. When no descriptor is left, it
+// waits and goes on as soon as one is free.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.accept()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Connections in the kernel's queue were reset when the listener was closed, although their callers were connected and had
-// sent their requests. A drain accepts each of them before it closes the listener.
-func TestDrainAcceptsQueuedConnections(t *testing.T) {
+// Connections in the kernel's queue were reset when the listener was closed, although their callers were connected and
+// had sent their requests. A drain accepts each of them before it closes the listener.
+func TestDrainGivesWhatTheKernelHasTakenIn(t *testing.T) {
 	l, err := Open("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -1,5 +1,5 @@
-// Package corecase helps tests of fronts that need a real exchange. It runs an Exchange whose goroutine the test can block and
-// whose clock it can advance, with servers that only record their attempts.
+// Package corecase helps tests of fronts that need a real exchange. It runs an Exchange whose goroutine the test can
+// block and whose clock it can advance, with servers that only record their attempts.
 package corecase
 
 import (
@@ -83,8 +83,8 @@
 			Worth: 1, LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
-// Enter brings a call into a state; send has its client send the set-up. For FirstAttempt it does not call send: the set-up is
-// to be sent once the exchange is blocked.
+// Enter brings a call into a state; send has its client send the set-up. For FirstAttempt it does not call send: the
+// set-up is to be sent once the exchange is blocked.
 func (c *Core) Enter(state State, send func()) {
 	c.t.Helper()
 	c.module.holding.Store(state == HeldByModule)
@@ -110,8 +110,8 @@
 	clear(c.attempts)
 }
 
-// Block blocks the goroutine of the exchange until the returned function is called. That also ends everything that a call may
-// wait for: the module holds it no longer, and the clock advances beyond all waits.
+// Block blocks the goroutine of the exchange until the returned function is called. That also ends everything that a
+// call may wait for: the module holds it no longer, and the clock advances beyond all waits.
 func (c *Core) Block() (unblock func()) {
 	blocked, resume := make(chan bool), make(chan bool)
 	go c.Look(func() { close(blocked); <-resume })
--- a/internal/netcase/netcase.go
+++ b/internal/netcase/netcase.go
@@ -70,8 +70,8 @@
 	return b
 }
 
-// AllAcknowledged reports whether the peer's kernel has acknowledged all data written to a connection. For a closed connection
-// that can't be determined, and it reports true.
+// AllAcknowledged reports whether the peer's kernel has acknowledged all data written to a connection. For a closed
+// connection that can't be determined, and it reports true.
 func AllAcknowledged(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
@@ -124,7 +124,8 @@
 	return l.Addr().String()
 }
 
-// ServeHTTP calls handle for each HTTP request to a new loopback port until the test ends, and returns the port's address.
+// ServeHTTP calls handle for each HTTP request to a new loopback port until the test ends, and returns the port's
+// address.
 func ServeHTTP(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	l := Listen(t)
@@ -134,8 +135,8 @@
 	return l.Addr().String()
 }
 
-// Serve runs a server such as a front on a new loopback port until the test ends, and returns the port's address. An error
-// that serve returns fails the test.
+// Serve runs a server such as a front on a new loopback port until the test ends, and returns the port's address. An
+// error that serve returns fails the test.
 func Serve(t *testing.T, serve func(ctx context.Context, l net.Listener) error) string {
 	t.Helper()
 	l := Listen(t)
--- a/internal/sibling/sibling.go
+++ b/internal/sibling/sibling.go
@@ -1,6 +1,6 @@
 // Package sibling detects whether another process serves the same address on this machine, as during an upgrade. The
-// processes share a directory and hold locks on files in it, which the kernel releases when the process ends and not before;
-// no socket is opened.
+// processes share a directory and hold locks on files in it, which the kernel releases when the process ends and not
+// before; no socket is opened.
 package sibling
 
 import (
@@ -24,8 +24,8 @@
 	fileMode = 0o600
 )
 
-// Watcher watches for another process at the same address. The process that was first holds the leader lock, the other one the
-// follower lock. While the leader has made room for a follower, it also holds the roomMade lock.
+// Watcher watches for another process at the same address. The process that was first holds the leader lock, the other
+// one the follower lock. While the leader has made room for a follower, it also holds the roomMade lock.
 type Watcher struct {
 	log      *slog.Logger
 	onChange func(present bool) // returns once this process has made room
@@ -83,7 +83,8 @@
 	w.roomMade.Close()
 }
 
-// Run checks for changes until ctx ends. It keeps the locks after that, so that they are free only once the process has ended.
+// Run checks for changes until ctx ends. It keeps the locks after that, so that they are free only once the process has
+// ended.
 func (w *Watcher) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// In two upgrades one after the other, each process detects that the other one starts and ends, whichever of them was first.
+// In two upgrades one after the other, each process detects that the other one starts and ends, whichever of them was
+// first.
 func TestProcessesDetectEachOther(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	first := startProcess(t, dir, addr)
