--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -69,7 +69,8 @@
 	listener  *boundedListener
 }
 
-// call is a call of this front, kept until its caller has been sent a final answer other than acceptance, or its release.
+// call is a call of this front, kept until it is refused or fails, its caller ends it, or its caller has been sent its
+// release.
 type call struct {
 	id, identity       string
 	fingerprint        uint64  // of the set-up
