--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,8 +13,8 @@
 	"masthill/internal/readiness"
 )
 
-// call makes one call and tells its status and body.
-func call(t *testing.T, addr, method, path string) (int, string) {
+// request sends a request and returns the status and body of the answer.
+func request(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n")
-	all, err := io.ReadAll(c) // the server closes: one call a connection
+	all, err := io.ReadAll(c) // the server closes the connection after one request
 	head, body, _ := strings.Cut(string(all), "\r\n\r\n")
 	fields := strings.Fields(head)
 	if err != nil || len(fields) < 2 {
@@ -35,7 +35,7 @@
 	return status, body
 }
 
-func TestCalls(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	addr := netcase.Serve(t, s.Serve)
 	for k, step := range []struct {
@@ -69,19 +69,20 @@
 		case "end":
 			s.State.End()
 		default:
-			if status, body := call(t, addr, step.method, step.path); status != step.status || body != step.body {
+			if status, body := request(t, addr, step.method, step.path); status != step.status || body != step.body {
 				t.Errorf("step %d: %s %s: %d %q, want %d %q", k, step.method, step.path, status, body, step.status, step.body)
 			}
 		}
 	}
 }
 
-// Callers that say nothing, or half a call, keep no answer waiting, and are gone after callFor.
-func TestHalfCallsKeepNobodyOut(t *testing.T) {
+// Clients that send nothing or an incomplete request do not keep others from being answered, and are disconnected after
+// requestTimeout.
+func TestIncompleteRequestsDoNotBlock(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
-	var half []net.Conn
+	var incomplete []net.Conn
 	for k := range 4 * DefaultMaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -91,33 +92,34 @@
 		if k%2 == 0 {
 			io.WriteString(c, "GET /healthcheck HT")
 		}
-		half = append(half, c)
-		if status, _ := call(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
-			t.Fatalf("beside %d half calls: %d", k, status)
+		incomplete = append(incomplete, c)
+		if status, _ := request(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
+			t.Fatalf("with %d incomplete requests before: status %d", k, status)
 		}
 	}
 	s.mu.Lock()
 	if n := len(s.open); n > DefaultMaxConnections {
-		t.Errorf("%d connections held", n)
+		t.Errorf("%d connections open", n)
 	}
 	s.mu.Unlock()
-	for _, c := range half {
-		c.SetReadDeadline(time.Now().Add(10 * callFor))
+	for _, c := range incomplete {
+		c.SetReadDeadline(time.Now().Add(10 * requestTimeout))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Fatal("a half call is held")
+			t.Fatal("the connection of an incomplete request stays open")
 		}
 	}
 }
 
-// Honest calls at once, more than there are places: each has its answer, as none is old enough to make room.
-func TestManyCallsAtOnce(t *testing.T) {
+// Of more simultaneous complete requests than MaxConnections each is answered, as no connection is old enough to be
+// replaced.
+func TestMoreRequestsThanConnections(t *testing.T) {
 	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var wg sync.WaitGroup
 	for range 8 * DefaultMaxConnections {
 		wg.Go(func() {
-			if status, _ := call(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
+			if status, _ := request(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		})
