--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -10,20 +10,20 @@
 	"masthill/internal/netcase"
 )
 
-// process is one watch in a test.
+// process stands for a process with a running Watcher.
 type process struct {
 	present chan bool
-	end     func()
+	stop    func()
 }
 
-func begin(t *testing.T, dir, addr string) *process {
+func startProcess(t *testing.T, dir, addr string) *process {
 	t.Helper()
 	p := &process{present: make(chan bool, 100)}
 	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) { p.present <- present })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
-	p.end = func() {
+	p.stop = func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -33,8 +33,8 @@
 	return p
 }
 
-// want waits for the present answer to be that one.
-func (p *process) want(t *testing.T, present bool) {
+// waitFor waits until the watcher reports the given result.
+func (p *process) waitFor(t *testing.T, present bool) {
 	t.Helper()
 	for got := range p.present {
 		if got == present {
@@ -43,50 +43,52 @@
 	}
 }
 
-// An upgrade, and one more: each process notices that the other one comes and goes, whichever of them was first.
-func TestEachNoticesTheOther(t *testing.T) {
+// In two upgrades one after the other, each process detects that the other one starts and ends, whichever of them was
+// first.
+func TestProcessesDetectEachOther(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
-	first := begin(t, dir, addr)
+	first := startProcess(t, dir, addr)
 	if <-first.present {
-		t.Error("not alone at first")
+		t.Error("the first process reports another one")
 	}
-	second := begin(t, dir, addr)
+	second := startProcess(t, dir, addr)
 	if !<-second.present {
-		t.Error("the second does not notice the first")
+		t.Error("the second process does not detect the first")
 	}
-	first.want(t, true)
-	first.end()
-	second.want(t, false)
-	third := begin(t, dir, addr)
-	third.want(t, true)
-	second.want(t, true)
-	third.end()
-	second.want(t, false)
-	second.end()
+	first.waitFor(t, true)
+	first.stop()
+	second.waitFor(t, false)
+	third := startProcess(t, dir, addr)
+	third.waitFor(t, true)
+	second.waitFor(t, true)
+	third.stop()
+	second.waitFor(t, false)
+	second.stop()
 }
 
-// Another address is another instance.
-func TestAnotherAddress(t *testing.T) {
+// Processes at different addresses do not detect each other.
+func TestDifferentAddresses(t *testing.T) {
 	dir := t.TempDir()
-	first := begin(t, dir, netcase.Listen(t).Addr().String())
-	defer first.end()
-	second := begin(t, dir, netcase.Listen(t).Addr().String())
-	defer second.end()
+	first := startProcess(t, dir, netcase.Listen(t).Addr().String())
+	defer first.stop()
+	second := startProcess(t, dir, netcase.Listen(t).Addr().String())
+	defer second.stop()
 	if <-first.present || <-second.present {
-		t.Error("taken for one another")
+		t.Error("a process detects one at another address")
 	}
 }
 
-// The platform allows no listener but the one told: a watch holds files, no more than it says, and no socket.
+// The platform allows no listening socket but the one that it assigns: a Watcher holds no socket, and no more files than
+// LockFiles.
 func TestNoSocketIsOpened(t *testing.T) {
 	before := descriptors(t)
 	dir := t.TempDir()
 	first := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {})
 	defer first.Close()
-	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits in vain for room, as nothing runs
+	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits for room until the timeout, as Run does not run
 	defer second.Close()
-	first.look()
-	second.look()
+	first.poll()
+	second.poll()
 	opened := 0
 	for name, target := range descriptors(t) {
 		if before[name] == target || !strings.HasPrefix(target, dir) && !strings.HasPrefix(target, "socket:") {
@@ -98,11 +100,11 @@
 		}
 	}
 	if opened < 2 || opened > 2*LockFiles {
-		t.Errorf("%d descriptors for two watches", opened)
+		t.Errorf("%d descriptors for two watchers", opened)
 	}
 }
 
-// descriptors gives what this process holds open, by number.
+// descriptors returns the targets of this process's open descriptors by number.
 func descriptors(t *testing.T) map[string]string {
 	const list = "/proc/self/fd"
 	entries, err := os.ReadDir(list)
@@ -118,8 +120,8 @@
 	return open
 }
 
-// The second process starts only once the first has made room.
-func TestTheSecondWaitsForRoom(t *testing.T) {
+// Open returns in the second process only once the first has made room.
+func TestFollowerWaitsForRoom(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	room := make(chan bool)
 	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) {
@@ -143,7 +145,7 @@
 	}()
 	select {
 	case <-opened:
-		t.Error("before there is room")
+		t.Error("the second process did not wait for room")
 	case room <- true:
 	}
 	<-opened
