--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -25,7 +25,7 @@
 // coldCase is a fleet and the demand on the cold server.
 type coldCase struct {
 	controllers, servers int
-	budget               float64 // N at the start: FallMultiple times what the cold server can take in a window
+	budget               float64 // N at the start: CrashMultiple times what the cold server can take in a window
 	skew                 float64 // standard deviation of the logarithms of the controllers' shares of the traffic
 	pause                int64   // from the start until the first calls
 	demand               float64 // calls to the cold server, in multiples of its usual traffic; 0: always one
@@ -97,8 +97,8 @@
 		for len(sends) > 0 && sends[0] <= now-f.settings.CrashWindow {
 			sends = sends[1:]
 		}
-		warmth := f.settings.ColdFraction + (1-f.settings.ColdFraction)*float64(now-f.restartedAt)/float64(f.settings.WarmUpTime)
-		n := f.settings.CrashMultiple * warmth * f.capacity * float64(f.settings.CrashWindow) / float64(second)
+		fraction := f.settings.ColdFraction + (1-f.settings.ColdFraction)*float64(now-f.restartedAt)/float64(f.settings.WarmUpTime)
+		n := f.settings.CrashMultiple * fraction * f.capacity * float64(f.settings.CrashWindow) / float64(second)
 		worst = max(worst, float64(len(sends))/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -1296,7 +1296,7 @@
 			b.handle(Event{Kind: AttemptEnded, Call: id, Server: 10, Outcome: ConnectionLost, CallEnded: true})
 		}
 		if s := b.c.server(10); s.down != (cut == 3) || (b.c.capacityFraction(s) < 1) != (cut == 3) {
-			t.Errorf("%d of 3 cut: down %v, warmth %v", cut, s.down, b.c.capacityFraction(s))
+			t.Errorf("%d of 3 cut: down %v, capacity fraction %v", cut, s.down, b.c.capacityFraction(s))
 		}
 	}
 }
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -44,8 +44,8 @@
 	// priorInTime is how many set-ups in time are assumed before any have been seen, so that one late set-up of a new
 	// or idle instance does not count as congestion, and two are a hint of it.
 	priorInTime = 2.0
-	// A set-up within minDelayMultiple times the lowest recent delay is in time, even if it exceeds the limit set by
-	// the aim, up to maxInTimePart of the aim: servers that are slow by nature, with a call or two per second each, are
+	// A set-up within minDelayMultiple times the lowest recent delay is in time, even if it exceeds InTime of the
+	// shortest target delay, up to maxInTimePart of it: servers that are slow by nature, with a call or two per second each, are
 	// not congested. minDelayFadeTime is how slowly the lowest delay is forgotten.
 	minDelayMultiple, maxInTimePart = 4.0, 0.9
 	minDelayFadeTime                = 60 * float64(second)
@@ -57,11 +57,11 @@
 // Settings are the module's parameters. Those that are 0 get default values.
 type Settings struct {
 	Control     control.Settings
-	InTime      float64 // part of the shortest aim within which a set-up must be answered
+	InTime      float64 // part of the shortest target delay within which a set-up must be answered
 	FadeTime    float64 // time over which the readings decay, in nanoseconds
 	MinLimit    float64 // set-ups that may always be outstanding: with none, the module would never learn anything again
 	Headroom    float64 // how far the limit is raised while most set-ups are answered in time
-	TargetDelay float64 // the delay to keep, as a part of the shortest aim
+	TargetDelay float64 // the delay to keep, as a part of the shortest target delay of all classes
 	RedialPause float64 // seconds for which redials are refused after a first call has met the limit
 }
 
@@ -111,7 +111,7 @@
 type Goodput struct {
 	settings                    Settings
 	rng                         *rand.Rand
-	aim                         float64
+	shortestTarget              float64
 	outstanding                 map[string]*attempt
 	queue                       []*attempt // the outstanding attempts in order of time, without those that are late
 	late                        int        // how many outstanding attempts are late
@@ -133,9 +133,9 @@
 	if onChange == nil {
 		onChange = func(Change) {}
 	}
-	g := &Goodput{settings: s, rng: rand.New(rand.NewPCG(seed, 0x676f6f64)), aim: math.Inf(1), outstanding: map[string]*attempt{}, updatedAt: now, minDelay: math.Inf(1), minDelayAt: now, state: Open, since: now, onChange: onChange}
+	g := &Goodput{settings: s, rng: rand.New(rand.NewPCG(seed, 0x676f6f64)), shortestTarget: math.Inf(1), outstanding: map[string]*attempt{}, updatedAt: now, minDelay: math.Inf(1), minDelayAt: now, state: Open, since: now, onChange: onChange}
 	for _, c := range s.Control.Classes {
-		g.aim = min(g.aim, float64(c.TargetDelay))
+		g.shortestTarget = min(g.shortestTarget, float64(c.TargetDelay))
 	}
 	return g
 }
@@ -198,9 +198,9 @@
 
 // inTime returns the delay within which a set-up must be answered.
 func (g *Goodput) inTime() float64 {
-	t := g.settings.InTime * g.aim
+	t := g.settings.InTime * g.shortestTarget
 	if !math.IsInf(g.minDelay, 1) {
-		t = min(max(t, minDelayMultiple*g.minDelay), max(t, maxInTimePart*g.aim))
+		t = min(max(t, minDelayMultiple*g.minDelay), max(t, maxInTimePart*g.shortestTarget))
 	}
 	return t
 }
@@ -233,7 +233,7 @@
 func (g *Goodput) limit(now int64) (limit, lateShare float64) {
 	inTimeCount, notInTime := g.inTimeCount.value(now, g.settings.FadeTime), g.notInTimeCount.value(now, g.settings.FadeTime)
 	lateShare = notInTime / (inTimeCount + notInTime + priorInTime)
-	limit = g.settings.MinLimit + inTimeCount/g.settings.FadeTime*g.settings.TargetDelay*g.aim // Little's law
+	limit = g.settings.MinLimit + inTimeCount/g.settings.FadeTime*g.settings.TargetDelay*g.shortestTarget // Little's law
 	if lateShare < 0.5 {
 		limit += g.settings.Headroom * (1 - 2*lateShare) / max(lateShare, 1e-3) // 0 at a half, far more than is ever outstanding at a tenth
 	}
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -61,7 +61,7 @@
 	OnGauge(now int64, name string, used float64)
 }
 
-// Gauge passes a measurement on to the modules that receive them.
+// OnGauge passes a measurement on to the modules that receive them.
 func (c Chain) OnGauge(now int64, name string, used float64) {
 	for _, m := range c {
 		if g, ok := m.(GaugeReceiver); ok {
@@ -137,11 +137,11 @@
 	return all
 }
 
-// Names lists the modules in order. twice tells that a name occurs more than once, which is a configuration error.
-func (c Chain) Names() (names []string, twice bool) {
+// Names lists the modules in order. duplicate tells that a name occurs more than once, which is a configuration error.
+func (c Chain) Names() (names []string, duplicate bool) {
 	for _, m := range c {
-		twice = twice || slices.Contains(names, m.Name())
+		duplicate = duplicate || slices.Contains(names, m.Name())
 		names = append(names, m.Name())
 	}
-	return names, twice
+	return names, duplicate
 }
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Learnt is the state that an instance has learnt, for the process that replaces it. It holds no calls and no attempts,
+// LearnedState is what an instance has learned, for the process that replaces it. It holds no calls and no attempts,
 // as those end with the process. Times are Unix nanoseconds, durations nanoseconds, rates calls a second. Restoring it
 // makes no decisions of its own: every value carries the time of its last update, so that the time between the
 // processes makes it decay as the same time without a call would.
@@ -29,7 +29,7 @@
 	At int64   `json:"at_ns"`
 }
 
-// LearnedServer is what has been learnt of one server's processor, which its start identifies.
+// LearnedServer is what has been learned of one server's processor, which its start identifies.
 type LearnedServer struct {
 	ID                uint64        `json:"id"`
 	ReadyAt           int64         `json:"ready_at_ns"`
@@ -58,7 +58,7 @@
 func (d decayingCount) exported() DecayingCount { return DecayingCount{d.n, d.at} }
 func (d DecayingCount) restored() decayingCount { return decayingCount{d.N, d.At} }
 
-// Learnt returns what has been learnt up to the last event.
+// LearnedState returns what has been learned up to the last event.
 func (c *Controller) LearnedState() LearnedState {
 	l := LearnedState{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established,
 		Carried: c.carried.exported(), Offered: c.offered.exported(), LoadPerUnit: c.loadPerUnit, PeakLoad: c.peakLoad, RefreshedAt: c.refreshedAt}
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// Restore takes over what the process before had learnt. It must follow the first server list: servers that are not
+// Restore takes over what the previous process had learned. It must follow the first server list: servers that are not
 // listed, or whose processor has started since, are left out. If l is invalid, nothing changes.
 func (c *Controller) Restore(now int64, l LearnedState) error {
 	if err := l.Check(now); err != nil {
@@ -141,11 +141,11 @@
 	Server           uint64
 	Available        bool    // listed and not draining
 	Cold             bool    // started recently by the list, or was found down
-	CapacityFraction float64 // part of its capacity that it is assumed to have
+	CapacityFraction float64 // part of its full capacity that it is assumed to have
 	Down             bool    // gets single trials only
-	InBackoff        bool    // by an earlier answer
-	Overloaded       bool    // its expected delay blocks calls of the least value
-	Pending          int     // set-ups whose answer is awaited
+	InBackoff        bool    // gets no calls for a time because of an earlier answer or failure
+	Overloaded       bool    // its expected delay closes it to calls of the least valuable class
+	Pending          int     // set-ups whose answer is still awaited
 	EstablishedCalls int     // established calls of this instance
 	ExpectedDelay    int64   // nanoseconds
 }
--- a/control/learnt_test.go
+++ b/control/learnt_test.go
@@ -64,7 +64,7 @@
 	}
 	other := after(second, Entry{Server: 1, Share: 1, ReadyAt: now}, Entry{Server: 3, Cell: 1, Share: 1})
 	if s := other.server(1); s.delay != 0 || s.delayAt != 0 || other.server(2) != nil {
-		t.Error("what was learnt of another processor counts for this one")
+		t.Error("what was learned of another processor counts for this one")
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// ServerStatuses must leave the learnt state unchanged to the last bit.
+// ServerStatuses must leave the learned state unchanged to the last bit.
 func TestServerStatusesChangeNothing(t *testing.T) {
 	c, now := trainedController(t)
 	before := c.LearnedState()
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -5,7 +5,7 @@
 // oscillation does not make the level flap.
 //
 // The module is pure: it is told the time and takes part in decisions through package join. Readings that events do not
-// carry (memory, descriptors, the age of the list) are passed to Gauge.
+// carry (memory, descriptors, the age of the list) are passed to OnGauge.
 package levels
 
 import (
@@ -36,7 +36,7 @@
 // The reason codes of readings and decisions.
 const (
 	TurnedAway   = "turned-away"  // share of calls refused or failed by control
-	Delay        = "delay"        // set-up delay, relative to the aim
+	Delay        = "delay"        // set-up delay, relative to the shortest target delay
 	Full         = "full"         // share of set-ups that servers answered as full
 	Memory       = "memory"       // memory of the instance, relative to its limit
 	Descriptors  = "descriptors"  // descriptors of the instance, relative to its limit
@@ -118,28 +118,28 @@
 
 // Levels is the module's state.
 type Levels struct {
-	settings     control.Settings
-	rng          *rand.Rand
-	aim          float64
-	recovering   func(now int64) bool
-	level        Level
-	since        int64
-	changed      bool    // the level has changed since the start; the first level has no minimum stay
-	evidence     float64 // accumulated for the next level, in nanoseconds at its entry score
-	lowSince     int64   // since when the readings are low enough to leave the level; 0: they are not
-	updatedAt    int64
-	offered      fadingCount
-	answered     fadingCount // calls answered; turnedAway counts those of them that control refused or failed
-	turnedAway   fadingCount
-	placed       fadingCount
-	attempts     fadingCount // attempts that ended; answeredFull counts those of them that a server answered as full
-	answeredFull fadingCount
-	meanDelay    float64 // smoothed delay of successful set-ups, in nanoseconds
-	delayCount   fadingCount
-	gauges       map[string]gauge
-	history      []Change
-	refused      int64
-	onChange     func(Change)
+	settings       control.Settings
+	rng            *rand.Rand
+	shortestTarget float64
+	recovering     func(now int64) bool
+	level          Level
+	since          int64
+	changed        bool    // the level has changed since the start; the first level has no minimum stay
+	evidence       float64 // accumulated for the next level, in nanoseconds at its entry score
+	lowSince       int64   // since when the readings are low enough to leave the level; 0: they are not
+	updatedAt      int64
+	offered        fadingCount
+	answered       fadingCount // calls answered; turnedAway counts those of them that control refused or failed
+	turnedAway     fadingCount
+	placed         fadingCount
+	attempts       fadingCount // attempts that ended; answeredFull counts those of them that a server answered as full
+	answeredFull   fadingCount
+	meanDelay      float64 // smoothed delay of successful set-ups, in nanoseconds
+	delayCount     fadingCount
+	gauges         map[string]gauge
+	history        []Change
+	refused        int64
+	onChange       func(Change)
 }
 
 // New creates the module at now, in Unix nanoseconds. recovering tells whether the instance still recovers from its
@@ -152,10 +152,10 @@
 	if onChange == nil {
 		onChange = func(Change) {}
 	}
-	l := &Levels{settings: s, rng: rand.New(rand.NewPCG(seed, 0x6c6576656c73)), aim: math.Inf(1), recovering: recovering, since: now, updatedAt: now,
+	l := &Levels{settings: s, rng: rand.New(rand.NewPCG(seed, 0x6c6576656c73)), shortestTarget: math.Inf(1), recovering: recovering, since: now, updatedAt: now,
 		gauges: map[string]gauge{}, onChange: onChange}
 	for _, g := range s.Classes {
-		l.aim = min(l.aim, float64(g.TargetDelay))
+		l.shortestTarget = min(l.shortestTarget, float64(g.TargetDelay))
 	}
 	return l
 }
@@ -163,7 +163,7 @@
 // Name implements join.Module.
 func (l *Levels) Name() string { return "levels" }
 
-// Gauge takes a measurement of the instance itself: the used part of a resource, from 0 to 1, or for ListAge the age of
+// OnGauge takes a measurement of the instance itself: the used part of a resource, from 0 to 1, or for ListAge the age of
 // the list's last update in units of ten seconds.
 func (l *Levels) OnGauge(now int64, name string, used float64) {
 	if used >= 0 && !math.IsInf(used, 0) {
@@ -250,7 +250,7 @@
 		values[Full] = l.answeredFull.value(now) / n / fullUnit
 	}
 	if l.delayCount.value(now) >= minCalls {
-		values[Delay] = l.meanDelay / l.aim / delayUnit
+		values[Delay] = l.meanDelay / l.shortestTarget / delayUnit
 	}
 	for name, g := range l.gauges {
 		switch {
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -48,8 +48,8 @@
 
 // perSecond turns a count over loadAveraging into a rate a second, allowing for the shorter time since a start.
 func (c *Controller) perSecond(d *decayingCount) float64 {
-	seen := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
-	return d.decayed(c.now, loadAveraging) * float64(second) / seen
+	observed := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
+	return d.decayed(c.now, loadAveraging) * float64(second) / observed
 }
 
 // refreshTotals updates, once an event, what concerns all servers: the share of lost answers, and the recent peaks of
@@ -178,16 +178,16 @@
 	return nil
 }
 
-// recordAnswer takes a server's answer to a set-up. Its delay counts as at least the given one, 0 for a success.
-func (c *Controller) recordAnswer(s *server, id string, least float64) {
+// recordAnswer takes a server's answer to a set-up. Its delay counts as minDelay at least; 0: the set-up was established.
+func (c *Controller) recordAnswer(s *server, id string, minDelay float64) {
 	a, ok := s.removeAttempt(id)
 	if !ok {
 		return
 	}
 	s.answered.n = s.answered.decayed(c.now, lossDecay) + 1
 	c.cancelOvertaken(s, a.sentAt)
-	delay, gap := max(float64(c.now-a.sentAt), least), float64(c.now-s.delayAt)
-	if least == 0 {
+	delay, gap := max(float64(c.now-a.sentAt), minDelay), float64(c.now-s.delayAt)
+	if minDelay == 0 {
 		s.establishedSentAt = max(s.establishedSentAt, a.sentAt)
 		c.spacing = max(c.spacing+spacingSmoothing*(delay-c.spacing), float64(c.cfg.Resolution), 1)
 	}
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -34,9 +34,9 @@
 	millisecond = int64(1e6)
 	// initialWindow is how many set-ups may be outstanding to an unproven server: two, as one may get lost. A server
 	// is proven once its window reaches provenWindow: when each of four instances has that many set-ups outstanding to
-	// a server at its planned load, less than one aim's worth is queued there.
+	// a server at its planned load, less than one target delay's work is queued there.
 	initialWindow, provenWindow = 2.0, 8.0
-	// evidenceDelayPart is the part of the shortest aim within which a set-up must succeed to count as evidence.
+	// evidenceDelayPart is the part of the shortest target delay within which a set-up must succeed to count as evidence.
 	evidenceDelayPart = 0.5
 	// windowIncrease is added to the window for a set-up that succeeded in time; the window is multiplied by
 	// windowDecrease for one that was late, lost or refused.
@@ -47,10 +47,10 @@
 	// an overload (a loss of 0.0005 to 0.001 of service, over 24 paired seeds of the model); without any limit the
 	// longest wait at them was a tenth longer.
 	coldLoadFactor = 1.6
-	// creditWindowPart is the part of the rules' fall window for which unused credit is kept. minCreditLimit lets a
+	// creditWindowPart is the part of CrashWindow for which unused credit is kept. minCreditLimit lets a
 	// server whose part is under one call in that time have one at all.
 	creditWindowPart, minCreditLimit = 0.25, 1.0
-	// maxHoldPart is the part of the shortest aim for which a call may be held; the module is asked about it again
+	// maxHoldPart is the part of the shortest target delay for which a call may be held; the module is asked about it again
 	// every holdInterval.
 	maxHoldPart, holdInterval = 0.25, 20 * millisecond
 	// maxHeldPerServer limits the calls held at once, for each listed server.
@@ -92,29 +92,29 @@
 
 // Recovery is the module's state.
 type Recovery struct {
-	settings     Settings
-	rng          *rand.Rand
-	startedAt    int64
-	aim          int64
-	servers      []*server         // sorted by id
-	outstanding  map[string]uint64 // the server of each call whose set-up is outstanding
-	restored     map[uint64]Evidence
-	held         map[string]bool
-	listedCount  int
-	done         bool
-	doneAt       int64
-	reason       string // why recovery ended
-	heldTotal    int64
-	refusedTotal int64
+	settings       Settings
+	rng            *rand.Rand
+	startedAt      int64
+	shortestTarget int64
+	servers        []*server         // sorted by id
+	outstanding    map[string]uint64 // the server of each call whose set-up is outstanding
+	restored       map[uint64]Evidence
+	held           map[string]bool
+	listedCount    int
+	done           bool
+	doneAt         int64
+	reason         string // why recovery ended
+	heldTotal      int64
+	refusedTotal   int64
 }
 
 // New creates the module for a process that starts at now, in Unix nanoseconds. restored is the evidence from a
 // snapshot, if any.
 func New(s Settings, seed uint64, now int64, restored []Evidence) *Recovery {
 	r := &Recovery{settings: s, startedAt: now, rng: rand.New(rand.NewPCG(seed, 0x7265636f76)), outstanding: map[string]uint64{},
-		restored: map[uint64]Evidence{}, held: map[string]bool{}, aim: s.Control.Classes[0].TargetDelay}
+		restored: map[uint64]Evidence{}, held: map[string]bool{}, shortestTarget: s.Control.Classes[0].TargetDelay}
 	for _, g := range s.Control.Classes {
-		r.aim = min(r.aim, g.TargetDelay)
+		r.shortestTarget = min(r.shortestTarget, g.TargetDelay)
 	}
 	for _, e := range restored {
 		r.restored[e.Server] = e
@@ -173,7 +173,7 @@
 			// The initial credit is random, so that many instances that start together spread out what they send.
 			s.readyAt, s.window, s.proven, s.credit, s.creditAt = e.ReadyAt, initialWindow, false, r.rng.Float64(), now
 			if b, ok := r.restored[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.SucceededAt <= now &&
-				now-b.SucceededAt < maxEvidenceAge && float64(b.Delay) <= evidenceDelayPart*float64(r.aim) {
+				now-b.SucceededAt < maxEvidenceAge && float64(b.Delay) <= evidenceDelayPart*float64(r.shortestTarget) {
 				s.window, s.proven = provenWindow, true
 			}
 		}
@@ -205,7 +205,7 @@
 // onSuccess handles a set-up that succeeded: in time it is evidence that the server works, late it is a sign of a
 // queue.
 func (r *Recovery) onSuccess(s *server, delay int64) {
-	if float64(delay) > evidenceDelayPart*float64(r.aim) {
+	if float64(delay) > evidenceDelayPart*float64(r.shortestTarget) {
 		s.window = max(s.window*windowDecrease, 1)
 		return
 	}
@@ -224,7 +224,7 @@
 }
 
 // warmUpFraction is the part of its capacity that a server has reached according to the list: it grows linearly from
-// ColdFrom to 1 over ColdSpan, as the rules define it. It is 1 for a server that is warm or whose start is not known.
+// ColdFraction to 1 over WarmUpTime, as the rules define it. It is 1 for a server that is warm or whose start is not known.
 func (r *Recovery) warmUpFraction(now int64, s *server) float64 {
 	c := r.settings.Control
 	age := now - s.readyAt
@@ -239,7 +239,7 @@
 	return coldLoadFactor * r.warmUpFraction(now, s) * r.settings.Planned / float64(max(r.listedCount, 1)) / float64(max(r.settings.Control.GroupSize, 1))
 }
 
-// currentCredit is the credit of a cold server at now. It is capped at a part of one fall window's budget, so that an
+// currentCredit is the credit of a cold server at now. It is capped at a part of one CrashWindow's budget, so that an
 // idle period does not end in a burst.
 func (r *Recovery) currentCredit(now int64, s *server) float64 {
 	coldRate := r.coldRate(now, s)
@@ -278,7 +278,7 @@
 	}
 }
 
-// Admit implements join.Module. A call is held while no server has room, at most for a part of its aim; after that, and
+// Admit implements join.Module. A call is held while no server has room, at most for a part of the target delay; after that, and
 // where as many calls are held as can have room soon, control decides. A redial is refused at that point: its caller
 // has been refused before, and first calls take precedence.
 func (r *Recovery) Admit(now int64, c join.Call) join.Decision {
@@ -289,7 +289,7 @@
 		delete(r.held, c.ID)
 		return join.Decision{}
 	}
-	remaining := c.ReceivedAt + int64(maxHoldPart*float64(r.aim)) - now
+	remaining := c.ReceivedAt + int64(maxHoldPart*float64(r.shortestTarget)) - now
 	switch {
 	case remaining < holdInterval || c.NotAfter-now < 2*holdInterval:
 	case r.held[c.ID]:
@@ -323,7 +323,7 @@
 	})
 }
 
-// timeLimitReached tells whether ColdSpan has passed since the start: every server that had started unnoticed before
+// timeLimitReached tells whether WarmUpTime has passed since the start: every server that had started unnoticed before
 // this process is warm by then.
 func (r *Recovery) timeLimitReached(now int64) bool {
 	return now-r.startedAt >= r.settings.Control.WarmUpTime
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -122,12 +122,12 @@
 		t.Fatal(got)
 	}
 	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", ReceivedAt: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
-		t.Fatal("a call held for a quarter of its aim is not left to control", got)
+		t.Fatal("a call held for a quarter of its target delay is not left to control", got)
 	}
 }
 
 // In random sequences of events, neither a cold server's budget nor a window is exceeded, no call is held beyond its
-// part of the aim, recovery ends at the time limit and keeps no state then, and the same events lead to the same
+// part of the target delay, recovery ends at the time limit and keeps no state then, and the same events lead to the same
 // decisions.
 func TestRandomHistories(t *testing.T) {
 	flag.Set("rapid.seed", "1")
--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -5,7 +5,7 @@
 	"masthill/control/shared/outlier"
 )
 
-// silentShare is the part of the shortest aim after which an unanswered attempt is reported as Silent.
+// silentShare is the part of the shortest target delay after which an unanswered attempt is reported as Silent.
 const silentShare = 0.75
 
 // maxCalls bounds the calls and the attempts that are tracked. Those beyond it are ignored.
@@ -94,7 +94,7 @@
 	for len(m.attemptOrder) > 0 {
 		a := m.attempts[m.attemptOrder[0]]
 		if a != nil && !a.reportedSilent {
-			if float64(now-a.sentAt) < silentShare*float64(m.shortestAim) {
+			if float64(now-a.sentAt) < silentShare*float64(m.shortestTarget) {
 				return
 			}
 			a.reportedSilent = true
--- a/control/shared/cold.go
+++ b/control/shared/cold.go
@@ -38,8 +38,8 @@
 	if startedAt <= 0 || age >= c.WarmUpTime {
 		return "", 0, false
 	}
-	warmth := c.ColdFraction + (1-c.ColdFraction)*float64(age*warmupSteps/c.WarmUpTime)/warmupSteps
-	size = int64(1000 * coldRateFactor * warmth * m.cfg.Planned / float64(max(m.servingCount, 1)))
+	fraction := c.ColdFraction + (1-c.ColdFraction)*float64(age*warmupSteps/c.WarmUpTime)/warmupSteps
+	size = int64(1000 * coldRateFactor * fraction * m.cfg.Planned / float64(max(m.servingCount, 1)))
 	return "cold/" + strconv.FormatUint(server, 16), size, true
 }
 
--- a/control/shared/count/reading.go
+++ b/control/shared/count/reading.go
@@ -37,9 +37,9 @@
 		}
 		r.Processes++
 		r.AgeMS = max(r.AgeMS, age/1e6)
-		least, most := s.bounds(id, h, key, now-window, total)
-		r.LowerBound += least
-		r.UpperBound += most
+		lower, upper := s.bounds(id, h, key, now-window, total)
+		r.LowerBound += lower
+		r.UpperBound += upper
 		if id != s.own { // plus what it can have counted since its newest message was sent
 			r.UpperBound += int64(math.Ceil(s.cfg.MaxRate * float64(min(age+s.cfg.MaxDelay, window)) / 1e9))
 		}
@@ -68,21 +68,21 @@
 
 // bounds returns the least and the most that a source can have counted between the time from and its newest message. A
 // sample shows the source when its message was sent: no later than the message arrived, and at most MaxDelay earlier.
-func (s *Set) bounds(id Source, h *history, key string, from, total int64) (least, most int64) {
+func (s *Set) bounds(id Source, h *history, key string, from, total int64) (lower, upper int64) {
 	delay := s.cfg.MaxDelay
 	if id == s.own {
 		delay = 0
 	}
-	after := total // the most that it can have counted by the time from
+	maxBefore := total // the most that it can have counted by the time from
 	certain := sort.Search(len(h.samples), func(k int) bool { return h.samples[k].at-delay >= from })
 	if certain < len(h.samples) {
-		after = min(after, h.samples[certain].counts[key])
+		maxBefore = min(maxBefore, h.samples[certain].counts[key])
 	}
 	if h.startedAt-delay-1e6 >= from {
-		after = 0 // its process had not started
+		maxBefore = 0 // its process had not started
 	}
 	earlier, _ := h.samplesAround(from)
-	return total - min(after, total), total - earlier.counts[key]
+	return total - min(maxBefore, total), total - earlier.counts[key]
 }
 
 // samplesAround returns the last sample at or before a time, and the index of the first one after it. If there is none
--- a/control/shared/lease/holder.go
+++ b/control/shared/lease/holder.go
@@ -47,7 +47,7 @@
 	return requests
 }
 
-// onLeaseGrant takes what the last request brought. It is valid for a term from when the request was sent.
+// onLeaseGrant stores the rates granted for the last request. They are valid for a term from when it was sent.
 func (n *Node) onLeaseGrant(now int64, m Message) {
 	fromTarget := m.From.Name == n.requestTarget || m.From == n.id
 	if m.Round != n.requestRound || n.requestAnswered || !fromTarget {
--- a/control/shared/lease/leader.go
+++ b/control/shared/lease/leader.go
@@ -89,7 +89,8 @@
 	return kept
 }
 
-// reserve decides what a holder gets of one budget and counts as in use whichever is more: that, or what it holds already.
+// reserve decides what a holder gets of one budget. It counts that as in use, or what the holder has already if that is
+// more.
 func (n *Node) reserve(now int64, id ID, h *holder, request BudgetLease) (rate int64) {
 	r := reservation{reserved: request.Held, requested: request.Rate, size: request.Size, until: now + n.cfg.Term}
 	h.reservations[request.Budget] = r
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -7,7 +7,7 @@
 // The youngest reports decide, rather than sums over a time, because that is faster: when a server goes silent there are
 // hundreds of good observations, all of them older than the first bad one.
 //
-// A decision only keeps calls away, as a cap of package join does, and overrides no other rule. It expires by itself: each
+// A decision only keeps calls away, as HasRoom of package join does, and overrides no other rule. It expires by itself: each
 // instance then tries the server again at a random time of its own, so that the first to try informs the others.
 //
 // The package is pure: callers pass in the time. Reports carry ages, so no common clock is needed.
@@ -178,7 +178,7 @@
 	}
 }
 
-// Cold tells whether any instance saw a server recover from being dead within the given time. Such a server has just
+// RestartedWithin tells whether any instance saw a server recover from being dead within the given time. Such a server has just
 // started, whatever the list of servers says.
 func (d *Detector) RestartedWithin(now int64, id uint64, within int64) bool {
 	s := d.servers[id]
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -27,14 +27,14 @@
 	aloneTimeout = 5 * second
 )
 
-// Shared implements join.Module.
+// Module is the decision module; it implements join.Module.
 type Module struct {
-	cfg         Config
-	shortestAim int64 // of all classes of calls
-	startedAt   int64
-	state       string
-	since       int64 // when the state began
-	lastHeardAt int64
+	cfg            Config
+	shortestTarget int64 // of all classes of calls
+	startedAt      int64
+	state          string
+	since          int64 // when the state began
+	lastHeardAt    int64
 
 	lease    *lease.Node
 	count    *count.Set
@@ -58,22 +58,22 @@
 func New(c Config, seed uint64, now int64, on Callbacks) *Module {
 	c.Lease.MaxInstances = max(c.Lease.MaxInstances, 1)
 	m := &Module{
-		cfg:         c,
-		shortestAim: c.Control.Classes[0].TargetDelay,
-		startedAt:   now,
-		state:       Alone,
-		since:       now,
-		lastHeardAt: now - aloneTimeout,
-		lease:       lease.New(c.Lease, lease.ID{Name: c.Name, Epoch: c.Epoch}, seed, now, on.Claim),
-		count:       count.New(c.Count, count.Source{Name: c.Name, Epoch: c.Epoch}, now),
-		detector:    outlier.New(c.Outlier, c.Name, c.Machine, seed, on.Decision),
-		servers:     map[uint64]*serverEntry{},
-		attempts:    map[string]*attempt{},
-		callTenants: map[string]string{},
-		countedKeys: map[string]bool{},
+		cfg:            c,
+		shortestTarget: c.Control.Classes[0].TargetDelay,
+		startedAt:      now,
+		state:          Alone,
+		since:          now,
+		lastHeardAt:    now - aloneTimeout,
+		lease:          lease.New(c.Lease, lease.ID{Name: c.Name, Epoch: c.Epoch}, seed, now, on.Claim),
+		count:          count.New(c.Count, count.Source{Name: c.Name, Epoch: c.Epoch}, now),
+		detector:       outlier.New(c.Outlier, c.Name, c.Machine, seed, on.Decision),
+		servers:        map[uint64]*serverEntry{},
+		attempts:       map[string]*attempt{},
+		callTenants:    map[string]string{},
+		countedKeys:    map[string]bool{},
 	}
 	for _, class := range c.Control.Classes {
-		m.shortestAim = min(m.shortestAim, class.TargetDelay)
+		m.shortestTarget = min(m.shortestTarget, class.TargetDelay)
 	}
 	if on.Leader != nil {
 		m.lease.OnLeader(on.Leader)
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -187,8 +187,8 @@
 	if _, ok := g.instances[7].Totals(g.now); ok || g.instances[7].Status(g.now).State != Alone {
 		t.Error("fleet totals available to a disconnected instance")
 	}
-	look := g.instances[1].Snapshot(g.now) // of a voter
-	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].LowerBound > look.Counts[0].UpperBound {
-		t.Errorf("%+v", look)
+	snapshot := g.instances[1].Snapshot(g.now) // of a voter
+	if len(snapshot.Counts) == 0 || snapshot.Leader == "" || snapshot.Counts[0].LowerBound > snapshot.Counts[0].UpperBound {
+		t.Errorf("%+v", snapshot)
 	}
 }
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -33,7 +33,7 @@
 	return all, true
 }
 
-// Look is the module's state for operators and the lab's checkers.
+// Snapshot is the module's state for operators and the lab's checkers.
 type Snapshot struct {
 	State       string              `json:"state"`
 	SinceNS     int64               `json:"since_ns"`
@@ -52,7 +52,7 @@
 	count.Reading
 }
 
-// Look returns the module's state.
+// Snapshot returns the module's state.
 func (m *Module) Snapshot(now int64) Snapshot {
 	l := Snapshot{
 		State:       m.state,
--- a/control/types.go
+++ b/control/types.go
@@ -23,7 +23,7 @@
 	T1            int64    // a set-up without an answer is repeated after this; 0: never
 	ReleaseWait   int64    // wait before another attempt after a time-out, lost connection or cancel
 	DrainGrace    int64
-	CrashMultiple float64 // sends within FallWindow, in multiples of its capacity, at which a cold server crashes
+	CrashMultiple float64 // sends within CrashWindow, in multiples of its capacity, at which a cold server crashes
 	CrashWindow   int64
 	ColdFraction  float64 // part of its capacity that a server has when it starts
 	WarmUpTime    int64   // time until it has all of it
@@ -77,8 +77,8 @@
 // Class describes a class of calls.
 type Class struct {
 	TargetDelay, Deadline int64   // time from a call's arrival within which it should, and must, be established
-	Value                 float64 // of a call established within its target time Aim
-	LateValue             float64 // factor of Worth after that
+	Value                 float64 // of a call established within TargetDelay
+	LateValue             float64 // factor of Value after that
 	Effect                Effect
 	Cells                 []int // that may take it; empty: any
 }
@@ -131,16 +131,16 @@
 	Key         string // dialled number
 	NotAfter    int64  // when the call is given up
 	Waited      int64  // time since the call was accepted, if another module held it first
-	FirstChoice int    // cell of the first choice
+	FirstChoice int    // preferred cell
 	Redialed    bool   // the caller calls again
-	InTransit   bool   // only servers of cell FarEnd may take the call
+	InTransit   bool   // only servers of cell FirstChoice may take the call
 	Server      uint64
 	Elapsed     int64 // since the attempt or probe was sent
 	Outcome     Outcome
 	CallEnded   bool      // the call is over, with no further attempt
 	Note        int       // detail of the outcome: 1 no free line, 4 number busy
 	WaitMS      int64     // wait that the server asked for, in milliseconds
-	Report      []float64 // load report, in the order of Settings.Fields; nil: none
+	Report      []float64 // load report, in the order of Settings.ReportFields; nil: none
 	Tag         uint64
 	FullList    bool
 	Entries     []Entry
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -138,7 +138,7 @@
 		}
 		candidate.ending, candidate.evicted = true, true
 		s.evicting++
-		candidate.CloseWithReason(sip.Evicted) // not Abort: many at once would each wait for the reader, and block the front
+		candidate.CloseWithReason(sip.Evicted) // not Abort: many at once would each wait for the reader, and block the server
 	}
 }
 
@@ -189,7 +189,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if _, begun := c.PartialMessage(); !c.ending && (begun || c.openCalls > 0 || c.hasRequested && c.establishedCalls == 0) {
+		if _, partial := c.PartialMessage(); !c.ending && (partial || c.openCalls > 0 || c.hasRequested && c.establishedCalls == 0) {
 			n++
 		}
 	}
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -120,14 +120,14 @@
 
 // isReading tells whether part of a message has arrived recently.
 func (c *conn) isReading() bool {
-	heard, begun := c.PartialMessage()
-	return begun && time.Since(heard) < partialReadAge
+	readAt, partial := c.PartialMessage()
+	return partial && time.Since(readAt) < partialReadAge
 }
 
 // lastActivity returns when the connection was last used, counting a partly read message.
 func (c *conn) lastActivity() time.Time {
-	if heard, begun := c.PartialMessage(); begun && heard.After(c.lastUsed) {
-		return heard
+	if readAt, partial := c.PartialMessage(); partial && readAt.After(c.lastUsed) {
+		return readAt
 	}
 	return c.lastUsed
 }
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -12,7 +12,7 @@
 	firstPresenceRecheck, maxPresenceWait = time.Millisecond, 200 * time.Millisecond
 )
 
-// presence returns what the front knows of a call's client; Connected where the front can't tell.
+// presence returns what the front end knows of a call's client; Connected where it can't tell.
 func presence(caller Caller, id string) Presence {
 	if checker, ok := caller.(PresenceChecker); ok {
 		return checker.Presence(id)
@@ -20,8 +20,8 @@
 	return Connected
 }
 
-// send starts an attempt. The controller keeps the rules itself; an attempt that would break one is not sent here, and
-// reported back to the controller as one that never ran, unless another attempt is in flight.
+// send starts an attempt. The controller keeps to the rules by itself. An attempt that would break one all the same is
+// not sent; it is reported back as one that never ran, unless another attempt is in flight.
 func (c *core) send(cl *call, a control.Action) {
 	clientPresence := presence(cl.caller, cl.ID)
 	if cl.disconnected || clientPresence == Gone {
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -8,7 +8,7 @@
 	"masthill/control"
 )
 
-// clientStub is a front whose clients have a presence that the test sets.
+// clientStub is a front end whose clients have a presence that the test sets.
 type clientStub struct {
 	*harness
 	presence Presence
@@ -16,7 +16,7 @@
 
 func (c *clientStub) Presence(string) Presence { return c.presence }
 
-// submitFrom submits a call of a front.
+// submitFrom submits a call of a front end.
 func (b *harness) submitFrom(from Caller, id string) {
 	b.submit(Setup{ID: id, Owner: "o", ClassName: "open-log", Number: "17", ReceivedAt: b.testTime, ExpiresAt: b.testTime.Add(3 * time.Second)}, from)
 }
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -73,24 +73,24 @@
 // is asked about again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.ReceivedAt.UnixNano()
-	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, FirstChoice: cl.FirstChoice,
+	decision, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, FirstChoice: cl.FirstChoice,
 		Redialed: cl.Redialed, ReceivedAt: cl.ReceivedAt.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.holds})
 	if cl.holds > 0 {
 		c.heldByModules--
 	}
 	switch {
-	case ruling.Verdict == join.Refuse:
-		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", ruling.Reason, "later_ms", ruling.Wait/1e6)
+	case decision.Verdict == join.Refuse:
+		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", decision.Reason, "later_ms", decision.Wait/1e6)
 		cl.holds = -1
 		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; the controller never saw the call
 		if !c.settings.RetryAfter {
-			ruling.Wait = 0
+			decision.Wait = 0
 		}
-		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(min(max(ruling.Wait, 0), c.settings.MaxRetryAfter))})
-	case ruling.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
+		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(min(max(decision.Wait, 0), c.settings.MaxRetryAfter))})
+	case decision.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
 		cl.holds++
 		c.heldByModules++
-		c.afterForCall(cl, max(time.Duration(ruling.Wait), minHoldInterval), c.admit)
+		c.afterForCall(cl, max(time.Duration(decision.Wait), minHoldInterval), c.admit)
 	default:
 		if cl.holds == 0 { // decided at once, as without joined modules
 			waited = 0
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -13,9 +13,9 @@
 	// deadline. At the busiest rates of one instance they are a few thousand. answerMemoryDivisor bounds their
 	// descriptions as a fraction of the instance's memory, 1/24, and with bytesPerAnswer their number.
 	answerRetention, answerMemoryDivisor, bytesPerAnswer = 30 * time.Second, 24, 1 << 10
-	// clearWaitMargin is added to the release wait that the controller is configured with: the controller counts from
+	// releaseWaitMargin is added to the release wait that the controller is configured with: the controller counts from
 	// its event, while the rule counts from when the CANCEL has been written.
-	clearWaitMargin = 15 * int64(time.Millisecond)
+	releaseWaitMargin = 15 * int64(time.Millisecond)
 	// silenceLimit is the silence of an office after which its connection is checked if calls are established there: it
 	// sends a report about once a second while anything changes. Silent offices are looked for every
 	// silenceCheckInterval.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -56,7 +56,7 @@
 // New creates an exchange; Run starts it. SetOffices sets the offices' side, since each of the two needs the other.
 func New(o Options) (*Exchange, error) {
 	settings := o.Settings
-	settings.ReleaseWait += clearWaitMargin
+	settings.ReleaseWait += releaseWaitMargin
 	controller, err := control.New(settings, o.Seed)
 	if err != nil {
 		return nil, err
@@ -211,15 +211,15 @@
 
 // Restore hands the controller the state that the previous process had saved. It must be called after the list of
 // offices that is known at the start has been handed over, and before Run. Invalid state is logged and ignored.
-func (x *Exchange) Restore(learnt control.LearnedState) {
+func (x *Exchange) Restore(learned control.LearnedState) {
 	x.post(false, func() {
-		if err := x.core.controller.Restore(x.core.now, learnt); err != nil {
+		if err := x.core.controller.Restore(x.core.now, learned); err != nil {
 			x.core.log.Warn("snapshot left out", "why", err)
 		}
 	})
 }
 
-// Learnt returns the state that the controller has learnt, also after Run has ended.
+// LearnedState returns the state that the controller has learned, also after Run has ended.
 func (x *Exchange) LearnedState() (l control.LearnedState) {
 	got := false
 	x.runAndWait(func() { l, got = x.core.controller.LearnedState(), true })
@@ -229,7 +229,7 @@
 	return l
 }
 
-// Gauge passes a reading of the instance's own resources to the joined modules. It never blocks.
+// ReportGauge passes a measurement of the instance's own resources to the joined modules. It never blocks.
 func (x *Exchange) ReportGauge(name string, used float64) {
 	x.post(false, func() { x.core.modules.OnGauge(x.core.now, name, used) })
 }
@@ -247,7 +247,7 @@
 	return hasSpace
 }
 
-// Look runs f in the core, where its state may be read, and waits for it. After the core's end f is not run.
+// Inspect runs f in the core, where its state may be read, and waits for it. After the core's end f is not run.
 func (x *Exchange) Inspect(f func()) { x.runAndWait(f) }
 
 // InboxUsed returns the used part of the inbox as a fraction of its bound.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -134,7 +134,7 @@
 	b.attemptEnded(10, "a", 0, Result{Outcome: control.ConnectionLost})
 	b.expect("invite a 0 at 10")
 	b.advance(300 * ms)
-	b.expect() // clearWaitMargin: the rule counts from when the end was written
+	b.expect() // releaseWaitMargin: the rule counts from when the end was written
 	b.advance(900 * ms)
 	if len(b.outputs) != 1 || !strings.HasPrefix(b.outputs[0], "invite a 1 ") {
 		t.Errorf("got %v", b.outputs)
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -11,17 +11,17 @@
 
 // moduleStub is a joined module with settable decisions.
 type moduleStub struct {
-	name    string
-	ruling  join.Decision
-	full    map[uint64]bool
-	events  []control.EventKind
-	actions []control.ActionKind
+	name     string
+	decision join.Decision
+	full     map[uint64]bool
+	events   []control.EventKind
+	actions  []control.ActionKind
 }
 
 func (g *moduleStub) Name() string                             { return g.name }
 func (g *moduleStub) OnEvent(_ int64, ev control.Event)        { g.events = append(g.events, ev.Kind) }
 func (g *moduleStub) OnAction(_ int64, a control.Action)       { g.actions = append(g.actions, a.Kind) }
-func (g *moduleStub) Admit(int64, join.Call) join.Decision     { return g.ruling }
+func (g *moduleStub) Admit(int64, join.Call) join.Decision     { return g.decision }
 func (g *moduleStub) HasRoom(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
 func (g *moduleStub) Status(int64) join.Status                 { return join.Status{Module: g.name} }
 
@@ -35,7 +35,7 @@
 
 func TestModuleRefuses(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Decision{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
+	g.decision = join.Decision{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.expect("answer a refused  2000ms") // at once, with the wait limited to the settings' greatest
 	if b.unanswered != 0 || len(b.calls) != 0 {
@@ -48,7 +48,7 @@
 // A held call is asked about again. Whatever the module says, package control decides after maxHold at the latest.
 func TestHeldCallReachesControl(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
+	g.decision = join.Decision{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.submitCall("gone", 3*time.Second)
 	b.advance(500 * ms)
@@ -61,14 +61,14 @@
 	if b.heldByModules != 0 {
 		t.Errorf("%d calls still held", b.heldByModules)
 	}
-	g.ruling = join.Decision{}
+	g.decision = join.Decision{}
 	b.submitCall("b", 3*time.Second)
 	b.expect("invite b 0 at 10")
 }
 
 func TestHeldCallIsAnsweredInTime(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.ruling = join.Decision{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
+	g.decision = join.Decision{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
 	b.submitCall("a", 300*ms)
 	b.advance(300 * ms)
 	b.expect("answer a failed  0ms")
@@ -131,10 +131,10 @@
 		t.Errorf("%d taken, of a bound of %d", taken, most)
 	}
 	done := make(chan struct{})
-	go func() { x.HangUp("0000000000000001", "c"); close(done) }() // a front still finds space and does not wait
+	go func() { x.HangUp("0000000000000001", "c"); close(done) }() // a front end still finds space and does not wait
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Error("a front waits behind messages of other instances")
+		t.Error("a front end waits behind messages of other instances")
 	}
 }
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -18,7 +18,7 @@
 	Deadline time.Duration // patience of a set-up that names none, and the greatest patience
 }
 
-// Names holds the names in the settings that set-ups refer to. Both fronts check set-ups against them.
+// Names holds the names in the settings that set-ups refer to. Both front ends check set-ups against them.
 type Names struct {
 	Classes []Class
 	Tenants []string
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -45,8 +45,8 @@
 	CapacityFraction float64 `json:"warmth"` // estimated fraction of its full capacity while it warms up
 	Cold             bool    `json:"cold"`
 	Down             bool    `json:"down"`
-	InBackoff        bool    `json:"marked"`   // an answer marked it as unfit for now
-	Overloaded       bool    `json:"pressed"`  // its expected delay is above the reference
+	InBackoff        bool    `json:"marked"`   // it gets no calls until its backoff ends
+	Overloaded       bool    `json:"pressed"`  // its expected delay closes it to calls of the least valuable class
 	Pending          int     `json:"out"`      // attempts without an answer
 	EstablishedCalls int     `json:"standing"` // established calls
 	ExpectedDelayMS  float64 `json:"delay_ms"` // expected
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -38,7 +38,7 @@
 	Description []byte
 	FirstChoice int       // preferred pool; -1: none
 	Redialed    bool      // the caller redials
-	RepeatFlag  bool      // as the caller set it; decisions do not use it
+	RepeatFlag  bool      // the caller's own mark of a repeated call; decisions do not use it
 	ReceivedAt  time.Time // when its last byte was received
 	ExpiresAt   time.Time // until when the caller waits
 }
@@ -65,7 +65,7 @@
 	Release(id string, cut bool)
 }
 
-// Presence is what a front knows of the client of a call that waits for its answer.
+// Presence is what a front end knows of the client of a call that waits for its answer.
 type Presence int
 
 // The states of a client.
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -13,7 +13,7 @@
 	"masthill/internal/exchange"
 )
 
-// Known is the part of the server list in the configuration: events of the journal, and the number of the last one.
+// InitialList is the part of the server list in the configuration: events of the journal, and the number of the last one.
 type InitialList struct {
 	Pos     int64             `json:"pos"`
 	Entries []json.RawMessage `json:"entries"`
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -130,8 +130,8 @@
 
 // flush sends all that waited for a connection.
 func (l *link) flush(s *session) {
-	for _, b := range l.pendingReleases {
-		s.release(b)
+	for _, r := range l.pendingReleases {
+		s.release(r)
 	}
 	waiting := l.waiting
 	l.waiting, l.pendingReleases, l.forceConnect = nil, nil, false
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -21,7 +21,6 @@
 	// State passes on a load report.
 	State(server uint64, report []float64)
 	// ServerLost tells that the server's process has ended, and with it all calls there.
-	// ServerLost tells that the server's process has ended, and with it all calls there.
 	ServerLost(server uint64)
 }
 
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -74,13 +74,13 @@
 }
 
 // release sends a release, and keeps it in case the connection ends before it has arrived.
-func (s *session) release(b release) {
-	b.at = time.Now()
-	s.recentReleases = slices.DeleteFunc(s.recentReleases, func(old release) bool { return b.at.Sub(old.at) > releaseResendAge })
+func (s *session) release(r release) {
+	r.at = time.Now()
+	s.recentReleases = slices.DeleteFunc(s.recentReleases, func(old release) bool { return r.at.Sub(old.at) > releaseResendAge })
 	if len(s.recentReleases) < maxPendingReleases {
-		s.recentReleases = append(s.recentReleases, b)
+		s.recentReleases = append(s.recentReleases, r)
 	}
-	s.peer.Bye(b.id, b.n, b.cut)
+	s.peer.Bye(r.id, r.n, r.cut)
 }
 
 func (s *session) invite(a exchange.Attempt) {
@@ -158,21 +158,21 @@
 	if s.previous == s {
 		s.previous = nil
 	}
-	out, silent := s.outstanding, time.Since(s.lastHeard) > silentMachineTimeout && time.Since(s.lastRefused) > silentMachineTimeout
+	unanswered, silent := s.outstanding, time.Since(s.lastHeard) > silentMachineTimeout && time.Since(s.lastRefused) > silentMachineTimeout
 	s.outstanding = nil
-	for _, b := range s.recentReleases {
+	for _, r := range s.recentReleases {
 		switch l := s.link; {
-		case time.Since(b.at) > releaseResendAge:
+		case time.Since(r.at) > releaseResendAge:
 		case l.current != nil:
-			l.current.release(b)
+			l.current.release(r)
 		case len(l.pendingReleases) < maxPendingReleases:
-			l.pendingReleases = append(l.pendingReleases, b)
+			l.pendingReleases = append(l.pendingReleases, r)
 		}
 	}
 	p.mu.Unlock()
 	s.pool.Log.Info("office connection ended", "reason", reason, "server", s.server, "addr", s.addr,
-		"open", len(out), "age_ms", time.Since(s.connectedAt).Milliseconds(), "err", err)
-	for id, a := range out {
+		"open", len(unanswered), "age_ms", time.Since(s.connectedAt).Milliseconds(), "err", err)
+	for id, a := range unanswered {
 		p.Core.Ended(s.server, id, a.n, exchange.Result{Outcome: control.ConnectionLost})
 	}
 	// A reset alone proves nothing about the calls: the network resets connections too, whether new, idle or in use. If
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -67,7 +67,7 @@
 var noteNumbers = map[string]int{"all_trunks_busy": 1, "via_said_no": 2, "cpu_full": 3, "number_busy": 4,
 	"far_cpu_full": 18}
 
-// Note returns the control module's number for a note; 0 for none or an unknown one.
+// NoteNumber returns the control module's number for a note; 0 for none or an unknown one.
 func NoteNumber(word string) int { return noteNumbers[word] }
 
 // DialSIP connects to offices that use SIP. name is this instance's name in the Via header.
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -48,7 +48,7 @@
 type Limits struct {
 	WriteTimeout   time.Duration        // timeout of one write
 	MessageTimeout func() time.Duration // from the first byte of a message to its last, asked when it begins; nil: none
-	// Idle returns how long the connection may be idle from now on; it is called again after that time. 0 ends the
+	// IdleTimeout returns how long the connection may be idle from now on; it is called again after that time. 0 ends the
 	// connection. nil: no limit. It is called by the goroutine that handles messages, so never at the same time.
 	IdleTimeout func() time.Duration
 	// ErrorResponse returns the last message to a peer whose input can't be read any further; nil: none is sent.
@@ -131,7 +131,7 @@
 	}
 }
 
-// RecheckLimits has the reader call Limits.Idle again.
+// RecheckLimits has the reader call Limits.IdleTimeout again.
 func (c *Conn) RecheckLimits() {
 	c.limitsChanged.Store(true)
 	c.netConn.SetReadDeadline(pastDeadline)
--- a/internal/sip/input.go
+++ b/internal/sip/input.go
@@ -174,11 +174,11 @@
 // poll asks the kernel whether there is unread input, and whether the peer has closed its side or reset the connection.
 func (i *Input) poll() (readable, closed bool) {
 	pollFds := []unix.PollFd{{Events: unix.POLLIN | unix.POLLRDHUP}}
-	var got error
+	var pollErr error
 	err := i.raw.Control(func(fd uintptr) {
 		pollFds[0].Fd = int32(fd)
 		for {
-			if _, got = unix.Poll(pollFds, 0); got != unix.EINTR {
+			if _, pollErr = unix.Poll(pollFds, 0); pollErr != unix.EINTR {
 				return
 			}
 		}
@@ -186,7 +186,7 @@
 	if err != nil { // closed by this side
 		return false, true
 	}
-	if got != nil { // unknown
+	if pollErr != nil { // unknown
 		return false, false
 	}
 	events := pollFds[0].Revents
