--- a/control/control.go
+++ b/control/control.go
@@ -32,12 +32,12 @@
 	// rampStart and rampEnd are the delays, in references, between which a server goes from open to blocked for a call
 	// of the least value. Set-ups are repeated from t1 on, so rampEnd lies before it.
 	rampStart, rampEnd = 0.35, 0.8
-	// The integral grows by excessGain times the delay beyond excessFrom references each second, up to maxExcess; one
-	// delay counts for maxExcessGap at most. excessDecay is longer than the seconds between two samples of a server
-	// when there are many instances. minDelayDecay is how slowly the least delay is forgotten.
+	// The integral of excess delay grows by excessGain times the delay beyond excessFrom references each second, up to
+	// maxExcess; one delay counts for maxExcessGap at most. excessDecay is longer than the seconds between two samples
+	// of a server when there are many instances. minDelayDecay is how slowly the least delay is forgotten.
 	excessGain, excessFrom, maxExcess        = 0.5, 0.4, 2.5
 	maxExcessGap, excessDecay, minDelayDecay = 3 * float64(second), 15 * float64(second), 20 * float64(second)
-	// minValueScale and maxValueScale bound how far a call's value moves that range: the least call still gets an idle
+	// minValueScale and maxValueScale bound how far a call's value scales the ramp: the least call still gets an idle
 	// server, the most valuable one must be established in time. A delay beyond targetFraction of the target is no use.
 	minValueScale, maxValueScale, targetFraction = 0.3, 2.0, 0.65
 	// A server without a free line is avoided for minBackoff over the square of the call's value, between these bounds:
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// saturateBoth makes both servers answer "full", with told waits long enough for the test.
+// saturateBoth makes both servers answer "full", asking for waits long enough for the test.
 func (b *fixture) saturateBoth() {
 	for far := range 2 {
 		id, acts := b.call(far, 0)
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -11,7 +11,7 @@
 // outstanding for the delay to be kept. While the limit is reached, every server counts as having no room, and control
 // decides what becomes of a call.
 //
-// The module is pure: it is told the time and takes part in decisions through package join.
+// The module is pure: callers pass in the time, and it takes part in decisions through package join.
 package goodput
 
 import (
@@ -44,9 +44,9 @@
 	// priorInTime is how many set-ups in time are assumed before any have been seen, so that one late set-up of a new
 	// or idle instance does not count as congestion, and two are a hint of it.
 	priorInTime = 2.0
-	// A set-up within minDelayMultiple times the lowest recent delay is in time, even if it exceeds InTime of the
-	// shortest target delay, up to maxInTimePart of it: servers that are slow by nature, with a call or two per second each, are
-	// not congested. minDelayFadeTime is how slowly the lowest delay is forgotten.
+	// A set-up within minDelayMultiple times the lowest recent delay is in time, even if it exceeds Settings.InTime, up
+	// to maxInTimePart of the shortest target delay: servers that are slow by nature, with a call or two per second
+	// each, are not congested. minDelayFadeTime is how slowly the lowest delay is forgotten.
 	minDelayMultiple, maxInTimePart = 4.0, 0.9
 	minDelayFadeTime                = 60 * float64(second)
 	// openAfter is how long no call may have met the limit before the state is open again; it is longer than a round of
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -2,7 +2,7 @@
 // service, shares of tenants and others. Each module observes every event and every action, may admit, hold or refuse a
 // new call before control sees it, and may stop set-ups to a server. Which server takes a call, whether it is tried
 // again and when it is given up remain decisions of control, and modules do not weaken its guarantees. Modules are
-// pure: they are told the time and do no I/O, and the same events lead to the same decisions.
+// pure: callers pass in the time, modules do no I/O, and the same events lead to the same decisions.
 package join
 
 import (
@@ -21,6 +21,7 @@
 	Refuse                // the call is answered finally; Wait is the Retry-After of the answer
 )
 
+// String returns the name of the verdict.
 func (v Verdict) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
 // Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer names no wait.
@@ -32,9 +33,9 @@
 
 // Call is a new call as modules see it. Times are in Unix nanoseconds.
 type Call struct {
-	ID, Key, Tenant      string
-	Class, FirstChoice   int
-	Redialed             bool // a redial: the caller repeats a call that was not served
+	ID, Key, Tenant      string // Key is the dialled number
+	Class, FirstChoice   int    // FirstChoice is the preferred cell; -1: none
+	Redialed             bool   // a redial: the caller repeats a call that was not served
 	ReceivedAt, NotAfter int64
 	TimesHeld            int // how often the call has been held so far
 }
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -4,8 +4,8 @@
 // a minimum time, and is left at a lower reading than the one at which it is entered, so that a short peak or an
 // oscillation does not make the level flap.
 //
-// The module is pure: it is told the time and takes part in decisions through package join. Readings that events do not
-// carry (memory, descriptors, the age of the list) are passed to OnGauge.
+// The module is pure: callers pass in the time, and it takes part in decisions through package join. Readings that
+// events do not carry (memory, descriptors, the age of the list) are passed to OnGauge.
 package levels
 
 import (
@@ -29,6 +29,7 @@
 	Emergency              // the instance itself lacks a resource: all but a small part of calls are refused
 )
 
+// String returns the name of the level.
 func (l Level) String() string {
 	return [...]string{"normal", "busy", "reduced", "severe", "emergency"}[l]
 }
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -282,16 +282,16 @@
 		// A fast "full" must not count as a fast set-up, or it would attract calls to a failing server. This covers any
 		// server that fails fast; one that is full for an instant is avoided for about two seconds.
 		c.recordAnswer(s, ev.Call, saturatedDelay*c.refDelay)
-		// A told wait is kept up to maxTrialInterval; a longer one is then tested by a single trial, as a processor
-		// that dropped its queue or restarted would otherwise stay idle.
+		// The wait that a server asks for is kept up to maxTrialInterval; a longer one is then tested by a single trial,
+		// as a processor that dropped its queue or restarted would otherwise stay idle.
 		s.down = s.down || ev.WaitMS*1e6 > maxTrialInterval
 		s.backoffUntil = max(s.backoffUntil,
 			c.now+max(int64(c.spacing), minBackoff, min(ev.WaitMS*1e6, maxTrialInterval)))
 	}
 }
 
-// recordFault takes a fault of a server on a call that another server established. A server that answers with faults is
-// as fast and as useless as one that cuts established calls; a single chance fault costs it a moment.
+// recordFault takes a fault of a server on a call that another server established. Such a server looks fast but is as
+// useless as one that cuts established calls. A single chance fault keeps calls off it for minBackoff only.
 func (c *Controller) recordFault(s *server) {
 	s.backoffUntil = max(s.backoffUntil, c.now+minBackoff)
 	s.weight *= faultWeightFactor
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -6,7 +6,7 @@
 // planned part of the load that the server can bear at that time. Calls are held briefly while no server has room,
 // redials beyond that are refused, and the module reports when recovery is over.
 //
-// The module is pure: it is told the time and takes part in decisions through package join.
+// The module is pure: callers pass in the time, and it takes part in decisions through package join.
 package recovery
 
 import (
@@ -278,9 +278,9 @@
 	}
 }
 
-// Admit implements join.Module. A call is held while no server has room, at most for a part of the target delay; after that, and
-// where as many calls are held as can have room soon, control decides. A redial is refused at that point: its caller
-// has been refused before, and first calls take precedence.
+// Admit implements join.Module. A call is held while no server has room, at most for a part of the target delay; after
+// that, and where as many calls are held as can have room soon, control decides. A redial is refused at that point: its
+// caller has been refused before, and first calls take precedence.
 func (r *Recovery) Admit(now int64, c join.Call) join.Decision {
 	if r.done {
 		return join.Decision{}
--- a/control/rollout/rollout.go
+++ b/control/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout decides how the instances of a fleet are replaced in batches: which are next, how many may be away at
-// once, when to pause, when to halt, and how to roll back when a new version fails. It is pure: it is told the time and
-// the state of the instances and returns what to do, and the same input leads to the same decisions. Its whole state is
-// Rollout, which can be stored, so that a supervisor that is killed continues where it was.
+// once, when to pause, when to halt, and how to roll back when a new version fails. It is pure: callers pass in the
+// time and the state of the instances, it returns what to do, and the same input leads to the same decisions. Its whole
+// state is Rollout, which can be stored, so that a supervisor that is killed continues where it was.
 package rollout
 
 import (
@@ -34,10 +34,10 @@
 
 // Limits are set by the operators. Times are in nanoseconds.
 type Limits struct {
-	MaxAwayFraction float64 // part of the fleet that may be away at once; one instance always may
+	MaxAwayFraction float64 // part of the fleet that may be away at once; one instance always may be
 	HealthyFor      int64   // how long the first instance of a generation is watched before others follow
 	StartWithin     int64   // an instance of the new generation that does not serve after this time has failed
-	MaxColdPause    int64   // longest pause for a cold office, as a list may be wrong for good
+	MaxColdPause    int64   // longest pause for a cold office, in case the list reports one as cold for ever
 	RollBack        bool    // roll back to the previous generation when the new one fails
 }
 
@@ -73,7 +73,7 @@
 	Cause     string `json:"why"` // restart or upgrade
 	Halted    string `json:"halted,omitempty"`
 	Detail    string `json:"detail,omitempty"`
-	RollBack  bool   `json:"back"`    // it is rolled back
+	RollBack  bool   `json:"back"`    // it is halted and goes back to From
 	ColdSince int64  `json:"cold_ns"` // since when it pauses for a cold office; 0: it does not
 }
 
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -7,7 +7,7 @@
 // calls that were admitted and turned away nevertheless: a small share of such losses is the target; with fewer the
 // estimate grows, with more it shrinks, but never below what has just been placed.
 //
-// The module is pure: it is told the time and takes part in decisions through package join.
+// The module is pure: callers pass in the time, and it takes part in decisions through package join.
 package shares
 
 import (
--- a/control/types.go
+++ b/control/types.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Settings is what an instance is told once, when it starts. Times are in nanoseconds.
+// Settings configures a controller and does not change while it runs. Times are in nanoseconds.
 type Settings struct {
 	GroupSize     int // instances in the group
 	Ordinal       int // number of this instance among them, from 0
@@ -14,16 +14,16 @@
 	OwnCell       int  // own exchange, -1 with pools
 	ListOnRequest bool // the server list is sent only after Subscribe
 	MaxAttempts   int
-	MayCancel     bool
-	SecondCopies  bool
+	MayCancel     bool // the controller may cancel an attempt before its time-out
+	SecondCopies  bool // not used by the controller
 	RetryAfter    bool // a refusal may tell the caller when to call again
 	MaxRetryAfter int64
 	ReportFields  []string // names of the values of a load report
 	Resolution    int64    // least time between two batches of events
 	T1            int64    // a set-up without an answer is repeated after this; 0: never
 	ReleaseWait   int64    // wait before another attempt after a time-out, lost connection or cancel
-	DrainGrace    int64
-	CrashMultiple float64 // sends within CrashWindow, in multiples of its capacity, at which a cold server crashes
+	DrainGrace    int64    // during which a draining server still accepts set-ups; none is sent
+	CrashMultiple float64  // sends within CrashWindow, in multiples of its capacity, at which a cold server crashes
 	CrashWindow   int64
 	ColdFraction  float64 // part of its capacity that a server has when it starts
 	WarmUpTime    int64   // time until it has all of it
@@ -123,7 +123,7 @@
 	Unavailable               // the server takes no calls, or the set-up was kept back
 )
 
-// Event is something that an instance is told. Which fields have a meaning depends on Kind.
+// Event is an input of the controller. Which fields have a meaning depends on Kind.
 type Event struct {
 	Kind        EventKind
 	Call        string
@@ -131,7 +131,7 @@
 	Key         string // dialled number
 	NotAfter    int64  // when the call is given up
 	Waited      int64  // time since the call was accepted, if another module held it first
-	FirstChoice int    // preferred cell
+	FirstChoice int    // preferred cell; -1: none
 	Redialed    bool   // the caller calls again
 	InTransit   bool   // only servers of cell FirstChoice may take the call
 	Server      uint64
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -75,7 +75,7 @@
 	b.expect("answer d refused  2000ms")
 	b.advance(10 * time.Second)
 	if b.unanswered != 0 || b.controller.Held() != 0 || len(b.timers) > 2 {
-		t.Errorf("%d open, %d held, %d alarms", b.unanswered, b.controller.Held(), len(b.timers))
+		t.Errorf("%d open, %d held, %d timers", b.unanswered, b.controller.Held(), len(b.timers))
 	}
 }
 
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -183,7 +183,7 @@
 	}
 	b.advance(10 * time.Second)
 	if len(b.timers) != 0 {
-		t.Errorf("%d alarms left", len(b.timers))
+		t.Errorf("%d timers left", len(b.timers))
 	}
 }
 
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -162,7 +162,7 @@
 	return wait/2 + rand.N(wait/2)
 }
 
-// follow reads one stream until it ends. head is the timeout for the connect and the response header; heard tells
+// follow reads one stream until it ends. responseTimeout bounds the connect and the response header; received tells
 // whether any line was received.
 func (c *Client) follow(ctx context.Context, addr string, head time.Duration) (heard bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -27,7 +27,7 @@
 	return n, err
 }
 
-// readEvents reads a stream of events and calls onLine for each line; heard tells whether there was any.
+// readEvents reads a stream of events and calls onLine for each line; received tells whether there was any.
 func (c *Client) readEvents(r io.Reader, onLine func()) (heard bool, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -294,7 +294,7 @@
 			synctest.Wait()
 		}
 		if len(b.events) != 0 {
-			t.Errorf("told %q", <-b.events)
+			t.Errorf("reported %q", <-b.events)
 		}
 		office.Close() // and now no connection is left
 		expectEvent(t, b.events, "lost")
@@ -448,7 +448,7 @@
 }
 
 // A connection may fail silently and stay open while its office is well. Its attempts were waited for until they timed
-// out, a trial was lost on it too, and the office was taken for down and cold.
+// out, a trial was lost on it too, and the office counted as down and cold.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestPool(t)
