--- a/control/calls.go
+++ b/control/calls.go
@@ -24,8 +24,9 @@
 	if c.calls[ev.Call] != nil {
 		return
 	}
-	cl := &call{id: ev.Call, class: min(max(ev.Class, 0), len(c.cfg.Classes)-1), key: ev.Key, firstChoice: ev.FirstChoice,
-		inTransit: ev.InTransit, firstAt: c.now - ev.Waited, notAfter: ev.NotAfter, threshold: c.rng.Float64()}
+	cl := &call{id: ev.Call, class: min(max(ev.Class, 0), len(c.cfg.Classes)-1), key: ev.Key,
+		firstChoice: ev.FirstChoice, inTransit: ev.InTransit, firstAt: c.now - ev.Waited, notAfter: ev.NotAfter,
+		threshold: c.rng.Float64()}
 	c.calls[cl.id] = cl
 	// A call to a number that was refused recently is a redial, and its caller first called then. This handles redial
 	// storms of any cause; another caller to that number within refusalMemory counts as a redial too.
--- a/control/cold.go
+++ b/control/cold.go
@@ -4,10 +4,9 @@
 
 // Cold servers, which were started recently: their capacity, and what this instance may send to them.
 
-// capacityFraction is the part of its capacity that a server is assumed to have: ColdFraction after a start, then more
-// until WarmUpTime has passed. The start is that on the list or when it was last found down, as the list tells of
-// restarts late by seconds. This covers crashes, hangs and cut connections; if only the connection failed, a warm
-// server counts as cold.
+// capacityFraction is the part of its capacity that a server is assumed to have: ColdFraction after a start, growing to
+// 1 over WarmUpTime. The start is that on the list, which shows it seconds late, or when it was last found down. This
+// covers crashes, hangs and cut connections; if only the connection failed, a warm server counts as cold.
 func (c *Controller) capacityFraction(s *server) float64 {
 	start := max(s.readyAt, s.downAt)
 	age := c.now - start
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// recordAnswer takes a server's answer to a set-up. Its delay counts as minDelay at least; 0: the set-up was established.
+// recordAnswer takes a server's answer to a set-up. Its delay counts as minDelay at least, 0 for a success.
 func (c *Controller) recordAnswer(s *server, id string, minDelay float64) {
 	a, ok := s.removeAttempt(id)
 	if !ok {
@@ -282,8 +282,8 @@
 		// A fast "full" must not count as a fast set-up, or it would attract calls to a failing server. This covers any
 		// server that fails fast; one that is full for an instant is avoided for about two seconds.
 		c.recordAnswer(s, ev.Call, saturatedDelay*c.refDelay)
-		// The wait that a server asks for is kept up to maxTrialInterval; a longer one is then tested by a single trial,
-		// as a processor that dropped its queue or restarted would otherwise stay idle.
+		// The wait that a server asks for is kept up to maxTrialInterval; a longer one is then tested by a single
+		// trial, as a processor that dropped its queue or restarted would otherwise stay idle.
 		s.down = s.down || ev.WaitMS*1e6 > maxTrialInterval
 		s.backoffUntil = max(s.backoffUntil,
 			c.now+max(int64(c.spacing), minBackoff, min(ev.WaitMS*1e6, maxTrialInterval)))
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -90,11 +90,11 @@
 
 // Position returns the number of the last event received, and when a line was last received from the service (zero:
 // never). If that is long ago, the list may be out of date, whatever its position.
-func (c *Client) Position() (pos int64, heard time.Time) {
+func (c *Client) Position() (pos int64, lastHeard time.Time) {
 	if at := c.lastHeard.Load(); at > 0 {
-		heard = time.Unix(0, at)
+		lastHeard = time.Unix(0, at)
 	}
-	return c.position.Load(), heard
+	return c.position.Load(), lastHeard
 }
 
 // IsLive tells whether the service was received so recently that the list is up to date, but for the last moment.
@@ -109,19 +109,19 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		addr, streamCtx, cancelStream := c.beginStream(ctx)
-		heard, err := c.follow(streamCtx, addr, min(headTimeout<<min(failures, 5), silenceTimeout))
+		received, err := c.follow(streamCtx, addr, min(headTimeout<<min(failures, 5), silenceTimeout))
 		if streamCtx.Err() != nil { // the program ends, or SetAddr was called
 			c.Log.Info("journal connection ended", "reason", "closed", "addr", addr, "pos", c.Pos)
 			failures = 0
 			continue
 		}
-		if failures++; heard {
+		if failures++; received {
 			failures = 0
 		}
-		c.Log.Warn("journal connection ended", "reason", reason(heard, err), "addr", addr, "pos", c.Pos, "failures", failures,
+		c.Log.Warn("journal connection ended", "reason", reason(received, err), "addr", addr, "pos", c.Pos, "failures", failures,
 			"age_ms", time.Since(began).Milliseconds(), "err", err)
 		pause := c.backoff(failures)
-		if !heard {
+		if !received {
 			pause = max(pause-time.Since(began), minPause/2+rand.N(minPause/2))
 		}
 		timer := time.NewTimer(pause)
@@ -138,7 +138,7 @@
 var errStatus = errors.New("no event stream")
 
 // reason returns the reason code for the end of a stream.
-func reason(heard bool, err error) string {
+func reason(received bool, err error) string {
 	switch {
 	case errors.Is(err, errStatus):
 		return "bad_status"
@@ -148,7 +148,7 @@
 		return "too_long"
 	case errors.Is(err, io.EOF):
 		return "peer_closed"
-	case !heard:
+	case !received:
 		return "connect_failed"
 	}
 	return "io_error"
@@ -164,11 +164,11 @@
 
 // follow reads one stream until it ends. responseTimeout bounds the connect and the response header; received tells
 // whether any line was received.
-func (c *Client) follow(ctx context.Context, addr string, head time.Duration) (heard bool, err error) {
+func (c *Client) follow(ctx context.Context, addr string, responseTimeout time.Duration) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// If the service vanishes, its comments stop, and this timer ends the stream.
-	silence := time.AfterFunc(head, cancel)
+	silence := time.AfterFunc(responseTimeout, cancel)
 	defer silence.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/journal", nil)
 	if err != nil {
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -28,14 +28,14 @@
 }
 
 // readEvents reads a stream of events and calls onLine for each line; received tells whether there was any.
-func (c *Client) readEvents(r io.Reader, onLine func()) (heard bool, err error) {
+func (c *Client) readEvents(r io.Reader, onLine func()) (received bool, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
 	var data []byte
 	var id string
 	for lines.Scan() {
 		onLine()
-		heard = true
+		received = true
 		c.lastHeard.Store(time.Now().UnixNano())
 		line := bytes.TrimSuffix(lines.Bytes(), []byte("\r"))
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -55,13 +55,13 @@
 			data = append(data, value...)
 		}
 		if len(data) > maxLine {
-			return heard, bufio.ErrTooLong
+			return received, bufio.ErrTooLong
 		}
 	}
 	if err = lines.Err(); err == nil {
 		err = io.EOF
 	}
-	return heard, err
+	return received, err
 }
 
 // dispatch handles a complete event. Its number is recorded even if the event can't be decoded, so that it is not
