--- a/internal/sip/message.go
+++ b/internal/sip/message.go
@@ -1,5 +1,5 @@
-// Package sip frames, reads and writes SIP messages over TCP. It knows the format only: what a message means
-// belongs to the callers' and the offices' sides.
+// Package sip reads and writes SIP messages over TCP. It handles framing and syntax only; the packages for callers and
+// offices interpret the messages.
 package sip
 
 import (
@@ -14,58 +14,58 @@
 )
 
 const (
-	// MaxMessage is the longest message either side may send (PROTOCOL: 16 KiB).
+	// MaxMessage is the greatest size of a message from either side (PROTOCOL: 16 KiB).
 	MaxMessage = 16 << 10
-	// firstBuffer is where a read buffer starts: most messages are a few hundred bytes, and a caller's
-	// connection shall not cost 16 KiB before it needs them.
-	firstBuffer = 4 << 10
-	// maxHeaders keeps one message from costing more in slices than in bytes.
+	// initialBuffer is the initial size of a read buffer. Most messages are a few hundred bytes, and a caller's connection
+	// should not cost 16 KiB before it needs them.
+	initialBuffer = 4 << 10
+	// maxHeaders bounds the headers of a message, so that their slices cost no more memory than its bytes.
 	maxHeaders = 128
 )
 
-// Framing errors: the stream can't be read any further, so the connection has to end.
+// Framing errors: the stream can't be read any further, so the connection must end.
 var (
 	ErrTooLong       = errors.New("message over 16 KiB")
-	ErrStartLine     = errors.New("unreadable first line")
-	ErrHeader        = errors.New("unreadable header line")
-	ErrLength        = errors.New("missing or unreadable Content-Length")
-	ErrMissingHeader = errors.New("message lacks what its kind needs") // for those who handle messages
+	ErrStartLine     = errors.New("malformed start line")
+	ErrHeader        = errors.New("malformed header line")
+	ErrLength        = errors.New("missing or malformed Content-Length")
+	ErrMissingHeader = errors.New("required header missing") // returned by message handlers
 )
 
-// Header is one header line; both parts are slices of the read buffer.
+// Header is a header field; both parts are slices of the read buffer.
 type Header struct{ Name, Value []byte }
 
-// Message is one request or answer. All slices point into the read buffer and hold until the next Next.
+// Message is a request or a response. All slices point into the read buffer and are valid until the next call of Next.
 type Message struct {
 	Method, URI []byte // of a request
-	Status      int    // of an answer; 0: a request
+	Status      int    // of a response; 0: a request
 	Headers     []Header
 	Body        []byte
 	ReceivedAt  time.Time // when its last byte was read
 }
 
-// compact are the one-letter names of RFC 3261 for headers that this program looks at.
-var compact = map[byte]string{'i': "Call-ID", 'l': "Content-Length", 'v': "Via", 'f': "From", 't': "To",
+// compactNames are the one-letter forms (RFC 3261) of headers that this program reads.
+var compactNames = map[byte]string{'i': "Call-ID", 'l': "Content-Length", 'v': "Via", 'f': "From", 't': "To",
 	's': "Subject"}
 
-// Get gives the first header of that name, or nil.
+// Get returns the value of the first header of that name, or nil.
 func (m *Message) Get(name string) []byte {
 	for _, h := range m.Headers {
-		if h.is(name) {
+		if h.hasName(name) {
 			return h.Value
 		}
 	}
 	return nil
 }
 
-func (h Header) is(name string) bool {
+func (h Header) hasName(name string) bool {
 	if len(h.Name) == 1 {
-		return compact[h.Name[0]|0x20] == name
+		return compactNames[h.Name[0]|0x20] == name
 	}
 	return len(h.Name) == len(name) && bytes.EqualFold(h.Name, []byte(name))
 }
 
-// CSeq gives the number and the method of the CSeq header.
+// CSeq returns the number and the method of the CSeq header.
 func (m *Message) CSeq() (n uint64, method []byte, ok bool) {
 	num, rest, found := bytes.Cut(m.Get("CSeq"), []byte(" "))
 	n, err := strconv.ParseUint(string(num), 10, 31)
@@ -73,7 +73,7 @@
 	return n, method, found && err == nil && len(method) > 0
 }
 
-// User gives the user part of the request's address: the number called.
+// User returns the user part of the request URI, which is the number called.
 func (m *Message) User() []byte {
 	uri := m.URI
 	if k := bytes.IndexByte(uri, ':'); k >= 0 {
@@ -85,34 +85,34 @@
 	return nil
 }
 
-// Reader cuts a stream into messages.
+// Reader splits a stream into messages.
 type Reader struct {
-	from       io.Reader
-	buf        []byte
-	start, end int
-	count      uint64 // messages so far
-	strict     bool   // no line ends between messages
-	at         time.Time
-	msg        Message
+	source       io.Reader
+	buf          []byte
+	start, end   int
+	messageCount uint64 // messages read
+	strict       bool   // line ends between messages are an error
+	lastReadAt   time.Time
+	msg          Message
 }
 
-// NewReader reads messages from r.
-func NewReader(r io.Reader) *Reader { return &Reader{from: r, buf: make([]byte, firstBuffer)} }
+// NewReader creates a Reader that reads messages from r.
+func NewReader(r io.Reader) *Reader { return &Reader{source: r, buf: make([]byte, initialBuffer)} }
 
-// Next gives the next message. The error is io.EOF where the stream ends between two messages,
-// io.ErrUnexpectedEOF inside one, a framing error, or what the stream itself returned.
+// Next returns the next message. The error is io.EOF if the stream ends between two messages, io.ErrUnexpectedEOF if it
+// ends within one, a framing error, or the error of the stream.
 func (r *Reader) Next() (*Message, error) {
 	for {
 		r.skipBlank()
-		if size, err := r.whole(); err != nil {
+		if size, err := r.parse(); err != nil {
 			return nil, err
 		} else if size > 0 {
-			if !r.begins(r.buf[r.start+size : r.end]) {
+			if !r.startsMessage(r.buf[r.start+size : r.end]) {
 				return nil, ErrStartLine
 			}
 			r.start += size
-			r.count++
-			r.msg.ReceivedAt = r.at
+			r.messageCount++
+			r.msg.ReceivedAt = r.lastReadAt
 			return &r.msg, nil
 		}
 		if err := r.fill(); err != nil {
@@ -121,22 +121,22 @@
 	}
 }
 
-// begins tells whether what was read behind a message can begin another. A length that does not fit cuts a
-// message short or has it swallow the head of the next one; what is left behind then is no first line. Passed
-// on, such a message would be one that nobody sent.
-func (r *Reader) begins(rest []byte) bool {
+// startsMessage tells whether what was read behind a message can be the start of another one. A wrong Content-Length
+// truncates the message or makes it include the head of the next one, and what follows is then no start line. Such a
+// message must not be returned, as nobody sent it.
+func (r *Reader) startsMessage(rest []byte) bool {
 	trimmed := bytes.TrimLeft(rest, "\r\n")
 	if len(trimmed) == 0 || r.strict && len(trimmed) < len(rest) {
 		return len(rest) == 0 || !r.strict
 	}
-	line, _, whole := bytes.Cut(trimmed, []byte("\r\n"))
-	if whole {
-		return new(Message).first(line) == nil
+	line, _, complete := bytes.Cut(trimmed, []byte("\r\n"))
+	if complete {
+		return new(Message).parseFirstLine(line) == nil
 	}
-	return !control(line)
+	return !hasControlChars(line)
 }
 
-// skipBlank drops line ends before a message: keep-alives that RFC 3261 tells to ignore.
+// skipBlank skips line ends before a message: keep-alives, which RFC 3261 requires to be ignored.
 func (r *Reader) skipBlank() {
 	for r.start < r.end && (r.buf[r.start] == '\r' || r.buf[r.start] == '\n') {
 		r.start++
@@ -154,9 +154,9 @@
 		}
 		r.buf = append(r.buf, make([]byte, min(len(r.buf), MaxMessage-len(r.buf)))...)
 	}
-	n, err := r.from.Read(r.buf[r.end:])
+	n, err := r.source.Read(r.buf[r.end:])
 	r.end += n
-	r.at = time.Now()
+	r.lastReadAt = time.Now()
 	if n > 0 {
 		return nil
 	}
@@ -169,8 +169,8 @@
 	return err
 }
 
-// whole parses the message at the start of the buffer; a size of 0 tells that more bytes are needed.
-func (r *Reader) whole() (size int, err error) {
+// parse parses the message at the start of the buffer; a size of 0 means that more bytes are needed.
+func (r *Reader) parse() (size int, err error) {
 	data := r.buf[r.start:r.end]
 	head := bytes.Index(data, []byte("\r\n\r\n"))
 	if head < 0 {
@@ -179,10 +179,10 @@
 	m := &r.msg
 	*m = Message{Headers: m.Headers[:0]}
 	line, rest, _ := bytes.Cut(data[:head+2], []byte("\r\n"))
-	if err := m.first(line); err != nil {
+	if err := m.parseFirstLine(line); err != nil {
 		return 0, err
 	}
-	if err := m.headers(rest); err != nil {
+	if err := m.parseHeaders(rest); err != nil {
 		return 0, err
 	}
 	length, err := m.length()
@@ -200,52 +200,52 @@
 	return size, nil
 }
 
-func (m *Message) first(line []byte) error {
+func (m *Message) parseFirstLine(line []byte) error {
 	a, rest, ok := bytes.Cut(line, []byte(" "))
 	b, c, _ := bytes.Cut(rest, []byte(" "))
 	switch {
 	case !ok || len(a) == 0 || len(b) == 0:
 	case string(a) == "SIP/2.0":
 		n, err := strconv.ParseUint(string(b), 10, 16)
-		if err == nil && len(b) == 3 && n >= 100 && n < 700 && !control(c) {
+		if err == nil && len(b) == 3 && n >= 100 && n < 700 && !hasControlChars(c) {
 			m.Status = int(n)
 			return nil
 		}
-	case string(c) == "SIP/2.0" && token(a) && visible(b):
+	case string(c) == "SIP/2.0" && isToken(a) && isPrintable(b):
 		m.Method, m.URI = a, b
 		return nil
 	}
 	return ErrStartLine
 }
 
-// token tells whether a word is a method or the name of a header (RFC 3261, 25.1).
-func token(word []byte) bool {
+// isToken tells whether a word is a valid method or header name (token in RFC 3261, 25.1).
+func isToken(word []byte) bool {
 	return len(word) > 0 && bytes.IndexFunc(word, func(c rune) bool {
 		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-.!%*_+`'~", c))
 	}) < 0
 }
 
-func visible(word []byte) bool {
+func isPrintable(word []byte) bool {
 	return bytes.IndexFunc(word, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-// control tells whether a header's value holds what no text does: noise.
-func control(value []byte) bool {
+// hasControlChars tells whether a value has control characters or invalid UTF-8, which no text has.
+func hasControlChars(value []byte) bool {
 	return bytes.IndexFunc(value, func(c rune) bool {
 		return c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f || c == utf8.RuneError
 	}) >= 0
 }
 
-func (m *Message) headers(lines []byte) error {
+func (m *Message) parseHeaders(lines []byte) error {
 	for len(lines) > 0 {
 		end := bytes.Index(lines, []byte("\r\n"))
-		// A line that starts with a blank continues the one before.
+		// A line that starts with a space or tab continues the previous one.
 		for end+2 < len(lines) && (lines[end+2] == ' ' || lines[end+2] == '\t') {
 			end += 2 + bytes.Index(lines[end+2:], []byte("\r\n"))
 		}
 		name, value, ok := bytes.Cut(lines[:end], []byte(":"))
 		name = bytes.TrimRight(name, " \t")
-		if !ok || !token(name) || control(value) || len(m.Headers) == maxHeaders {
+		if !ok || !isToken(name) || hasControlChars(value) || len(m.Headers) == maxHeaders {
 			return ErrHeader
 		}
 		m.Headers = append(m.Headers, Header{name, bytes.TrimSpace(value)})
@@ -254,11 +254,12 @@
 	return nil
 }
 
-// length is the Content-Length, which every message must have; two that differ leave the framing open.
+// length returns the Content-Length. Every message must have one, and two that differ are an error, as the framing
+// would be ambiguous.
 func (m *Message) length() (int, error) {
 	length := -1
 	for _, h := range m.Headers {
-		if !h.is("Content-Length") {
+		if !h.hasName("Content-Length") {
 			continue
 		}
 		n, err := strconv.ParseUint(string(h.Value), 10, 31)
@@ -273,17 +274,17 @@
 	return length, nil
 }
 
-// AppendRequest starts a request to the number at the platform's one host.
+// AppendRequest appends the start line of a request to a number. The platform has a single host.
 func AppendRequest(b []byte, method, number string) []byte {
 	return fmt.Appendf(b, "%s sip:%s@net SIP/2.0\r\n", method, number)
 }
 
-// AppendStatus starts an answer.
+// AppendStatus appends the start line of a response.
 func AppendStatus(b []byte, status int) []byte {
-	return fmt.Appendf(b, "SIP/2.0 %d %s\r\n", status, phrase(status))
+	return fmt.Appendf(b, "SIP/2.0 %d %s\r\n", status, reasonPhrase(status))
 }
 
-func phrase(status int) string {
+func reasonPhrase(status int) string {
 	phrases := map[int]string{200: "OK", 400: "Bad Request", 405: "Method Not Allowed", 408: "Request Timeout", 413: "Request Entity Too Large",
 		480: "Temporarily Unavailable", 481: "Call Does Not Exist", 482: "Loop Detected", 500: "Server Error",
 		503: "Service Unavailable"}
@@ -293,7 +294,8 @@
 	return "Status"
 }
 
-// Farewell is the answer to what can't be read: it belongs to no request that could be named.
+// ErrorResponse returns the response to input that can't be read. It has no headers that identify a request, as none is
+// known.
 func ErrorResponse(err error) []byte {
 	status := 400
 	switch {
@@ -305,8 +307,8 @@
 	return AppendBody(AppendStatus(nil, status), nil)
 }
 
-// AppendHeader adds a header line. Line ends inside the value would forge further headers, so they become
-// blanks.
+// AppendHeader appends a header line. Line ends in the value are replaced by spaces, as they would allow further
+// headers to be forged.
 func AppendHeader(b []byte, name, value string) []byte {
 	b = append(append(b, name...), ": "...)
 	for k := range len(value) {
@@ -319,18 +321,18 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody ends the headers with the length and adds the body.
+// AppendBody appends the Content-Length, the end of the headers and the body.
 func AppendBody(b, body []byte) []byte {
 	b = fmt.Appendf(b, "Content-Length: %d\r\n\r\n", len(body))
 	return append(b, body...)
 }
 
-// Echo copies from a request what RFC 3261 has its answers repeat.
+// EchoHeaders returns the headers of a request that RFC 3261 requires its responses to repeat.
 func EchoHeaders(m *Message) []byte {
 	b := make([]byte, 0, 256)
 	for _, h := range m.Headers {
 		for _, name := range []string{"Via", "From", "To", "Call-ID", "CSeq"} {
-			if h.is(name) {
+			if h.hasName(name) {
 				b = AppendHeader(b, name, string(h.Value))
 			}
 		}
@@ -338,7 +340,7 @@
 	return b
 }
 
-// Answer is a whole answer without a body.
+// Response returns a complete response without a body.
 func Response(m *Message, status int) []byte {
 	return AppendBody(append(AppendStatus(nil, status), EchoHeaders(m)...), nil)
 }
