--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what an instance is told: the platform's variables and its JSON file, and the
-// project's own file for the second front and the store.
+// Package config reads and checks the configuration of an instance: the platform's environment variables and JSON file,
+// the operators' settings (TOML), and the content of configuration releases.
 package config
 
 import (
@@ -21,10 +21,10 @@
 	"masthill/internal/wire"
 )
 
-// Platform is what the platform tells an instance.
+// Platform is the configuration that the platform gives an instance.
 type Platform struct {
 	Name, Listen, Journal string
-	Admin                 string // the operators' second address; empty: none
+	Admin                 string // second listening address, for operators; empty: none
 	Seed                  uint64
 	Cores                 float64
 	MemoryMB, Sockets     int
@@ -33,9 +33,10 @@
 	Names                 exchange.Names
 	ConnectTimeout        time.Duration
 	Shares                []shares.Tenant
-	PlannedRate           float64 // load planned for all instances together, in calls a second; 0: not known
+	PlannedRate           float64 // load planned for all instances together, in calls per second; 0: unknown
 }
 
+// platformFile is the layout of the platform's JSON file.
 type platformFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -51,7 +52,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// names are the settings that the module has no use for and the sockets need.
+// socketSettings are the settings that the control modules don't use but the network side needs.
 type socketSettings struct {
 	Grades []struct {
 		Name     string `json:"name"`
@@ -70,11 +71,11 @@
 	} `json:"limits"`
 }
 
-// socketsLeast is what an instance needs to serve at all: a listener, the journal and a few connections.
+// minSockets is the least an instance needs to serve: a listener, the journal and a few connections.
 const minSockets = 32
 
-// Load reads PROXY_CONFIG; PROXY_NAME, PROXY_LISTEN and PROXY_ADMIN come before what the file says. The error is a Faults with all
-// that is wrong.
+// Load reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_ADMIN override its values. The error is
+// a Faults that lists everything that is wrong.
 func Load(getenv func(string) string) (*Platform, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -87,7 +88,7 @@
 	return parsePlatform(path, data, getenv)
 }
 
-// Parse reads the platform's file.
+// Parse reads the content of the platform's file, without environment variables.
 func Parse(data []byte) (*Platform, error) {
 	return parsePlatform("PROXY_CONFIG", data, func(string) string { return "" })
 }
@@ -109,13 +110,13 @@
 		fault("seed", "%q is not 16 hex digits", f.Seed)
 	}
 	if f.Limits.Sockets < minSockets {
-		fault("limits.sockets", "%d is under the %d that serving takes", f.Limits.Sockets, minSockets)
+		fault("limits.sockets", "%d is below the minimum of %d", f.Limits.Sockets, minSockets)
 	}
 	if f.Limits.MemoryMB <= 0 {
-		fault("limits.memory_mb", "%d is no limit", f.Limits.MemoryMB)
+		fault("limits.memory_mb", "%d is not positive", f.Limits.MemoryMB)
 	}
 	if !(f.Limits.Cores > 0) {
-		fault("limits.cores", "%v is no limit", f.Limits.Cores)
+		fault("limits.cores", "%v is not positive", f.Limits.Cores)
 	}
 	if _, _, err := net.SplitHostPort(f.Journal); err != nil {
 		fault("journal", "%v", err)
@@ -147,7 +148,7 @@
 	if p.Settings, err = wire.DecodeSettings(f.Settings); err != nil {
 		fault("settings", "%v", err)
 	} else if err := p.Settings.Check(); err != nil {
-		for _, message := range strings.Split(err.Error(), "\n") { // as errors.Join puts them
+		for _, message := range strings.Split(err.Error(), "\n") { // errors.Join separates errors by newlines
 			key, text, _ := strings.Cut(message, ": ")
 			fault("settings."+key, "%s", text)
 		}
@@ -161,7 +162,7 @@
 		}
 		p.Names.Classes = append(p.Names.Classes, exchange.Class{Name: g.Name, Deadline: time.Duration(g.Deadline)})
 	}
-	// A class without pools of its own may go to any: then any first choice may be named.
+	// A class without pools of its own may use any pool; in that case any pool may be named as the first choice.
 	if cells := n.Extra.ClassCells; len(cells) > 0 && !slices.ContainsFunc(cells, func(of []int) bool { return len(of) == 0 }) {
 		p.Names.Pools = slices.Concat(cells...)
 	}
@@ -176,7 +177,7 @@
 	return p, nil
 }
 
-// jsonErrorLine is the line of a fault that json found.
+// jsonErrorLine returns the line of an error that encoding/json reported; 0 if it is not known.
 func jsonErrorLine(data []byte, err error) int {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,7 +52,7 @@
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("no file named: %v", err)
+		t.Errorf("PROXY_CONFIG not set: %v", err)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// The file that the platform runs with keeps both parts off.
+// The deployed settings file leaves call control over WebSocket and the store switched off.
 func TestDeployedFileIsOff(t *testing.T) {
 	p, err := LoadOperatorSettings(func(name string) string {
 		return map[string]string{"MASTHILL_SETTINGS": "../../" + OperatorSettingsFile}[name]
@@ -109,7 +109,7 @@
 	}
 }
 
-// All faults come in one go, each with its file, line and key.
+// All faults of a file are reported together, each with its file, line and key.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := "[callws]\nlisten = \"here\"\n[store]\ndriver = \"oracle\"\n[state]\nevery = \"2 seconds\"\nfresh = 1\n"
 	_, err := ParseOperatorSettings("m.toml", text, func(string) string { return "" })
@@ -129,8 +129,8 @@
 	}
 }
 
-// The names of before still work.
-func TestTheOldVariable(t *testing.T) {
+// The deprecated environment variable still works.
+func TestDeprecatedVariable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "callws.toml")
 	if err := os.WriteFile(file, []byte("[recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 	}
 	for change, want := range map[[2]string]string{
 		{`127.0.0.1:2`, `here`}:                                "x:2: distribution.servers",
-		{`127.0.0.1:2`, `127.0.0.1:1`}:                         "x:2: distribution.servers: \"127.0.0.1:1\" stands there twice",
+		{`127.0.0.1:2`, `127.0.0.1:1`}:                         "x:2: distribution.servers: \"127.0.0.1:1\" is listed twice",
 		{`fleet = "harvest"`, ``}:                              "x:1: distribution.fleet: missing",
 		{`MDEyMzQ1Njc4OWFiY2RlZj`, `x`}:                        "x:4: distribution.keys: key 1",
 		{`"MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3ODlhYmNkZWY="`, ``}: "x:4: distribution.keys: missing",
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// Distribution are the settings of an instance that takes configuration releases.
+// Distribution holds the settings of an instance that receives configuration releases.
 type Distribution struct {
 	Servers    []string            `toml:"servers"` // empty: off
 	Fleet      string              `toml:"fleet"`
 	Zone       string              `toml:"zone"`
 	Keys       []string            `toml:"keys"`
-	PublicKeys []ed25519.PublicKey `toml:"-"` // what the keys say
+	PublicKeys []ed25519.PublicKey `toml:"-"` // Keys, decoded
 	MaxAge     time.Duration       `toml:"max_age"`
-	Dir        string              `toml:"dir"` // empty: nothing is kept over the instance's end
+	Dir        string              `toml:"dir"` // empty: the release is not stored across restarts
 }
 
-// minMaxAge is a few questions to a server; defaultMaxAge leaves room for a change of servers.
+// minMaxAge covers a few polls of a server; defaultMaxAge leaves time to switch to another server.
 const minMaxAge, defaultMaxAge = 3 * time.Second, 10 * time.Second
 
+// checkDistribution sets defaults, checks the settings for configuration releases and decodes the public keys.
 func (p *OperatorSettings) checkDistribution(getenv func(string) string, fault func(key, format string, a ...any)) {
 	s := &p.Distribution
 	if s.MaxAge == 0 {
@@ -36,14 +37,14 @@
 			fault("distribution.servers", "%q: %v", server, err)
 		}
 		if slices.Contains(s.Servers[:k], server) {
-			fault("distribution.servers", "%q stands there twice", server)
+			fault("distribution.servers", "%q is listed twice", server)
 		}
 	}
 	if s.Fleet == "" {
 		fault("distribution.fleet", "missing")
 	}
 	if len(s.Keys) == 0 {
-		fault("distribution.keys", "missing: no release could be told from a forged one")
+		fault("distribution.keys", "missing: releases could not be verified")
 	}
 	for k, text := range s.Keys {
 		text, err := resolveSecret(text, getenv)
@@ -58,11 +59,11 @@
 		s.PublicKeys = append(s.PublicKeys, key)
 	}
 	if s.MaxAge < minMaxAge {
-		fault("distribution.max_age", "%v is under %v: one lost question would count", s.MaxAge, minMaxAge)
+		fault("distribution.max_age", "%v is under %v: a single lost poll would make the instance stale", s.MaxAge, minMaxAge)
 	}
 }
 
-// ParsePublicKey reads a public key of the operators.
+// ParsePublicKey decodes an operator's public key (ed25519, base64).
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	b, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -11,14 +11,15 @@
 	"github.com/xeipuuv/gojsonschema"
 )
 
-// Fault is one thing that is wrong in a file that the program reads.
+// Fault is one error in a configuration file.
 type Fault struct {
 	File string `json:"file"`
-	Line int    `json:"line,omitempty"` // from 1; 0: not known
+	Line int    `json:"line,omitempty"` // from 1; 0: unknown
 	Key  string `json:"key,omitempty"`  // dotted, as in callws.listen
 	Text string `json:"text"`
 }
 
+// Error returns the fault as file:line: key: text.
 func (f Fault) Error() string {
 	s := f.File
 	if f.Line > 0 {
@@ -30,9 +31,10 @@
 	return s + ": " + f.Text
 }
 
-// Faults is all that is wrong, in the order of the files and their lines; it is an error unless empty.
+// Faults lists all errors of a file in the order of their lines. An empty list is not an error.
 type Faults []Fault
 
+// Error returns the faults, one a line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for k, one := range f {
@@ -41,7 +43,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// All gives every fault of an error from Load, LoadProject or their like.
+// AllFaults returns the faults in an error of Load, LoadOperatorSettings and similar functions. Any other error becomes a
+// single fault.
 func AllFaults(err error) Faults {
 	var faults Faults
 	if errors.As(err, &faults) {
@@ -57,8 +60,8 @@
 	return Faults{{Text: err.Error()}}
 }
 
-// validate holds a document against a schema and gives a fault for each thing that is wrong. The schema's text is part of
-// the program, so a fault in it is one of the program's.
+// validate checks a document against a JSON Schema and returns a fault for each violation. It panics if the schema itself is
+// invalid, as that is embedded in the program.
 func validate(schema []byte, doc any, file string, line func(path []string) int) (faults Faults) {
 	s, err := gojsonschema.NewSchema(gojsonschema.NewBytesLoader(schema))
 	if err != nil {
@@ -69,7 +72,7 @@
 		return Faults{{File: file, Text: err.Error()}}
 	}
 	for _, e := range result.Errors() {
-		path := strings.Split(e.Context().String(), ".")[1:] // the first is the root
+		path := strings.Split(e.Context().String(), ".")[1:] // the first element is the root
 		switch key, _ := e.Details()["property"].(string); e.Type() {
 		case "additional_property_not_allowed":
 			at := append(path, key)
@@ -83,8 +86,8 @@
 	return faults
 }
 
-// tomlLine finds the line on which a key of a TOML file stands, or else its table: line 0 where neither is found. It
-// looks for headers and keys as our files write them; a key that stands otherwise gets its table's line.
+// tomlLine returns a function that finds the line of a key in a TOML file, or else that of its table; 0 if neither is
+// found. It recognizes only plain table headers and key = value lines; a key written otherwise gets the line of its table.
 func tomlLine(text string) func(path []string) int {
 	return func(path []string) int {
 		want, table, best, depth := strings.Join(path, "."), "", 0, -1
@@ -109,7 +112,8 @@
 	}
 }
 
-// jsonLine finds the line on which a value of a JSON file begins.
+// jsonLine returns a function that finds the line on which a value of a JSON file begins, or else that of the nearest
+// enclosing value.
 func jsonLine(data []byte) func(path []string) int {
 	lines := map[string]int{}
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -10,13 +10,13 @@
 	"masthill/control/shares"
 )
 
-// LiveSchema is the published JSON Schema of what a configuration release may hold.
+// LiveSettingsSchema is the published JSON Schema of the content of a configuration release.
 //
 //go:embed live.schema.json
 var LiveSettingsSchema []byte
 
-// Live is what a configuration release changes while the program runs. What it leaves out is as the instance's own files
-// say.
+// LiveSettings are the settings that a configuration release changes while the program runs. For those it leaves out, the
+// instance's own files apply.
 type LiveSettings struct {
 	Shares struct {
 		Fractions map[string]float64 `toml:"fractions"` // by tenant
@@ -26,12 +26,12 @@
 	} `toml:"callws"`
 	Log struct {
 		Level  string            `toml:"level"`
-		Levels map[string]string `toml:"levels"` // by part
+		Levels map[string]string `toml:"levels"` // by part of the program
 	} `toml:"log"`
 }
 
-// ParseLive reads the content of a release; file is its name for faults. Tokens may be "env:NAME". The error is a Faults
-// with all that is wrong.
+// ParseLiveSettings reads the content of a release; faults name it as file. A token may be given as "env:NAME". The error
+// is a Faults that lists everything that is wrong.
 func ParseLiveSettings(file, text string, getenv func(string) string) (*LiveSettings, error) {
 	live := &LiveSettings{}
 	line, faults := DecodeTOML(file, text, LiveSettingsSchema, live)
@@ -47,7 +47,7 @@
 		sum += fraction
 	}
 	if len(live.Shares.Fractions) > 0 && sum <= 0 {
-		fault("shares.fractions", "nobody would have a share")
+		fault("shares.fractions", "nobody would have a share: all fractions are 0")
 	}
 	if len(faults) > 0 {
 		return nil, sortByLine(faults)
@@ -55,7 +55,8 @@
 	return live, nil
 }
 
-// checkTokens resolves the tokens of callers and checks that nobody could take one for another's.
+// resolveTokens replaces "env:NAME" tokens by their values, in callers itself, and checks that tokens are long enough and
+// that no two callers have the same one.
 func resolveTokens(table string, callers map[string]string, getenv func(string) string, fault func(key, format string, a ...any)) {
 	names := make([]string, 0, len(callers))
 	for name := range callers {
@@ -69,16 +70,16 @@
 		case err != nil:
 			fault(table+"."+name, "%v", err)
 		case len(token) < minTokenLength:
-			fault(table+"."+name, "a token has %d characters at least", minTokenLength)
+			fault(table+"."+name, "a token needs at least %d characters", minTokenLength)
 		case owner[token] != "":
-			fault(table+"."+name, "the same token as another's")
+			fault(table+"."+name, "the same token as that of another caller")
 		}
 		callers[name], owner[token] = token, name
 	}
 }
 
-// TenantFractions are the tenants' fractions with those that the release changes. An unknown tenant is a fault: it would be
-// a slip of the pen that nobody notices.
+// TenantFractions returns a copy of the configured tenants with the fractions of the release applied. An unknown tenant is
+// a fault, as a misspelled name would otherwise go unnoticed.
 func (l *LiveSettings) TenantFractions(configured []shares.Tenant) ([]shares.Tenant, error) {
 	tenants := slices.Clone(configured)
 	var faults Faults
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Peers are the settings of an instance that knows of others.
+// Peers holds the settings for communication with other instances.
 type Peers struct {
 	Listen         string            `toml:"listen"` // empty: off
 	Advertise      string            `toml:"advertise"`
-	Name           string            `toml:"name"` // empty: the instance's
+	Name           string            `toml:"name"` // empty: the instance's name
 	Site           string            `toml:"site"`
 	Machine        string            `toml:"machine"`
 	Seeds          []string          `toml:"seeds"`
 	Keys           []string          `toml:"keys"`
-	DecodedKeys    [][]byte          `toml:"-"` // what the keys say
+	DecodedKeys    [][]byte          `toml:"-"` // Keys, decoded
 	Voters         []string          `toml:"keepers"`
 	MaxInstances   int               `toml:"most"`
 	FloorFraction  float64           `toml:"floor"`
@@ -30,9 +30,10 @@
 	AddrOverrides  map[string]string `toml:"via"`
 }
 
-// termLeast is several round trips between districts; termMost a time in which a cold server is warm without its budget.
+// minTerm is several round trips between sites; within maxTerm a cold server warms up even without its budget.
 const minTerm, maxTerm = 500 * time.Millisecond, 10 * time.Second
 
+// checkPeers sets defaults, checks the settings for peers and decodes the keys.
 func (p *OperatorSettings) checkPeers(getenv func(string) string, fault func(key, format string, a ...any)) {
 	s := &p.Peers
 	if s.Term == 0 {
@@ -52,7 +53,7 @@
 	}
 	if host, _, err := net.SplitHostPort(advertised); err == nil {
 		if ip := net.ParseIP(host); ip == nil || ip.IsUnspecified() {
-			fault("peers.listen", "others could not reach %q: name an IP address of this machine, here or as peers.advertise", advertised)
+			fault("peers.listen", "other instances could not reach %q: give an IP address of this machine, here or as peers.advertise", advertised)
 		}
 	}
 	for _, seed := range s.Seeds {
@@ -65,7 +66,7 @@
 		}
 	}
 	if len(s.Keys) == 0 {
-		fault("peers.keys", "missing: members speak to each other sealed only")
+		fault("peers.keys", "missing: members exchange encrypted messages only")
 	}
 	for k, text := range s.Keys {
 		text, err := resolveSecret(text, getenv)
@@ -83,10 +84,10 @@
 		s.DecodedKeys = append(s.DecodedKeys, key)
 	}
 	if len(s.Voters)%2 == 0 && len(s.Voters) > 0 {
-		fault("peers.keepers", "%d keepers: an odd number, so that every cut leaves a majority on one side at most and one may be away", len(s.Voters))
+		fault("peers.keepers", "%d keepers: an odd number is needed, so that a partition leaves a majority on one side at most and one may fail", len(s.Voters))
 	}
 	if s.Budgets && len(s.Voters) == 0 {
-		fault("peers.budgets", "nobody would hand them out: name keepers")
+		fault("peers.budgets", "nobody would allocate them: name keepers")
 	}
 	if s.Term < minTerm || s.Term > maxTerm {
 		fault("peers.term", "%v is not between %v and %v", s.Term, minTerm, maxTerm)
--- a/internal/config/project.go
+++ b/internal/config/project.go
@@ -15,25 +15,26 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ProjectFile is where the operators' settings lie, unless MASTHILL_SETTINGS names another file: several instances on
-// one machine need one each. OldFile and MASTHILL_CALLWS are the names before; they still work, with a warning.
+// OperatorSettingsFile is the path of the operators' settings, unless MASTHILL_SETTINGS names another file: several
+// instances on one machine need one each. DeprecatedSettingsFile and the variable MASTHILL_CALLWS still work, with a
+// warning.
 const (
 	OperatorSettingsFile   = "deploy/masthill.toml"
 	DeprecatedSettingsFile = "deploy/callws.toml"
 )
 
-// tokenLeast is the length under which a caller's token is a guess.
+// minTokenLength is the length below which a caller's token could be guessed.
 const minTokenLength = 16
 
-// Schema is the published JSON Schema of the operators' settings; masthill check --schema prints it.
+// OperatorSettingsSchema is the published JSON Schema of the operators' settings; masthill check --schema prints it.
 //
 //go:embed masthill.schema.json
 var OperatorSettingsSchema []byte
 
-// Project is what the operators' settings say. Without the file everything is off.
+// OperatorSettings are the settings of the operators. Without a file all optional features are off.
 type OperatorSettings struct {
-	File           string `toml:"-"` // empty: there is none
-	DeprecatedName bool   `toml:"-"` // found under a name of before
+	File           string `toml:"-"` // empty: no file
+	DeprecatedName bool   `toml:"-"` // found under a deprecated name
 	CallWS         struct {
 		Listen  string            `toml:"listen"`  // empty: off
 		Callers map[string]string `toml:"callers"` // tokens by identity
@@ -67,12 +68,12 @@
 	Log struct {
 		Format     string            `toml:"format"`
 		Level      string            `toml:"level"`
-		Levels     map[string]string `toml:"levels"` // by part
+		Levels     map[string]string `toml:"levels"` // by part of the program
 		MaxRepeats int               `toml:"repeats"`
 	} `toml:"log"`
 }
 
-// projectPath tells which file holds the settings; empty: none.
+// settingsPath returns the path of the settings file, empty if there is none, and whether it has a deprecated name.
 func settingsPath(getenv func(string) string) (path string, old bool) {
 	if path = getenv("MASTHILL_SETTINGS"); path != "" {
 		return path, false
@@ -89,8 +90,8 @@
 	return OperatorSettingsFile, false
 }
 
-// LoadProject reads the operators' settings. Values of tokens and of the store's dsn may be "env:NAME". The error is a
-// Faults with all that is wrong.
+// LoadOperatorSettings reads the operators' settings. Tokens, keys and the store's DSN may be given as "env:NAME". The error
+// is a Faults that lists everything that is wrong.
 func LoadOperatorSettings(getenv func(string) string) (*OperatorSettings, error) {
 	path, old := settingsPath(getenv)
 	if path == "" {
@@ -108,7 +109,7 @@
 	return p, nil
 }
 
-// ParseProject reads the text of the settings; file is its name for faults.
+// ParseOperatorSettings reads the text of the settings; faults name it as file.
 func ParseOperatorSettings(file, text string, getenv func(string) string) (*OperatorSettings, error) {
 	p := &OperatorSettings{File: file}
 	line, faults := DecodeTOML(file, text, OperatorSettingsSchema, p)
@@ -127,7 +128,7 @@
 	p.checkPeers(getenv, fault)
 	p.checkDistribution(getenv, fault)
 	if p.State.Interval < 100*time.Millisecond {
-		fault("state.every", "%v is under 100ms: a snapshot is written that often", p.State.Interval)
+		fault("state.every", "%v is under 100ms, the shortest interval between snapshots", p.State.Interval)
 	}
 	if p.State.MaxAge < p.State.Interval {
 		fault("state.most_age", "%v is under state.every: every snapshot would be too old", p.State.MaxAge)
@@ -135,7 +136,7 @@
 	for key, path := range map[string]string{"state.dir": p.State.Dir, "socket.path": p.Socket.Path, "peers.audit": p.Peers.AuditFile,
 		"distribution.dir": p.Distribution.Dir} {
 		if path != "" && !filepath.IsAbs(path) {
-			fault(key, "%q is no absolute path", path)
+			fault(key, "%q is not an absolute path", path)
 		}
 	}
 	if len(faults) > 0 {
@@ -144,8 +145,8 @@
 	return p, nil
 }
 
-// DecodeTOML reads a TOML file into a value after holding it against a schema. line finds the line of a key for further
-// faults; the faults are in the order of the lines.
+// DecodeTOML checks a TOML file against a JSON Schema and decodes it into a value. The returned function finds the line of
+// a key, for faults that later checks find; the faults are in the order of their lines.
 func DecodeTOML(file, text string, schema []byte, into any) (line func(path []string) int, faults Faults) {
 	line = tomlLine(text)
 	var doc map[string]any
@@ -156,19 +157,19 @@
 		}
 		return line, Faults{{File: file, Text: err.Error()}}
 	}
-	if len(doc) == 0 { // an empty file; compiling the schema for it would only cost memory
+	if len(doc) == 0 { // an empty file is valid; compiling the schema would waste memory
 		return line, nil
 	}
 	if faults = validate(schema, doc, file, line); len(faults) > 0 {
 		return line, sortByLine(faults)
 	}
-	if _, err := toml.Decode(text, into); err != nil { // durations that overflow, say
+	if _, err := toml.Decode(text, into); err != nil { // such as a duration that overflows
 		return line, Faults{{File: file, Text: err.Error()}}
 	}
 	return line, nil
 }
 
-// defaults are the figures for keys that are left out.
+// setDefaults fills in the values of keys that are left out.
 func (p *OperatorSettings) setDefaults() {
 	if p.State.Interval == 0 {
 		p.State.Interval = 2 * time.Second
@@ -187,6 +188,7 @@
 	}
 }
 
+// checkStore checks the settings of the store and resolves its DSN.
 func (p *OperatorSettings) checkStore(getenv func(string) string, fault func(key, format string, a ...any)) {
 	dsn, err := resolveSecret(p.Store.DSN, getenv)
 	if err != nil {
@@ -197,6 +199,7 @@
 	p.Store.DSN = dsn
 }
 
+// checkCallWS checks the settings of call control over WebSocket and resolves the tokens.
 func (p *OperatorSettings) checkCallWS(getenv func(string) string, fault func(key, format string, a ...any)) {
 	if p.CallWS.Listen == "" {
 		return
@@ -210,13 +213,13 @@
 	resolveTokens("callws.callers", p.CallWS.Callers, getenv, fault)
 }
 
-// sorted puts faults in the order of their lines.
+// sortByLine sorts faults in place by line, then by key.
 func sortByLine(f Faults) Faults {
 	sort.SliceStable(f, func(i, j int) bool { return f[i].Line < f[j].Line || f[i].Line == f[j].Line && f[i].Key < f[j].Key })
 	return f
 }
 
-// secret resolves a value that stands in the environment.
+// resolveSecret returns a value, or for "env:NAME" that of the environment variable.
 func resolveSecret(value string, getenv func(string) string) (string, error) {
 	name, ok := strings.CutPrefix(value, "env:")
 	if !ok {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the control socket: a Unix socket of mode 0600 on which an instance tells its operators what it does.
-// It speaks HTTP/1.1, one small question at a time, and is bounded so that nobody's questions cost calls their time.
+// Package ctl implements an instance's control socket: a Unix socket of mode 0600 that serves the instance's status to its
+// operators by HTTP/1.1. Connections and sizes are limited, so that requests can't delay calls.
 package ctl
 
 import (
@@ -22,63 +22,63 @@
 )
 
 const (
-	// connsMost bounds the socket's connections, headerMost and answerFor what one may cost.
+	// maxConns limits the connections to the socket; maxHeaderBytes and answerTimeout limit the cost of each.
 	maxConns       = 8
 	maxHeaderBytes = 4 << 10
 	answerTimeout  = time.Second
-	// statusMost bounds what a client reads of a status: some ten thousand offices.
+	// maxStatusBytes limits what a client reads of a status; it is enough for some ten thousand offices.
 	maxStatusBytes = 16 << 20
 )
 
-// Phase is what an instance is doing.
+// Phase is the phase of an instance's life.
 type Phase string
 
-// The phases.
+// The phases of an instance.
 const (
 	Starting   Phase = "starting"
-	Recovering Phase = "recovering" // serves, and paces what it sends
+	Recovering Phase = "recovering" // serving, with a limited sending rate
 	Serving    Phase = "serving"
 	Draining   Phase = "draining"
 )
 
-// Status is what the socket tells.
+// Status is the status of an instance, as served on the control socket.
 type Status struct {
 	Name            string          `json:"name"`
 	Version         string          `json:"version"`
 	PID             int             `json:"pid"`
 	Phase           Phase           `json:"phase"`
 	StartedAt       time.Time       `json:"started"`
-	StartReason     string          `json:"start_reason"` // of this start: first, restart, crash, upgrade ...
-	Snapshot        string          `json:"snapshot"`     // taken up, or why not
+	StartReason     string          `json:"start_reason"` // first, restart, crash, upgrade ...
+	Snapshot        string          `json:"snapshot"`     // whether a snapshot was restored, or why not
 	Listen          string          `json:"listen"`
 	ListPos         int64           `json:"list_pos"`
-	ListAgeMS       int64           `json:"list_age_ms"` // since the list's service last said anything; -1: it never has
+	ListAgeMS       int64           `json:"list_age_ms"` // since the last message of the list service; -1: none yet
 	MemoryMB        float64         `json:"memory_mb"`   // resident
 	MemoryLimitMB   int             `json:"memory_most_mb"`
 	Descriptors     int             `json:"descriptors"`
 	DescriptorLimit int             `json:"sockets_most"`
 	Core            exchange.Status `json:"core"`
 	ConfigWarning   string          `json:"config_warning,omitempty"`
-	Levels          []levels.Change `json:"levels,omitempty"` // the last changes, the oldest first
-	Peers           *Peers          `json:"peers,omitempty"`  // nil: it knows of no others
-	// Release is the configuration release that is in force; nil: it takes none.
+	Levels          []levels.Change `json:"levels,omitempty"` // latest changes, oldest first
+	Peers           *Peers          `json:"peers,omitempty"`  // nil: peers are off
+	// Release is the configuration release in force; nil: distribution is off.
 	Release *releases.MemberStatus `json:"release,omitempty"`
 }
 
-// Listen opens the socket. A socket that nobody listens on any more, left by a process that died, makes room; one that
-// another process serves does not.
+// Listen opens the socket. A stale socket, left by a process that died, is replaced; it fails if another process serves
+// the socket.
 func Listen(path string) (net.Listener, error) {
 	if c, err := net.DialTimeout("unix", path, answerTimeout); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("%s: another process serves it", path)
+		return nil, fmt.Errorf("%s: another process serves this socket", path)
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&fs.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s: there, and no socket", path)
+			return nil, fmt.Errorf("%s: exists and is no socket", path)
 		}
 		os.Remove(path)
 	}
-	// Made under a name of its own, so that nobody can connect before its mode is set.
+	// It is created under a temporary name, so that nobody can connect before its mode is set.
 	tmp := fmt.Sprintf("%s.%d", path, os.Getpid())
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tmp, Net: "unix"})
 	if err != nil {
@@ -97,8 +97,8 @@
 	return l, nil
 }
 
-// Serve answers until ctx ends, and takes the socket away then. listeners are the program's listening sockets, which a
-// supervisor that was started again takes over.
+// Serve serves requests until ctx ends, and then removes the socket. listeners are the program's listening sockets; a
+// restarted supervisor requests copies of them.
 func Serve(ctx context.Context, l net.Listener, path string, log *slog.Logger, status func() Status, listeners map[string]net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /listeners", func(w http.ResponseWriter, _ *http.Request) {
@@ -115,7 +115,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("control socket ended", "err", err) // calls go on without it
+			log.Error("control socket failed", "err", err) // calls don't depend on it
 		}
 		return nil
 	})
@@ -128,8 +128,8 @@
 	return g.Wait()
 }
 
-// limit bounds a server's connections: the next one is accepted when one has ended. A limited listener would do the same,
-// but would hide what passes descriptors on.
+// limitConns limits a server's connections: at the limit, the next one is accepted when one has ended. A limiting listener
+// would wrap the connections, and descriptors can only be passed over a plain Unix connection.
 func limitConns(limit int) func(net.Conn, http.ConnState) {
 	slots := make(chan struct{}, limit)
 	return func(_ net.Conn, state http.ConnState) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// Ask asks an instance's socket. ErrNobody tells that no process serves it.
+// FetchStatus requests the status of an instance from its socket. The error wraps ErrNotRunning if no process serves it.
 func FetchStatus(ctx context.Context, path string) (*Status, error) {
 	client := http.Client{Timeout: 3 * answerTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -167,5 +167,5 @@
 	return &s, nil
 }
 
-// ErrNobody tells that no process serves a control socket.
+// ErrNotRunning means that no process serves a control socket.
 var ErrNotRunning = errors.New("no instance answers")
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -15,7 +15,7 @@
 	"masthill/internal/netcase"
 )
 
-func TestTheSocket(t *testing.T) {
+func TestControlSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ctl")
 	if _, err := FetchStatus(t.Context(), path); !errors.Is(err, ErrNotRunning) {
 		t.Error(err)
@@ -44,7 +44,7 @@
 	if _, err := Listen(path); err == nil {
 		t.Error("a second process took the socket over")
 	}
-	// Those that connect and say nothing do not keep others out for long.
+	// Clients that connect and send nothing block others only until the timeout.
 	for range maxConns {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -72,7 +72,7 @@
 	if err != nil || again.Addr().String() != tcp.Addr().String() {
 		t.Fatal(again, err)
 	}
-	if c, err := net.Dial("tcp", tcp.Addr().String()); err != nil { // the copy listens on
+	if c, err := net.Dial("tcp", tcp.Addr().String()); err != nil { // the copy still listens
 		t.Error(err)
 	} else {
 		c.Close()
@@ -84,11 +84,11 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the socket stays")
+		t.Error("the socket was not removed")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
 	if _, err := Listen(file); err == nil {
-		t.Error("a file that is no socket was taken away")
+		t.Error("a file that is no socket was replaced")
 	}
 }
--- a/internal/ctl/listeners.go
+++ b/internal/ctl/listeners.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// fdsMost bounds the sockets that are passed at once.
+// maxDescriptors limits the sockets that are passed at once.
 const maxDescriptors = 16
 
-// pass hands copies of the listening sockets to whoever asked, by SCM_RIGHTS behind one line with their names. Only the
-// program's own user reaches the control socket.
+// passListeners sends copies of the listening sockets to the client by SCM_RIGHTS, with a line of their names. Only the
+// program's own user can connect to the control socket.
 func passListeners(w http.ResponseWriter, listeners map[string]net.Listener) error {
 	raw, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -25,7 +25,7 @@
 	defer raw.Close()
 	c, ok := raw.(*net.UnixConn)
 	if !ok {
-		return fmt.Errorf("%T passes no descriptors", raw)
+		return fmt.Errorf("%T can't pass descriptors", raw)
 	}
 	var names []string
 	var fds []int
@@ -42,13 +42,13 @@
 		names, fds = append(names, name), append(fds, int(f.Fd()))
 	}
 	if len(fds) == 0 {
-		return errors.New("none to pass")
+		return errors.New("no listening sockets to pass")
 	}
 	_, _, err = c.WriteMsgUnix([]byte(strings.Join(names, ":")+"\n"), syscall.UnixRights(fds...), nil)
 	return err
 }
 
-// TakeListeners asks an instance for copies of its listening sockets, by name. The caller closes them.
+// FetchListeners requests copies of an instance's listening sockets, by name. The code that called it closes them.
 func FetchListeners(ctx context.Context, path string) (map[string]*os.File, error) {
 	raw, err := new(net.Dialer).DialContext(ctx, "unix", path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	messages, err := syscall.ParseSocketControlMessage(rights[:oobn])
 	if err != nil || len(messages) == 0 {
-		return nil, errors.New("no sockets came")
+		return nil, errors.New("no listening sockets received")
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -13,13 +13,13 @@
 	"masthill/internal/peers"
 )
 
-// Peers is what an instance knows of its fleet.
+// Peers is what an instance knows of the other instances of its fleet.
 type Peers struct {
 	peers.Status
 	Shared shared.Look `json:"shared"`
 }
 
-// Text writes it for people.
+// WriteText writes the status of the peers in a form for people.
 func (p *Peers) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -10,7 +10,7 @@
 	"masthill/internal/peers"
 )
 
-// Text writes a status for people.
+// WriteText writes the status in a form for people.
 func (s *Status) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
--- a/internal/ctl/usage.go
+++ b/internal/ctl/usage.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Usage reads what this process holds, from /proc: resident memory in MB and open descriptors; 0 where that can't be
-// read.
+// Usage reads from /proc the resident memory of this process, in MB, and the number of its open descriptors; 0 where that
+// can't be read.
 func Usage() (memoryMB float64, descriptors int) {
 	if text, err := os.ReadFile("/proc/self/status"); err == nil {
 		for line := range strings.Lines(string(text)) {
@@ -18,7 +18,7 @@
 		}
 	}
 	if names, err := os.ReadDir("/proc/self/fd"); err == nil {
-		descriptors = len(names) - 1 // the directory itself was open
+		descriptors = len(names) - 1 // without that of the directory being read
 	}
 	return memoryMB, descriptors
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the program's logger: text or JSON lines by log/slog, a level for each part, and a bound on lines
-// that repeat, so that a flood of one fault neither fills a disk nor costs the core that calls need.
+// Package logs makes the program's logger: text or JSON lines by log/slog, with a level for each part of the program and a
+// limit on repeated lines, so that a flood of one message neither fills the disk nor takes CPU time away from calls.
 package logs
 
 import (
@@ -14,24 +14,24 @@
 )
 
 const (
-	// Part is the attribute that names a part of the program.
+	// PartKey is the key of the attribute that names a part of the program.
 	PartKey = "part"
-	// keysMost bounds the messages that are counted at once; messages are constants of the program, well under this.
+	// maxKeys limits the messages that are counted at once. Messages are constants of the program, far fewer than this.
 	maxKeys = 512
-	// window is the time over which repeated lines are counted.
+	// window is the period in which repeated lines are counted.
 	window = time.Second
 )
 
-// Options is what a logger is made from.
+// Options are the options of New.
 type Options struct {
 	Output     io.Writer
 	JSON       bool
 	Levels     *Levels          // nil: info for all
-	MaxRepeats int              // lines of one message and part in a second; 0: no bound
-	Now        func() time.Time // nil: the system's
+	MaxRepeats int              // lines of one message and part per second; 0: no limit
+	Now        func() time.Time // nil: time.Now
 }
 
-// Levels are the least levels that are written. They may change while loggers use them.
+// Levels are the minimum levels of the lines that are written. They may change while loggers use them.
 type Levels struct {
 	current atomic.Pointer[levelsByPart]
 }
@@ -41,19 +41,19 @@
 	parts   map[string]slog.Level
 }
 
-// NewLevels makes levels: a general one, and those of parts that have their own.
+// NewLevels makes levels from a general one and those of the parts that have their own.
 func NewLevels(general slog.Level, parts map[string]slog.Level) *Levels {
 	l := &Levels{}
 	l.Set(general, parts)
 	return l
 }
 
-// Set changes the levels, for loggers that are there already, too.
+// Set changes the levels, also of existing loggers.
 func (l *Levels) Set(general slog.Level, parts map[string]slog.Level) {
 	l.current.Store(&levelsByPart{general, parts})
 }
 
-// of is the level of a part.
+// levelOf returns the level of a part.
 func (l *Levels) levelOf(part string) slog.Level {
 	now := l.current.Load()
 	if len(now.parts) == 0 {
@@ -65,10 +65,10 @@
 	return now.general
 }
 
-// everything is under any level: what is written is decided by Levels, not by the handlers of log/slog.
+// minLevel is below every level: Levels decides what is written, not the handlers of log/slog.
 const minLevel = slog.Level(math.MinInt)
 
-// Level reads a level's name.
+// ParseLevel parses the name of a level.
 func ParseLevel(name string) (l slog.Level, err error) {
 	if err = l.UnmarshalText([]byte(name)); err != nil {
 		err = fmt.Errorf("unknown level %q", name)
@@ -93,7 +93,7 @@
 
 type key struct{ part, message string }
 
-// count is how many lines of one message came in the window that began at a time, and how many were left out.
+// repeatCount counts the lines of one message in the current window, and those of them that were suppressed.
 type repeatCount struct {
 	windowStart time.Time
 	lines       int
@@ -133,8 +133,8 @@
 	return &next
 }
 
-// Handle writes a line, or counts it. The next line of that message after the window tells how many were left out.
-// Debug lines are not bounded: whoever asks for them wants them all.
+// Handle writes a line, or suppresses it if it is over the limit. The next line of that message after the window has the
+// number of suppressed lines. Debug lines are not limited: whoever enables them wants all of them.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	if h.options.MaxRepeats == 0 || r.Level < slog.LevelInfo {
 		return h.Handler.Handle(ctx, r)
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -48,6 +48,6 @@
 		t.Error(out.String())
 	}
 	if _, err := ParseLevel("loud"); err == nil {
-		t.Error("an unknown level")
+		t.Error("an unknown level was accepted")
 	}
 }
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -1,6 +1,6 @@
-// Package notify speaks the service manager's two small protocols: sd_notify (readiness, reloading, stopping, watchdog
-// and status, as datagrams to the socket that NOTIFY_SOCKET names) and the passing of listening sockets by LISTEN_FDS.
-// Without the variables everything here does nothing.
+// Package notify implements two protocols of service managers such as systemd: sd_notify (readiness, reloading, stopping,
+// watchdog and status, as datagrams to the socket that NOTIFY_SOCKET names) and the passing of listening sockets by
+// LISTEN_FDS. Without these variables it does nothing.
 package notify
 
 import (
@@ -15,25 +15,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeFor bounds one datagram's write: a manager that does not read must not hold up the program.
+// writeTimeout limits the write of one datagram: a manager that does not read must not block the program.
 const writeTimeout = 100 * time.Millisecond
 
-// firstFD is the first passed descriptor (SD_LISTEN_FDS_START).
+// firstFD is the number of the first passed descriptor (SD_LISTEN_FDS_START).
 const firstFD = 3
 
-// Manager is the service manager, if there is one; nil does nothing.
+// Manager is the connection to the service manager. The methods of a nil Manager do nothing.
 type Manager struct {
 	conn             *net.UnixConn
-	watchdogInterval time.Duration // between two signs of life; 0: none wanted
+	watchdogInterval time.Duration // between two keep-alive messages; 0: watchdog off
 }
 
-// Open finds the service manager in the environment.
+// Open connects to the service manager that the environment names; the Manager is nil if there is none.
 func Open(getenv func(string) string) (*Manager, error) {
 	path := getenv("NOTIFY_SOCKET")
 	if path == "" {
 		return nil, nil
 	}
-	if name, ok := strings.CutPrefix(path, "@"); ok { // in the abstract name space
+	if name, ok := strings.CutPrefix(path, "@"); ok { // abstract socket address
 		path = "\x00" + name
 	}
 	conn, err := net.DialUnix("unixgram", nil, &net.UnixAddr{Name: path, Net: "unixgram"})
@@ -53,13 +53,13 @@
 		return
 	}
 	m.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	m.conn.Write([]byte(strings.Join(lines, "\n"))) // a manager that is gone changes nothing here
+	m.conn.Write([]byte(strings.Join(lines, "\n"))) // the program runs on without a manager
 }
 
-// Ready tells that the program serves.
+// Ready reports that the program serves.
 func (m *Manager) Ready(status string) { m.send("READY=1", "STATUS="+oneLine(status)) }
 
-// Reloading tells that a new configuration is read; Ready is to follow.
+// Reloading reports that a new configuration is being read; call Ready afterwards.
 func (m *Manager) Reloading() {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) != nil {
@@ -68,15 +68,16 @@
 	m.send("RELOADING=1", fmt.Sprintf("MONOTONIC_USEC=%d", now.Nano()/1000))
 }
 
-// Stopping tells that the program ends.
+// Stopping reports that the program is ending.
 func (m *Manager) Stopping(status string) { m.send("STOPPING=1", "STATUS="+oneLine(status)) }
 
-// Status tells in words what the program does.
+// Status reports the program's state as free text.
 func (m *Manager) Status(status string) { m.send("STATUS=" + oneLine(status)) }
 
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", " ") }
 
-// Watch gives signs of life until ctx ends, as long as alive comes back: it is to go through what must not hang.
+// RunWatchdog sends keep-alive messages at half the watchdog's timeout until ctx ends. It calls checkAlive before each;
+// that should pass through everything that must not hang, as no message is sent until it returns.
 func (m *Manager) RunWatchdog(ctx context.Context, checkAlive func()) error {
 	if m == nil || m.watchdogInterval == 0 {
 		return nil
@@ -94,8 +95,8 @@
 	}
 }
 
-// Listeners takes over the listening sockets that were passed on, by their names (LISTEN_FDNAMES; one without a name
-// is "callers", the port that every instance has). The variables are for this process alone, so they are cleared.
+// Listeners returns the listening sockets that were passed to this process, by name (LISTEN_FDNAMES; one without a name
+// is "callers", the port that every instance has). It clears the variables, as they are for this process alone.
 func Listeners(getenv func(string) string) (map[string]net.Listener, error) {
 	n, err := strconv.Atoi(getenv("LISTEN_FDS"))
 	if err != nil || n <= 0 || getenv("LISTEN_PID") != strconv.Itoa(os.Getpid()) {
@@ -109,7 +110,7 @@
 			name = names[k]
 		}
 		f := os.NewFile(uintptr(firstFD+k), name)
-		l, err := net.FileListener(f) // a copy; the passed one must not go on into other programs
+		l, err := net.FileListener(f) // a copy; programs started by this one must not inherit the descriptor
 		f.Close()
 		if err == nil && listeners[name] != nil {
 			err = fmt.Errorf("passed twice")
--- a/internal/notify/notify_test.go
+++ b/internal/notify/notify_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestTheManagerIsTold(t *testing.T) {
+func TestNotifications(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notify")
 	l, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
 	if err != nil {
@@ -53,7 +53,7 @@
 	if got := receive(); got != "STOPPING=1\nSTATUS=x" {
 		t.Errorf("%q", got)
 	}
-	// A core that hangs gives no sign of life.
+	// No keep-alive message is sent while the core hangs.
 	ctx, cancel := context.WithCancel(t.Context())
 	hang, ended := make(chan struct{}), make(chan struct{})
 	checks := 0
@@ -67,12 +67,12 @@
 	}()
 	for range 2 {
 		if got := receive(); got != "WATCHDOG=1" {
-			t.Errorf("no sign of life: %q", got)
+			t.Errorf("no keep-alive message: %q", got)
 		}
 	}
 	l.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, _ := l.Read(make([]byte, 100)); n > 0 {
-		t.Error("a sign of life while the core hangs")
+		t.Error("a keep-alive message while the core hangs")
 	}
 	cancel()
 	close(hang)
@@ -87,7 +87,7 @@
 	m.Ready("x")
 	m.RunWatchdog(t.Context(), nil)
 	if _, err := Open(env("NOTIFY_SOCKET", "/nowhere/at/all")); err == nil {
-		t.Error("a manager that is not there")
+		t.Error("no error for a manager that doesn't exist")
 	}
 	for _, e := range []func(string) string{env(), env("LISTEN_FDS", "1", "LISTEN_PID", "1"), env("LISTEN_FDS", "x", "LISTEN_PID", strconv.Itoa(os.Getpid()))} {
 		if l, err := Listeners(e); l != nil || err != nil {
