--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost runs the controllers of many fronts on the simulator's wire.
+// Command wirehost runs the controllers of many instances for a simulator, which it talks to by the line protocol of
+// package wire on its standard input and output.
 package main
 
 import (
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -157,8 +157,8 @@
 		{`budgets = true`, `term = "1ms"`}:       "x:5: peers.term",
 		{`budgets = true`, `audit = "here"`}:     "x:5: peers.audit",
 		{`127.0.0.1:0`, `here`}:                  "x:2: peers.listen",
-		{`127.0.0.1:0`, `:2908`}:                 "x:2: peers.listen: others could not reach",
-		{`budgets = true`, `advertise = "h:1"`}:  "x:2: peers.listen: others could not reach",
+		{`127.0.0.1:0`, `:2908`}:                 "x:2: peers.listen: other instances could not reach",
+		{`budgets = true`, `advertise = "h:1"`}:  "x:2: peers.listen: other instances could not reach",
 	} {
 		_, err := ParseOperatorSettings("x", strings.Replace(good, change[0], change[1], 1), none)
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/fleet/claim.go
+++ b/internal/fleet/claim.go
@@ -14,41 +14,41 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The files of an instance's folder.
+// Files in the folder of an instance.
 const (
-	lockFile = "lock" // held by the instance's process from before it runs to its end
+	lockFile = "lock" // locked by the instance's process for its whole life
 	runFile  = "run.json"
 )
 
-// ExitClaimed is the exit code of a launched process that found its folder claimed by another one.
+// ExitClaimed is the exit code of a launched process whose folder another process had claimed.
 const ExitClaimed = 75
 
-// ErrClaimed tells that another process holds an instance's folder.
-var ErrClaimed = errors.New("another process runs there")
+// ErrClaimed means that another process holds the lock of an instance's folder.
+var ErrClaimed = errors.New("another process holds the folder")
 
-// A supervisor that looks whether an instance runs holds the lock, shared, for an instant: a claim tries again for that
-// long before it takes the folder for another process's.
+// A supervisor that checks whether an instance runs holds the lock, shared, for a moment. A claim therefore retries for
+// a while before it reports that another process has the folder.
 const (
 	claimRetryInterval = 5 * time.Millisecond
 	maxClaimTries      = 20
 )
 
-// claimed is what an instance's process notes of itself once it holds the lock.
+// processRecord is what an instance's process writes about itself once it holds the lock.
 type processRecord struct {
 	PID        int    `json:"pid"`
 	Generation string `json:"generation"`
 	Program    string `json:"program"`
 }
 
-// Claim takes an instance's folder for this process, and for the program that it becomes: the lock goes with the
-// process and ends with it, however that ends. It fails where another process has it, so that no two instances of one
-// name ever run.
+// Claim locks an instance's folder for this process and for the program that it executes next: the lock belongs to the
+// process and is released when that ends, in whatever way. It fails if another process holds the lock, so that two
+// instances of one name never run at once.
 func Claim(dir, generation, program string) error {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
 	}
-	fd, err := syscall.Dup(int(f.Fd())) // without close-on-exec, and never closed: it is to outlive this program's text
+	fd, err := syscall.Dup(int(f.Fd())) // without close-on-exec, and never closed: the lock must survive the exec
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return replaceFile(filepath.Join(dir, runFile), text)
 }
 
-// lockFolder takes the lock of an instance's folder for good. contended is told of each try in vain.
+// lockFolder locks an instance's folder for the rest of the process. onContention is called after each failed try.
 func lockFolder(fd int, onContention backoff.Notify) error {
 	lock := func() (struct{}, error) { return struct{}{}, syscall.Flock(fd, syscall.LOCK_EX|syscall.LOCK_NB) }
 	_, err := backoff.Retry(context.Background(), lock, backoff.WithBackOff(backoff.NewConstantBackOff(claimRetryInterval)),
@@ -74,8 +74,8 @@
 	return err
 }
 
-// running tells whether an instance's process runs, and what it noted of itself. A process that has the lock and has
-// not noted anything yet is told with a pid of 0.
+// findProcess tells whether an instance's process runs, and returns its record. The PID is 0 for a process that has the
+// lock and has not written its record yet.
 func findProcess(dir string) (record processRecord, isRunning bool) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_RDWR, 0)
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	defer f.Close()
 	err = syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
-	if err == nil { // nobody has it; closing lets go again
+	if err == nil { // no process holds it; closing the file releases it again
 		return record, false
 	}
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
@@ -96,14 +96,14 @@
 	return record, true
 }
 
-// alive tells whether a process is there and no corpse that nobody has buried yet.
+// isAlive tells whether a process exists and is not a zombie.
 func isAlive(pid int) bool {
 	if pid <= 0 || syscall.Kill(pid, 0) != nil {
 		return false
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return true // no /proc here; the signal found it
+		return true // no /proc on this system, but the signal found the process
 	}
 	_, state, _ := strings.Cut(string(text), ") ")
 	return !strings.HasPrefix(state, "Z")
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -30,8 +30,8 @@
 	return spec
 }
 
-// A process that has its folder's lock and ends before it has noted its pid is no running instance for good.
-func TestAnInstanceThatEndsBeforeItsPid(t *testing.T) {
+// A process that locks its folder and ends before it has written its PID must not count as running for ever.
+func TestExitBeforePIDIsWritten(t *testing.T) {
 	spec := newSpec(t)
 	s, err := New(spec, "/nowhere", netcase.DiscardLogger())
 	if err != nil {
@@ -49,17 +49,17 @@
 		t.Fatal(m.phase)
 	}
 	if m.poll(); m.phase != rollout.Starting {
-		t.Error("it still has the lock", m.phase)
+		t.Error("the process still holds the lock", m.phase)
 	}
 	lock.Close()
 	if m.poll(); m.phase != rollout.Down {
-		t.Error("it is gone", m.phase)
+		t.Error("the process has ended", m.phase)
 	}
 	s.lock.Close()
 }
 
-// A supervisor that looks at the lock in the instant of the claim does not make it fail; another instance does.
-func TestAClaimInTheInstantOfALook(t *testing.T) {
+// A claim succeeds although a supervisor checks the lock at that moment; it fails if another instance holds the lock.
+func TestClaimDuringLockCheck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), lockFile)
 	open := func() int {
 		f, err := os.Create(path)
@@ -79,14 +79,14 @@
 		syscall.Flock(observer, syscall.LOCK_UN)
 	}
 	if err := lockFolder(open(), contended); err != nil || tries != 1 {
-		t.Errorf("%v after %d tries in vain", err, tries)
+		t.Errorf("%v after %d failed tries", err, tries)
 	}
 	if err := lockFolder(open(), nil); !errors.Is(err, ErrClaimed) {
 		t.Error("a second instance", err)
 	}
 }
 
-// Without its control socket a supervisor starts nothing, and says so.
+// A supervisor that can't open its control socket starts no instance and returns an error.
 func TestNoControlSocket(t *testing.T) {
 	spec := newSpec(t)
 	s, err := New(spec, "/nowhere", netcase.DiscardLogger())
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestFaultsOfAFleetsFile(t *testing.T) {
+func TestFaultsOfFleetFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f.toml")
 	os.WriteFile(file, []byte("name = \"h\"\ndir = \"run\"\ninstances = 3\nlisten = \"127.0.0.1:65534\"\nplatform = \"none.json\"\n"), 0o600)
 	_, err := Load(file)
@@ -112,7 +112,7 @@
 		t.Error(err)
 	}
 	os.WriteFile(file, []byte("instances = 0\n"), 0o600)
-	if _, err := Load(file); len(config.AllFaults(err)) != 5 { // the count, and four keys that are missing
+	if _, err := Load(file); len(config.AllFaults(err)) != 5 { // the number of instances, and four missing keys
 		t.Error(err)
 	}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -21,40 +21,40 @@
 )
 
 const (
-	// backoffFirst and backoffMost bound the wait before an instance that ended unasked is started again.
+	// minRestartWait and maxRestartWait limit the wait before an instance that ended unexpectedly is restarted.
 	minRestartWait, maxRestartWait = 200 * time.Millisecond, 15 * time.Second
-	// logMost bounds an instance's log; what is over goes to one older file.
+	// maxLogBytes limits an instance's log; a longer one is moved to one older file.
 	maxLogBytes = 16 << 20
-	// checkFor bounds the check of an instance's files by its program.
+	// checkTimeout limits the check of an instance's files by its program.
 	checkTimeout = 5 * time.Second
 	// callersSocket and callWSSocket name an instance's listening sockets.
 	callersSocket, callWSSocket = "callers", "callws"
 )
 
-// member is one instance as the supervisor's loop sees it. All of it belongs to the loop.
+// member is the supervisor's state of one instance. Only the supervisor's loop uses it.
 type member struct {
 	supervisor      *Supervisor
 	index           int
 	name, dir       string
-	generation      string // its process runs, or is to be started as
+	generation      string // that its process runs, or will be started with
 	phase           rollout.Phase
 	phaseSince      time.Time
-	listeners       map[string]*os.File // held here over the ends of processes
+	listeners       map[string]*os.File // kept open across restarts of the process
 	addrs           map[string]string
 	pid             int
-	isChild         bool // started by this process; else taken over
-	stopping        bool // its end was asked for
+	isChild         bool // started by this supervisor; false: adopted
+	stopping        bool // it was asked to end
 	signaledAt      time.Time
 	startedAt       time.Time
-	startReason     string // of the next start
-	crashes         int    // of this generation
-	earlyExits      int    // ends in a row soon after the start
+	startReason     string // reason of the next start
+	crashes         int    // in this generation
+	earlyExits      int    // consecutive exits soon after the start
 	retryAt         time.Time
 	restartBackoff  *backoff.ExponentialBackOff
-	failure         string // why it is not started again
+	failure         string // why it is not restarted
 	status          *ctl.Status
-	statusRequested bool // for its status
-	unexpectedExits int  // unasked, in all
+	statusRequested bool // a request for its status is under way
+	unexpectedExits int  // in total
 }
 
 func newMember(s *Supervisor, n int) *member {
@@ -65,6 +65,7 @@
 	return m
 }
 
+// setPhase enters a phase, unless the instance is in it already.
 func (m *member) setPhase(p rollout.Phase) {
 	if m.phase != p {
 		m.phase, m.phaseSince = p, time.Now()
@@ -73,7 +74,7 @@
 
 func (m *member) socket() string { return filepath.Join(m.dir, "ctl") }
 
-// adopt takes over an instance that a supervisor before this one has started.
+// adopt takes over a running instance that an earlier supervisor started. It returns false if none runs.
 func (m *member) adopt(ctx context.Context) bool {
 	c, is := findProcess(m.dir)
 	if !is {
@@ -82,9 +83,9 @@
 	m.isChild, m.startedAt = false, time.Now()
 	m.setPhase(rollout.Starting)
 	m.setProcess(c)
-	m.closeListeners() // opened for a process that lost the folder to this one
+	m.closeListeners() // opened for a process that could not claim the folder
 	files, err := ctl.FetchListeners(ctx, m.socket())
-	if err != nil { // its sockets end with it; the next process opens new ones, at the same addresses
+	if err != nil { // its sockets close when it ends; the next process gets new ones at the same addresses
 		m.supervisor.log.Warn("listening sockets not taken over", "instance", m.name, "err", err)
 	}
 	m.keepListeners(files)
@@ -92,14 +93,14 @@
 	return true
 }
 
-// noted takes up what the instance's process has noted of itself, if it has yet.
+// setProcess applies the record of the instance's process, if that has written one.
 func (m *member) setProcess(c processRecord) {
 	if c.PID > 0 {
 		m.pid, m.generation = c.PID, c.Generation
 	}
 }
 
-// closeListeners lets go of the listening sockets that are held for the instance.
+// closeListeners closes the listening sockets that are kept for the instance.
 func (m *member) closeListeners() {
 	for name, f := range m.listeners {
 		f.Close()
@@ -107,7 +108,7 @@
 	}
 }
 
-// hold keeps copies of the instance's listening sockets for the processes that follow.
+// keepListeners keeps copies of the instance's listening sockets for its next processes.
 func (m *member) keepListeners(files map[string]*os.File) {
 	for name, f := range files {
 		if m.listeners[name] != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// open opens the listening sockets that are not held yet.
+// openListeners opens the listening sockets that are not open yet.
 func (m *member) openListeners() error {
 	for name, base := range map[string]string{callersSocket: m.supervisor.spec.Listen, callWSSocket: m.supervisor.spec.CallWS} {
 		if base == "" || m.listeners[name] != nil {
@@ -138,7 +139,7 @@
 		}
 		f, err := l.(*net.TCPListener).File()
 		m.addrs[name] = l.Addr().String()
-		l.Close() // the copy stays
+		l.Close() // the copy stays open
 		if err != nil {
 			return err
 		}
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// address is where a listening socket of the instance is to be: a port that was chosen for it once stays its own, over
-// the ends of processes and of supervisors, as clients know it by that.
+// listenAddr returns the address for a listening socket of the instance. A port that the system once chose for it is kept
+// across restarts of processes and of supervisors, as clients have that address.
 func (m *member) listenAddr(name, base string) (string, error) {
 	wanted, err := instanceAddr(base, m.index)
 	if err != nil {
@@ -164,7 +165,7 @@
 	return wanted, nil
 }
 
-// files writes the instance's files from the templates.
+// writeFiles writes the instance's files from the templates.
 func (m *member) writeFiles() error {
 	if err := os.MkdirAll(filepath.Join(m.dir, "tmp"), 0o700); err != nil {
 		return err
@@ -184,7 +185,8 @@
 	return nil
 }
 
-// environment is what an instance's program gets: nothing of another instance's, or of a service manager's.
+// environment returns the environment of an instance's program, without variables meant for another instance or set by a
+// service manager.
 func (m *member) environment(extra ...string) []string {
 	var env []string
 	for _, e := range os.Environ() {
@@ -199,7 +201,7 @@
 		"MASTHILL_SOCKET="+m.socket(), "TMPDIR="+filepath.Join(m.dir, "tmp")), extra...)
 }
 
-// check has a program read the instance's files, before anything is replaced.
+// checkFiles runs a program's check of the instance's files, before any instance is replaced.
 func (m *member) checkFiles(ctx context.Context, program string) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// start starts the instance's process as its generation's program.
+// start starts the instance's process with the program of its generation.
 func (m *member) start() error {
 	if err := m.openListeners(); err != nil {
 		return err
@@ -231,7 +233,7 @@
 	defer log.Close()
 	cmd := exec.Command(m.supervisor.LauncherProgram, "launch", "--dir", m.dir, "--generation", m.generation, program)
 	cmd.Dir, cmd.Stderr, cmd.Stdout = m.dir, log, log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a terminal's interrupt is the supervisor's alone
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // an interrupt from the terminal must reach only the supervisor
 	var names []string
 	for name, f := range m.listeners {
 		names = append(names, name)
@@ -259,7 +261,7 @@
 	return nil
 }
 
-// log opens the instance's log, and moves it aside once it is too long.
+// openLog opens the instance's log. A log that is too long is renamed first.
 func (m *member) openLog() (*os.File, error) {
 	path := filepath.Join(m.dir, "log")
 	if info, err := os.Stat(path); err == nil && info.Size() > maxLogBytes {
@@ -268,8 +270,8 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-// trim bounds the log of a process that runs long: the newest part goes to the older file, and the log begins anew. The
-// process appends, so that its next line stands at the new beginning.
+// trimLog limits the log of a running process: a log that is too long is copied to the older file and truncated. The
+// process opened it for appending, so its next line goes to the new start.
 func (m *member) trimLog() {
 	path := filepath.Join(m.dir, "log")
 	info, err := os.Stat(path)
@@ -288,7 +290,7 @@
 	}
 }
 
-// stop asks the instance's process to end; kick kills it once it has had its time.
+// stop sends the instance's process SIGTERM; killOverdue kills it after the timeout.
 func (m *member) stop() {
 	if m.pid <= 0 || m.stopping {
 		return
@@ -298,6 +300,7 @@
 	syscall.Kill(m.pid, syscall.SIGTERM)
 }
 
+// killOverdue sends SIGKILL to a process that has not ended within the timeout after SIGTERM.
 func (m *member) killOverdue() {
 	if m.stopping && m.pid > 0 && time.Since(m.signaledAt) > m.supervisor.spec.Rollout.StopWithin {
 		m.supervisor.log.Warn("instance killed", "instance", m.name, "pid", m.pid, "why", "it did not end in time")
@@ -306,7 +309,7 @@
 	}
 }
 
-// ended takes the end of the instance's process.
+// onExit handles the end of the instance's process and decides whether and when it is restarted.
 func (m *member) onExit(code int) {
 	uptime := time.Since(m.startedAt)
 	m.pid, m.status = 0, nil
@@ -316,7 +319,7 @@
 		return
 	}
 	if code == ExitClaimed {
-		if _, is := findProcess(m.dir); is { // a supervisor before this one had launched it already; keep takes it over
+		if _, is := findProcess(m.dir); is { // launched by an earlier supervisor; startIfDown adopts it
 			m.supervisor.log.Info("instance runs already", "instance", m.name)
 			return
 		}
@@ -329,9 +332,9 @@
 	}
 	switch action {
 	case rollout.BadConfig:
-		m.failure = "bad configuration: its log names the fault; mend it and reload"
+		m.failure = "bad configuration: its log names the fault; correct it and reload"
 	case rollout.CrashLoop:
-		m.failure = fmt.Sprintf("crash loop: %d ends in a row soon after the start", earlyExits)
+		m.failure = fmt.Sprintf("crash loop: %d consecutive exits soon after the start", earlyExits)
 	default:
 		m.startReason = "crash"
 		m.retryAt = time.Now().Add(m.restartBackoff.NextBackOff())
@@ -343,13 +346,13 @@
 		"again_in_ms", max(time.Until(m.retryAt).Milliseconds(), 0))
 }
 
-// look follows what the instance's process is at.
+// poll checks the instance's process and requests its status.
 func (m *member) poll() {
 	if !m.isChild {
 		if c, is := findProcess(m.dir); is {
 			m.setProcess(c)
-		} else if m.pid > 0 || m.phase == rollout.Starting { // the latter: it ended before it had noted its pid
-			m.onExit(-1) // another's child: how it ended nobody tells
+		} else if m.pid > 0 || m.phase == rollout.Starting { // the latter: it ended before it had written its PID
+			m.onExit(-1) // it is not a child of this process, so its exit code is unknown
 		}
 	}
 	m.killOverdue()
@@ -361,7 +364,7 @@
 	m.supervisor.group.Go(func() error {
 		st, err := ctl.FetchStatus(m.supervisor.ctx, m.socket())
 		var files map[string]*os.File
-		if err == nil && noListeners { // taken over before it answered on its socket
+		if err == nil && noListeners { // it was adopted before its control socket answered
 			files, _ = ctl.FetchListeners(m.supervisor.ctx, m.socket())
 		}
 		m.supervisor.post(func() {
@@ -380,7 +383,7 @@
 	})
 }
 
-// replace puts a file in its place at once.
+// replaceFile writes a file atomically, by renaming a temporary file.
 func replaceFile(path string, text []byte) error {
 	return renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path)))
 }
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -10,8 +10,8 @@
 	"masthill/control/rollout"
 )
 
-// Rollout begins to replace all instances: by a new program, or by the same one (empty). The program first reads the
-// files that the instances will get; a fault in them replaces nothing.
+// Rollout starts to replace all instances: with a new program, or with the current one if program is empty. The program
+// first checks the files that the instances will get; if there is a fault in them, nothing is replaced.
 func (s *Supervisor) Rollout(ctx context.Context, program string) (err error) {
 	cause := "upgrade"
 	var first *member
@@ -52,7 +52,8 @@
 	return err
 }
 
-// checkAll writes the files anew and has a program read them; the running instances have read theirs long ago.
+// checkAll writes the files of all instances and has a program check them. Running instances are not affected, as they
+// read their files only at the start or on a reload.
 func (s *Supervisor) checkAll(ctx context.Context, program string) error {
 	var all []*member
 	var err error
@@ -68,7 +69,8 @@
 	return err
 }
 
-// Reload writes the files anew, and has every instance read them. An instance that was given up is tried again.
+// Reload writes the files of all instances and has the instances read them. An instance that had failed for good is started
+// again.
 func (s *Supervisor) Reload(ctx context.Context) error {
 	var program string
 	s.runInLoop(func() { program = s.state.Programs[s.state.Generation] })
@@ -89,5 +91,5 @@
 	return nil
 }
 
-// Down ends all instances and the supervisor.
+// Down stops all instances and the supervisor.
 func (s *Supervisor) Down() { s.runInLoop(func() { s.shuttingDown = true }) }
--- a/internal/fleet/rollout.go
+++ b/internal/fleet/rollout.go
@@ -6,7 +6,7 @@
 	"masthill/control/rollout"
 )
 
-// roll carries out the next step of the rollout under way.
+// advanceRollout carries out the next step of the rollout that is in progress, if any.
 func (s *Supervisor) advanceRollout() {
 	r := s.state.Rollout
 	if r == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// cold counts the offices that any instance believes to be cold.
+// countColdOffices counts the serving offices that at least one instance regards as cold.
 func (s *Supervisor) countColdOffices() int {
 	cold := map[string]bool{}
 	for _, m := range s.members {
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// connsMost and bodyMost bound the fleet's control socket; orderFor is the longest an order may take to begin: each
-	// instance's files are read by a program first.
+	// maxConns and maxBodyBytes limit the use of the fleet's control socket. commandTimeout is long because a rollout or
+	// a reload first runs a program to check the files of each instance.
 	maxConns, maxBodyBytes        = 8, 16 << 10
 	headerTimeout, commandTimeout = time.Second, 2 * time.Minute
 )
 
-// order is what the control socket takes beside a look at the status.
+// command is the body of the control socket's POST requests.
 type command struct {
 	Program string `json:"program"`
 }
 
-// serve answers on the fleet's control socket until ctx ends.
+// serve serves the fleet's control socket until ctx ends.
 func (s *Supervisor) serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(s.Status()) })
@@ -61,7 +61,7 @@
 	g.Go(func() error {
 		<-ctx.Done()
 		os.Remove(s.spec.Socket())
-		// What is being answered is answered, 'down' above all.
+		// Requests in progress get their answers, "down" in particular.
 		shutdownCtx, cancel := context.WithTimeout(context.Background(), headerTimeout)
 		defer cancel()
 		server.Shutdown(shutdownCtx)
@@ -70,10 +70,10 @@
 	return g.Wait()
 }
 
-// Client speaks to a fleet's supervisor.
+// Client sends requests to the supervisor of a fleet.
 type Client struct{ http http.Client }
 
-// Dial makes a client of the fleet of a spec.
+// Dial makes a client for the fleet of a spec. It connects only with the first request.
 func Dial(spec *Spec) *Client {
 	return &Client{http.Client{Timeout: commandTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -81,7 +81,7 @@
 		}}}}
 }
 
-// Status asks for the fleet's status; ctl.ErrNobody tells that no supervisor runs.
+// Status requests the fleet's status. The error wraps ctl.ErrNotRunning if no supervisor runs.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	var s Status
 	text, err := c.roundTrip(ctx, http.MethodGet, "/status", nil)
@@ -91,7 +91,7 @@
 	return &s, err
 }
 
-// Order has the supervisor do something: rollout, reload or down.
+// SendCommand has the supervisor carry out a command: rollout, reload or down. program is only used by rollout.
 func (c *Client) SendCommand(ctx context.Context, action, program string) error {
 	body, err := json.Marshal(command{program})
 	if err != nil {
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -1,7 +1,7 @@
-// Package fleet runs many instances of the program on one machine: it starts them from one file and a template, each in
-// a folder of its own, starts them again with a growing wait when they end unasked, passes listening sockets on so that
-// no connection is lost between two processes, and carries out rollouts that control/rollout decides. It takes its
-// running instances over when it is itself killed and started again.
+// Package fleet supervises many instances of the program on one machine. It starts them from one file and templates, each
+// in a folder of its own, restarts them with increasing waits when they end unexpectedly, passes listening sockets on so
+// that no connection is lost between two processes, and carries out the rollouts that control/rollout decides. A
+// supervisor that was killed and restarted adopts the running instances.
 package fleet
 
 import (
@@ -19,19 +19,19 @@
 	"masthill/internal/config"
 )
 
-// Schema is the published JSON Schema of a fleet's file.
+// Schema is the published JSON Schema of a fleet's specification file.
 //
 //go:embed fleet.schema.json
 var Schema []byte
 
-// Spec is a fleet's file. Paths are relative to it.
+// Spec is the content of a fleet's specification file. Relative paths in it start from the file's folder.
 type Spec struct {
 	File      string `toml:"-"`
 	Name      string `toml:"name"`
-	Dir       string `toml:"dir"`     // of the fleet's state, with a folder for each instance
+	Dir       string `toml:"dir"`     // for the fleet's state, with a folder for each instance
 	Program   string `toml:"program"` // empty: the one that runs the fleet
 	Instances int    `toml:"instances"`
-	Listen    string `toml:"listen"`   // of the first instance; the others have the next ports. Port 0: any
+	Listen    string `toml:"listen"`   // of the first instance; the others get the following ports. Port 0: chosen by the system
 	CallWS    string `toml:"callws"`   // the same for call control over WebSocket; empty: off
 	Platform  string `toml:"platform"` // template of the platform's file
 	Settings  string `toml:"settings"` // template of the operators' settings; empty: none
@@ -40,12 +40,12 @@
 		HealthyFor  time.Duration `toml:"healthy_for"`
 		StartWithin time.Duration `toml:"start_within"`
 		ColdMost    time.Duration `toml:"cold_most"`
-		StopWithin  time.Duration `toml:"stop_within"` // after SIGTERM, then SIGKILL
+		StopWithin  time.Duration `toml:"stop_within"` // between SIGTERM and SIGKILL
 		Back        *bool         `toml:"back"`
 	} `toml:"rollout"`
 }
 
-// Load reads a fleet's file. The error is a config.Faults.
+// Load reads and checks a fleet's specification file. The error is a config.Faults.
 func Load(file string) (*Spec, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -107,13 +107,13 @@
 	return s, nil
 }
 
-// limits are the rollout's figures.
+// limits returns the limits for rollouts.
 func (s *Spec) limits() rollout.Limits {
 	return rollout.Limits{MostAway: s.Rollout.MostAway, HealthyFor: int64(s.Rollout.HealthyFor), StartWithin: int64(s.Rollout.StartWithin),
 		ColdMost: int64(s.Rollout.ColdMost), Back: s.Rollout.Back == nil || *s.Rollout.Back}
 }
 
-// nth is the address of the n-th instance.
+// instanceAddr returns the address of the n-th instance: the same host, with the port increased by n unless it is 0.
 func instanceAddr(addr string, n int) (string, error) {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	first, err := strconv.Atoi(port)
 	if err != nil || first < 0 || first > 0 && first+n > 65535 {
-		return "", fmt.Errorf("port %q is no number, or the last instance's is over 65535", port)
+		return "", fmt.Errorf("port %q is no number, or the port of the last instance is over 65535", port)
 	}
 	if first == 0 {
 		return addr, nil
@@ -129,16 +129,16 @@
 	return net.JoinHostPort(host, strconv.Itoa(first+n)), nil
 }
 
-// Socket is the fleet's control socket.
+// Socket returns the path of the fleet's control socket.
 func (s *Spec) Socket() string { return filepath.Join(s.Dir, "fleet.sock") }
 
-// instance gives the name and the folder of the n-th instance.
+// instance returns the name and the folder of the n-th instance.
 func (s *Spec) instance(n int) (name, dir string) {
 	name = fmt.Sprintf("%s-%d", s.Name, n)
 	return name, filepath.Join(s.Dir, strconv.Itoa(n))
 }
 
-// render fills a template in for the n-th instance.
+// render reads a template and replaces its placeholders with the values of the n-th instance.
 func (s *Spec) render(file string, n int, addrs map[string]string) (string, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,18 +18,18 @@
 	DurationSeconds float64       `json:"took_s"`
 }
 
-// Status is what a fleet tells operators.
+// Status is the status of a fleet, for its operators.
 type Status struct {
 	Name       string         `json:"name"`
 	PID        int            `json:"pid"`
 	Generation string         `json:"generation"`
 	Program    string         `json:"program"`
-	Rollout    *rollout.Step  `json:"rollout,omitempty"` // under way
-	Outcome    *Outcome       `json:"outcome,omitempty"` // of the last one
+	Rollout    *rollout.Step  `json:"rollout,omitempty"` // in progress
+	Outcome    *Outcome       `json:"outcome,omitempty"` // of the last rollout
 	Instances  []MemberStatus `json:"instances"`
 }
 
-// MemberStatus is one instance.
+// MemberStatus is the status of one instance.
 type MemberStatus struct {
 	Name             string        `json:"name"`
 	PID              int           `json:"pid"`
@@ -45,7 +45,7 @@
 	MemoryMB         float64       `json:"memory_mb"`
 }
 
-// Status looks at everything.
+// Status returns the status of the fleet and of its instances, sorted by number.
 func (s *Supervisor) Status() (st Status) {
 	s.runInLoop(func() {
 		st = Status{Name: s.spec.Name, PID: os.Getpid(), Generation: s.state.Generation, Program: s.state.Programs[s.state.Generation], Outcome: s.state.Outcome}
@@ -68,4 +68,5 @@
 	return st
 }
 
+// String names the fleet and the number of its instances.
 func (s Status) String() string { return fmt.Sprintf("fleet %s of %d", s.Name, len(s.Instances)) }
--- a/internal/fleet/supervisor.go
+++ b/internal/fleet/supervisor.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// tickEvery is how often the loop looks at everything, askEvery how often at instances' status, trimEvery at logs.
+	// The loop runs each tickInterval; it polls instances each pollInterval and trims their logs each trimInterval.
 	tickInterval, pollInterval, trimInterval = 50 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second
-	// stateFile holds the supervisor's state over its own end.
+	// stateFile keeps the supervisor's state across its restarts.
 	stateFile = "fleet.json"
-	// programsMost bounds the generations whose programs are remembered.
+	// maxPrograms limits the generations whose programs are remembered.
 	maxPrograms = 8
 )
 
-// state is what outlives a supervisor.
+// state is the supervisor's state that is stored across restarts.
 type state struct {
-	Generation     string            `json:"generation"` // that instances are to have
+	Generation     string            `json:"generation"` // that instances should run
 	LastGeneration int               `json:"last"`       // number of the newest generation
 	Programs       map[string]string `json:"programs"`   // by generation
 	Rollout        *rollout.Rollout  `json:"rollout,omitempty"`
@@ -39,11 +39,11 @@
 	Addresses map[string]map[string]string `json:"addresses,omitempty"`
 }
 
-// Supervisor runs a fleet. One goroutine, the loop, owns its state; everything else posts to it.
+// Supervisor runs a fleet. One goroutine, the loop, owns its state; other goroutines post functions for it to run.
 type Supervisor struct {
 	spec            *Spec
 	log             *slog.Logger
-	LauncherProgram string // the program that launches instances: this one
+	LauncherProgram string // path of this program, which launches the instances
 	state           state
 	step            rollout.Step
 
@@ -51,17 +51,17 @@
 	group        *errgroup.Group
 	members      []*member
 	events       chan func()
-	shuttingDown bool // all instances are being ended
+	shuttingDown bool // all instances are being stopped
 	lastWritten  string
-	lock         *os.File // of the fleet's folder, held as long as this process supervises it
+	lock         *os.File // of the fleet's folder, held while this process supervises it
 	stopOnce     sync.Once
 	stopped      chan struct{}
 }
 
-// ErrRunning tells that the fleet has a supervisor already.
+// ErrRunning means that another supervisor runs the fleet.
 var ErrRunning = errors.New("the fleet has a supervisor already")
 
-// New makes a supervisor, and takes the fleet's folder for this process.
+// New makes a supervisor and locks the fleet's folder for this process. self is the path of this program.
 func New(spec *Spec, self string, log *slog.Logger) (*Supervisor, error) {
 	if err := os.MkdirAll(spec.Dir, 0o700); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 		err = json.Unmarshal(text, &s.state)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		log.Error("state of before not taken up", "err", err)
+		log.Error("stored state discarded", "err", err)
 		s.state = state{}
 	}
 	if s.state.Programs == nil {
@@ -107,7 +107,7 @@
 	return s, nil
 }
 
-// addresses are those of an instance's listening sockets. The map is a part of the state that outlives the supervisor.
+// addresses returns the addresses of an instance's listening sockets. The map is part of the stored state.
 func (s *Supervisor) addresses(instance string) map[string]string {
 	if s.state.Addresses[instance] == nil {
 		s.state.Addresses[instance] = map[string]string{}
@@ -115,7 +115,7 @@
 	return s.state.Addresses[instance]
 }
 
-// generation makes a new one for a program, and forgets the oldest.
+// newGeneration makes a new generation for a program, and forgets the oldest.
 func (s *Supervisor) newGeneration(program string) string {
 	s.state.LastGeneration++
 	g := strconv.Itoa(s.state.LastGeneration)
@@ -128,7 +128,7 @@
 	return g
 }
 
-// post has the loop do something. It never blocks for good: the loop takes everything until its end.
+// post has the loop run f. It never blocks forever: the loop runs what is posted until it stops.
 func (s *Supervisor) post(f func()) {
 	select {
 	case s.events <- f:
@@ -136,7 +136,7 @@
 	}
 }
 
-// ask has the loop do something and waits for it.
+// runInLoop has the loop run f and waits until that is done, or the loop has stopped.
 func (s *Supervisor) runInLoop(f func()) {
 	done := make(chan struct{})
 	s.post(func() { f(); close(done) })
@@ -146,10 +146,10 @@
 	}
 }
 
-// Run supervises until ctx ends or Down was called; then it ends all instances in order and comes back.
+// Run supervises the fleet until ctx ends or Down is called; then it stops all instances and returns.
 func (s *Supervisor) Run(ctx context.Context) error {
 	defer s.lock.Close()
-	// Before anything is started: a fleet that nobody can give an order to is not to run unseen.
+	// The socket is opened before any instance is started, as a fleet without it could not be controlled.
 	l, err := ctl.Listen(s.spec.Socket())
 	if err != nil {
 		return err
@@ -177,6 +177,7 @@
 	return err
 }
 
+// loop runs posted functions and the periodic work until ctx has ended or Down was called, and all instances have ended.
 func (s *Supervisor) loop(ctx context.Context) {
 	defer s.stopOnce.Do(func() { close(s.stopped) })
 	tick := time.NewTicker(tickInterval)
@@ -218,12 +219,12 @@
 	}
 }
 
-// keep starts an instance that is down and is to run.
+// startIfDown starts an instance that is down, once the wait after its last exit is over.
 func (s *Supervisor) startIfDown(m *member) {
 	if m.phase != rollout.Down || m.pid > 0 {
 		return
 	}
-	if m.adopt(s.ctx) { // a supervisor before this one had launched it, and it has claimed its folder only now
+	if m.adopt(s.ctx) { // launched by an earlier supervisor, and it has claimed its folder only now
 		return
 	}
 	if time.Now().Before(m.retryAt) {
@@ -235,7 +236,7 @@
 	}
 }
 
-// end ends all instances in order; it tells when all are gone.
+// stopAll asks all instances to end; it returns true once none runs.
 func (s *Supervisor) stopAll() bool {
 	running := 0
 	for _, m := range s.members {
@@ -247,7 +248,7 @@
 	return running == 0
 }
 
-// write writes the state down when it has changed.
+// writeState stores the state if it has changed.
 func (s *Supervisor) writeState() {
 	text, err := json.MarshalIndent(s.state, "", " ")
 	if err != nil || string(text) == s.lastWritten {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,6 @@
-// Package state keeps what an instance has learnt over the end of its process: a snapshot with a version and a
-// checksum, written off the core's goroutine by temporary file, fsync and rename. A snapshot that can't be trusted is
-// refused with a reason, and the instance starts with nothing, as it would without one.
+// Package state keeps the learned state of an instance across restarts, in a snapshot file with a version and a checksum.
+// It is written outside the core's goroutine, by temporary file, fsync and rename. A snapshot that can't be trusted is
+// rejected with a reason, and the instance starts as it would without one.
 package state
 
 import (
@@ -27,40 +27,40 @@
 )
 
 const (
-	// version is that of the file's form. A file of a newer version is another program's, and is left alone.
+	// version is the version of the file format. A file of a newer version was written by a newer program and is rejected.
 	version = 1
 	magic   = "masthill-state"
-	// fileMost bounds what is read: a list of some ten thousand offices.
+	// maxFileBytes limits what is read; it is enough for some ten thousand offices.
 	maxFileBytes = 16 << 20
-	// finalFor is how long the last snapshot may take at the end: a disk that hangs must not hold up the end.
+	// finalTimeout limits the last snapshot, so that a disk that hangs does not delay the end of the process.
 	finalTimeout = 500 * time.Millisecond
 	// fileName is the snapshot's name in its directory.
 	fileName = "learnt.state"
 )
 
-// The reasons for which a snapshot is refused.
+// The reasons for which a snapshot is rejected.
 var (
 	ErrNoSnapshot    = errors.New("none")
 	ErrDamaged       = errors.New("damaged")
 	ErrNewerVersion  = errors.New("of a newer version")
 	ErrOtherInstance = errors.New("another instance's")
 	ErrTooOld        = errors.New("too old")
-	ErrFutureTime    = errors.New("from the future: the clock went back")
-	ErrInvalid       = errors.New("makes no sense")
+	ErrFutureTime    = errors.New("from the future: the clock was set back")
+	ErrInvalid       = errors.New("invalid content")
 )
 
-// Snapshot is what the file holds.
+// Snapshot is the content of the file.
 type Snapshot struct {
 	Instance  string         `json:"instance"`
 	WrittenAt time.Time      `json:"at"`
 	StartedAt time.Time      `json:"started"` // of the process that wrote it
-	EndReason string         `json:"ended"`   // why that process ended, in its last snapshot; empty before
+	EndReason string         `json:"ended"`   // set in the last snapshot of a process: why it ended
 	Learnt    control.Learnt `json:"learnt"`
-	// Levels are the last changes of the level of service.
+	// Levels are the latest changes of the level of service.
 	Levels []levels.Change `json:"levels,omitempty"`
 }
 
-// Encode gives the file's text: a line with version and checksum, and the snapshot as JSON.
+// Encode returns the text of the file: a line with version and checksum, and the snapshot as JSON.
 func Encode(s Snapshot) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return append(fmt.Appendf(nil, "%s %d %s\n", magic, version, hex.EncodeToString(sum[:])), body...), nil
 }
 
-// Decode reads a file's text and holds it against the rules: whose it is, how old it may be, what time it is. The error
-// wraps one of the reasons of this package.
+// Decode reads the text of a file and checks that it is intact, is of this instance and is neither too old nor from the
+// future. The error wraps one of this package's errors.
 func Decode(text []byte, instance string, now time.Time, mostAge time.Duration) (*Snapshot, error) {
 	header, body, ok := bytes.Cut(text, []byte("\n"))
 	var v int
@@ -103,7 +103,7 @@
 	return &s, nil
 }
 
-// Load reads the snapshot in a directory; ErrNone without one.
+// Load reads the snapshot in a directory. The error is ErrNoSnapshot if there is none.
 func Load(dir, instance string, now time.Time, mostAge time.Duration) (*Snapshot, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -123,7 +123,7 @@
 	return Decode(text, instance, now, mostAge)
 }
 
-// Evidence is what a snapshot tells the recovery after a start.
+// Evidence returns the servers that were known to work, for the recovery after a start.
 func (s *Snapshot) Evidence() (e []recovery.Evidence) {
 	for _, o := range s.Learnt.Servers {
 		if o.EstablishedSentAt > 0 && !o.Down {
@@ -133,20 +133,20 @@
 	return e
 }
 
-// Keeper writes snapshots while an instance runs.
+// SnapshotWriter writes snapshots while an instance runs.
 type SnapshotWriter struct {
 	Dir, Instance string
 	Interval      time.Duration
 	Log           *slog.Logger
-	Learnt        func() control.Learnt  // asks the core; may take as long as the core does
-	Levels        func() []levels.Change // the same; nil: there are none
+	Learnt        func() control.Learnt  // asks the core; may block as long as the core is busy
+	Levels        func() []levels.Change // as Learnt; nil: there are no levels
 	WriteFile     func(path string, text []byte) error
 
 	started time.Time
 	failing atomic.Bool
 }
 
-// write puts a file in its place at once: whoever reads sees the old one or the new one, and a crash leaves either.
+// writeFile replaces a file atomically: a reader sees the old or the new content, and so does whoever reads after a crash.
 func writeFile(path string, text []byte) error {
 	if err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path))); err != nil {
 		return err
@@ -156,11 +156,11 @@
 		return err
 	}
 	defer dir.Close()
-	return dir.Sync() // the rename itself
+	return dir.Sync() // makes the rename durable
 }
 
-// Run writes a snapshot every so often until ctx ends, and a last one then. No fault of the disk ends it: it says once
-// that snapshots fail and once that they work again, and calls go on.
+// Run writes a snapshot each interval until ctx ends, and a last one then. Errors of the disk don't end it: it logs once
+// that snapshots fail and once that they work again.
 func (w *SnapshotWriter) Run(ctx context.Context) error {
 	w.started = time.Now()
 	if w.WriteFile == nil {
@@ -168,7 +168,7 @@
 	}
 	tick := time.NewTicker(w.Interval)
 	defer tick.Stop()
-	writing := make(chan struct{}, 1) // a write under way; a disk that hangs holds one, never more
+	writing := make(chan struct{}, 1) // filled while a write is in progress; at most one write waits for a disk that hangs
 	save := func(ended string) <-chan struct{} {
 		select {
 		case writing <- struct{}{}:
@@ -196,10 +196,10 @@
 		}
 		limit := time.After(finalTimeout)
 		select {
-		case writing <- struct{}{}: // the write under way is over
+		case writing <- struct{}{}: // the write in progress is done
 			<-writing
 		case <-limit:
-			w.Log.Warn("last snapshot left out", "why", "the one before is not written yet")
+			w.Log.Warn("last snapshot left out", "why", "the previous one is not written yet")
 			return nil
 		}
 		select {
@@ -211,6 +211,7 @@
 	}
 }
 
+// save writes a snapshot and logs when writing starts to fail or works again.
 func (w *SnapshotWriter) save(s Snapshot) {
 	if s.Learnt.At == 0 { // the core has ended, or has had no event yet
 		return
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -35,7 +35,7 @@
 	return text
 }
 
-func TestWhatIsRefusedAndWhy(t *testing.T) {
+func TestRejectedSnapshots(t *testing.T) {
 	good := encoded(t, snapshot())
 	if s, err := Decode(good, "n3", now, time.Minute); err != nil || s.Learnt.Spacing != 5e7 || len(s.Levels) != 1 || s.Levels[0].To != levels.Busy || len(s.Evidence()) != 1 || s.Evidence()[0].Server != 7 {
 		t.Fatal(s, err)
@@ -65,33 +65,33 @@
 	}
 }
 
-// Cut anywhere, or with any bit turned, a file is refused; never taken for another one.
+// A file that is truncated anywhere, or has any bit flipped, is rejected.
 func TestDamage(t *testing.T) {
 	good := encoded(t, snapshot())
 	for n := range good {
 		if _, err := Decode(good[:n], "n3", now, time.Minute); err == nil {
-			t.Fatalf("cut at byte %d it is taken", n)
+			t.Fatalf("truncated at byte %d it is accepted", n)
 		}
 		for bit := range 8 {
 			bad := append([]byte{}, good...)
 			bad[n] ^= 1 << bit
 			if _, err := Decode(bad, "n3", now, time.Minute); err == nil {
-				t.Fatalf("with bit %d of byte %d turned it is taken", bit, n)
+				t.Fatalf("with bit %d of byte %d flipped it is accepted", bit, n)
 			}
 		}
 	}
 	netcase.Check(t, func(t *rapid.T) { Decode(netcase.Garbage(t, good), "n3", now, time.Minute) })
 }
 
-// A crash at any byte of the write leaves the file before: the new one comes into its place whole or not at all.
-func TestACrashWhileWriting(t *testing.T) {
+// A crash at any byte of a write leaves the previous file in place, as the new one replaces it only when complete.
+func TestCrashWhileWriting(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	text := encoded(t, snapshot())
 	if err := writeFile(path, text); err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; n < len(text); n += 7 { // what a crash leaves: a part of a temporary file beside it
+	for n := 0; n < len(text); n += 7 { // a crash leaves an incomplete temporary file
 		if err := os.WriteFile(filepath.Join(dir, "."+fileName+"123"), text[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-// A full disk fails writes and nothing else; a frozen one holds one write, and the end waits no longer than its bound.
+// On a full disk only the writes fail. A disk that hangs blocks one write, and the end waits no longer than finalTimeout.
 func TestFullAndFrozenDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var full atomic.Bool
@@ -137,7 +137,7 @@
 		full.Store(false)
 		time.Sleep(time.Second)
 		if k.failing.Load() {
-			t.Error("it still counts as failing")
+			t.Error("snapshots still count as failing")
 		}
 		freeze.Store(true)
 		before := writes.Load()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps call records in SQLite or PostgreSQL. Nothing here decides anything, and no answer waits
-// for it: records pass through a bounded queue, and what does not fit is counted and logged.
+// Package store writes call records to SQLite or PostgreSQL. No answer to a caller waits for it: records pass through a
+// bounded queue, and those that don't fit are dropped, counted and logged.
 package store
 
 import (
@@ -19,19 +19,19 @@
 )
 
 const (
-	// queueMost bounds the records that wait for the store: a minute of one instance's busiest traffic.
+	// queueLimit limits the records that wait to be written; it is a minute of one instance's heaviest traffic.
 	queueLimit = 4096
-	// batchMost and batchEvery make one transaction of what came in a moment: a commit costs a disk sync.
+	// Up to maxBatch records that arrive within batchInterval form one transaction, as each commit costs a disk sync.
 	maxBatch, batchInterval = 256, 200 * time.Millisecond
-	// writeFor is the deadline of one batch, lastFor of the one at the end.
+	// writeTimeout is the deadline of one batch, finalTimeout that of all remaining records at the end.
 	writeTimeout, finalTimeout = 5 * time.Second, time.Second
-	// retryFirst and retryMost bound the wait after a failure.
+	// minRetryPause and maxRetryPause limit the pause after a failure.
 	minRetryPause, maxRetryPause = 200 * time.Millisecond, 5 * time.Second
-	// textMost cuts what callers may have made long.
+	// maxTextBytes is the length to which texts are truncated, as callers choose some of them.
 	maxTextBytes = 256
 )
 
-// schema holds one step for each version; what has once been released is never changed.
+// schema holds one migration for each version. A released one must never be changed.
 var schema = []string{
 	`CREATE TABLE IF NOT EXISTS masthill_calls (
 		instance TEXT NOT NULL, call_id TEXT NOT NULL, taken_ms BIGINT NOT NULL, owner TEXT NOT NULL,
@@ -44,10 +44,10 @@
 var columns = []string{"instance", "call_id", "taken_ms", "owner", "class", "tenant", "number", "verdict",
 	"attempts", "server", "answered_ms", "ended_ms", "later_ms", "cut"}
 
-// Options is what a Store is made from.
+// Options are the options of Open.
 type Options struct {
 	Driver   string // "sqlite" or "postgres"
-	DSN      string // a file, or a connection string
+	DSN      string // a file name or a connection string
 	Instance string
 	Log      *slog.Logger
 }
@@ -59,16 +59,16 @@
 	queue        chan exchange.Record
 	lost         atomic.Int64
 	insertSQL    string
-	finalTimeout time.Duration // lastFor, but for tests
+	finalTimeout time.Duration // finalTimeout, except in tests
 	migrated     bool          // the schema is up to date
 }
 
-// Open makes a store; it speaks to the database only in Run. The error names the key that is wrong.
+// Open makes a store; it connects to the database only in Run. The error names the settings key that is wrong.
 func Open(o Options) (*Store, error) {
 	driver, dsn, placeholder := "", o.DSN, ""
 	switch o.Driver {
 	case "sqlite":
-		// One writer, each commit on disk before it counts.
+		// There is one writer, and each commit is synced to disk.
 		driver, placeholder = "sqlite", "?"
 		sep := "?"
 		if strings.Contains(dsn, "?") {
@@ -93,8 +93,8 @@
 		finalTimeout: finalTimeout}, nil
 }
 
-// insert is the statement for one record. A record comes once when its call has its answer and, if that
-// stands, again when it is over; a batch whose commit was in doubt may come twice.
+// insertStatement returns the statement that writes one record. A record is written when its call has its answer and, if
+// the call is established, again when that ends; a batch whose commit may have failed is written twice.
 func insertStatement(placeholder string) string {
 	placeholders := make([]string, len(columns))
 	for k := range placeholders {
@@ -106,7 +106,7 @@
 		") ON CONFLICT (instance, call_id, taken_ms) DO UPDATE SET ended_ms = excluded.ended_ms, cut = excluded.cut"
 }
 
-// Put queues a record and never blocks.
+// Put queues a record. It never blocks; if the queue is full, the record is lost and counted.
 func (s *Store) Put(r exchange.Record) {
 	select {
 	case s.queue <- r:
@@ -115,10 +115,10 @@
 	}
 }
 
-// Lost counts the records that never reached the database.
+// LostRecords returns the number of records that were not written to the database.
 func (s *Store) LostRecords() int64 { return s.lost.Load() }
 
-// Run writes batches until ctx ends, and then once more what is left.
+// Run writes batches until ctx ends, and then the remaining records.
 func (s *Store) Run(ctx context.Context) error {
 	defer s.db.Close()
 	pause, reported := minRetryPause, int64(0)
@@ -144,7 +144,8 @@
 	return s.writeRemaining(batch, reported)
 }
 
-// last writes what is left at the end; what the time does not allow is lost, and said so.
+// writeRemaining writes the remaining records at the end. Those that can't be written in time are counted and logged as
+// lost.
 func (s *Store) writeRemaining(batch []exchange.Record, reported int64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.finalTimeout)
 	defer cancel()
@@ -164,7 +165,7 @@
 	}
 }
 
-// collect fills a batch with what comes within batchEvery.
+// collect adds to a batch the records that arrive within batchInterval.
 func (s *Store) collect(ctx context.Context, batch []exchange.Record) []exchange.Record {
 	timer := time.NewTimer(batchInterval)
 	defer timer.Stop()
@@ -181,6 +182,7 @@
 	return batch
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -190,7 +192,7 @@
 	}
 }
 
-// write puts a batch into the database in one transaction.
+// write writes a batch in one transaction, after migrating the schema if that is still to be done.
 func (s *Store) write(ctx context.Context, batch []exchange.Record, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -215,6 +217,7 @@
 	})
 }
 
+// inTransaction runs do in a transaction, which it commits unless do fails.
 func (s *Store) inTransaction(ctx context.Context, do func(tx *sql.Tx) error) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -227,6 +230,7 @@
 	return tx.Commit()
 }
 
+// row returns the values of a record in the order of columns.
 func (s *Store) row(r exchange.Record) []any {
 	cut := int64(0)
 	if r.Cut {
@@ -244,7 +248,7 @@
 	return t.UnixMilli()
 }
 
-// text makes a value that both databases take: a single odd record would else hold up its batch for ever.
+// cleanText turns a text into one that both databases accept: a single invalid record would block its batch forever.
 func cleanText(v string) string {
 	v = strings.ToValidUTF8(strings.ReplaceAll(v, "\x00", ""), "?")
 	if len(v) > maxTextBytes {
@@ -253,7 +257,7 @@
 	return v
 }
 
-// migrate brings the schema to this program's version; a newer one, of a later program, is left as it is.
+// migrate updates the schema to this program's version. A newer schema, of a later program, is left as it is.
 func (s *Store) migrate(ctx context.Context) error {
 	return s.inTransaction(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, `CREATE TABLE IF NOT EXISTS masthill_schema (version BIGINT PRIMARY KEY)`); err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -26,7 +26,7 @@
 		Attempts: 2, Server: 0xc41f7a, Taken: taken, Answered: taken.Add(50 * time.Millisecond)}
 }
 
-// run starts a store and gives the function that ends it.
+// run starts a store and returns a function that stops it.
 func run(t *testing.T, driver, dsn string, final time.Duration) (*Store, func()) {
 	s, err := Open(Options{Driver: driver, DSN: dsn, Instance: "n3", Log: netcase.DiscardLogger()})
 	if err != nil {
@@ -49,7 +49,7 @@
 	s, end := run(t, "sqlite", file, time.Minute)
 	s.Put(record("a"))
 	end()
-	s, end = run(t, "sqlite", file, time.Minute) // the schema is there already
+	s, end = run(t, "sqlite", file, time.Minute) // the schema exists already
 	ended := record("a")
 	ended.Ended, ended.Cut = taken.Add(time.Second), true
 	s.Put(ended)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestOptionsThatAreWrong(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for _, o := range []Options{{Driver: "oracle", DSN: "x"}, {Driver: "sqlite"}, {Driver: "postgres"}} {
 		if _, err := Open(o); err == nil || !strings.HasPrefix(err.Error(), "store.d") {
 			t.Errorf("%+v: %v", o, err)
@@ -91,15 +91,15 @@
 	}
 }
 
-// A store that can't be reached delays nobody: records queue up to the bound, and the rest is counted as lost.
-func TestDeadStore(t *testing.T) {
+// A store that can't be reached never blocks Put: records are queued up to the limit, and the rest counts as lost.
+func TestUnreachableStore(t *testing.T) {
 	s, end := run(t, "sqlite", filepath.Join(t.TempDir(), "no", "such", "folder", "calls.db"), finalTimeout)
 	n := 2*queueLimit + maxBatch
 	for range n {
 		s.Put(record("a"))
 	}
 	if s.LostRecords() == 0 {
-		t.Error("a queue without bounds")
+		t.Error("the queue is not bounded")
 	}
 	end()
 	if s.LostRecords() != int64(n) {
@@ -107,13 +107,13 @@
 	}
 }
 
-// postgres is a stand-in that speaks the protocol and keeps the rows of committed transactions.
+// fakePostgres is a server that speaks the PostgreSQL protocol and keeps the rows of committed transactions.
 type fakePostgres struct {
 	addr        string
 	mu          sync.Mutex
-	rows        map[string]string // by call: a conflict updates, as a commit in doubt is written again
-	failInserts int               // this many inserts fail
-	silent      bool              // nothing is answered
+	rows        map[string]string // by call; an insert that conflicts replaces the row
+	failInserts int               // number of inserts that will fail
+	silent      bool              // queries get no answer
 	committed   chan struct{}
 }
 
@@ -121,13 +121,13 @@
 	p := &fakePostgres{failInserts: fail, silent: silent, rows: map[string]string{}, committed: make(chan struct{}, 1000)}
 	p.addr = netcase.ServeConns(t, func(c net.Conn) {
 		if err := p.serve(c); err != nil && !errors.Is(err, net.ErrClosed) {
-			t.Log("stand-in:", err)
+			t.Log("fake server:", err)
 		}
 	})
 	return p
 }
 
-// serve answers one connection until it ends.
+// serve handles one connection until it ends.
 func (p *fakePostgres) serve(c net.Conn) error {
 	b := pgproto3.NewBackend(c, c)
 	if _, err := b.ReceiveStartupMessage(); err != nil {
@@ -139,13 +139,13 @@
 	if err := b.Flush(); err != nil {
 		return err
 	}
-	var open []string // rows of the transaction
+	var open []string // rows of the open transaction
 	statements := map[string]string{}
 	failed := false
 	for {
 		m, err := b.Receive()
 		if err != nil {
-			return nil // the client has gone
+			return nil // the client closed the connection
 		}
 		if p.silent {
 			continue
@@ -201,7 +201,7 @@
 
 const int8OID, textOID = 20, 25
 
-// describe tells the types of a statement: its parameters, and the one number that a SELECT here gives.
+// describe sends the types of a statement: those of its parameters, and of the one value that a SELECT returns here.
 func (p *fakePostgres) describe(b *pgproto3.Backend, text string) {
 	var oids []uint32
 	if strings.HasPrefix(text, "INSERT INTO masthill_calls") {
@@ -222,7 +222,7 @@
 	}
 }
 
-// row writes the bound values of one record as text.
+// row formats the bound values of one record as text.
 func row(m *pgproto3.Bind) string {
 	var out []string
 	for k, v := range m.Parameters {
@@ -241,7 +241,7 @@
 }
 
 func TestPostgreSQL(t *testing.T) {
-	p := newFakePostgres(t, 1, false) // the first batch fails, and is written again
+	p := newFakePostgres(t, 1, false) // the first batch fails and is written again
 	s, end := run(t, "postgres", dsn(p), time.Minute)
 	s.Put(record("a"))
 	s.Put(record("b"))
@@ -255,7 +255,7 @@
 	}
 }
 
-// A database that accepts and then says nothing holds up the writer, never the one who hands over records.
+// A database that accepts connections but never answers blocks the writer, never Put.
 func TestSilentPostgreSQL(t *testing.T) {
 	p := newFakePostgres(t, 0, true)
 	s, end := run(t, "postgres", dsn(p), finalTimeout)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,14 +9,14 @@
 	"masthill/control"
 )
 
-// fields walks the values of one event in order and keeps the first error.
+// fields decodes the values of one event in order and keeps the first error.
 type fields struct {
 	values []json.RawMessage
 	pos    int
 	err    error
 }
 
-// next gives the next value; null and absent both come as nil.
+// next returns the next value; nil if it is null or absent. The name is only for the reader of the code.
 func (f *fields) next(string) json.RawMessage {
 	if f.pos >= len(f.values) {
 		return nil
@@ -29,6 +29,7 @@
 	return v
 }
 
+// decodeNext decodes the next value into dest. A missing value is an error if it is required.
 func (f *fields) decodeNext(name string, required bool, dest any) {
 	v := f.next(name)
 	if f.err != nil || (v == nil && !required) {
@@ -51,6 +52,7 @@
 
 func (f *fields) rows(name string) (r [][]json.RawMessage) { f.decodeNext(name, true, &r); return r }
 
+// integer decodes an optional whole number; 0 if it is missing.
 func (f *fields) integer(name string) int64 {
 	var n json.Number
 	f.decodeNext(name, false, &n)
@@ -61,7 +63,7 @@
 		return i
 	}
 	if u, err := strconv.ParseUint(n.String(), 10, 64); err == nil {
-		return int64(u) // a seed may fill 64 bits
+		return int64(u) // a seed may use all 64 bits
 	}
 	x, err := n.Float64()
 	if err != nil || x != float64(int64(x)) {
@@ -70,6 +72,7 @@
 	return int64(x)
 }
 
+// outcome decodes the outcome of an attempt.
 func (f *fields) outcome() control.Outcome {
 	s := f.text("outcome")
 	names := []string{"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled",
@@ -85,6 +88,7 @@
 	return 0
 }
 
+// decodeEntries decodes the records of a server list.
 func decodeEntries(rows [][]json.RawMessage) ([]control.Entry, error) {
 	states := map[string]control.EntryState{"IN": control.Serving, "LAME": control.Draining, "OUT": control.Removed}
 	out := make([]control.Entry, 0, len(rows))
@@ -108,6 +112,7 @@
 	return out, nil
 }
 
+// params is the JSON layout of the settings.
 type params struct {
 	GroupSize int    `json:"group_size"`
 	Ordinal   int    `json:"ordinal"`
@@ -146,7 +151,7 @@
 	} `json:"rules"`
 }
 
-// DecodeSettings reads the settings that a front is told, in the first message or in its configuration.
+// DecodeSettings decodes the settings of a controller, from its first message or from its configuration.
 func DecodeSettings(raw json.RawMessage) (control.Settings, error) {
 	var p params
 	if raw == nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire speaks the line protocol of the fronts: it decodes batches of events, hosts one
-// controller for each instance and encodes their actions. It translates only; it decides nothing.
+// Package wire implements the simulator's line protocol: it decodes batches of events, passes them to one controller for
+// each instance and encodes the controllers' actions. It only translates; all decisions are the controllers'.
 package wire
 
 import (
@@ -13,6 +13,7 @@
 	"masthill/control"
 )
 
+// host holds the controllers of all instances and the reply that is being built.
 type host struct {
 	controllers map[string]*control.Controller
 	lists       map[int64][]control.Entry
@@ -20,7 +21,7 @@
 	hasActions  bool
 }
 
-// Serve answers batches from r on w until r ends.
+// Serve reads batches of events from r, one a line, and writes a reply to each to w, until r ends.
 func Serve(r io.Reader, w io.Writer) error {
 	h := &host{controllers: map[string]*control.Controller{}, lists: map[int64][]control.Entry{}}
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
@@ -47,6 +48,7 @@
 	}
 }
 
+// trim removes trailing line ends and spaces.
 func trim(b []byte) []byte {
 	for len(b) > 0 && (b[len(b)-1] == '\n' || b[len(b)-1] == '\r' || b[len(b)-1] == ' ') {
 		b = b[:len(b)-1]
@@ -54,6 +56,7 @@
 	return b
 }
 
+// batch handles one batch and leaves the reply in h.out.
 func (h *host) batch(line []byte) error {
 	var b struct {
 		Now      *int64               `json:"ts_ns"`
@@ -75,6 +78,7 @@
 	return nil
 }
 
+// event handles one event: it starts or removes a controller, stores a list, or passes the event to its controller.
 func (h *host) event(now int64, raw []json.RawMessage) error {
 	f := fields{values: raw}
 	name := f.text("name")
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// decode turns one named event into the module's; skip is set for events the module has no use for.
+// decode converts an event for a controller; skip is set for events that the controllers don't use.
 func (h *host) decode(name string, f *fields) (ev control.Event, skip bool, err error) {
 	switch name {
 	case "endpoints":
@@ -154,7 +158,7 @@
 		}
 		entries, ok := h.lists[slot]
 		if !ok && f.err == nil {
-			return ev, false, fmt.Errorf("list %d was never given", slot)
+			return ev, false, fmt.Errorf("list %d is unknown", slot)
 		}
 		ev.Entries = entries
 	case "arrival":
@@ -197,6 +201,7 @@
 	return ev, false, nil
 }
 
+// encode appends an action of a controller to the reply.
 func (h *host) encode(id string, a control.Action) {
 	if h.hasActions {
 		h.out = append(h.out, ',')
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestBadInputNamesWhatIsWrong(t *testing.T) {
+func TestErrorsNameTheFault(t *testing.T) {
 	for _, tc := range []struct{ in, want string }{
 		{"not json\n", "decoding"},
 		{"{}\n", "ts_ns"},
@@ -67,7 +67,7 @@
 			t.Errorf("%s: got error %v, want it to name %q", tc.in, err, tc.want)
 		}
 		if out.Len() != 0 {
-			t.Errorf("%s: stray output %q", tc.in, out.String())
+			t.Errorf("%s: unexpected output %q", tc.in, out.String())
 		}
 	}
 }
