--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -38,7 +38,7 @@
 		for _, m := range s.Peers.Members {
 			countByState[m.State]++
 		}
-		fmt.Fprintf(t, "peers\t%s: %d alive, %d suspect, %d gone, %d left; allocator %s; masthill peers tells more\n", s.Peers.Shared.State, countByState[peers.Alive],
+		fmt.Fprintf(t, "peers\t%s: %d alive, %d suspect, %d gone, %d left; allocator %s; details: masthill peers\n", s.Peers.Shared.State, countByState[peers.Alive],
 			countByState[peers.Suspect], countByState[peers.Gone], countByState[peers.Left], cmp.Or(s.Peers.Shared.Leader, "not known"))
 	}
 	if s.ConfigWarning != "" {
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -76,13 +76,13 @@
 
 // adopt takes over a running instance that an earlier supervisor started. It returns false if none runs.
 func (m *member) adopt(ctx context.Context) bool {
-	c, is := findProcess(m.dir)
-	if !is {
+	record, isRunning := findProcess(m.dir)
+	if !isRunning {
 		return false
 	}
 	m.isChild, m.startedAt = false, time.Now()
 	m.setPhase(rollout.Starting)
-	m.setProcess(c)
+	m.setProcess(record)
 	m.closeListeners() // opened for a process that could not claim the folder
 	files, err := ctl.FetchListeners(ctx, m.socket())
 	if err != nil { // its sockets close when it ends; the next process gets new ones at the same addresses
@@ -94,9 +94,9 @@
 }
 
 // setProcess applies the record of the instance's process, if that has written one.
-func (m *member) setProcess(c processRecord) {
-	if c.PID > 0 {
-		m.pid, m.generation = c.PID, c.Generation
+func (m *member) setProcess(record processRecord) {
+	if record.PID > 0 {
+		m.pid, m.generation = record.PID, record.Generation
 	}
 }
 
@@ -319,7 +319,7 @@
 		return
 	}
 	if code == ExitClaimed {
-		if _, is := findProcess(m.dir); is { // launched by an earlier supervisor; startIfDown adopts it
+		if _, isRunning := findProcess(m.dir); isRunning { // launched by an earlier supervisor; startIfDown adopts it
 			m.supervisor.log.Info("instance runs already", "instance", m.name)
 			return
 		}
@@ -349,8 +349,8 @@
 // poll checks the instance's process and requests its status.
 func (m *member) poll() {
 	if !m.isChild {
-		if c, is := findProcess(m.dir); is {
-			m.setProcess(c)
+		if record, isRunning := findProcess(m.dir); isRunning {
+			m.setProcess(record)
 		} else if m.pid > 0 || m.phase == rollout.Starting { // the latter: it ended before it had written its PID
 			m.onExit(-1) // it is not a child of this process, so its exit code is unknown
 		}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -35,19 +35,19 @@
 func (s *Supervisor) serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(s.Status()) })
-	handleCommand := func(path string, f func(ctx context.Context, o command) error) {
+	handleCommand := func(path string, run func(ctx context.Context, c command) error) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			var o command
-			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil && !errors.Is(err, io.EOF) {
+			var c command
+			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&c); err != nil && !errors.Is(err, io.EOF) {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
 			}
-			if err := f(r.Context(), o); err != nil {
+			if err := run(r.Context(), c); err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
 			}
 		})
 	}
-	handleCommand("/rollout", func(ctx context.Context, o command) error { return s.Rollout(ctx, o.Program) })
+	handleCommand("/rollout", func(ctx context.Context, c command) error { return s.Rollout(ctx, c.Program) })
 	handleCommand("/reload", func(ctx context.Context, _ command) error { return s.Reload(ctx) })
 	handleCommand("/down", func(context.Context, command) error { s.Down(); return nil })
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: commandTimeout, WriteTimeout: commandTimeout, MaxHeaderBytes: maxBodyBytes}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -169,14 +169,14 @@
 	tick := time.NewTicker(w.Interval)
 	defer tick.Stop()
 	writing := make(chan struct{}, 1) // filled while a write is in progress; at most one write waits for a disk that hangs
-	save := func(ended string) <-chan struct{} {
+	save := func(endReason string) <-chan struct{} {
 		select {
 		case writing <- struct{}{}:
 		default:
 			return nil
 		}
 		done := make(chan struct{})
-		s := Snapshot{Learnt: w.Learnt(), EndReason: ended}
+		s := Snapshot{Learnt: w.Learnt(), EndReason: endReason}
 		if w.Levels != nil {
 			s.Levels = w.Levels()
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -114,7 +114,7 @@
 		var writes, asked atomic.Int32
 		frozen := make(chan struct{})
 		var freeze atomic.Bool
-		k := &SnapshotWriter{Dir: "d", Instance: "n3", Interval: time.Second, Log: netcase.DiscardLogger(),
+		w := &SnapshotWriter{Dir: "d", Instance: "n3", Interval: time.Second, Log: netcase.DiscardLogger(),
 			Learnt: func() control.Learnt { asked.Add(1); return control.Learnt{At: 1} },
 			WriteFile: func(string, []byte) error {
 				writes.Add(1)
@@ -128,15 +128,15 @@
 			}}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
-		go func() { k.Run(ctx); close(ended) }()
+		go func() { w.Run(ctx); close(ended) }()
 		full.Store(true)
 		time.Sleep(3500 * time.Millisecond)
-		if writes.Load() != 3 || !k.failing.Load() {
+		if writes.Load() != 3 || !w.failing.Load() {
 			t.Errorf("%d writes", writes.Load())
 		}
 		full.Store(false)
 		time.Sleep(time.Second)
-		if k.failing.Load() {
+		if w.failing.Load() {
 			t.Error("snapshots still count as failing")
 		}
 		freeze.Store(true)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -111,7 +111,7 @@
 type fakePostgres struct {
 	addr        string
 	mu          sync.Mutex
-	rows        map[string]string // by call; an insert that conflicts replaces the row
+	rows        map[string]string // by call; a conflict replaces the row, as a batch whose commit may have failed is written again
 	failInserts int               // number of inserts that will fail
 	silent      bool              // queries get no answer
 	committed   chan struct{}
