--- a/internal/releases/server.go
+++ b/internal/releases/server.go
@@ -21,61 +21,61 @@
 )
 
 const (
-	// maxConnections bounds a server's connections: a fleet's instances twice over, as they change servers.
+	// maxConnections bounds a server's connections: twice the instances of a fleet, as instances change servers.
 	maxConnections = 2048
-	// headerTimeout bounds the head of a request, requestTimeout all of it, idleTimeout the pause between two on a connection.
+	// headerTimeout limits the header of a request, requestTimeout all of it, idleTimeout the pause between two requests.
 	headerTimeout, requestTimeout, idleTimeout = time.Second, 3 * time.Second, 10 * time.Second
-	// retryPause is the pause after a question to another server that failed.
+	// retryPause is the pause after a failed request to another server.
 	retryPause = 500 * time.Millisecond
-	// keptFile holds what a server keeps over its end.
-	keptFile = "server.json"
+	// serverFile is the file with the state that outlives a server's process.
+	serverFile = "server.json"
 )
 
-// ServerOptions is what a server needs to know.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	Name         string // its address as the other servers and the instances name it
+	Name         string // its address as configured at the other servers and the instances
 	OtherServers []string
 	Fleet        string
 	Keys         []ed25519.PublicKey
 	HaltAfter    int
-	Dir          string // where releases are kept
+	Dir          string // where releases are stored
 	Log          *slog.Logger
-	Now          func() int64 // nil: the system's clock
+	Now          func() int64 // nil: the system clock
 }
 
-// Server keeps and serves releases.
+// Server stores and serves releases.
 type Server struct {
-	options ServerOptions
-	saver   *saver
-	client  *Client
+	options    ServerOptions
+	fileWriter *fileWriter
+	client     *Client
 
-	mu      sync.Mutex
-	replica *distribution.Replica
-	news    chan struct{} // closed when the head has changed
-	tag     string        // of the head that news was made for
+	mu          sync.Mutex
+	replica     *distribution.Replica
+	headChanged chan struct{} // closed and replaced when the head changes
+	tag         string        // the tag of the head when headChanged was made
 }
 
-// NewServer makes a server from what the one before it kept.
+// NewServer creates a server from the stored state.
 func NewServer(options ServerOptions) *Server {
 	if options.Now == nil {
 		options.Now = func() int64 { return time.Now().UnixNano() }
 	}
-	path := filepath.Join(options.Dir, keptFile)
-	var kept distribution.StoredState
-	load(path, &kept, options.Log)
-	s := &Server{options: options, saver: newSaver(path, options.Log), client: NewClient(nil), news: make(chan struct{}),
+	path := filepath.Join(options.Dir, serverFile)
+	var stored distribution.StoredState
+	loadFile(path, &stored, options.Log)
+	s := &Server{options: options, fileWriter: newFileWriter(path, options.Log), client: NewClient(nil), headChanged: make(chan struct{}),
 		replica: distribution.NewReplica(distribution.ReplicaConfig{Name: options.Name, Fleet: options.Fleet, OtherServers: options.OtherServers,
-			Keys: options.Keys, HaltAfter: options.HaltAfter}, kept)}
-	s.tag = tagOf(s.replica.Head(options.Now()))
+			Keys: options.Keys, HaltAfter: options.HaltAfter}, stored)}
+	s.tag = headTag(s.replica.Head(options.Now()))
 	return s
 }
 
-// tagOf tells heads apart that somebody has to hear of.
-func tagOf(h distribution.Head) string {
+// headTag identifies the parts of a head whose change is sent to waiting polls at once.
+func headTag(h distribution.Head) string {
 	return fmt.Sprintf("%s/%d/%d/%t/%d", h.Server, h.Version, h.LastGood, h.Halted != "", h.Failures)
 }
 
-// Serve answers until ctx ends.
+// Serve serves requests and follows the other servers until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout,
 		WriteTimeout: transferTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxPoll,
@@ -91,7 +91,7 @@
 		<-ctx.Done()
 		return server.Close()
 	})
-	g.Go(func() error { s.saver.run(ctx.Done()); return nil })
+	g.Go(func() error { s.fileWriter.run(ctx.Done()); return nil })
 	for _, other := range s.options.OtherServers {
 		g.Go(func() error { s.follow(ctx, other); return nil })
 	}
@@ -100,60 +100,60 @@
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/poll", s.answerPoll)
-	mux.HandleFunc("GET /v1/releases/{version}", s.answerFetch)
+	mux.HandleFunc("POST /v1/poll", s.handlePoll)
+	mux.HandleFunc("GET /v1/releases/{version}", s.handleFetch)
 	mux.HandleFunc("POST /v1/releases", func(w http.ResponseWriter, r *http.Request) {
 		var release distribution.Release
-		s.answerOrder(w, r, &release, func() error { return s.replica.Publish(s.options.Now(), release) })
+		s.handleOrder(w, r, &release, func() error { return s.replica.Publish(s.options.Now(), release) })
 	})
 	mux.HandleFunc("POST /v1/halt", func(w http.ResponseWriter, r *http.Request) {
 		var order distribution.HaltOrder
-		s.answerOrder(w, r, &order, func() error { return s.replica.Halt(order) })
+		s.handleOrder(w, r, &order, func() error { return s.replica.Halt(order) })
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		status := s.replica.Status(s.options.Now())
 		s.mu.Unlock()
-		answerJSON(w, status)
+		writeJSON(w, status)
 	})
 	return mux
 }
 
-func answerJSON(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(value)
 }
 
-// read decodes a request's body; where it cannot, it has answered.
-func read(w http.ResponseWriter, r *http.Request, into any, most int64) bool {
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(into); err != nil {
+// decodeBody decodes the body of a request. If it fails, it has sent the error response.
+func decodeBody(w http.ResponseWriter, r *http.Request, destination any, maxBytes int64) bool {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes)).Decode(destination); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-// answerPoll takes what an instance tells, and answers once there is news, or after pollWait.
-func (s *Server) answerPoll(w http.ResponseWriter, r *http.Request) {
+// handlePoll records an instance's acknowledgement, and responds once the head has changed or after pollWait.
+func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request) {
 	var request pollRequest
-	if !read(w, r, &request, maxPoll) {
+	if !decodeBody(w, r, &request, maxPoll) {
 		return
 	}
-	s.change(func() { s.replica.Acknowledge(s.options.Now(), request.Acknowledgement) })
+	s.update(func() { s.replica.Acknowledge(s.options.Now(), request.Acknowledgement) })
 	wait := time.NewTimer(pollWait)
 	defer wait.Stop()
 	for {
 		s.mu.Lock()
-		answer := pollAnswer{Head: s.replica.Head(s.options.Now())}
-		answer.Tag = tagOf(answer.Head)
-		news := s.news
+		response := pollResponse{Head: s.replica.Head(s.options.Now())}
+		response.Tag = headTag(response.Head)
+		headChanged := s.headChanged
 		s.mu.Unlock()
-		if answer.Tag != request.Seen {
-			answerJSON(w, answer)
+		if response.Tag != request.Seen {
+			writeJSON(w, response)
 			return
 		}
 		select {
-		case <-news:
+		case <-headChanged:
 		case <-r.Context().Done():
 			return
 		case <-wait.C:
@@ -162,7 +162,7 @@
 	}
 }
 
-func (s *Server) answerFetch(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleFetch(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.PathValue("version"), 10, 64)
 	if err != nil {
 		http.Error(w, "no version", http.StatusBadRequest)
@@ -175,47 +175,47 @@
 		http.Error(w, ErrNotFound.Error(), http.StatusNotFound)
 		return
 	}
-	answerJSON(w, release)
+	writeJSON(w, release)
 }
 
-// answerOrder takes an operator's order.
-func (s *Server) answerOrder(w http.ResponseWriter, r *http.Request, order any, do func() error) {
-	if !read(w, r, order, maxTransfer) {
+// handleOrder carries out a request of an operator.
+func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request, order any, do func() error) {
+	if !decodeBody(w, r, order, maxTransfer) {
 		return
 	}
 	var err error
-	s.change(func() { err = do() })
+	s.update(func() { err = do() })
 	if err != nil {
 		s.options.Log.Warn("order refused", "reason", "unfit", "peer", r.RemoteAddr, "err", err)
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
 
-// change changes the state, and tells all that wait where the head is another one.
-func (s *Server) change(do func()) {
+// update changes the state under the lock. If the tag of the head changes, it wakes the waiting polls and saves the state.
+func (s *Server) update(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 	head := s.replica.Head(s.options.Now())
-	tag := tagOf(head)
+	tag := headTag(head)
 	if tag == s.tag {
 		return
 	}
 	s.options.Log.Info("newest release", "version", head.Version, "good", head.LastGood, "halted", head.Halted, "failures", head.Failures)
 	s.tag = tag
-	close(s.news)
-	s.news = make(chan struct{})
-	s.saver.put(s.replica.StoredState())
+	close(s.headChanged)
+	s.headChanged = make(chan struct{})
+	s.fileWriter.enqueue(s.replica.StoredState())
 }
 
 // follow follows another server until ctx ends.
 func (s *Server) follow(ctx context.Context, other string) {
 	seen := ""
 	for ctx.Err() == nil {
-		answer, err := s.client.poll(ctx, other, pollRequest{Seen: seen})
+		response, err := s.client.poll(ctx, other, pollRequest{Seen: seen})
 		if err == nil {
-			seen = answer.Tag
-			err = s.hear(ctx, other, answer.Head)
+			seen = response.Tag
+			err = s.handleHead(ctx, other, response.Head)
 		}
 		if err == nil {
 			continue
@@ -229,31 +229,31 @@
 	}
 }
 
-// hear takes another server's head, and fetches what this one lacks.
-func (s *Server) hear(ctx context.Context, other string, head distribution.Head) error {
+// handleHead processes the head of another server, and fetches the release that this one lacks.
+func (s *Server) handleHead(ctx context.Context, other string, head distribution.Head) error {
 	if head.Server != other {
-		return fmt.Errorf("it calls itself %q", head.Server)
+		return fmt.Errorf("the server's own name is %q", head.Server)
 	}
 	var wanted distribution.Version
-	s.change(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
+	s.update(func() { wanted = s.replica.ReceiveServerHead(s.options.Now(), head) })
 	if wanted == 0 {
 		return nil
 	}
 	release, err := s.client.Fetch(ctx, other, wanted)
 	if errors.Is(err, ErrNotFound) && wanted != head.Version {
-		return nil // it has not copied that one yet
+		return nil // the other server has not copied it yet
 	}
 	if err != nil {
 		return err
 	}
-	s.change(func() {
+	s.update(func() {
 		if wanted == head.Version {
 			err = s.replica.Copy(s.options.Now(), release, head)
 		} else {
 			err = s.replica.CopyLastGood(release)
 		}
 	})
-	if errors.Is(err, distribution.ErrNotNewer) { // it came from elsewhere meanwhile
+	if errors.Is(err, distribution.ErrNotNewer) { // it has been received from elsewhere meanwhile
 		return nil
 	}
 	return err
