--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -16,18 +16,18 @@
 	Name           string            `toml:"name"` // empty: the instance's name
 	Site           string            `toml:"site"`
 	Machine        string            `toml:"machine"`
-	Seeds          []string          `toml:"seeds"`
+	Seeds          []string          `toml:"seeds"` // host:port, optionally as name/host:port
 	Keys           []string          `toml:"keys"`
 	DecodedKeys    [][]byte          `toml:"-"` // Keys, decoded
 	Voters         []string          `toml:"keepers"`
-	MaxInstances   int               `toml:"most"`
-	FloorFraction  float64           `toml:"floor"`
+	MaxInstances   int               `toml:"most"`  // 0: the platform's group size
+	FloorFraction  float64           `toml:"floor"` // of each budget, usable without a lease
 	Term           time.Duration     `toml:"term"`
 	Budgets        bool              `toml:"budgets"`
 	DetectOutliers bool              `toml:"judgements"`
 	CountedNumbers []string          `toml:"numbers"`
 	AuditFile      string            `toml:"audit"`
-	AddrOverrides  map[string]string `toml:"via"`
+	AddrOverrides  map[string]string `toml:"via"` // by member name
 }
 
 // minTerm is several round trips between sites; within maxTerm a cold server warms up even without its budget.
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -36,7 +36,7 @@
 // The phases of an instance.
 const (
 	Starting   Phase = "starting"
-	Recovering Phase = "recovering" // serving, with a limited sending rate
+	Recovering Phase = "recovering" // serving, while package recovery limits what it sends
 	Serving    Phase = "serving"
 	Draining   Phase = "draining"
 )
--- a/internal/ctl/listeners.go
+++ b/internal/ctl/listeners.go
@@ -48,7 +48,7 @@
 	return err
 }
 
-// FetchListeners requests copies of an instance's listening sockets, by name. The code that called it closes them.
+// FetchListeners requests copies of an instance's listening sockets, by name. The files must be closed after use.
 func FetchListeners(ctx context.Context, path string) (map[string]*os.File, error) {
 	raw, err := new(net.Dialer).DialContext(ctx, "unix", path)
 	if err != nil {
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -53,7 +53,7 @@
 	restartBackoff  *backoff.ExponentialBackOff
 	failure         string // why it is not restarted
 	status          *ctl.Status
-	statusRequested bool // a request for its status is under way
+	statusRequested bool // a status request is in progress
 	unexpectedExits int  // in total
 }
 
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -16,7 +16,7 @@
 	err    error
 }
 
-// next returns the next value; nil if it is null or absent. The name is only for the reader of the code.
+// next returns the next value; nil if it is null or absent. The name in the call only documents it.
 func (f *fields) next(string) json.RawMessage {
 	if f.pos >= len(f.values) {
 		return nil
