--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -110,7 +110,7 @@
 		fault("seed", "%q is not 16 hex digits", f.Seed)
 	}
 	if f.Limits.Sockets < minSockets {
-		fault("limits.sockets", "%d is below the minimum of %d", f.Limits.Sockets, minSockets)
+		fault("limits.sockets", "%d is under the minimum of %d", f.Limits.Sockets, minSockets)
 	}
 	if f.Limits.MemoryMB <= 0 {
 		fault("limits.memory_mb", "%d is not positive", f.Limits.MemoryMB)
