--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -1,6 +1,6 @@
-// Package wave runs the restart wave on loopback: real instances of the program, stand-in session servers of which one
-// is replaced by a cold one, and callers. Most of the instances restart within half a minute, a part of them at a time,
-// and come back with nothing but their last list.
+// Package wave runs a restart wave on loopback, with real instances of the program, stand-in session servers of which one
+// is replaced by a cold one, and callers. Most of the instances restart within half a minute, in batches, and then know
+// only their last list of servers.
 package wave
 
 import (
@@ -21,57 +21,58 @@
 	"masthill/lab/standin"
 )
 
-// Options is what a wave is made from. Times that are 0 have the defaults of the brief.
+// Options configures a wave. Planned, RestartShare, BatchShare and the times have defaults where they are 0.
 type Options struct {
-	Program       string // of the instances
-	Settings      string // the operators' settings of each, %DIR% standing for its folder
+	Program       string // path of the program under test
+	Settings      string // operators' settings of each instance; %DIR% is replaced by its folder
 	Instances     int
 	Servers       int
 	Seed          uint64
-	Load          float64                        // of the planned load: 0.88 to 0.97 on most days; 0: drawn from that
-	Planned       float64                        // calls a second, all instances together
-	RestartShare  float64                        // of the instances that restart
-	BatchShare    float64                        // of the instances, at a time
-	WarmUp        time.Duration                  // before the wave
-	RestartWindow time.Duration                  // within which all restarts begin
-	After         time.Duration                  // after the wave
-	Kill          bool                           // SIGKILL in place of SIGTERM
-	Crash         bool                           // the cold server is one whose process crashed and started again unseen; else a new one
-	Steady        bool                           // no restarts and no cold server: only what Rate brings, for Warm, Wave and After together
-	RateFactor    func(at time.Duration) float64 // times the load; nil: 1
-	Dir           string                         // for the instances' folders
+	Load          float64                        // share of the planned load; 0: drawn from 0.88 to 0.97
+	Planned       float64                        // calls per second, all instances together
+	RestartShare  float64                        // share of the instances that restart
+	BatchShare    float64                        // share of the instances that restart at a time
+	WarmUp        time.Duration                  // duration before the wave
+	RestartWindow time.Duration                  // span within which all restarts begin
+	After         time.Duration                  // duration after the wave
+	Kill          bool                           // restart with SIGKILL instead of SIGTERM
+	Crash         bool                           // the cold server is one that crashed and restarted; else a new one
+	Steady        bool                           // no restarts and no cold server: only calls, for the three times together
+	RateFactor    func(at time.Duration) float64 // multiplies the load; nil: 1
+	Dir           string                         // parent of the instances' folders
 }
 
+// defaults sets the options that are 0 to their defaults.
 func (o *Options) defaults() {
-	set := func(x *float64, d float64) {
+	setFloat := func(x *float64, d float64) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	span := func(x *time.Duration, d time.Duration) {
+	setDuration := func(x *time.Duration, d time.Duration) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	set(&o.Planned, 66)
-	set(&o.RestartShare, 0.93)
-	set(&o.BatchShare, 0.28)
-	span(&o.WarmUp, 10*time.Second)
-	span(&o.RestartWindow, 28*time.Second)
-	span(&o.After, 12*time.Second)
+	setFloat(&o.Planned, 66)
+	setFloat(&o.RestartShare, 0.93)
+	setFloat(&o.BatchShare, 0.28)
+	setDuration(&o.WarmUp, 10*time.Second)
+	setDuration(&o.RestartWindow, 28*time.Second)
+	setDuration(&o.After, 12*time.Second)
 }
 
-// Result is what a wave showed.
+// Result is the outcome of a wave.
 type Result struct {
 	Seed           uint64  `json:"seed"`
 	Instances      int     `json:"instances"`
 	Servers        int     `json:"servers"`
 	Load           float64 `json:"load"`
-	MaxColdWaitMS  float64 `json:"cold_wait_max_ms"` // the longest that a set-up found at the cold server
-	RefusalPointMS float64 `json:"refusal_point_ms"` // the wait beyond which it turns set-ups away
+	MaxColdWaitMS  float64 `json:"cold_wait_max_ms"` // longest wait expected for a set-up at the cold server
+	RefusalPointMS float64 `json:"refusal_point_ms"` // wait above which servers refuse set-ups
 	FellOver       bool    `json:"fell_over"`
 	ColdRefused    int     `json:"cold_refused"`
-	Calls          int     `json:"calls"` // callers' calls; with redials, tries
+	Calls          int     `json:"calls"` // calls of callers, redials not counted
 	Tries          int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	check.Violations
@@ -81,24 +82,24 @@
 	CutCalls        int                `json:"cut"`
 	Restarts        int                `json:"restarts"`
 	Errors          []string           `json:"errors,omitempty"`
-	MaxDelayMS      float64            `json:"ran_late_ms"` // how late this rig itself ran at worst
+	MaxDelayMS      float64            `json:"ran_late_ms"` // longest delay of this process's own sampling timer
 	Samples         []Sample           `json:"samples"`
 	RestartTimes    []float64          `json:"restart_at_s"`
 	Outcomes        []standin.Outcome  `json:"-"`
-	MaxWaitMS       map[string]float64 `json:"wait_by_server_ms"` // worst of each
+	MaxWaitMS       map[string]float64 `json:"wait_by_server_ms"` // longest wait expected at each server
 	WallSeconds     float64            `json:"wall_s"`
 }
 
-// Sample is one look at the servers.
+// Sample is the state of the servers at one moment.
 type Sample struct {
 	AtS     float64   `json:"at_s"`
-	WaitMS  []float64 `json:"wait_ms"` // of each server, the cold one last
-	Served  float64   `json:"served"`  // of the calls first tried in the second before
-	Serving int       `json:"serving"` // instances in the rotation
+	WaitMS  []float64 `json:"wait_ms"` // expected wait at each server, a new cold one last
+	Served  float64   `json:"served"`  // served share of the calls first tried in the same second
+	Serving int       `json:"serving"` // number of instances in the rotation
 }
 
-// Run plays one wave. An error is a fault of the rig or of an instance's start; what the program did wrong is in the
-// result.
+// Run runs one wave. An error means that the setup or the first start of an instance failed; rule violations and failed
+// restarts are in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	o.defaults()
 	rng := rand.New(rand.NewPCG(o.Seed, 0x77617665))
@@ -107,54 +108,55 @@
 	}
 	p := processor.DrawParams(o.Planned, o.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
-	began := time.Now()
+	startedAt := time.Now()
 	r := &Result{Seed: o.Seed, Instances: o.Instances, Servers: o.Servers, Load: o.Load, RefusalPointMS: float64(p.RefusalWait / 1e6)}
-	w := &run{Options: o, ctx: ctx, r: r, ledger: ledger, rng: rng, params: p, began: began, lists: map[string]*standin.ListService{}}
+	w := &waveRun{Options: o, ctx: ctx, result: r, ledger: ledger, rng: rng, params: p, startedAt: startedAt, lists: map[string]*standin.ListService{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	w.ctx, w.group = ctx, g
-	err := w.play()
+	err := w.execute()
 	for _, i := range w.instances {
 		i.Stop(true)
 	}
 	cancel()
-	if waited := g.Wait(); err == nil {
-		err = waited
+	if groupErr := g.Wait(); err == nil {
+		err = groupErr
 	}
 	if err != nil {
 		return nil, err
 	}
-	w.sum()
-	r.WallSeconds = time.Since(began).Seconds()
+	w.summarize()
+	r.WallSeconds = time.Since(startedAt).Seconds()
 	return r, nil
 }
 
-// run is a wave under way.
-type run struct {
+// waveRun is the state of a running wave.
+type waveRun struct {
 	Options
 	ctx       context.Context
 	group     *errgroup.Group
-	r         *Result
+	result    *Result
 	ledger    *check.Ledger
 	rng       *rand.Rand
 	params    processor.Params
-	began     time.Time
+	startedAt time.Time
 	names     []string
 	instances []*host.Instance
 	lists     map[string]*standin.ListService
-	servers   []*standin.Server // the cold one last, once it is there
-	crowd     *standin.CallerPool
+	servers   []*standin.Server // a new cold one is appended when it starts
+	callers   *standin.CallerPool
 
 	mu      sync.Mutex
-	serving int
+	serving int // number of instances in the rotation
 }
 
-const hold = 9 * time.Second
+// meanCallLength is the mean length of calls at the servers.
+const meanCallLength = 9 * time.Second
 
-// server starts a session server and gives its entry for an instance.
-func (w *run) server(id string, cell int, started time.Time) (*standin.Server, error) {
-	s, err := standin.NewServer(id, cell, w.params, started, hold, w.names, w.rng.Uint64(), w.ledger)
+// startServer starts a session server in a cell. startedAt is the zero time for a warm one.
+func (w *waveRun) startServer(id string, cell int, startedAt time.Time) (*standin.Server, error) {
+	s, err := standin.NewServer(id, cell, w.params, startedAt, meanCallLength, w.names, w.rng.Uint64(), w.ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -162,28 +164,29 @@
 	return s, nil
 }
 
-func (w *run) play() error {
+// execute starts servers, list services and instances, and runs the callers and the wave to their end.
+func (w *waveRun) execute() error {
 	for k := range w.Instances {
 		w.names = append(w.names, fmt.Sprintf("n%d", k))
 	}
 	for k := range w.Servers {
-		s, err := w.server(fmt.Sprintf("s-%08x", 0xa0+k), k, time.Time{})
+		s, err := w.startServer(fmt.Sprintf("s-%08x", 0xa0+k), k, time.Time{})
 		if err != nil {
 			return err
 		}
 		w.servers = append(w.servers, s)
 	}
-	w.crowd = standin.NewCallerPool(standin.Demand{Rate: w.Load * w.Planned, RateFactor: w.RateFactor, Class: "open-log",
+	w.callers = standin.NewCallerPool(standin.Demand{Rate: w.Load * w.Planned, RateFactor: w.RateFactor, Class: "open-log",
 		Tenants: map[string]float64{"slaney-vines": 0.55, "barrow-estate": 0.33, "suir-growers": 0.12}, Aim: 1200 * time.Millisecond,
 		Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: w.Servers,
 		RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, w.ledger, w.rng.Uint64())
-	defer w.crowd.Close()
+	defer w.callers.Close()
 	for k, name := range w.names {
-		var first []standin.Entry
+		var initial []standin.Entry
 		for _, s := range w.servers {
-			first = append(first, standin.NewEntry(s, name, "SERVING", time.Time{}))
+			initial = append(initial, standin.NewEntry(s, name, "SERVING", time.Time{}))
 		}
-		list, err := standin.NewListService(first, func(e standin.Entry, at time.Time) {
+		list, err := standin.NewListService(initial, func(e standin.Entry, at time.Time) {
 			if e.State != "SERVING" {
 				w.ledger.DrainAnnounced(name, e.ID, at)
 			}
@@ -200,26 +203,27 @@
 		i := &host.Instance{Name: name, Dir: dir, Program: w.Program, Settings: strings.ReplaceAll(w.Settings, "%DIR%", dir),
 			Config: host.PlatformConfig(name, k, host.Site{Instances: w.Instances, Servers: w.Servers, Planned: w.Planned}, list.Addr(), w.rng.Uint64())}
 		w.instances = append(w.instances, i)
-		if err := w.up(i); err != nil {
+		if err := w.startInstance(i); err != nil {
 			return err
 		}
 	}
-	calm := time.Now()
-	w.began = calm
+	calmFrom := time.Now()
+	w.startedAt = calmFrom
 	total := w.WarmUp + w.RestartWindow + w.After
 	if !w.Steady {
-		w.group.Go(func() error { return w.trouble(calm) })
+		w.group.Go(func() error { return w.injectFaults(calmFrom) })
 	}
-	w.group.Go(func() error { w.sample(calm, total); return nil })
-	return w.crowd.Run(w.ctx, total)
+	w.group.Go(func() error { w.sample(calmFrom, total); return nil })
+	return w.callers.Run(w.ctx, total)
 }
 
-func (w *run) up(i *host.Instance) error {
+// startInstance starts the process of an instance and adds the instance to the rotation.
+func (w *waveRun) startInstance(i *host.Instance) error {
 	addr, err := i.Start(w.ctx, w.lists[i.Name].KnownList())
 	if err != nil {
 		return err
 	}
-	if err := w.crowd.AddInstance(w.ctx, i.Name, addr); err != nil {
+	if err := w.callers.AddInstance(w.ctx, i.Name, addr); err != nil {
 		return err
 	}
 	w.mu.Lock()
@@ -228,24 +232,25 @@
 	return nil
 }
 
-// trouble replaces one server by a cold one just before the wave, and restarts instances batch by batch.
-func (w *run) trouble(calm time.Time) error {
+// injectFaults replaces one server by a cold one, or crashes it, just before the wave, and then restarts instances in
+// batches.
+func (w *waveRun) injectFaults(calmFrom time.Time) error {
 	rng := rand.New(rand.NewPCG(w.Seed, 0x74726f75))
-	if !w.until(calm.Add(w.WarmUp - 2*time.Second)) {
+	if !w.sleepUntil(calmFrom.Add(w.WarmUp - 2*time.Second)) {
 		return nil
 	}
 	old := w.servers[w.Servers-1]
 	if w.Crash {
-		w.until(calm.Add(w.WarmUp - 300*time.Millisecond)) // while the first batch is being restarted
+		w.sleepUntil(calmFrom.Add(w.WarmUp - 300*time.Millisecond)) // just before the first batch restarts
 		started := old.Crash()
-		for _, name := range w.names { // the list tells of it late: who starts meanwhile takes it for warm
+		for _, name := range w.names { // announced late: an instance that starts meanwhile takes the server for warm
 			w.lists[name].AnnounceChange(standin.NewEntry(old, name, "SERVING", started), 4*time.Second+time.Duration(rng.Int64N(int64(3*time.Second))))
 		}
-		w.wave(calm, rng)
+		w.restartInBatches(calmFrom, rng)
 		return nil
 	}
 	started := time.Now()
-	cold, err := w.server(fmt.Sprintf("s-%08x", 0xc0), old.Cell, started)
+	cold, err := w.startServer(fmt.Sprintf("s-%08x", 0xc0), old.Cell, started)
 	if err != nil {
 		return err
 	}
@@ -253,29 +258,29 @@
 	w.mu.Lock()
 	w.servers = append(w.servers, cold)
 	w.mu.Unlock()
-	for _, name := range w.names { // the list is seconds late, for each instance in its own way
+	for _, name := range w.names { // announced 0.5 to 3 s late, with a different delay for each instance
 		late := 500*time.Millisecond + time.Duration(rng.Int64N(int64(2500*time.Millisecond)))
 		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DRAINING", time.Time{}), late)
 		w.lists[name].AnnounceChange(standin.NewEntry(cold, name, "SERVING", started), late)
 		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DELETED", time.Time{}), 12*time.Second)
 	}
 	w.group.Go(func() error {
-		if w.until(started.Add(11 * time.Second)) {
+		if w.sleepUntil(started.Add(11 * time.Second)) {
 			old.Stop()
 		}
 		return nil
 	})
-	w.wave(calm, rng)
+	w.restartInBatches(calmFrom, rng)
 	return nil
 }
 
-// wave restarts instances batch by batch.
-func (w *run) wave(calm time.Time, rng *rand.Rand) {
+// restartInBatches restarts instances in batches, spread evenly over RestartWindow.
+func (w *waveRun) restartInBatches(calmFrom time.Time, rng *rand.Rand) {
 	order := rng.Perm(w.Instances)[:int(w.RestartShare*float64(w.Instances)+0.5)]
 	batch := max(int(w.BatchShare*float64(w.Instances)), 1)
 	batches := (len(order) + batch - 1) / batch
 	for b := range batches {
-		if !w.until(calm.Add(w.WarmUp + w.RestartWindow*time.Duration(b)/time.Duration(batches))) {
+		if !w.sleepUntil(calmFrom.Add(w.WarmUp + w.RestartWindow*time.Duration(b)/time.Duration(batches))) {
 			return
 		}
 		for _, k := range order[b*batch : min((b+1)*batch, len(order))] {
@@ -285,7 +290,8 @@
 	}
 }
 
-func (w *run) until(t time.Time) bool {
+// sleepUntil waits until a time, and tells whether the run goes on.
+func (w *waveRun) sleepUntil(t time.Time) bool {
 	select {
 	case <-w.ctx.Done():
 		return false
@@ -294,71 +300,72 @@
 	}
 }
 
-func (w *run) restart(i *host.Instance, down time.Duration) {
+// restart stops an instance and starts it again after down. A failure is added to the errors of the result.
+func (w *waveRun) restart(i *host.Instance, down time.Duration) {
 	w.mu.Lock()
-	w.r.Restarts++
+	w.result.Restarts++
 	w.serving--
-	w.r.RestartTimes = append(w.r.RestartTimes, time.Since(w.began).Seconds())
+	w.result.RestartTimes = append(w.result.RestartTimes, time.Since(w.startedAt).Seconds())
 	w.mu.Unlock()
 	if w.Kill {
-		w.crowd.InstanceKilled(i.Name)
-	} else { // the front notices that the test fails
-		time.AfterFunc(200*time.Millisecond, func() { w.crowd.RemoveInstance(i.Name) })
+		w.callers.InstanceKilled(i.Name)
+	} else { // the front's health check fails 200 ms later
+		time.AfterFunc(200*time.Millisecond, func() { w.callers.RemoveInstance(i.Name) })
 	}
 	err := i.Stop(w.Kill)
 	if err == nil {
-		w.until(time.Now().Add(down))
-		err = w.up(i)
+		w.sleepUntil(time.Now().Add(down))
+		err = w.startInstance(i)
 	}
 	if err != nil && w.ctx.Err() == nil {
 		w.mu.Lock()
-		w.r.Errors = append(w.r.Errors, err.Error())
+		w.result.Errors = append(w.result.Errors, err.Error())
 		w.mu.Unlock()
 	}
 }
 
-// sample looks at the servers ten times a second, and notes how late this rig runs itself.
-func (w *run) sample(calm time.Time, total time.Duration) {
-	const every = 100 * time.Millisecond
-	for n := 1; time.Duration(n)*every <= total; n++ {
-		due := calm.Add(time.Duration(n) * every)
-		if !w.until(due) {
+// sample records the state of the servers ten times per second, and the longest delay of its own timer.
+func (w *waveRun) sample(calmFrom time.Time, total time.Duration) {
+	const interval = 100 * time.Millisecond
+	for n := 1; time.Duration(n)*interval <= total; n++ {
+		due := calmFrom.Add(time.Duration(n) * interval)
+		if !w.sleepUntil(due) {
 			return
 		}
 		w.mu.Lock()
-		w.r.MaxDelayMS = max(w.r.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
-		s := Sample{AtS: (time.Duration(n) * every).Seconds(), Serving: w.serving}
-		for _, one := range w.servers {
-			s.WaitMS = append(s.WaitMS, float64(min(one.ExpectedWait(), time.Minute).Microseconds())/1000)
+		w.result.MaxDelayMS = max(w.result.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
+		s := Sample{AtS: (time.Duration(n) * interval).Seconds(), Serving: w.serving}
+		for _, server := range w.servers {
+			s.WaitMS = append(s.WaitMS, float64(min(server.ExpectedWait(), time.Minute).Microseconds())/1000)
 		}
-		w.r.Samples = append(w.r.Samples, s)
+		w.result.Samples = append(w.result.Samples, s)
 		w.mu.Unlock()
 	}
 }
 
-// sum makes the figures of the result.
-func (w *run) sum() {
-	r := w.r
+// summarize computes the figures of the result.
+func (w *waveRun) summarize() {
+	r := w.result
 	r.Violations, r.Tries, r.Attempts = w.ledger.Result()
-	r.Outcomes = w.crowd.Results()
+	r.Outcomes = w.callers.Results()
 	r.Calls = len(r.Outcomes)
 	worth := 0.0
-	bySecond, of := map[int]float64{}, map[int]int{}
+	bySecond, offered := map[int]float64{}, map[int]int{}
 	for _, o := range r.Outcomes {
 		worth += o.Worth
 		bySecond[int(o.At/time.Second)] += o.Worth
-		of[int(o.At/time.Second)]++
+		offered[int(o.At/time.Second)]++
 		if o.Cut {
 			r.CutCalls++
 		}
 	}
 	r.Served = worth / float64(max(r.Calls, 1))
 	for at := range int((w.WarmUp+w.RestartWindow+w.After)/time.Second) + 1 {
-		r.ServedBySecond, r.OfferedBySecond = append(r.ServedBySecond, bySecond[at]/float64(max(of[at], 1))), append(r.OfferedBySecond, of[at])
+		r.ServedBySecond, r.OfferedBySecond = append(r.ServedBySecond, bySecond[at]/float64(max(offered[at], 1))), append(r.OfferedBySecond, offered[at])
 	}
 	for k := range r.Samples {
-		if at := int(r.Samples[k].AtS); of[at] > 0 {
-			r.Samples[k].Served = bySecond[at] / float64(of[at])
+		if at := int(r.Samples[k].AtS); offered[at] > 0 {
+			r.Samples[k].Served = bySecond[at] / float64(offered[at])
 		}
 	}
 	r.MaxWaitMS = map[string]float64{}
