--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -16,7 +16,7 @@
 // Peers is what an instance knows of the other instances of its fleet.
 type Peers struct {
 	peers.Status
-	Shared shared.Look `json:"shared"`
+	Shared shared.Snapshot `json:"shared"`
 }
 
 // WriteText writes the status of the peers in a form for people.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -57,7 +57,7 @@
 			status := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, PhaseSeconds: time.Since(m.phaseSince).Seconds(), Generation: m.generation,
 				Listen: m.addrs["callers"], Socket: m.socket(), UnexpectedExits: m.unexpectedExits, Failed: m.failure}
 			if m.status != nil {
-				status.OpenCalls, status.EstablishedCalls, status.MemoryMB = m.status.Core.Open, m.status.Core.Standing, m.status.MemoryMB
+				status.OpenCalls, status.EstablishedCalls, status.MemoryMB = m.status.Core.Open, m.status.Core.EstablishedCalls, m.status.MemoryMB
 			}
 			st.Instances = append(st.Instances, status)
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -51,11 +51,11 @@
 
 // Snapshot is the content of the file.
 type Snapshot struct {
-	Instance  string         `json:"instance"`
-	WrittenAt time.Time      `json:"at"`
-	StartedAt time.Time      `json:"started"` // of the process that wrote it
-	EndReason string         `json:"ended"`   // set in the last snapshot of a process: why it ended
-	Learnt    control.Learnt `json:"learnt"`
+	Instance  string               `json:"instance"`
+	WrittenAt time.Time            `json:"at"`
+	StartedAt time.Time            `json:"started"` // of the process that wrote it
+	EndReason string               `json:"ended"`   // set in the last snapshot of a process: why it ended
+	Learnt    control.LearnedState `json:"learnt"`
 	// Levels are the latest changes of the level of service.
 	Levels []levels.Change `json:"levels,omitempty"`
 }
@@ -138,8 +138,8 @@
 	Dir, Instance string
 	Interval      time.Duration
 	Log           *slog.Logger
-	Learnt        func() control.Learnt  // asks the core; may block as long as the core is busy
-	Levels        func() []levels.Change // as Learnt; nil: there are no levels
+	Learnt        func() control.LearnedState // asks the core; may block as long as the core is busy
+	Levels        func() []levels.Change      // as Learnt; nil: there are no levels
 	WriteFile     func(path string, text []byte) error
 
 	started time.Time
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -236,9 +236,9 @@
 	if r.Cut {
 		cut = 1
 	}
-	return []any{s.Instance, cleanText(r.ID), unixMilli(r.Taken), cleanText(r.Owner), cleanText(r.Class), cleanText(r.Tenant), cleanText(r.Number),
-		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), unixMilli(r.Answered), unixMilli(r.Ended),
-		r.Wait.Milliseconds(), cut}
+	return []any{s.Instance, cleanText(r.ID), unixMilli(r.ReceivedAt), cleanText(r.Owner), cleanText(r.Class), cleanText(r.Tenant), cleanText(r.Number),
+		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), unixMilli(r.AnsweredAt), unixMilli(r.EndedAt),
+		r.RetryAfter.Milliseconds(), cut}
 }
 
 func unixMilli(t time.Time) int64 {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 
 func record(id string) exchange.Record {
 	return exchange.Record{ID: id, Owner: "sip", Class: "open-log", Tenant: "acme", Number: "17\x00\xff", Verdict: "stands",
-		Attempts: 2, Server: 0xc41f7a, Taken: taken, Answered: taken.Add(50 * time.Millisecond)}
+		Attempts: 2, Server: 0xc41f7a, ReceivedAt: taken, AnsweredAt: taken.Add(50 * time.Millisecond)}
 }
 
 // run starts a store and returns a function that stops it.
@@ -51,7 +51,7 @@
 	end()
 	s, end = run(t, "sqlite", file, time.Minute) // the schema exists already
 	ended := record("a")
-	ended.Ended, ended.Cut = taken.Add(time.Second), true
+	ended.EndedAt, ended.Cut = taken.Add(time.Second), true
 	s.Put(ended)
 	for k := range 2*maxBatch + 1 {
 		s.Put(record(fmt.Sprint(k)))
