--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what an instance is told: the platform's variables and its JSON file, and the
-// project's own file for the second front and the store.
+// Package config reads and checks the configuration of an instance: the platform's environment variables and JSON file,
+// the operators' settings (TOML), and the content of configuration releases.
 package config
 
 import (
@@ -21,10 +21,10 @@
 	"masthill/internal/wire"
 )
 
-// Platform is what the platform tells an instance.
+// Platform is the configuration that the platform gives an instance.
 type Platform struct {
 	Name, Listen, Journal string
-	Admin                 string // the operators' second address; empty: none
+	Admin                 string // second listening address, for operators; empty: none
 	Seed                  uint64
 	Cores                 float64
 	MemoryMB, Sockets     int
@@ -33,10 +33,11 @@
 	Names                 exchange.Names
 	ConnectTimeout        time.Duration
 	Shares                []shares.Tenant
-	PlannedRate           float64 // load planned for all instances together, in calls a second; 0: not known
+	PlannedRate           float64 // load planned for all instances together, in calls per second; 0: unknown
 }
 
-type file struct {
+// platformFile is the layout of the platform's JSON file.
+type platformFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Admin  string `json:"admin"`
@@ -51,16 +52,16 @@
 	Settings json.RawMessage     `json:"settings"`
 }
 
-// names are the settings that the module has no use for and the sockets need.
-type names struct {
+// socketSettings are the settings that the control modules don't use but the network side needs.
+type socketSettings struct {
 	Grades []struct {
 		Name     string `json:"name"`
 		Deadline int64  `json:"deadline_ns"`
 	} `json:"grades"`
 	Tenants []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quota_per_s"`
-		Part  float64 `json:"fraction"`
+		Name     string  `json:"name"`
+		Quota    float64 `json:"quota_per_s"`
+		Fraction float64 `json:"fraction"`
 	} `json:"tenants"`
 	Extra struct {
 		ClassCells [][]int `json:"class_cells"`
@@ -70,11 +71,11 @@
 	} `json:"limits"`
 }
 
-// socketsLeast is what an instance needs to serve at all: a listener, the journal and a few connections.
-const socketsLeast = 32
+// minSockets is the least an instance needs to serve: a listener, the journal and a few connections.
+const minSockets = 32
 
-// Load reads PROXY_CONFIG; PROXY_NAME, PROXY_LISTEN and PROXY_ADMIN come before what the file says. The error is a Faults with all
-// that is wrong.
+// Load reads the file that PROXY_CONFIG names; PROXY_NAME, PROXY_LISTEN and PROXY_ADMIN override its values. The error is
+// a Faults that lists everything that is wrong.
 func Load(getenv func(string) string) (*Platform, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -84,17 +85,17 @@
 	if err != nil {
 		return nil, Faults{{File: "PROXY_CONFIG", Text: err.Error()}}
 	}
-	return parse(path, data, getenv)
+	return parsePlatform(path, data, getenv)
 }
 
-// Parse reads the platform's file.
+// Parse reads the content of the platform's file, without environment variables.
 func Parse(data []byte) (*Platform, error) {
-	return parse("PROXY_CONFIG", data, func(string) string { return "" })
+	return parsePlatform("PROXY_CONFIG", data, func(string) string { return "" })
 }
 
-func parse(path string, data []byte, getenv func(string) string) (*Platform, error) {
-	var f file
-	var n names
+func parsePlatform(path string, data []byte, getenv func(string) string) (*Platform, error) {
+	var f platformFile
+	var n socketSettings
 	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, Faults{{path, jsonErrorLine(data, err), "", "PROXY_CONFIG: " + err.Error()}}
 	}
@@ -108,14 +109,14 @@
 	if err != nil {
 		fault("seed", "%q is not 16 hex digits", f.Seed)
 	}
-	if f.Limits.Sockets < socketsLeast {
-		fault("limits.sockets", "%d is under the %d that serving takes", f.Limits.Sockets, socketsLeast)
+	if f.Limits.Sockets < minSockets {
+		fault("limits.sockets", "%d is under the minimum of %d", f.Limits.Sockets, minSockets)
 	}
 	if f.Limits.MemoryMB <= 0 {
-		fault("limits.memory_mb", "%d is no limit", f.Limits.MemoryMB)
+		fault("limits.memory_mb", "%d is not positive", f.Limits.MemoryMB)
 	}
 	if !(f.Limits.Cores > 0) {
-		fault("limits.cores", "%v is no limit", f.Limits.Cores)
+		fault("limits.cores", "%v is not positive", f.Limits.Cores)
 	}
 	if _, _, err := net.SplitHostPort(f.Journal); err != nil {
 		fault("journal", "%v", err)
@@ -139,7 +140,7 @@
 	}
 	if f.Settings == nil {
 		fault("settings", "missing")
-		return nil, sorted(faults)
+		return nil, sortByLine(faults)
 	}
 	if err := json.Unmarshal(f.Settings, &n); err != nil {
 		fault("settings", "%v", err)
@@ -147,8 +148,8 @@
 	if p.Settings, err = wire.DecodeSettings(f.Settings); err != nil {
 		fault("settings", "%v", err)
 	} else if err := p.Settings.Check(); err != nil {
-		for _, one := range strings.Split(err.Error(), "\n") { // as errors.Join puts them
-			key, text, _ := strings.Cut(one, ": ")
+		for _, message := range strings.Split(err.Error(), "\n") { // errors.Join separates errors by newlines
+			key, text, _ := strings.Cut(message, ": ")
 			fault("settings."+key, "%s", text)
 		}
 	}
@@ -161,22 +162,22 @@
 		}
 		p.Names.Classes = append(p.Names.Classes, exchange.Class{Name: g.Name, Deadline: time.Duration(g.Deadline)})
 	}
-	// A class without pools of its own may go to any: then any first choice may be named.
+	// A class without pools of its own may use any pool; in that case any pool may be named as the first choice.
 	if cells := n.Extra.ClassCells; len(cells) > 0 && !slices.ContainsFunc(cells, func(of []int) bool { return len(of) == 0 }) {
 		p.Names.Pools = slices.Concat(cells...)
 	}
 	for _, t := range n.Tenants {
 		p.Names.Tenants = append(p.Names.Tenants, t.Name)
 		p.PlannedRate += t.Quota
-		p.Shares = append(p.Shares, shares.Tenant{Name: t.Name, Fraction: t.Part})
+		p.Shares = append(p.Shares, shares.Tenant{Name: t.Name, Fraction: t.Fraction})
 	}
 	if len(faults) > 0 {
-		return nil, sorted(faults)
+		return nil, sortByLine(faults)
 	}
 	return p, nil
 }
 
-// jsonErrorLine is the line of a fault that json found.
+// jsonErrorLine returns the line of an error that encoding/json reported; 0 if it is not known.
 func jsonErrorLine(data []byte, err error) int {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"masthill/internal/netcase"
 )
 
-const good = `{"name":"n3","listen":"10.0.0.4:2905","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,` +
+const validPlatform = `{"name":"n3","listen":"10.0.0.4:2905","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,` +
 	`"sockets":1024},"journal":"10.2.0.1:9092","known":{"pos":3,"entries":[]},"settings":{"group_size":4,` +
 	`"discovery":"pushed","extra":{"class_cells":[[0,1]],"clear_wait_ns":300000000,"this_node":-1,"topology":"groups"},` +
 	`"grades":[{"name":"open-log","aim_ns":1500000000,"deadline_ns":9000000000,"effect":"free","late_value":0.25,` +
@@ -23,7 +23,7 @@
 	`"fall_multiple":3.0,"fall_ns":1000000000}}}`
 
 func TestGoodFile(t *testing.T) {
-	p, err := Parse([]byte(good))
+	p, err := Parse([]byte(validPlatform))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,24 +46,24 @@
 		{`"connect_timeout_ns":500000000`, `"x":1`, "settings.limits.connect_timeout_ns"},
 		{`"effect":"free"`, `"effect":"odd"`, "grades[0].effect"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validPlatform, tc.old, tc.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: got %v, want it to name %s", tc.new, err, tc.want)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-		t.Errorf("no file named: %v", err)
+		t.Errorf("PROXY_CONFIG not set: %v", err)
 	}
 }
 
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
-		Parse(netcase.Garbage(t, []byte(good)))
-		ParseOperatorSettings("f", string(netcase.Garbage(t, []byte(project))), func(string) string { return "" })
+		Parse(netcase.Garbage(t, []byte(validPlatform)))
+		ParseOperatorSettings("f", string(netcase.Garbage(t, []byte(validSettings))), func(string) string { return "" })
 	})
 }
 
-const project = `
+const validSettings = `
 [callws]
 listen = "127.0.0.1:2906"
 [callws.callers]
@@ -75,7 +75,7 @@
 
 func TestProjectFile(t *testing.T) {
 	env := func(name string) string { return map[string]string{"TOKEN": "a token of sixteen"}[name] }
-	p, err := ParseOperatorSettings("f", project, env)
+	p, err := ParseOperatorSettings("f", validSettings, env)
 	if err != nil || p.CallWS.Callers["station-7"] != "a token of sixteen" || p.Store.DSN != "/tmp/calls.db" {
 		t.Fatalf("%+v, %v", p, err)
 	}
@@ -90,7 +90,7 @@
 		{`dsn = "/tmp/calls.db"`, "", "store.dsn"},
 		{"[store]", "[", "f:7"},
 	} {
-		if _, err := ParseOperatorSettings("f", strings.Replace(project, tc.old, tc.new, 1), env); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := ParseOperatorSettings("f", strings.Replace(validSettings, tc.old, tc.new, 1), env); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: got %v, want it to name %s", tc.new, err, tc.want)
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// The file that the platform runs with keeps both parts off.
+// The deployed settings file leaves call control over WebSocket and the store switched off.
 func TestDeployedFileIsOff(t *testing.T) {
 	p, err := LoadOperatorSettings(func(name string) string {
 		return map[string]string{"MASTHILL_SETTINGS": "../../" + OperatorSettingsFile}[name]
@@ -109,7 +109,7 @@
 	}
 }
 
-// All faults come in one go, each with its file, line and key.
+// All faults of a file are reported together, each with its file, line and key.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := "[callws]\nlisten = \"here\"\n[store]\ndriver = \"oracle\"\n[state]\nevery = \"2 seconds\"\nfresh = 1\n"
 	_, err := ParseOperatorSettings("m.toml", text, func(string) string { return "" })
@@ -122,15 +122,15 @@
 	if got := AllFaults(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 5 {
 		t.Errorf("%v", err)
 	}
-	spread := strings.NewReplacer(`"seed"`, "\n\"seed\"", `"sockets":1024`, "\n\"sockets\":3", `"fall_multiple":3.0`, "\n\"fall_multiple\":0").Replace(good)
+	spread := strings.NewReplacer(`"seed"`, "\n\"seed\"", `"sockets":1024`, "\n\"sockets\":3", `"fall_multiple":3.0`, "\n\"fall_multiple\":0").Replace(validPlatform)
 	_, err = Parse([]byte(strings.Replace(spread, "8c1f", "xyz", 1)))
 	if got := AllFaults(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 4 || got[2].Key != "settings.rules.fall_multiple" {
 		t.Errorf("%v", err)
 	}
 }
 
-// The names of before still work.
-func TestTheOldVariable(t *testing.T) {
+// The deprecated environment variable still works.
+func TestDeprecatedVariable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "callws.toml")
 	if err := os.WriteFile(file, []byte("[recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -157,8 +157,8 @@
 		{`budgets = true`, `term = "1ms"`}:       "x:5: peers.term",
 		{`budgets = true`, `audit = "here"`}:     "x:5: peers.audit",
 		{`127.0.0.1:0`, `here`}:                  "x:2: peers.listen",
-		{`127.0.0.1:0`, `:2908`}:                 "x:2: peers.listen: others could not reach",
-		{`budgets = true`, `advertise = "h:1"`}:  "x:2: peers.listen: others could not reach",
+		{`127.0.0.1:0`, `:2908`}:                 "x:2: peers.listen: other instances could not reach",
+		{`budgets = true`, `advertise = "h:1"`}:  "x:2: peers.listen: other instances could not reach",
 	} {
 		_, err := ParseOperatorSettings("x", strings.Replace(good, change[0], change[1], 1), none)
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -177,7 +177,7 @@
 	}
 	for change, want := range map[[2]string]string{
 		{`127.0.0.1:2`, `here`}:                                "x:2: distribution.servers",
-		{`127.0.0.1:2`, `127.0.0.1:1`}:                         "x:2: distribution.servers: \"127.0.0.1:1\" stands there twice",
+		{`127.0.0.1:2`, `127.0.0.1:1`}:                         "x:2: distribution.servers: \"127.0.0.1:1\" is listed twice",
 		{`fleet = "harvest"`, ``}:                              "x:1: distribution.fleet: missing",
 		{`MDEyMzQ1Njc4OWFiY2RlZj`, `x`}:                        "x:4: distribution.keys: key 1",
 		{`"MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3ODlhYmNkZWY="`, ``}: "x:4: distribution.keys: missing",
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// Peers are the settings of an instance that knows of others.
+// Peers holds the settings for communication with other instances.
 type Peers struct {
 	Listen         string            `toml:"listen"` // empty: off
 	Advertise      string            `toml:"advertise"`
-	Name           string            `toml:"name"` // empty: the instance's
+	Name           string            `toml:"name"` // empty: the instance's name
 	Site           string            `toml:"site"`
 	Machine        string            `toml:"machine"`
-	Seeds          []string          `toml:"seeds"`
+	Seeds          []string          `toml:"seeds"` // host:port, optionally as name/host:port
 	Keys           []string          `toml:"keys"`
-	DecodedKeys    [][]byte          `toml:"-"` // what the keys say
+	DecodedKeys    [][]byte          `toml:"-"` // Keys, decoded
 	Voters         []string          `toml:"keepers"`
-	MaxInstances   int               `toml:"most"`
-	FloorFraction  float64           `toml:"floor"`
+	MaxInstances   int               `toml:"most"`  // 0: the platform's group size
+	FloorFraction  float64           `toml:"floor"` // of each budget, usable without a lease
 	Term           time.Duration     `toml:"term"`
 	Budgets        bool              `toml:"budgets"`
 	DetectOutliers bool              `toml:"judgements"`
 	CountedNumbers []string          `toml:"numbers"`
 	AuditFile      string            `toml:"audit"`
-	AddrOverrides  map[string]string `toml:"via"`
+	AddrOverrides  map[string]string `toml:"via"` // by member name
 }
 
-// termLeast is several round trips between districts; termMost a time in which a cold server is warm without its budget.
-const termLeast, termMost = 500 * time.Millisecond, 10 * time.Second
+// minTerm is several round trips between sites; within maxTerm a cold server warms up even without its budget.
+const minTerm, maxTerm = 500 * time.Millisecond, 10 * time.Second
 
+// checkPeers sets defaults, checks the settings for peers and decodes the keys.
 func (p *OperatorSettings) checkPeers(getenv func(string) string, fault func(key, format string, a ...any)) {
 	s := &p.Peers
 	if s.Term == 0 {
@@ -46,18 +47,18 @@
 			fault(key, "%v", err)
 		}
 	}
-	told := s.Listen
+	advertised := s.Listen
 	if s.Advertise != "" {
-		told = s.Advertise
+		advertised = s.Advertise
 	}
-	if host, _, err := net.SplitHostPort(told); err == nil {
+	if host, _, err := net.SplitHostPort(advertised); err == nil {
 		if ip := net.ParseIP(host); ip == nil || ip.IsUnspecified() {
-			fault("peers.listen", "others could not reach %q: name an IP address of this machine, here or as peers.advertise", told)
+			fault("peers.listen", "other instances could not reach %q: give an IP address of this machine, here or as peers.advertise", advertised)
 		}
 	}
 	for _, seed := range s.Seeds {
-		_, addr, named := strings.Cut(seed, "/")
-		if !named {
+		_, addr, hasName := strings.Cut(seed, "/")
+		if !hasName {
 			addr = seed
 		}
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -65,10 +66,10 @@
 		}
 	}
 	if len(s.Keys) == 0 {
-		fault("peers.keys", "missing: members speak to each other sealed only")
+		fault("peers.keys", "missing: members exchange encrypted messages only")
 	}
 	for k, text := range s.Keys {
-		text, err := secret(text, getenv)
+		text, err := resolveSecret(text, getenv)
 		var key []byte
 		if err == nil {
 			key, err = base64.StdEncoding.DecodeString(text)
@@ -83,13 +84,13 @@
 		s.DecodedKeys = append(s.DecodedKeys, key)
 	}
 	if len(s.Voters)%2 == 0 && len(s.Voters) > 0 {
-		fault("peers.keepers", "%d keepers: an odd number, so that every cut leaves a majority on one side at most and one may be away", len(s.Voters))
+		fault("peers.keepers", "%d keepers: an odd number is needed, so that a partition leaves a majority on one side at most and one may fail", len(s.Voters))
 	}
 	if s.Budgets && len(s.Voters) == 0 {
-		fault("peers.budgets", "nobody would hand them out: name keepers")
+		fault("peers.budgets", "nobody would allocate them: name keepers")
 	}
-	if s.Term < termLeast || s.Term > termMost {
-		fault("peers.term", "%v is not between %v and %v", s.Term, termLeast, termMost)
+	if s.Term < minTerm || s.Term > maxTerm {
+		fault("peers.term", "%v is not between %v and %v", s.Term, minTerm, maxTerm)
 	}
 	if s.Machine == "" {
 		s.Machine, _ = os.Hostname()
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -13,20 +13,20 @@
 	"masthill/internal/peers"
 )
 
-// Peers is what an instance knows of its fleet.
+// Peers is what an instance knows of the other instances of its fleet.
 type Peers struct {
 	peers.Status
 	Shared shared.Snapshot `json:"shared"`
 }
 
-// Text writes it for people.
+// WriteText writes the status of the peers in a form for people.
 func (p *Peers) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintf(t, "%s\t%s, epoch %s, health %d, %s for %s\n", p.Name, p.Addr, p.Epoch, p.Health, p.Shared.State,
 		time.Since(time.Unix(0, p.Shared.SinceNS)).Round(time.Second))
 	if p.NameTakenBy != "" {
-		fmt.Fprintf(t, "NAME TAKEN\tby the process at %s: this one says nothing until that ends\n", p.NameTakenBy)
+		fmt.Fprintf(t, "NAME TAKEN\tby the process at %s: this one sends nothing until that ends\n", p.NameTakenBy)
 	}
 	fmt.Fprintf(t, "allocator\t%s\n", cmp.Or(p.Shared.Leader, "none known"))
 	fmt.Fprintf(t, "messages\t%d heard, %d dropped, %d unreadable; %d datagrams of %d bytes sent\n", p.Received, p.Dropped, p.Undecodable, p.SentDatagrams, p.SentBytes)
@@ -58,11 +58,11 @@
 	if len(p.Shared.Decisions) > 0 {
 		fmt.Fprintln(t, "\noffice\tjudged\treason\twitnesses\tagainst\tage")
 		for _, v := range p.Shared.Decisions {
-			judged := "heard of"
+			decision := "heard of"
 			if v.Avoided {
-				judged = "avoided"
+				decision = "avoided"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d ms\n", strconv.FormatUint(v.Server, 16), judged, v.Reason, strings.Join(v.Observers, " "), v.GoodReports, v.AgeMS)
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d ms\n", strconv.FormatUint(v.Server, 16), decision, v.Reason, strings.Join(v.Observers, " "), v.GoodReports, v.AgeMS)
 		}
 	}
 	if len(p.Changes) > 0 {
--- a/internal/fleet/supervisor.go
+++ b/internal/fleet/supervisor.go
@@ -20,48 +20,48 @@
 )
 
 const (
-	// tickEvery is how often the loop looks at everything, askEvery how often at instances' status, trimEvery at logs.
-	tickEvery, askEvery, trimEvery = 50 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second
-	// stateFile holds the supervisor's state over its own end.
+	// The loop runs each tickInterval; it polls instances each pollInterval and trims their logs each trimInterval.
+	tickInterval, pollInterval, trimInterval = 50 * time.Millisecond, 250 * time.Millisecond, 10 * time.Second
+	// stateFile keeps the supervisor's state across its restarts.
 	stateFile = "fleet.json"
-	// programsMost bounds the generations whose programs are remembered.
-	programsMost = 8
+	// maxPrograms limits the generations whose programs are remembered.
+	maxPrograms = 8
 )
 
-// state is what outlives a supervisor.
+// state is the supervisor's state that is stored across restarts.
 type state struct {
-	Generation string            `json:"generation"` // that instances are to have
-	Last       int               `json:"last"`       // number of the newest generation
-	Programs   map[string]string `json:"programs"`   // by generation
-	Rollout    *rollout.Rollout  `json:"rollout,omitempty"`
-	Outcome    *Outcome          `json:"outcome,omitempty"` // of the last rollout
+	Generation     string            `json:"generation"` // that instances should run
+	LastGeneration int               `json:"last"`       // number of the newest generation
+	Programs       map[string]string `json:"programs"`   // by generation
+	Rollout        *rollout.Rollout  `json:"rollout,omitempty"`
+	Outcome        *Outcome          `json:"outcome,omitempty"` // of the last rollout
 	// Addresses are those of the instances' listening sockets, by instance and socket.
 	Addresses map[string]map[string]string `json:"addresses,omitempty"`
 }
 
-// Supervisor runs a fleet. One goroutine, the loop, owns its state; everything else posts to it.
+// Supervisor runs a fleet. One goroutine, the loop, owns its state; other goroutines post functions for it to run.
 type Supervisor struct {
 	spec            *Spec
 	log             *slog.Logger
-	LauncherProgram string // the program that launches instances: this one
+	LauncherProgram string // path of this program, which launches the instances
 	state           state
 	step            rollout.Step
 
-	ctx     context.Context
-	group   *errgroup.Group
-	members []*member
-	events  chan func()
-	down    bool // all instances are being ended
-	wrote   string
-	lock    *os.File // of the fleet's folder, held as long as this process supervises it
-	once    sync.Once
-	over    chan struct{}
+	ctx          context.Context
+	group        *errgroup.Group
+	members      []*member
+	events       chan func()
+	shuttingDown bool // all instances are being stopped
+	lastWritten  string
+	lock         *os.File // of the fleet's folder, held while this process supervises it
+	stopOnce     sync.Once
+	stopped      chan struct{}
 }
 
-// ErrRunning tells that the fleet has a supervisor already.
+// ErrRunning means that another supervisor runs the fleet.
 var ErrRunning = errors.New("the fleet has a supervisor already")
 
-// New makes a supervisor, and takes the fleet's folder for this process.
+// New makes a supervisor and locks the fleet's folder for this process. self is the path of this program.
 func New(spec *Spec, self string, log *slog.Logger) (*Supervisor, error) {
 	if err := os.MkdirAll(spec.Dir, 0o700); err != nil {
 		return nil, err
@@ -74,13 +74,13 @@
 		lock.Close()
 		return nil, ErrRunning
 	}
-	s := &Supervisor{lock: lock, spec: spec, log: log, LauncherProgram: self, events: make(chan func(), 256), over: make(chan struct{})}
+	s := &Supervisor{lock: lock, spec: spec, log: log, LauncherProgram: self, events: make(chan func(), 256), stopped: make(chan struct{})}
 	text, err := os.ReadFile(filepath.Join(spec.Dir, stateFile))
 	if err == nil {
 		err = json.Unmarshal(text, &s.state)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		log.Error("state of before not taken up", "err", err)
+		log.Error("stored state discarded", "err", err)
 		s.state = state{}
 	}
 	if s.state.Programs == nil {
@@ -94,11 +94,11 @@
 		program = self
 	}
 	if s.state.Generation == "" {
-		s.state.Generation = s.generation(program)
+		s.state.Generation = s.newGeneration(program)
 	}
 	for n := range spec.Instances {
 		m := newMember(s, n)
-		m.gen = s.state.Generation
+		m.generation = s.state.Generation
 		if err := os.MkdirAll(m.dir, 0o700); err != nil {
 			return nil, err
 		}
@@ -107,7 +107,7 @@
 	return s, nil
 }
 
-// addresses are those of an instance's listening sockets. The map is a part of the state that outlives the supervisor.
+// addresses returns the addresses of an instance's listening sockets. The map is part of the stored state.
 func (s *Supervisor) addresses(instance string) map[string]string {
 	if s.state.Addresses[instance] == nil {
 		s.state.Addresses[instance] = map[string]string{}
@@ -115,56 +115,56 @@
 	return s.state.Addresses[instance]
 }
 
-// generation makes a new one for a program, and forgets the oldest.
-func (s *Supervisor) generation(program string) string {
-	s.state.Last++
-	g := strconv.Itoa(s.state.Last)
+// newGeneration makes a new generation for a program, and forgets the oldest.
+func (s *Supervisor) newGeneration(program string) string {
+	s.state.LastGeneration++
+	g := strconv.Itoa(s.state.LastGeneration)
 	s.state.Programs[g] = program
 	for old := range s.state.Programs {
-		if n, _ := strconv.Atoi(old); n <= s.state.Last-programsMost {
+		if n, _ := strconv.Atoi(old); n <= s.state.LastGeneration-maxPrograms {
 			delete(s.state.Programs, old)
 		}
 	}
 	return g
 }
 
-// post has the loop do something. It never blocks for good: the loop takes everything until its end.
+// post has the loop run f. It never blocks forever: the loop runs what is posted until it stops.
 func (s *Supervisor) post(f func()) {
 	select {
 	case s.events <- f:
-	case <-s.over:
+	case <-s.stopped:
 	}
 }
 
-// ask has the loop do something and waits for it.
-func (s *Supervisor) ask(f func()) {
+// runInLoop has the loop run f and waits until that is done, or the loop has stopped.
+func (s *Supervisor) runInLoop(f func()) {
 	done := make(chan struct{})
 	s.post(func() { f(); close(done) })
 	select {
 	case <-done:
-	case <-s.over:
+	case <-s.stopped:
 	}
 }
 
-// Run supervises until ctx ends or Down was called; then it ends all instances in order and comes back.
+// Run supervises the fleet until ctx ends or Down is called; then it stops all instances and returns.
 func (s *Supervisor) Run(ctx context.Context) error {
 	defer s.lock.Close()
-	// Before anything is started: a fleet that nobody can give an order to is not to run unseen.
+	// The socket is opened before any instance is started, as a fleet without it could not be controlled.
 	l, err := ctl.Listen(s.spec.Socket())
 	if err != nil {
 		return err
 	}
-	inner, cancel := context.WithCancel(context.Background())
+	loopCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g, inner := errgroup.WithContext(inner)
-	s.group, s.ctx = g, inner
+	g, loopCtx := errgroup.WithContext(loopCtx)
+	s.group, s.ctx = g, loopCtx
 	for _, m := range s.members {
-		if !m.adopt(inner) {
-			m.why = "first"
+		if !m.adopt(loopCtx) {
+			m.startReason = "first"
 		}
 	}
-	s.write()
-	g.Go(func() error { return s.serve(inner, l) })
+	s.writeState()
+	g.Go(func() error { return s.serve(loopCtx, l) })
 	g.Go(func() error {
 		defer cancel()
 		s.loop(ctx)
@@ -177,11 +177,12 @@
 	return err
 }
 
+// loop runs posted functions and the periodic work until ctx has ended or Down was called, and all instances have ended.
 func (s *Supervisor) loop(ctx context.Context) {
-	defer s.once.Do(func() { close(s.over) })
-	tick := time.NewTicker(tickEvery)
+	defer s.stopOnce.Do(func() { close(s.stopped) })
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	var asked, trimmed time.Time
+	var polledAt, trimmedAt time.Time
 	for {
 		select {
 		case f := <-s.events:
@@ -190,72 +191,72 @@
 		case <-tick.C:
 		}
 		if ctx.Err() != nil {
-			s.down = true
+			s.shuttingDown = true
 		}
-		if time.Since(asked) >= askEvery {
-			asked = time.Now()
+		if time.Since(polledAt) >= pollInterval {
+			polledAt = time.Now()
 			for _, m := range s.members {
-				m.look()
+				m.poll()
 			}
 		}
-		if time.Since(trimmed) >= trimEvery {
-			trimmed = time.Now()
+		if time.Since(trimmedAt) >= trimInterval {
+			trimmedAt = time.Now()
 			for _, m := range s.members {
-				m.trim()
+				m.trimLog()
 			}
 		}
-		if s.down {
-			if s.end() {
+		if s.shuttingDown {
+			if s.stopAll() {
 				return
 			}
 			continue
 		}
-		s.roll()
+		s.advanceRollout()
 		for _, m := range s.members {
-			s.keep(m)
+			s.startIfDown(m)
 		}
-		s.write()
+		s.writeState()
 	}
 }
 
-// keep starts an instance that is down and is to run.
-func (s *Supervisor) keep(m *member) {
+// startIfDown starts an instance that is down, once the wait after its last exit is over.
+func (s *Supervisor) startIfDown(m *member) {
 	if m.phase != rollout.Down || m.pid > 0 {
 		return
 	}
-	if m.adopt(s.ctx) { // a supervisor before this one had launched it, and it has claimed its folder only now
+	if m.adopt(s.ctx) { // launched by an earlier supervisor, and it has claimed its folder only now
 		return
 	}
 	if time.Now().Before(m.retryAt) {
 		return
 	}
 	if err := m.start(); err != nil {
-		m.retryAt = time.Now().Add(m.wait.NextBackOff())
+		m.retryAt = time.Now().Add(m.restartBackoff.NextBackOff())
 		s.log.Error("instance not started", "instance", m.name, "err", err)
 	}
 }
 
-// end ends all instances in order; it tells when all are gone.
-func (s *Supervisor) end() bool {
-	left := 0
+// stopAll asks all instances to end; it returns true once none runs.
+func (s *Supervisor) stopAll() bool {
+	running := 0
 	for _, m := range s.members {
 		if m.pid > 0 {
 			m.stop()
-			left++
+			running++
 		}
 	}
-	return left == 0
+	return running == 0
 }
 
-// write writes the state down when it has changed.
-func (s *Supervisor) write() {
+// writeState stores the state if it has changed.
+func (s *Supervisor) writeState() {
 	text, err := json.MarshalIndent(s.state, "", " ")
-	if err != nil || string(text) == s.wrote {
+	if err != nil || string(text) == s.lastWritten {
 		return
 	}
-	if err := replace(filepath.Join(s.spec.Dir, stateFile), text); err != nil {
+	if err := replaceFile(filepath.Join(s.spec.Dir, stateFile), text); err != nil {
 		s.log.Error("state not written", "err", err)
 		return
 	}
-	s.wrote = string(text)
+	s.lastWritten = string(text)
 }
