--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -45,8 +45,8 @@
 	ErrNewerVersion  = errors.New("of a newer version")
 	ErrOtherInstance = errors.New("another instance's")
 	ErrTooOld        = errors.New("too old")
-	ErrFutureTime    = errors.New("from the future: the clock was set back")
-	ErrInvalid       = errors.New("invalid content")
+	ErrFutureTime    = errors.New("from the future: the clock went back")
+	ErrInvalid       = errors.New("makes no sense")
 )
 
 // Snapshot is the content of the file.
