--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,18 +18,18 @@
 	DurationSeconds float64       `json:"took_s"`
 }
 
-// Status is what a fleet tells operators.
+// Status is the status of a fleet, for its operators.
 type Status struct {
 	Name       string         `json:"name"`
 	PID        int            `json:"pid"`
 	Generation string         `json:"generation"`
 	Program    string         `json:"program"`
-	Rollout    *rollout.Step  `json:"rollout,omitempty"` // under way
-	Outcome    *Outcome       `json:"outcome,omitempty"` // of the last one
+	Rollout    *rollout.Step  `json:"rollout,omitempty"` // in progress
+	Outcome    *Outcome       `json:"outcome,omitempty"` // of the last rollout
 	Instances  []MemberStatus `json:"instances"`
 }
 
-// MemberStatus is one instance.
+// MemberStatus is the status of one instance.
 type MemberStatus struct {
 	Name             string        `json:"name"`
 	PID              int           `json:"pid"`
@@ -45,21 +45,21 @@
 	MemoryMB         float64       `json:"memory_mb"`
 }
 
-// Status looks at everything.
+// Status returns the status of the fleet and of its instances, sorted by number.
 func (s *Supervisor) Status() (st Status) {
-	s.ask(func() {
+	s.runInLoop(func() {
 		st = Status{Name: s.spec.Name, PID: os.Getpid(), Generation: s.state.Generation, Program: s.state.Programs[s.state.Generation], Outcome: s.state.Outcome}
 		if s.state.Rollout != nil {
 			step := s.step
 			st.Rollout = &step
 		}
 		for _, m := range s.members {
-			one := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, PhaseSeconds: time.Since(m.since).Seconds(), Generation: m.gen,
-				Listen: m.addrs["callers"], Socket: m.socket(), UnexpectedExits: m.ends, Failed: m.failed}
+			status := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, PhaseSeconds: time.Since(m.phaseSince).Seconds(), Generation: m.generation,
+				Listen: m.addrs["callers"], Socket: m.socket(), UnexpectedExits: m.unexpectedExits, Failed: m.failure}
 			if m.status != nil {
-				one.OpenCalls, one.EstablishedCalls, one.MemoryMB = m.status.Core.Open, m.status.Core.EstablishedCalls, m.status.MemoryMB
+				status.OpenCalls, status.EstablishedCalls, status.MemoryMB = m.status.Core.Open, m.status.Core.EstablishedCalls, m.status.MemoryMB
 			}
-			st.Instances = append(st.Instances, one)
+			st.Instances = append(st.Instances, status)
 		}
 		sort.Slice(st.Instances, func(i, j int) bool {
 			return len(st.Instances[i].Name) < len(st.Instances[j].Name) || len(st.Instances[i].Name) == len(st.Instances[j].Name) && st.Instances[i].Name < st.Instances[j].Name
@@ -68,4 +68,5 @@
 	return st
 }
 
+// String names the fleet and the number of its instances.
 func (s Status) String() string { return fmt.Sprintf("fleet %s of %d", s.Name, len(s.Instances)) }
--- a/internal/notify/notify_test.go
+++ b/internal/notify/notify_test.go
@@ -22,14 +22,14 @@
 	}
 }
 
-func TestTheManagerIsTold(t *testing.T) {
+func TestNotifications(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notify")
 	l, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	hear := func() string {
+	receive := func() string {
 		b := make([]byte, 1024)
 		n, err := l.Read(b)
 		if err != nil {
@@ -42,37 +42,37 @@
 		t.Fatal(err)
 	}
 	m.Ready("serving\nREADY=0")
-	if got := hear(); got != "READY=1\nSTATUS=serving READY=0" {
+	if got := receive(); got != "READY=1\nSTATUS=serving READY=0" {
 		t.Errorf("%q", got)
 	}
 	m.Reloading()
-	if got := hear(); !strings.HasPrefix(got, "RELOADING=1\nMONOTONIC_USEC=") {
+	if got := receive(); !strings.HasPrefix(got, "RELOADING=1\nMONOTONIC_USEC=") {
 		t.Errorf("%q", got)
 	}
 	m.Stopping("x")
-	if got := hear(); got != "STOPPING=1\nSTATUS=x" {
+	if got := receive(); got != "STOPPING=1\nSTATUS=x" {
 		t.Errorf("%q", got)
 	}
-	// A core that hangs gives no sign of life.
+	// No keep-alive message is sent while the core hangs.
 	ctx, cancel := context.WithCancel(t.Context())
 	hang, ended := make(chan struct{}), make(chan struct{})
-	alive := 0
+	checks := 0
 	go func() {
 		m.RunWatchdog(ctx, func() {
-			if alive++; alive > 2 {
+			if checks++; checks > 2 {
 				<-hang
 			}
 		})
 		close(ended)
 	}()
 	for range 2 {
-		if got := hear(); got != "WATCHDOG=1" {
-			t.Errorf("no sign of life: %q", got)
+		if got := receive(); got != "WATCHDOG=1" {
+			t.Errorf("no keep-alive message: %q", got)
 		}
 	}
 	l.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, _ := l.Read(make([]byte, 100)); n > 0 {
-		t.Error("a sign of life while the core hangs")
+		t.Error("a keep-alive message while the core hangs")
 	}
 	cancel()
 	close(hang)
@@ -87,7 +87,7 @@
 	m.Ready("x")
 	m.RunWatchdog(t.Context(), nil)
 	if _, err := Open(env("NOTIFY_SOCKET", "/nowhere/at/all")); err == nil {
-		t.Error("a manager that is not there")
+		t.Error("no error for a manager that doesn't exist")
 	}
 	for _, e := range []func(string) string{env(), env("LISTEN_FDS", "1", "LISTEN_PID", "1"), env("LISTEN_FDS", "x", "LISTEN_PID", strconv.Itoa(os.Getpid()))} {
 		if l, err := Listeners(e); l != nil || err != nil {
