--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -248,8 +248,8 @@
 }
 
 // Admit implements join.Module. Control decides on a first call without room. A redial is late or nearly so, and is
-// worth only a part of a call at most; while first calls meet the limit, it is refused with a randomly drawn wait,
-// so that callers refused together do not return together.
+// worth at most a part of what a call in time is worth; while first calls meet the limit, it is refused with a randomly
+// drawn wait, so that callers refused together do not return together.
 func (g *Goodput) Admit(now int64, c join.Call) join.Decision {
 	if g.state != Bounded || !c.Redialed {
 		return join.Decision{}
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -152,18 +152,18 @@
 
 // ServerStatuses returns the state of all servers at now. It works on copies, so that it changes no decision.
 func (c *Controller) ServerStatuses(now int64) []ServerStatus {
-	d := *c
-	d.now, d.servers = max(now, c.now), make([]*server, len(c.servers))
+	view := *c
+	view.now, view.servers = max(now, c.now), make([]*server, len(c.servers))
 	for k, s := range c.servers {
-		one := *s
-		d.servers[k] = &one
+		copied := *s
+		view.servers[k] = &copied
 	}
-	all := make([]ServerStatus, 0, len(d.servers))
-	for _, s := range d.servers {
-		delay := d.expectedDelay(s)
-		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: d.capacityFraction(s) < 1,
-			CapacityFraction: d.capacityFraction(s), Down: s.down, InBackoff: d.now < s.backoffUntil,
-			Overloaded: delay > rampEnd*d.refDelay, Pending: s.pending(), EstablishedCalls: max(s.calls, 0),
+	all := make([]ServerStatus, 0, len(view.servers))
+	for _, s := range view.servers {
+		delay := view.expectedDelay(s)
+		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: view.capacityFraction(s) < 1,
+			CapacityFraction: view.capacityFraction(s), Down: s.down, InBackoff: view.now < s.backoffUntil,
+			Overloaded: delay > rampEnd*view.refDelay, Pending: s.pending(), EstablishedCalls: max(s.calls, 0),
 			ExpectedDelay: int64(min(delay, float64(math.MaxInt64/2)))})
 	}
 	return all
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -390,9 +390,9 @@
 
 // Status implements join.Module.
 func (l *Levels) Status(int64) join.Status {
-	st := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, RefusedTotal: l.refused, ExitCondition: exitCondition(l.level)}
+	status := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, RefusedTotal: l.refused, ExitCondition: exitCondition(l.level)}
 	if n := len(l.history); n > 0 && l.changed {
-		st.Reason = l.history[n-1].Reason
+		status.Reason = l.history[n-1].Reason
 	}
-	return st
+	return status
 }
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -220,12 +220,12 @@
 
 // onLoadReport takes a load report. Measured delays count as overload whatever is reported. The number of free lines is
 // soon out of date, as calls end all the time: no free line counts as long as an answer for lack of lines does.
-func (c *Controller) onLoadReport(s *server, r []float64) {
+func (c *Controller) onLoadReport(s *server, report []float64) {
 	value := func(index int) float64 { // -1: none
-		if index < 0 || index >= len(r) {
+		if index < 0 || index >= len(report) {
 			return -1
 		}
-		return r[index]
+		return report[index]
 	}
 	if rate := value(c.rateField); rate > 0 {
 		if s.rate == 0 || c.now-s.rateAt >= rateMaxAge {
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -172,8 +172,8 @@
 			}
 			// The initial credit is random, so that many instances that start together spread out what they send.
 			s.readyAt, s.window, s.proven, s.credit, s.creditAt = e.ReadyAt, initialWindow, false, r.rng.Float64(), now
-			if b, ok := r.restored[e.Server]; ok && b.ReadyAt == e.ReadyAt && b.SucceededAt <= now &&
-				now-b.SucceededAt < maxEvidenceAge && float64(b.Delay) <= evidenceDelayPart*float64(r.shortestTarget) {
+			if evidence, ok := r.restored[e.Server]; ok && evidence.ReadyAt == e.ReadyAt && evidence.SucceededAt <= now &&
+				now-evidence.SucceededAt < maxEvidenceAge && float64(evidence.Delay) <= evidenceDelayPart*float64(r.shortestTarget) {
 				s.window, s.proven = provenWindow, true
 			}
 		}
@@ -350,30 +350,30 @@
 
 // Status implements join.Module.
 func (r *Recovery) Status(now int64) join.Status {
-	st := join.Status{Module: r.Name(), Held: r.heldTotal, RefusedTotal: r.refusedTotal}
+	status := join.Status{Module: r.Name(), Held: r.heldTotal, RefusedTotal: r.refusedTotal}
 	if !r.Recovering(now) {
-		st.State, st.Reason, st.Since = "done", r.reason, r.doneAt
+		status.State, status.Reason, status.Since = "done", r.reason, r.doneAt
 		if !r.done {
-			st.Reason, st.Since = "span", r.startedAt+r.settings.Control.WarmUpTime
+			status.Reason, status.Since = "span", r.startedAt+r.settings.Control.WarmUpTime
 		}
-		return st
+		return status
 	}
-	st.State, st.Reason, st.Since = "recovering", NoEvidence, r.startedAt
+	status.State, status.Reason, status.Since = "recovering", NoEvidence, r.startedAt
 	remaining := float64(max(r.startedAt+r.settings.Control.WarmUpTime-now, 0)) / 1e9
-	st.ExitCondition = fmt.Sprintf("every listed office proven and warm, or %.1f s more", remaining)
+	status.ExitCondition = fmt.Sprintf("every listed office proven and warm, or %.1f s more", remaining)
 	if r.listedCount == 0 {
-		st.Reason = NoList
+		status.Reason = NoList
 	}
 	for _, s := range r.servers {
-		p := join.ServerStatus{Server: s.id, State: "unproven"}
+		serverStatus := join.ServerStatus{Server: s.id, State: "unproven"}
 		if s.proven {
-			p.State = "proven"
+			serverStatus.State = "proven"
 		}
 		if ok, reason := r.HasRoom(now, s.id); !ok {
-			p.Reason = reason
-			st.Capped++
+			serverStatus.Reason = reason
+			status.Capped++
 		}
-		st.Servers = append(st.Servers, p)
+		status.Servers = append(status.Servers, serverStatus)
 	}
-	return st
+	return status
 }
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -40,8 +40,8 @@
 func (d *Detector) Decisions(now int64) (all []Decision) {
 	d.refresh(now)
 	for _, id := range slices.Sorted(maps.Keys(d.servers)) {
-		if v := d.servers[id].decision; v.Avoided || len(v.Observers) > 0 {
-			all = append(all, v)
+		if decision := d.servers[id].decision; decision.Avoided || len(decision.Observers) > 0 {
+			all = append(all, decision)
 		}
 	}
 	return all
@@ -78,12 +78,12 @@
 	slices.SortStableFunc(decisions, func(x, y Decision) int { return cmp.Compare(len(y.Observers), len(x.Observers)) })
 	room := max(int(d.cfg.MaxAvoidedShare*float64(d.listed)), 1)
 	for k := range decisions {
-		v := &decisions[k]
-		if !v.Avoided {
+		decision := &decisions[k]
+		if !decision.Avoided {
 			continue
 		}
 		if room == 0 {
-			v.Avoided, v.Reason = false, TooManyAvoided
+			decision.Avoided, decision.Reason = false, TooManyAvoided
 			continue
 		}
 		room--
@@ -94,19 +94,19 @@
 // servers appear to be avoided than allowed.
 func (d *Detector) apply(decisions []Decision) {
 	var begun []Decision
-	for _, v := range decisions {
-		s := d.servers[v.Server]
+	for _, decision := range decisions {
+		s := d.servers[decision.Server]
 		wasAvoided := s.decision.Avoided
-		s.decision = v
+		s.decision = decision
 		switch {
-		case v.Avoided && !wasAvoided:
-			begun = append(begun, v)
-		case wasAvoided && !v.Avoided:
-			d.onChange(v)
+		case decision.Avoided && !wasAvoided:
+			begun = append(begun, decision)
+		case wasAvoided && !decision.Avoided:
+			d.onChange(decision)
 		}
 	}
-	for _, v := range begun {
-		d.onChange(v)
+	for _, decision := range begun {
+		d.onChange(decision)
 	}
 }
 
@@ -129,40 +129,40 @@
 // evaluate decides on one server by a sample of the observations of it.
 func (d *Detector) evaluate(now int64, id uint64, s *serverState) Decision {
 	sample := d.sample(now, s)
-	v := Decision{Server: id, Reason: FewObservers}
+	decision := Decision{Server: id, Reason: FewObservers}
 	count := map[Kind]int{}
 	for _, o := range sample {
 		if !o.kind.bad() {
-			v.GoodReports++
+			decision.GoodReports++
 			continue
 		}
 		count[o.kind]++
-		v.Observers = append(v.Observers, o.from)
+		decision.Observers = append(decision.Observers, o.from)
 	}
 	if len(sample) > 0 {
-		v.AgeMS = (now - sample[0].seenAt) / 1e6
+		decision.AgeMS = (now - sample[0].seenAt) / 1e6
 	}
-	bad, minBad := len(v.Observers), d.cfg.MinBad
+	bad, minBad := len(decision.Observers), d.cfg.MinBad
 	if d.cfg.OmitCheck == CheckObservers {
-		sample, v.GoodReports, minBad = sample[:bad], 0, 1
+		sample, decision.GoodReports, minBad = sample[:bad], 0, 1
 	}
 	outlier := bad >= minBad && float64(bad) >= d.cfg.BadShare*float64(len(sample))
 	switch {
 	case outlier && s.hasOwn && !s.own.kind.bad() && now-s.own.seenAt < d.cfg.OwnEvidenceTime:
-		v.Reason = OwnEvidence
+		decision.Reason = OwnEvidence
 	case outlier:
-		v.Avoided, v.Reason = true, Silent.String()
+		decision.Avoided, decision.Reason = true, Silent.String()
 		if count[Dead] > count[Silent] {
-			v.Reason = Dead.String()
+			decision.Reason = Dead.String()
 		}
 		d.extendAvoidance(now, s, sample[0].seenAt)
-	case s.decision.Avoided && v.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no good report
-		v = s.decision
-		v.GoodReports = 0
-	case bad == 0 && v.GoodReports == 0:
-		v.Reason = Expired
+	case s.decision.Avoided && decision.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no good report
+		decision = s.decision
+		decision.GoodReports = 0
+	case bad == 0 && decision.GoodReports == 0:
+		decision.Reason = Expired
 	}
-	return v
+	return decision
 }
 
 // extendAvoidance sets how long a decision outlasts its evidence; newest is the time of the youngest observation. The
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -432,9 +432,9 @@
 
 // Status implements join.Module.
 func (m *Shares) Status(int64) join.Status {
-	st := join.Status{Module: m.Name(), State: Open, Reason: "room-for-all", Since: m.since, RefusedTotal: m.refused}
+	status := join.Status{Module: m.Name(), State: Open, Reason: "room-for-all", Since: m.since, RefusedTotal: m.refused}
 	if m.limiting {
-		st.State, st.Reason, st.ExitCondition = Limiting, "calls-turned-away", "offered calls within the capacity for 5 s"
+		status.State, status.Reason, status.ExitCondition = Limiting, "calls-turned-away", "offered calls within the capacity for 5 s"
 	}
-	return st
+	return status
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -32,7 +32,7 @@
 	ID          string // 16 hex digits, which identify the call at offices
 	Owner       string // who may rejoin the call or end it
 	Class       int
-	ClassName   string // of the class
+	ClassName   string
 	Tenant      string
 	Number      string
 	Description []byte
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -80,11 +80,11 @@
 }
 
 // LoadInitial applies the part of the list in the configuration. It must be called before Run.
-func (c *Client) LoadInitial(k InitialList) {
-	for _, raw := range k.Entries {
+func (c *Client) LoadInitial(initial InitialList) {
+	for _, raw := range initial.Entries {
 		c.apply(raw)
 	}
-	c.Pos = max(c.Pos, k.Pos)
+	c.Pos = max(c.Pos, initial.Pos)
 	c.position.Store(c.Pos)
 }
 
--- a/internal/office/office.go
+++ b/internal/office/office.go
@@ -15,7 +15,7 @@
 	// Accepted tells that the office has accepted the call.
 	Accepted(server uint64, id string, n int, desc []byte)
 	// Ended tells that an attempt has ended without being accepted.
-	Ended(server uint64, id string, n int, e exchange.Result)
+	Ended(server uint64, id string, n int, result exchange.Result)
 	// Released tells that the office has released a call; cut: before its regular end.
 	Released(server uint64, id string, cut bool, report []float64)
 	// State passes on a load report.
@@ -43,7 +43,7 @@
 	// Accepted handles the acceptance of a call, with the office's description.
 	Accepted(id string, desc []byte)
 	// Ended handles a refusal.
-	Ended(id string, e exchange.Result)
+	Ended(id string, result exchange.Result)
 	// Released handles the release of a call by the office; cut: before its regular end.
 	Released(id string, cut bool, report []float64)
 	// State handles a load report; nil: it held no known value.
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -236,8 +236,8 @@
 }
 
 // Ended implements Handler.
-func (s *session) Ended(id string, e exchange.Result) {
-	s.pool.Core.Ended(s.server, id, s.onMessage(id), e)
+func (s *session) Ended(id string, result exchange.Result) {
+	s.pool.Core.Ended(s.server, id, s.onMessage(id), result)
 }
 
 // Released implements Handler.
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -172,18 +172,18 @@
 
 // refusal maps a response of status 300 or more to the result of the attempt.
 func (p *sipPeer) refusal(m *sip.Message) exchange.Result {
-	e := exchange.Result{Outcome: control.Errored, Note: NoteNumber(string(m.Get("X-Note"))),
+	result := exchange.Result{Outcome: control.Errored, Note: NoteNumber(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
 	switch m.Status {
 	case 503:
-		e.Outcome = control.Saturated
+		result.Outcome = control.Saturated
 	case 480:
-		e.Outcome = control.Unavailable
+		result.Outcome = control.Unavailable
 	case 504:
-		e.Outcome = control.ConnectionLost
+		result.Outcome = control.ConnectionLost
 	}
 	if ms, err := strconv.ParseInt(string(m.Get("X-Delay")), 10, 32); err == nil && ms > 0 {
-		e.WaitMS = ms
+		result.WaitMS = ms
 	}
-	return e
+	return result
 }
