--- a/cmd/masthill/broken.go
+++ b/cmd/masthill/broken.go
@@ -5,4 +5,4 @@
 import "os"
 
 // without names a guard that is left out, to show that the lab's checkers notice.
-var without = os.Getenv("MASTHILL_WITHOUT")
+var omittedCheck = os.Getenv("MASTHILL_WITHOUT")
--- a/cmd/masthill/deploy_test.go
+++ b/cmd/masthill/deploy_test.go
@@ -21,7 +21,7 @@
 
 // deployed builds the program as the deploy file's build does, lays it out as run expects it, with the operators'
 // settings as they are in the repository, and starts run.
-func deployed(t *testing.T) *exec.Cmd {
+func startDeployed(t *testing.T) *exec.Cmd {
 	t.Helper()
 	var deploy struct{ Build, Run string }
 	if _, err := toml.DecodeFile("../../deploy/balancer.toml", &deploy); err != nil {
@@ -71,7 +71,7 @@
 }
 
 // sockets are the numbers of a process's open sockets.
-func sockets(pid int) (all []string) {
+func socketInodes(pid int) (all []string) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	for _, f := range files {
 		if to, err := os.Readlink(f); err == nil && strings.HasPrefix(to, "socket:[") {
@@ -82,13 +82,13 @@
 }
 
 // rows are the fields of the rows of a process's table under /proc/PID/net that are its own.
-func rows(t *testing.T, pid int, table string, inode int) (mine [][]string) {
+func socketRows(t *testing.T, pid int, table string, inode int) (mine [][]string) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, table))
 	if err != nil {
 		t.Fatal(err)
 	}
-	own := sockets(pid)
+	own := socketInodes(pid)
 	for line := range strings.Lines(string(text)) {
 		if f := strings.Fields(line); len(f) > inode && slices.Contains(own, f[inode]) {
 			mine = append(mine, f)
@@ -100,11 +100,11 @@
 // On the platform the program is one process, linked dynamically against the C library; it listens where it was told and
 // nowhere else, opens no Unix socket and starts no other process, whatever other installations have.
 func TestAsThePlatformRunsIt(t *testing.T) {
-	cmd := deployed(t)
+	cmd := startDeployed(t)
 	pid := cmd.Process.Pid
 	var listening [][]string
 	for range 400 { // 20 s at most, on a busy machine
-		if listening = rows(t, pid, "tcp", 9); slices.ContainsFunc(listening, func(f []string) bool { return f[3] == "0A" }) {
+		if listening = socketRows(t, pid, "tcp", 9); slices.ContainsFunc(listening, func(f []string) bool { return f[3] == "0A" }) {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -124,7 +124,7 @@
 		t.Errorf("not linked against the C library: %v, %v", libraries, err)
 	}
 	var at []string
-	for _, f := range rows(t, pid, "tcp", 9) {
+	for _, f := range socketRows(t, pid, "tcp", 9) {
 		if f[3] != "0A" { // it listens
 			continue
 		}
@@ -143,7 +143,7 @@
 		t.Errorf("it listens at %v, told 127.0.0.1", at)
 	}
 	for table, inode := range map[string]int{"unix": 6, "tcp6": 9, "udp": 9, "udp6": 9} {
-		if mine := rows(t, pid, table, inode); len(mine) > 0 {
+		if mine := socketRows(t, pid, table, inode); len(mine) > 0 {
 			t.Errorf("%s: %v", table, mine)
 		}
 	}
--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -16,7 +16,7 @@
 )
 
 // shrinkFor is how long clients may take to be within a smaller share: connections end in order.
-const shrinkFor = 2 * time.Second
+const shrinkTimeout = 2 * time.Second
 
 // resizable is a front whose bound can change.
 type resizable interface{ SetMaxOpen(n int) }
@@ -27,13 +27,13 @@
 	log     *slog.Logger
 	servers *descriptors.Gate // connections to them
 
-	mu        sync.Mutex
-	demand    descriptors.Demand
-	budget    descriptors.Budget
-	listed    map[uint64]bool // servers on the list
-	maxPlaces int             // the clients' places that the memory allows
-	clients   sharedFront     // the platform's front
-	webSocket sharedFront
+	mu            sync.Mutex
+	demand        descriptors.Demand
+	budget        descriptors.Budget
+	listedServers map[uint64]bool // servers on the list
+	maxPlaces     int             // the clients' places that the memory allows
+	clients       sharedFront     // the platform's front
+	webSocket     sharedFront
 }
 
 // sharedFront is one front with its listener, once it is open.
@@ -44,14 +44,14 @@
 
 // newAllocation plans for a demand.
 func newAllocation(d descriptors.Demand, maxPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listed: map[uint64]bool{}, maxPlaces: maxPlaces}
-	a.demand.Limit = processLimit(d.Limit)
-	a.plan()
+	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listedServers: map[uint64]bool{}, maxPlaces: maxPlaces}
+	a.demand.Limit = effectiveLimit(d.Limit)
+	a.replan()
 	return a
 }
 
 // processLimit is the lower one of a limit and what the system allows this process now.
-func processLimit(limit int) int {
+func effectiveLimit(limit int) int {
 	var allowed syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &allowed); err == nil && allowed.Cur < uint64(limit) {
 		return int(allowed.Cur)
@@ -60,22 +60,22 @@
 }
 
 // plan makes the budget anew and applies it. Called under the lock, or before there is a second user.
-func (a *allocation) plan() {
+func (a *allocation) replan() {
 	a.budget = descriptors.Plan(a.demand)
 	a.servers.SetLimit(a.budget.Servers)
-	a.clients.apply(a.clientsFront())
+	a.clients.apply(a.clientsShare())
 	a.webSocket.apply(a.budget.WebSocket)
 }
 
 // clientsFront is the platform's front's share, within what the memory allows.
-func (a *allocation) clientsFront() descriptors.Front {
+func (a *allocation) clientsShare() descriptors.Front {
 	f := a.budget.Clients
 	f.Places = min(f.Places, a.maxPlaces)
 	return f
 }
 
 // operatorsPlaces is how many connections the operators' address holds at once, beside the one that waits for a place.
-func (a *allocation) operatorsPlaces() int { return max(a.budget.Operators-1, 1) }
+func (a *allocation) adminMaxOpen() int { return max(a.budget.Operators-1, 1) }
 
 func (f sharedFront) apply(share descriptors.Front) {
 	if f.resizable != nil {
@@ -86,44 +86,44 @@
 
 // attach hands a front and its listener over to the allocation.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
-	l.Shortage = a.shortage
+	l.Shortage = a.onShortage
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	*to = sharedFront{f, listener.Bound(l, descriptors.NewGate(0))}
-	a.plan()
+	a.replan()
 	return to.listener
 }
 
 // list follows how many servers there are.
-func (a *allocation) list(changed []exchange.Office, full bool) {
+func (a *allocation) onServerList(changed []exchange.Office, full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if full {
-		clear(a.listed)
+		clear(a.listedServers)
 	}
 	for _, s := range changed {
 		if s.State == control.Removed {
-			delete(a.listed, s.Server)
+			delete(a.listedServers, s.Server)
 		} else {
-			a.listed[s.Server] = true
+			a.listedServers[s.Server] = true
 		}
 	}
-	if len(a.listed) == a.demand.Servers {
+	if len(a.listedServers) == a.demand.Servers {
 		return
 	}
-	a.demand.Servers = len(a.listed)
-	a.plan()
+	a.demand.Servers = len(a.listedServers)
+	a.replan()
 	if need := a.demand.Servers; a.budget.Servers < need {
 		a.log.Warn("descriptors do not suffice", "reason", "servers", "servers", need, "share", a.budget.Servers)
 	}
 }
 
 // upgrade halves the budget while another process serves the same address, and returns once clients are within it.
-func (a *allocation) upgrade(present bool) {
+func (a *allocation) onUpgrade(present bool) {
 	began := time.Now()
 	a.share(present)
-	for a.exceeded() && time.Since(began) < shrinkFor {
-		time.Sleep(endStep)
+	for a.exceeded() && time.Since(began) < shrinkTimeout {
+		time.Sleep(pollInterval)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,7 +137,7 @@
 	defer a.mu.Unlock()
 	if a.demand.Upgrade != present {
 		a.demand.Upgrade = present
-		a.plan()
+		a.replan()
 	}
 }
 
@@ -158,13 +158,13 @@
 }
 
 // shortage is called where no descriptor was left: a limit that was lowered is planned for, and idle clients make room.
-func (a *allocation) shortage() {
+func (a *allocation) onShortage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if limit := processLimit(a.demand.Limit); limit < a.demand.Limit {
+	if limit := effectiveLimit(a.demand.Limit); limit < a.demand.Limit {
 		a.log.Warn("descriptors limited from outside", "limit", limit, "before", a.demand.Limit)
 		a.demand.Limit = limit
-		a.plan()
+		a.replan()
 	}
 }
 
@@ -174,23 +174,23 @@
 		if !a.servers.Take() {
 			return nil, descriptors.ErrShareTaken
 		}
-		peer, err := descriptors.Persist(ctx, a.shortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
+		peer, err := descriptors.Persist(ctx, a.onShortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
 		if err != nil {
 			a.servers.Release()
 			return nil, err
 		}
-		return &heldPeer{peer, a.servers}, nil
+		return &gatedPeer{peer, a.servers}, nil
 	}
 }
 
 // heldPeer gives its descriptor back when it ends.
-type heldPeer struct {
+type gatedPeer struct {
 	office.Peer
 	gate *descriptors.Gate
 }
 
 // Run implements office.Peer.
-func (p *heldPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
+func (p *gatedPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
 	defer p.gate.Release()
 	return p.Peer.Run(ctx, h)
 }
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -30,10 +30,10 @@
 const fewDescriptors = 96
 
 // busy is the bound of what takes under 1 s on a machine with time to spare; the figures are logged.
-const busy = 5 * time.Second
+const maxDelay = 5 * time.Second
 
 // discovery is a stand-in for the list's service that is down at first, in one of three ways, and comes back.
-type discovery struct {
+type fakeDiscovery struct {
 	t         *testing.T
 	addr      string
 	listener  net.Listener // nil: connects are refused
@@ -42,10 +42,10 @@
 }
 
 // refusingDiscovery refuses connects while it is down.
-func refusingDiscovery(t *testing.T) *discovery { return &discovery{t: t, addr: free(t)} }
+func refusingDiscovery(t *testing.T) *fakeDiscovery { return &fakeDiscovery{t: t, addr: freeAddr(t)} }
 
 // hangingDiscovery takes no connects while it is down: the queue of its socket is full.
-func hangingDiscovery(t *testing.T) *discovery {
+func hangingDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -71,16 +71,16 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	return &discovery{t: t, addr: l.Addr().String(), listener: l}
+	return &fakeDiscovery{t: t, addr: l.Addr().String(), listener: l}
 }
 
 // silentDiscovery takes connects and says nothing while it is down.
-func silentDiscovery(t *testing.T) *discovery {
-	return &discovery{t: t, addr: "", listener: netcase.Listen(t)}
+func silentDiscovery(t *testing.T) *fakeDiscovery {
+	return &fakeDiscovery{t: t, addr: "", listener: netcase.Listen(t)}
 }
 
 // comesBack serves from now on.
-func (d *discovery) comesBack() {
+func (d *fakeDiscovery) startServing() {
 	d.t.Helper()
 	d.connected = make(chan time.Time, 100)
 	if d.listener == nil {
@@ -101,30 +101,30 @@
 }
 
 // crowd is idle clients that take all they can get.
-type crowd struct {
+type idleClients struct {
 	t     *testing.T
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
 // idle are the ways in which clients hold a connection and ask for nothing; each is written after the connect.
-var idle = []string{"", "INVITE sip:17@net SI", options, "GET /v1/calls HTTP/1.1\r\nHost: x\r\n", "GET /healthc"}
+var idleOpenings = []string{"", "INVITE sip:17@net SI", optionsRequest, "GET /v1/calls HTTP/1.1\r\nHost: x\r\n", "GET /healthc"}
 
 // join connects that many, and leaves them open.
-func (c *crowd) join(addr string, n int) {
+func (c *idleClients) connect(addr string, n int) {
 	for k := range n {
 		conn, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
 			continue // the queue of its socket is full: it has all it can hold
 		}
-		io.WriteString(conn, idle[k%len(idle)])
+		io.WriteString(conn, idleOpenings[k%len(idleOpenings)])
 		c.mu.Lock()
 		c.conns = append(c.conns, conn)
 		c.mu.Unlock()
 	}
 }
 
-func (c *crowd) leave() {
+func (c *idleClients) closeAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
@@ -134,14 +134,14 @@
 }
 
 // press has clients come until the end, several at once, so that whatever is freed is taken at once.
-func (c *crowd) press(addrs ...string) (end func()) {
+func (c *idleClients) keepConnecting(addrs ...string) (end func()) {
 	var over atomic.Bool
 	var all sync.WaitGroup
 	for _, addr := range addrs {
 		for range 4 {
 			all.Go(func() {
 				for !over.Load() {
-					c.join(addr, 10)
+					c.connect(addr, 10)
 					time.Sleep(20 * time.Millisecond) // some thousands a second, within the machine's ports
 					c.mu.Lock()
 					if len(c.conns) > 3000 {
@@ -155,11 +155,11 @@
 			})
 		}
 	}
-	return func() { over.Store(true); all.Wait(); c.leave() }
+	return func() { over.Store(true); all.Wait(); c.closeAll() }
 }
 
 // held counts the descriptors of a program.
-func (p *program) held() int {
+func (p *program) openDescriptors() int {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil {
 		return 0
@@ -168,11 +168,11 @@
 }
 
 // holds waits until the program holds that many descriptors: the crowd has come.
-func (p *program) holds(n int) {
+func (p *program) waitForDescriptors(n int) {
 	p.t.Helper()
-	for began := time.Now(); p.held() < n; time.Sleep(time.Millisecond) {
+	for began := time.Now(); p.openDescriptors() < n; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
-			p.t.Fatalf("%d descriptors held, never %d", p.held(), n)
+			p.t.Fatalf("%d descriptors held, never %d", p.openDescriptors(), n)
 		}
 	}
 }
@@ -193,15 +193,15 @@
 }
 
 // connectsTo is a server that notes when connections to it come, and ends those there are when asked.
-type connectsTo struct {
+type fakeServer struct {
 	addr  string
 	came  chan time.Time
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func newServer(t *testing.T) *connectsTo {
-	s := &connectsTo{came: make(chan time.Time, 1000)}
+func newFakeServer(t *testing.T) *fakeServer {
+	s := &fakeServer{came: make(chan time.Time, 1000)}
 	s.addr = netcase.Accept(t, func(c net.Conn) {
 		s.mu.Lock()
 		s.conns = append(s.conns, c)
@@ -213,7 +213,7 @@
 }
 
 // restart ends all connections.
-func (s *connectsTo) restart() {
+func (s *fakeServer) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -223,7 +223,7 @@
 }
 
 // after waits for the next connection and tells how long it took.
-func after(t *testing.T, what string, came <-chan time.Time, since time.Time) time.Duration {
+func waitForConnection(t *testing.T, what string, came <-chan time.Time, since time.Time) time.Duration {
 	t.Helper()
 	for {
 		select {
@@ -242,51 +242,51 @@
 // answers, a server whose connection ended is connected again, and discovery is followed at once when it is
 // back: a server that it names gets its connection. No descriptor is lacking at any time.
 func TestIdleClientsLeaveTheOthersTheirDescriptors(t *testing.T) {
-	for name, down := range map[string]func(*testing.T) *discovery{"refuses": refusingDiscovery, "hangs": hangingDiscovery, "silent": silentDiscovery} {
+	for name, down := range map[string]func(*testing.T) *fakeDiscovery{"refuses": refusingDiscovery, "hangs": hangingDiscovery, "silent": silentDiscovery} {
 		t.Run(name, func(t *testing.T) {
-			old, late := newServer(t), newServer(t)
+			old, late := newFakeServer(t), newFakeServer(t)
 			d := down(t)
 			if d.addr == "" {
 				d.addr = d.listener.Addr().String()
 			}
 			d.event = fmt.Sprintf(`{"pos":2,"hosts":{"version":2,"full":false,"servers":[{"id":"s-0000000b","addr":"%s","cell":0,"state":"SERVING","weight":1}]}}`, late.addr)
-			admin := free(t)
-			p := startWith(t, strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"admin":%q`, free(t), admin),
-				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, fewDescriptors)).Replace(configuration(d.addr, []string{old.addr})), callwsOn)
+			admin := freeAddr(t)
+			p := startWith(t, strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"admin":%q`, freeAddr(t), admin),
+				`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, fewDescriptors)).Replace(configuration(d.addr, []string{old.addr})), callWSSettings)
 			p.limit(fewDescriptors)
-			until(t, admin, 200)
+			waitForHealth(t, admin, 200)
 			own := descriptors.Plan(descriptors.Demand{Limit: fewDescriptors, Operators: true, WebSocket: true})
-			if without := p.held(); without > own.Runtime+own.Discovery+1 { // one connection to a server
+			if without := p.openDescriptors(); without > own.Runtime+own.Discovery+1 { // one connection to a server
 				t.Errorf("%d held without clients, %d planned for", without, own.Runtime+own.Discovery+1)
 			}
-			c := &crowd{t: t}
-			c.join(p.sip, 500)
-			c.join(p.callws, 200)
-			end := c.press(p.sip, p.callws)
+			c := &idleClients{t: t}
+			c.connect(p.sip, 500)
+			c.connect(p.callws, 200)
+			end := c.keepConnecting(p.sip, p.callws)
 			defer end()
-			silent := &crowd{t: t}
-			defer silent.leave()
+			silent := &idleClients{t: t}
+			defer silent.closeAll()
 			most := 0
 			var slowest, reconnect time.Duration
 			for range 4 {
-				p.holds(fewDescriptors / 2)
-				silent.join(admin, 20)
+				p.waitForDescriptors(fewDescriptors / 2)
+				silent.connect(admin, 20)
 				asked := time.Now()
-				if got := ask(t, admin, "GET", "/healthcheck"); got != 200 {
+				if got := adminRequest(t, admin, "GET", "/healthcheck"); got != 200 {
 					t.Errorf("health check: %d", got)
 				}
 				slowest = max(slowest, time.Since(asked))
 				ended := time.Now()
-				old.restart()
-				reconnect = max(reconnect, after(t, "a server's connection", old.came, ended))
-				most = max(most, p.held())
+				old.closeConnections()
+				reconnect = max(reconnect, waitForConnection(t, "a server's connection", old.came, ended))
+				most = max(most, p.openDescriptors())
 			}
 			back := time.Now()
-			d.comesBack()
-			followed := after(t, "discovery", d.connected, back)
-			told := after(t, "a new server", late.came, back)
+			d.startServing()
+			followed := waitForConnection(t, "discovery", d.connected, back)
+			told := waitForConnection(t, "a new server", late.came, back)
 			t.Logf("health check %v, server connected again %v, discovery followed %v, its new server connected %v, descriptors %d", slowest, reconnect, followed, told, most)
-			if slowest > busy || reconnect > busy || followed > busy || told > busy {
+			if slowest > maxDelay || reconnect > maxDelay || followed > maxDelay || told > maxDelay {
 				t.Error("too late")
 			}
 			if p.logged("too many open files") || most > fewDescriptors {
@@ -299,18 +299,18 @@
 // A limit that is lowered from outside: connects and accepts go on as soon as a descriptor is free, and idle clients are made
 // to free some.
 func TestALimitLoweredFromOutside(t *testing.T) {
-	server := newServer(t)
-	p, admin := operated(t, newJournal(t), []string{server.addr}, free(t), 1024)
-	until(t, admin, 200)
-	c := &crowd{t: t}
-	c.join(p.sip, 600)
-	defer c.press(p.sip)()
+	server := newFakeServer(t)
+	p, admin := startWithAdmin(t, newJournal(t), []string{server.addr}, freeAddr(t), 1024)
+	waitForHealth(t, admin, 200)
+	c := &idleClients{t: t}
+	c.connect(p.sip, 600)
+	defer c.keepConnecting(p.sip)()
 	p.limit(fewDescriptors)
 	for range 3 {
 		ended := time.Now()
-		server.restart()
-		after(t, "a server's connection", server.came, ended)
-		if got := ask(t, admin, "GET", "/healthcheck"); got != 200 {
+		server.closeConnections()
+		waitForConnection(t, "a server's connection", server.came, ended)
+		if got := adminRequest(t, admin, "GET", "/healthcheck"); got != 200 {
 			t.Errorf("health check: %d", got)
 		}
 	}
@@ -321,35 +321,35 @@
 
 // Two processes of an upgrade hold no more than the limit together, with a crowd before both.
 func TestAnUpgradeSharesTheDescriptors(t *testing.T) {
-	server := newServer(t)
-	list, listen := newJournal(t), free(t)
+	server := newFakeServer(t)
+	list, listen := newJournal(t), freeAddr(t)
 	const limit = 192
-	first, admin := operated(t, list, []string{server.addr}, listen, limit)
-	until(t, admin, 200)
-	c := &crowd{t: t}
-	c.join(listen, 500)
-	defer c.press(listen)()
-	first.holds(limit/2 + 1)
-	alone := first.held()
-	second, admin := operated(t, list, []string{server.addr}, listen, limit)
-	until(t, admin, 200)
+	first, admin := startWithAdmin(t, list, []string{server.addr}, listen, limit)
+	waitForHealth(t, admin, 200)
+	c := &idleClients{t: t}
+	c.connect(listen, 500)
+	defer c.keepConnecting(listen)()
+	first.waitForDescriptors(limit/2 + 1)
+	alone := first.openDescriptors()
+	second, admin := startWithAdmin(t, list, []string{server.addr}, listen, limit)
+	waitForHealth(t, admin, 200)
 	most := 0
 	for range 50 {
-		most = max(most, first.held()+second.held())
+		most = max(most, first.openDescriptors()+second.openDescriptors())
 		time.Sleep(20 * time.Millisecond)
 	}
 	first.stop()
-	second.holds(limit/2 + 1)
-	t.Logf("%d alone, %d together, %d alone again", alone, most, second.held())
+	second.waitForDescriptors(limit/2 + 1)
+	t.Logf("%d alone, %d together, %d alone again", alone, most, second.openDescriptors())
 	if most > limit || alone <= limit/2 {
 		t.Errorf("%d alone, %d together, of %d", alone, most, limit)
 	}
 }
 
 // quietPeer is a connection to a server on which nothing is ever heard.
-type quietPeer struct{ office.Peer }
+type silentPeer struct{ office.Peer }
 
-func (quietPeer) Run(ctx context.Context, _ office.Handler) (sip.Reason, error) {
+func (silentPeer) Run(ctx context.Context, _ office.Handler) (sip.Reason, error) {
 	<-ctx.Done()
 	return sip.Closed, nil
 }
@@ -362,11 +362,11 @@
 	for k := range 200 {
 		servers = append(servers, exchange.Office{Entry: control.Entry{Server: uint64(k), State: control.Serving}})
 	}
-	a.list(servers, true)
-	if f := a.clientsFront(); f.Descriptors < fewDescriptors/3 {
+	a.onServerList(servers, true)
+	if f := a.clientsShare(); f.Descriptors < fewDescriptors/3 {
 		t.Errorf("clients have %+v", f)
 	}
-	dial := a.dial(func(context.Context, string) (office.Peer, error) { return quietPeer{}, nil })
+	dial := a.dial(func(context.Context, string) (office.Peer, error) { return silentPeer{}, nil })
 	ctx, cancel := context.WithCancel(t.Context())
 	var all sync.WaitGroup
 	up := 0
@@ -392,7 +392,7 @@
 	if _, err := a.dial(func(context.Context, string) (office.Peer, error) { return nil, syscall.ECONNREFUSED })(t.Context(), ""); err == nil || a.servers.Held() != 1 {
 		t.Errorf("a connect that failed holds its descriptor: %d", a.servers.Held())
 	}
-	a.list(nil, true)
+	a.onServerList(nil, true)
 	if a.budget.Servers >= up {
 		t.Errorf("without servers their share is %d", a.budget.Servers)
 	}
--- a/cmd/masthill/end_test.go
+++ b/cmd/masthill/end_test.go
@@ -12,9 +12,9 @@
 // SIGKILL comes the sooner the shorter the deadlines of a deployment are: what still waits has to be refused before it.
 func TestWhenWhatWaitsIsRefused(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Minute} {
-		got := refuseAfter([]exchange.Class{{Deadline: longest / 2}, {Deadline: longest}})
+		got := refusalDelay([]exchange.Class{{Deadline: longest / 2}, {Deadline: longest}})
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		if got+flushFor >= kill && got > takeFor || got < takeFor {
+		if got+flushTimeout >= kill && got > requestPeriod || got < requestPeriod {
 			t.Errorf("deadline %v: refused after %v, killed after %v", longest, got, kill)
 		}
 	}
@@ -23,7 +23,7 @@
 // A request that was read in part when the end came was cut off with its connection. Its caller writes the rest and has
 // its answer.
 func TestARequestReadInPartAtTheEnd(t *testing.T) {
-	ledger := newLedger()
+	ledger := newAttemptLog()
 	p := start(t, newJournal(t), []string{sipOffice(t, newProcessor(ledger, "office"))}, "")
 	caller := dial(t, p.sip)
 	text := invite("0000000000000001", "X-Patience: 60000\r\n")
@@ -37,8 +37,8 @@
 		c.Close()
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(takeFor)
+	time.Sleep(requestPeriod)
 	caller.write(text[60:])
-	caller.want(200, "")
+	caller.expect(200, "")
 	p.stop()
 }
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -36,7 +36,7 @@
 func (f fleetFile) load() (*fleet.Spec, error) {
 	spec, err := fleet.Load(f.File)
 	if err != nil {
-		return nil, coded{exitUsage, err}
+		return nil, exitError{exitUsage, err}
 	}
 	return spec, nil
 }
@@ -51,9 +51,9 @@
 }
 
 // nobody gives an error that tells of no supervisor its exit code.
-func nobody(err error) error {
+func withNoAnswerCode(err error) error {
 	if errors.Is(err, ctl.ErrNobody) {
-		return coded{exitNobody, err}
+		return exitError{exitNoAnswer, err}
 	}
 	return err
 }
@@ -65,19 +65,19 @@
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	own, err := config.ParseProject("", "", os.Getenv)
 	if err != nil {
-		return coded{exitUsage, err}
+		return exitError{exitUsage, err}
 	}
 	log, _, err := logger(own)
 	if err != nil {
-		return coded{exitUsage, err}
+		return exitError{exitUsage, err}
 	}
-	super, err := fleet.New(spec, self, log.With("fleet", spec.Name))
+	supervisor, err := fleet.New(spec, executable, log.With("fleet", spec.Name))
 	if err != nil {
 		return err
 	}
@@ -92,13 +92,13 @@
 				cancel()
 				return
 			case <-s.reload:
-				if err := super.Reload(ctx); err != nil {
+				if err := supervisor.Reload(ctx); err != nil {
 					log.Error("configuration kept", "err", err)
 				}
 			}
 		}
 	}()
-	return super.Run(ctx)
+	return supervisor.Run(ctx)
 }
 
 type fleetStatus struct {
@@ -113,7 +113,7 @@
 	}
 	st, err := client.Status(context.Background())
 	if err != nil {
-		return nobody(err)
+		return withNoAnswerCode(err)
 	}
 	if c.JSON {
 		e := json.NewEncoder(out)
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	return nobody(client.Order(context.Background(), "reload", ""))
+	return withNoAnswerCode(client.Order(context.Background(), "reload", ""))
 }
 
 type fleetDown struct{ fleetFile }
@@ -156,7 +156,7 @@
 	}
 	ctx := context.Background()
 	if err := client.Order(ctx, "down", ""); err != nil {
-		return nobody(err)
+		return withNoAnswerCode(err)
 	}
 	for { // until nobody answers any more
 		if _, err := client.Status(ctx); errors.Is(err, ctl.ErrNobody) {
@@ -171,7 +171,7 @@
 	NoWait bool `help:"Come back once it has begun."`
 }
 
-func (c fleetRestart) Run(out stdout) error { return roll(c.fleetFile, "", c.NoWait, out) }
+func (c fleetRestart) Run(out stdout) error { return runRollout(c.fleetFile, "", c.NoWait, out) }
 
 type fleetUpgrade struct {
 	fleetFile
@@ -179,10 +179,10 @@
 	NoWait  bool   `help:"Come back once it has begun."`
 }
 
-func (c fleetUpgrade) Run(out stdout) error { return roll(c.fleetFile, c.Program, c.NoWait, out) }
+func (c fleetUpgrade) Run(out stdout) error { return runRollout(c.fleetFile, c.Program, c.NoWait, out) }
 
 // roll begins a rollout and follows it to its end. An interrupt ends the following, not the rollout.
-func roll(f fleetFile, program string, noWait bool, out stdout) error {
+func runRollout(f fleetFile, program string, noWait bool, out stdout) error {
 	client, err := f.dial()
 	if err != nil {
 		return err
@@ -191,32 +191,32 @@
 	defer stop()
 	if program != "" { // as seen from here, not from where the supervisor runs
 		if info, err := os.Stat(program); err != nil || info.IsDir() {
-			return coded{exitUsage, fmt.Errorf("%s: no program there", program)}
+			return exitError{exitUsage, fmt.Errorf("%s: no program there", program)}
 		}
 		if program, err = filepath.Abs(program); err != nil {
 			return err
 		}
 	}
 	if err := client.Order(ctx, "rollout", program); err != nil {
-		return nobody(err)
+		return withNoAnswerCode(err)
 	}
-	said := ""
+	lastLine := ""
 	for !noWait {
 		st, err := client.Status(ctx)
 		if err != nil {
-			return nobody(err)
+			return withNoAnswerCode(err)
 		}
 		if o := st.Outcome; st.Rollout == nil && o != nil {
 			fmt.Fprintf(out, "%s %s %s, %.1f s\n", o.State, o.Reason, o.Detail, o.Took)
 			if o.State != rollout.Done {
-				return coded{exitHalted, fmt.Errorf("rollout %s: %s", o.State, o.Detail)}
+				return exitError{exitHalted, fmt.Errorf("rollout %s: %s", o.State, o.Detail)}
 			}
 			return nil
 		}
 		if r := st.Rollout; r != nil {
-			if line := fmt.Sprintf("%s %s, %d left", r.State, r.Reason, r.Remaining); line != said {
+			if line := fmt.Sprintf("%s %s, %d left", r.State, r.Reason, r.Remaining); line != lastLine {
 				fmt.Fprintln(out, line)
-				said = line
+				lastLine = line
 			}
 		}
 		select {
--- a/cmd/masthill/fleet_test.go
+++ b/cmd/masthill/fleet_test.go
@@ -18,25 +18,25 @@
 )
 
 // fleetBed is a fleet of this test's own program in a folder of the test's.
-type fleetBed struct {
+type fleetFixture struct {
 	t    *testing.T
 	file string
 	spec *fleet.Spec
 	*fleet.Client
-	up *exec.Cmd
+	supervisor *exec.Cmd
 }
 
-func newFleet(t *testing.T, instances int) *fleetBed {
+func newFleet(t *testing.T, instances int) *fleetFixture {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "fl") // short: a socket's path is bounded
 	if err != nil {
 		t.Fatal(err)
 	}
-	ledger := newLedger()
+	ledger := newAttemptLog()
 	offices := []string{sipOffice(t, newProcessor(ledger, "a")), sipOffice(t, newProcessor(ledger, "b"))}
 	text := strings.NewReplacer(`"n0"`, `"%NAME%"`, "127.0.0.1:0", "%LISTEN%", "8c1f30d27a5be964", "%SEED%", `"cold_ns":15000000000`, `"cold_ns":400000000`,
 		`"group_size":1`, `"group_size":%COUNT%,"ordinal":%ORDINAL%`).Replace(configuration(newJournal(t), offices))
-	b := &fleetBed{t: t, file: filepath.Join(dir, "fleet.toml")}
+	b := &fleetFixture{t: t, file: filepath.Join(dir, "fleet.toml")}
 	for name, text := range map[string]string{"platform.json": text, "masthill.toml": "[recovery]\nenabled = true\n[levels]\nenabled = true\n[shares]\nenabled = true\n[state]\ndir = \"%DIR%\"\nevery = \"100ms\"\n",
 		"fleet.toml": fmt.Sprintf("name = \"h\"\ndir = \"run\"\ninstances = %d\nlisten = \"127.0.0.1:0\"\nplatform = \"platform.json\"\n"+
 			"settings = \"masthill.toml\"\n[rollout]\nmost_away = 0.5\nhealthy_for = \"200ms\"\nstart_within = \"10s\"\n", instances)} {
@@ -50,9 +50,9 @@
 	b.Client = fleet.Dial(b.spec)
 	b.start()
 	t.Cleanup(func() {
-		if b.Order(t.Context(), "down", ""); b.up != nil {
-			b.up.Process.Signal(syscall.SIGTERM)
-			b.up.Wait()
+		if b.Order(t.Context(), "down", ""); b.supervisor != nil {
+			b.supervisor.Process.Signal(syscall.SIGTERM)
+			b.supervisor.Wait()
 		}
 		if t.Failed() {
 			for n := range instances {
@@ -66,23 +66,23 @@
 }
 
 // masthill runs one command line.
-func (b *fleetBed) masthill(args ...string) *exec.Cmd {
+func (b *fleetFixture) masthill(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1")
 	return cmd
 }
 
-func (b *fleetBed) start() {
+func (b *fleetFixture) start() {
 	b.t.Helper()
-	b.up = b.masthill("fleet", "up", b.file)
-	b.up.Stderr = os.Stderr
-	if err := b.up.Start(); err != nil {
+	b.supervisor = b.masthill("fleet", "up", b.file)
+	b.supervisor.Stderr = os.Stderr
+	if err := b.supervisor.Start(); err != nil {
 		b.t.Fatal(err)
 	}
 }
 
 // until waits for something to be so; no machine is too slow for half a minute.
-func (b *fleetBed) until(what string, is func(s *fleet.Status) bool) *fleet.Status {
+func (b *fleetFixture) waitUntil(what string, is func(s *fleet.Status) bool) *fleet.Status {
 	b.t.Helper()
 	var s *fleet.Status
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func serving(s *fleet.Status) bool {
+func allServing(s *fleet.Status) bool {
 	for _, m := range s.Instances {
 		if m.Phase != "serving" {
 			return false
@@ -106,7 +106,7 @@
 }
 
 // processes counts what runs in the fleet's folders: never two in one.
-func (b *fleetBed) processes() (n int) {
+func (b *fleetFixture) countProcesses() (n int) {
 	b.t.Helper()
 	dirs, _ := filepath.Glob("/proc/[0-9]*/environ")
 	seen := map[string]int{}
@@ -136,7 +136,7 @@
 // running ones over, with their listening sockets, and finishes.
 func TestASupervisorIsKilledMidRollout(t *testing.T) {
 	b := newFleet(t, 4)
-	first := b.until("up", serving)
+	first := b.waitUntil("up", allServing)
 	ports := map[string]string{}
 	for _, m := range first.Instances {
 		ports[m.Name] = m.Listen
@@ -147,21 +147,21 @@
 	if err := b.Order(t.Context(), "rollout", ""); err != nil {
 		t.Fatal(err)
 	}
-	b.until("half done", func(s *fleet.Status) bool { return s.Rollout != nil && s.Rollout.Remaining <= 2 })
-	b.up.Process.Kill()
-	b.up.Wait()
-	if n := b.processes(); n < 2 {
+	b.waitUntil("half done", func(s *fleet.Status) bool { return s.Rollout != nil && s.Rollout.Remaining <= 2 })
+	b.supervisor.Process.Kill()
+	b.supervisor.Wait()
+	if n := b.countProcesses(); n < 2 {
 		t.Errorf("%d instances outlived their supervisor", n)
 	}
 	if _, err := b.Status(t.Context()); !errors.Is(err, ctl.ErrNobody) {
 		t.Error(err)
 	}
 	b.start()
-	s := b.until("finished", func(s *fleet.Status) bool { return s.Outcome != nil && serving(s) })
+	s := b.waitUntil("finished", func(s *fleet.Status) bool { return s.Outcome != nil && allServing(s) })
 	if s.Outcome.State != "done" || s.Generation != "2" {
 		t.Errorf("%+v", s)
 	}
-	if n := b.processes(); n != 4 {
+	if n := b.countProcesses(); n != 4 {
 		t.Errorf("%d instances of 4", n)
 	}
 	for _, m := range s.Instances {
@@ -184,7 +184,7 @@
 // replaces nothing at all.
 func TestABadVersion(t *testing.T) {
 	b := newFleet(t, 3)
-	b.until("up", serving)
+	b.waitUntil("up", allServing)
 	bad := filepath.Join(b.spec.Dir, "bad")
 	if err := os.WriteFile(bad, []byte("#!/bin/sh\n[ \"$1\" = check ] && exit 0\nexit 7\n"), 0o700); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	if !errors.As(err, &exit) || exit.ExitCode() != exitHalted || !strings.Contains(string(out), "turned-back") {
 		t.Errorf("%v: %s", err, out)
 	}
-	s := b.until("back", serving)
+	s := b.waitUntil("back", allServing)
 	ends := 0
 	for _, m := range s.Instances {
 		ends += m.Ends
@@ -202,8 +202,8 @@
 			t.Errorf("%+v", m)
 		}
 	}
-	if ends != 1 || b.processes() != 3 {
-		t.Errorf("%d instances of the bad version failed, of one; %d run", ends, b.processes())
+	if ends != 1 || b.countProcesses() != 3 {
+		t.Errorf("%d instances of the bad version failed, of one; %d run", ends, b.countProcesses())
 	}
 	blind := filepath.Join(b.spec.Dir, "blind")
 	os.WriteFile(blind, []byte("#!/bin/sh\necho no such key\nexit 2\n"), 0o700)
@@ -218,12 +218,12 @@
 // An instance that is killed comes back by itself, at its own address; while it is away connections wait for it.
 func TestAKilledInstanceComesBack(t *testing.T) {
 	b := newFleet(t, 1)
-	m := b.until("up", serving).Instances[0]
+	m := b.waitUntil("up", allServing).Instances[0]
 	syscall.Kill(m.PID, syscall.SIGKILL)
 	p := dial(t, m.Listen) // into the backlog of a socket that the supervisor holds
 	p.write("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
-	p.want(200, "")
-	s := b.until("back", func(s *fleet.Status) bool { return serving(s) && s.Instances[0].PID != m.PID })
+	p.expect(200, "")
+	s := b.waitUntil("back", func(s *fleet.Status) bool { return allServing(s) && s.Instances[0].PID != m.PID })
 	if s.Instances[0].Ends != 1 || s.Instances[0].Listen != m.Listen {
 		t.Errorf("%+v", s.Instances[0])
 	}
@@ -240,18 +240,18 @@
 // A bad configuration is not tried again and again; a reload with a mended one brings the instance back.
 func TestABadConfigurationIsNoCrashLoop(t *testing.T) {
 	b := newFleet(t, 1)
-	m := b.until("up", serving).Instances[0]
+	m := b.waitUntil("up", allServing).Instances[0]
 	settings := filepath.Join(filepath.Dir(b.file), "masthill.toml")
 	good, _ := os.ReadFile(settings)
 	os.WriteFile(settings, []byte("[store]\ndriver = \"oracle\"\n"), 0o600)
 	if err := b.Order(t.Context(), "reload", ""); err == nil || !strings.Contains(err.Error(), "masthill.toml:2: store.driver") {
 		t.Error(err)
 	}
-	if s, err := b.Status(t.Context()); err != nil || !serving(s) || s.Instances[0].PID != m.PID {
+	if s, err := b.Status(t.Context()); err != nil || !allServing(s) || s.Instances[0].PID != m.PID {
 		t.Error("a fault in the files touched a running instance", s, err)
 	}
 	syscall.Kill(m.PID, syscall.SIGKILL)
-	s := b.until("given up", func(s *fleet.Status) bool { return s.Instances[0].Phase == "failed" })
+	s := b.waitUntil("given up", func(s *fleet.Status) bool { return s.Instances[0].Phase == "failed" })
 	if !strings.Contains(s.Instances[0].Failed, "bad configuration") || s.Instances[0].Ends != 2 {
 		t.Errorf("%+v", s.Instances[0])
 	}
@@ -259,7 +259,7 @@
 	if err := b.Order(t.Context(), "reload", ""); err != nil {
 		t.Fatal(err)
 	}
-	b.until("back", serving)
+	b.waitUntil("back", allServing)
 }
 
 func TestCommandLine(t *testing.T) {
@@ -279,7 +279,7 @@
 		{bad, "check --json", exitUsage, `"key":"limits.sockets"`},
 		{bad, "", exitUsage, "limits.sockets"},
 		{good, "check --schema", exitOK, `"most_age"`},
-		{good, "status", exitNobody, "no instance answers"},
+		{good, "status", exitNoAnswer, "no instance answers"},
 		{good, "no-such", exitUsage, "unexpected argument"},
 		{good, "help", exitOK, "fleet"},
 		{good, "help status", exitOK, "--socket"},
@@ -304,7 +304,7 @@
 	}
 	defer l.Close()
 	t.Setenv("NOTIFY_SOCKET", path)
-	hear := func(want string) {
+	expectNotification := func(want string) {
 		t.Helper()
 		b := make([]byte, 1024)
 		l.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -313,11 +313,11 @@
 		}
 	}
 	p := start(t, newJournal(t), nil, "")
-	hear("READY=1\nSTATUS=serving 127.0.0.1:")
+	expectNotification("READY=1\nSTATUS=serving 127.0.0.1:")
 	p.Process.Signal(syscall.SIGHUP)
-	hear("RELOADING=1\nMONOTONIC_USEC=")
-	hear("READY=1")
+	expectNotification("RELOADING=1\nMONOTONIC_USEC=")
+	expectNotification("READY=1")
 	p.Process.Signal(syscall.SIGTERM)
-	hear("STOPPING=1")
+	expectNotification("STOPPING=1")
 	<-p.ended
 }
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -36,10 +36,10 @@
 		}
 	}
 	if len(faults) > 0 {
-		return coded{exitUsage, fmt.Errorf("%d faults", len(faults))}
+		return exitError{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
 	if own.Old {
-		fmt.Fprintln(out, oldName)
+		fmt.Fprintln(out, oldNameWarning)
 	}
 	if !c.JSON {
 		fmt.Fprintln(out, "no faults")
@@ -47,7 +47,7 @@
 	return nil
 }
 
-const oldName = "the settings have a name of before: use deploy/masthill.toml and MASTHILL_SETTINGS"
+const oldNameWarning = "the settings have a name of before: use deploy/masthill.toml and MASTHILL_SETTINGS"
 
 // statusCmd asks an instance.
 type statusCmd struct {
@@ -56,37 +56,37 @@
 }
 
 func (c statusCmd) Run(out stdout) error {
-	s, err := c.ask()
+	s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return indented(out, s)
+		return printJSON(out, s)
 	}
 	s.Text(out)
 	return nil
 }
 
 // ask asks the instance that the command line or the settings name.
-func (c statusCmd) ask() (*ctl.Status, error) {
+func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
 		own, err := config.LoadProject(os.Getenv)
 		if err != nil {
-			return nil, coded{exitUsage, err}
+			return nil, exitError{exitUsage, err}
 		}
 		if path = own.Socket.Path; path == "" {
-			return nil, coded{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
+			return nil, exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
 	s, err := ctl.Ask(context.Background(), path)
 	if errors.Is(err, ctl.ErrNobody) {
-		return nil, coded{exitNobody, err}
+		return nil, exitError{exitNoAnswer, err}
 	}
 	return s, err
 }
 
-func indented(out stdout, v any) error {
+func printJSON(out stdout, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
@@ -98,15 +98,15 @@
 }
 
 func (c peersCmd) Run(out stdout) error {
-	s, err := c.ask()
+	s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
 	if s.Peers == nil {
-		return coded{exitFailed, fmt.Errorf("%s knows of no others: peers.listen is not set", s.Name)}
+		return exitError{exitFailed, fmt.Errorf("%s knows of no others: peers.listen is not set", s.Name)}
 	}
 	if c.JSON {
-		return indented(out, s.Peers)
+		return printJSON(out, s.Peers)
 	}
 	s.Peers.Text(out)
 	return nil
@@ -124,10 +124,10 @@
 func (c launchCmd) Run() error {
 	err := fleet.Claim(c.Dir, c.Generation, c.Program)
 	if errors.Is(err, fleet.ErrClaimed) {
-		return coded{fleet.ExitClaimed, err}
+		return exitError{fleet.ExitClaimed, err}
 	}
 	if err != nil {
-		return coded{exitFailed, err}
+		return exitError{exitFailed, err}
 	}
 	if os.Getenv("LISTEN_FDS") != "" {
 		os.Setenv("LISTEN_PID", strconv.Itoa(os.Getpid()))
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -24,7 +24,7 @@
 }
 
 // entry is one change of one instance.
-type entry struct {
+type instanceChange struct {
 	Instance string `json:"instance"`
 	levels.Change
 }
@@ -36,11 +36,11 @@
 	case c.Fleet != "":
 		spec, err := fleet.Load(c.Fleet)
 		if err != nil {
-			return coded{exitUsage, err}
+			return exitError{exitUsage, err}
 		}
 		st, err := fleet.Dial(spec).Status(ctx)
 		if err != nil {
-			return nobody(err)
+			return withNoAnswerCode(err)
 		}
 		sockets = nil
 		for _, m := range st.Instances {
@@ -49,14 +49,14 @@
 	case c.Socket == "":
 		own, err := config.LoadProject(os.Getenv)
 		if err != nil {
-			return coded{exitUsage, err}
+			return exitError{exitUsage, err}
 		}
 		if sockets[0] = own.Socket.Path; sockets[0] == "" {
-			return coded{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket or --fleet")}
+			return exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket or --fleet")}
 		}
 	}
 	var names []string
-	var all []entry
+	var all []instanceChange
 	for _, path := range sockets {
 		st, err := ctl.Ask(ctx, path)
 		if err != nil && c.Fleet != "" { // the others still tell
@@ -64,11 +64,11 @@
 			continue
 		}
 		if err != nil {
-			return nobody(err)
+			return withNoAnswerCode(err)
 		}
 		names = append(names, st.Name)
 		for _, ch := range st.Levels {
-			all = append(all, entry{st.Name, ch})
+			all = append(all, instanceChange{st.Name, ch})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
@@ -80,23 +80,23 @@
 		}
 		return nil
 	}
-	return table(out, names, all)
+	return printChanges(out, names, all)
 }
 
 // table prints a column for each instance, and a line for each change.
-func table(out stdout, names []string, all []entry) error {
+func printChanges(out stdout, names []string, all []instanceChange) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "time")
-	now := map[string]levels.Level{}
+	currentLevels := map[string]levels.Level{}
 	for _, name := range names {
 		fmt.Fprint(t, "\t", name)
 	}
 	fmt.Fprintln(t, "\tby\treason\treading\tuntil")
 	for _, e := range all {
-		now[e.Instance] = e.To
+		currentLevels[e.Instance] = e.To
 		fmt.Fprint(t, time.Unix(0, e.At).UTC().Format("15:04:05.0"))
 		for _, name := range names {
-			fmt.Fprint(t, "\t", now[name])
+			fmt.Fprint(t, "\t", currentLevels[name])
 		}
 		fmt.Fprintf(t, "\t%s\t%s\t%.2f\t%s\n", e.Instance, e.Reason, e.Score, e.ExitCondition)
 	}
--- a/cmd/masthill/main.go
+++ b/cmd/masthill/main.go
@@ -16,20 +16,20 @@
 
 // The exit codes.
 const (
-	exitOK     = 0
-	exitFailed = 1 // what was asked for failed
-	exitUsage  = 2 // the command line or a file is wrong; trying again is no use
-	exitNobody = 3 // no instance answers
-	exitHalted = 4 // a rollout halted, and was turned back where that was asked for
+	exitOK       = 0
+	exitFailed   = 1 // what was asked for failed
+	exitUsage    = 2 // the command line or a file is wrong; trying again is no use
+	exitNoAnswer = 3 // no instance answers
+	exitHalted   = 4 // a rollout halted, and was turned back where that was asked for
 )
 
 // coded is an error with the exit code that it means.
-type coded struct {
+type exitError struct {
 	code int
 	error
 }
 
-func (c coded) Unwrap() error { return c.error }
+func (c exitError) Unwrap() error { return c.error }
 
 // cli is the command line.
 type cli struct {
@@ -49,7 +49,7 @@
 type signals struct{ term, reload chan os.Signal }
 
 // leave is the exit code that kong asks for.
-type leave int
+type kongExit int
 
 // stdout is where commands print, but for tests.
 type stdout struct{ io.Writer }
@@ -65,22 +65,22 @@
 // run runs one command line and gives the exit code.
 func run(args []string, s signals, out, errs io.Writer) (code int) {
 	if len(args) == 0 { // as the platform starts it, where each megabyte counts: the parser's tables are not made
-		return finish(serveCmd{}.Run(s), errs)
+		return reportError(serveCmd{}.Run(s), errs)
 	}
 	defer func() { // kong asks to leave in the middle of parsing, after help
 		if r := recover(); r != nil {
-			left, ok := r.(leave)
+			exit, ok := r.(kongExit)
 			if !ok {
 				panic(r)
 			}
-			code = int(left)
+			code = int(exit)
 		}
 	}()
 	var c cli
 	parser, err := kong.New(&c, kong.Name("masthill"), kong.Writers(out, errs),
 		kong.Description("A session controller. Exit codes: 0 done; 1 failed; 2 the command line or a file is wrong; "+
 			"3 no instance answers; 4 a rollout halted."),
-		kong.Exit(func(code int) { panic(leave(code)) }), kong.Bind(s), kong.Bind(stdout{out}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Exit(func(code int) { panic(kongExit(code)) }), kong.Bind(s), kong.Bind(stdout{out}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		panic(err) // a fault of the program
 	}
@@ -92,18 +92,18 @@
 		fmt.Fprintln(errs, "masthill:", err)
 		return exitUsage
 	}
-	return finish(ctx.Run(), errs)
+	return reportError(ctx.Run(), errs)
 }
 
 // finish prints an error and gives its exit code.
-func finish(err error, errs io.Writer) int {
+func reportError(err error, errs io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
 	fmt.Fprintln(errs, "masthill:", err)
-	var known coded
-	if errors.As(err, &known) {
-		return known.code
+	var withCode exitError
+	if errors.As(err, &withCode) {
+		return withCode.code
 	}
 	return exitFailed
 }
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -17,27 +17,27 @@
 	"masthill/internal/netcase"
 )
 
-const callwsOn = `[callws]
+const callWSSettings = `[callws]
 listen = "127.0.0.1:0"
 [callws.callers]
 station-7 = "a token of sixteen"
 `
 
-const options = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
+const optionsRequest = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
 
 func TestServeEndAndRestart(t *testing.T) {
-	ledger, feed := newLedger(), newJournal(t)
+	ledger, feed := newAttemptLog(), newJournal(t)
 	office := newProcessor(ledger, "office")
 	p := start(t, feed, []string{sipOffice(t, office)}, "")
 	caller := dial(t, p.sip)
-	caller.write(options)
-	caller.want(200, "")
+	caller.write(optionsRequest)
+	caller.expect(200, "")
 	caller.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
-	if m := caller.want(200, ""); string(m.Body) != "log of 0000000000000001" {
+	if m := caller.expect(200, ""); string(m.Body) != "log of 0000000000000001" {
 		t.Errorf("description %q", m.Body)
 	}
 	caller.write("INVITE sip:17@net SIP/2.0\r\nCall-ID: short\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
-	caller.want(400, "")
+	caller.expect(400, "")
 
 	// A planned end: what was taken is answered, and what still comes on an open connection too.
 	late := dial(t, p.sip)
@@ -45,7 +45,7 @@
 	caller.write(invite("0000000000000002", "X-Patience: 60000\r\n"))
 	p.Process.Signal(syscall.SIGTERM)
 	for status := 0; status != 503; {
-		late.write(options)
+		late.write(optionsRequest)
 		m, err := late.Next()
 		if err != nil {
 			t.Fatal(err)
@@ -54,23 +54,23 @@
 	}
 	late.write(invite("0000000000000003", "X-Patience: 60000\r\n"))
 	office.line.Unlock()
-	caller.want(200, "")
-	late.want(200, "")
+	caller.expect(200, "")
+	late.expect(200, "")
 	p.stop()
 
 	// A restart knows nothing but the configuration. The release of a call from before is passed on all the same,
 	// as its caller still holds the call, and new calls are taken.
 	office = newProcessor(ledger, "office")
-	office.over = "0000000000000001"
+	office.releaseOnConnect = "0000000000000001"
 	p = start(t, feed, []string{sipOffice(t, office)}, "")
 	caller = dial(t, p.sip)
-	if m := caller.want(0, "BYE"); string(m.Get("Call-ID")) != "0000000000000001" {
+	if m := caller.expect(0, "BYE"); string(m.Get("Call-ID")) != "0000000000000001" {
 		t.Errorf("release %+v", m)
 	}
 	caller.write(invite("0000000000000004", "X-Patience: 60000\r\n"))
-	caller.want(200, "")
+	caller.expect(200, "")
 	caller.write("garbage\r\n\r\n")
-	caller.want(400, "")
+	caller.expect(400, "")
 	if _, err := caller.Next(); err != io.EOF {
 		t.Error("unreadable framing left the connection open")
 	}
@@ -90,7 +90,7 @@
 		asked <- r.Header.Get("Last-Event-ID")
 		<-r.Context().Done()
 	})
-	ledger, first := newLedger(), newJournal(t)
+	ledger, first := newAttemptLog(), newJournal(t)
 	office := newProcessor(ledger, "office")
 	p := start(t, first, []string{sipOffice(t, office)}, "")
 	caller := dial(t, p.sip)
@@ -108,12 +108,12 @@
 		t.Errorf("the new service was asked from %s", pos)
 	}
 	office.line.Unlock()
-	caller.want(200, "")
+	caller.expect(200, "")
 	p.stop()
 }
 
 func TestBadConfigurationEndsWithTwo(t *testing.T) {
-	for callws, key := range map[string]string{"[store]\ndriver = \"oracle\"": "store.driver", callwsOn + "colour = 1": "colour"} {
+	for callws, key := range map[string]string{"[store]\ndriver = \"oracle\"": "store.driver", callWSSettings + "colour = 1": "colour"} {
 		p := start(t, "127.0.0.1:1", nil, callws)
 		<-p.ended
 		if code, log := p.ProcessState.ExitCode(), p.log.String(); code != 2 || strings.Count(log, "\n") != 1 || !strings.Contains(log, key) {
@@ -123,12 +123,12 @@
 }
 
 // tally counts the final answers of each call.
-type tally struct {
+type answerLog struct {
 	mu      sync.Mutex
 	answers map[string][]string
 }
 
-func (a *tally) add(id, answer string) {
+func (a *answerLog) add(id, answer string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answers[id] = append(a.answers[id], answer)
@@ -140,10 +140,10 @@
 // attempts out.
 func TestMixedCallersDuringASlowdown(t *testing.T) {
 	const callers, calls = 6, 40
-	ledger := newLedger()
+	ledger := newAttemptLog()
 	one, two := newProcessor(ledger, "sip"), newProcessor(ledger, "ws")
-	p := start(t, newJournal(t), []string{sipOffice(t, one), wsOffice(t, two)}, callwsOn)
-	got := &tally{answers: map[string][]string{}}
+	p := start(t, newJournal(t), []string{sipOffice(t, one), wsOffice(t, two)}, callWSSettings)
+	got := &answerLog{answers: map[string][]string{}}
 	var wg sync.WaitGroup
 	for c := range callers {
 		wg.Go(func() { sipCaller(t, p, c, calls, got) })
@@ -173,21 +173,21 @@
 	defer ledger.mu.Unlock()
 	for id, at := range ledger.overlaps {
 		// The cancel may have been read after the next office had the next attempt.
-		if !ledger.cancelled[id+" "+at] {
+		if !ledger.canceled[id+" "+at] {
 			t.Errorf("call %s had a second attempt out, the first at %s", id, at)
 		}
 	}
 	if stood == 0 || stood == 2*callers*calls || ledger.attempts < stood {
 		t.Errorf("%d of %d calls stood with %d attempts: no slowdown to speak of", stood, 2*callers*calls, ledger.attempts)
 	}
-	t.Logf("%d of %d calls stood, %d attempts, %d cancels", stood, 2*callers*calls, ledger.attempts, len(ledger.cancelled))
+	t.Logf("%d of %d calls stood, %d attempts, %d cancels", stood, 2*callers*calls, ledger.attempts, len(ledger.canceled))
 }
 
 func sipID(caller, call int) string { return fmt.Sprintf("%08x%08x", 0xa0+caller, call) }
 func wsID(caller, call int) string  { return fmt.Sprintf("ws-%d-%d", caller, call) }
 
 // sipCaller makes calls over one connection and takes all answers.
-func sipCaller(t *testing.T, p *program, c, calls int, got *tally) {
+func sipCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	caller := dial(t, p.sip)
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -219,7 +219,7 @@
 
 // wsCaller makes calls over WebSocket. Half-way it loses its socket, comes back, and sends again what has no
 // answer.
-func wsCaller(t *testing.T, p *program, c, calls int, got *tally) {
+func wsCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	open := func() *websocket.Conn {
 		ws, _, err := websocket.Dial(t.Context(), "ws://"+p.callws+"/v1/calls", &websocket.DialOptions{
 			HTTPHeader: http.Header{"Authorization": {"Bearer a token of sixteen"}}})
--- a/cmd/masthill/operation_test.go
+++ b/cmd/masthill/operation_test.go
@@ -18,13 +18,13 @@
 )
 
 // freeHosts counts the loopback addresses that free has given.
-var freeHosts atomic.Int64
+var freeAddrCount atomic.Int64
 
 // free gives an address that nobody listens at, on a loopback host of its own: on a shared one, another test's listener or a
 // connection's own port could take the port before the program does.
-func free(t *testing.T) string {
+func freeAddr(t *testing.T) string {
 	t.Helper()
-	process, n := os.Getpid(), freeHosts.Add(1)
+	process, n := os.Getpid(), freeAddrCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+process>>8%64, process%256, 1+n%254))
 	if err != nil {
 		t.Fatal(err)
@@ -34,15 +34,15 @@
 }
 
 // operated starts a program that has a second address, in the platform's words.
-func operated(t *testing.T, journal string, offices []string, listen string, sockets int) (p *program, admin string) {
+func startWithAdmin(t *testing.T, journal string, offices []string, listen string, sockets int) (p *program, admin string) {
 	t.Helper()
-	admin = free(t)
+	admin = freeAddr(t)
 	return startWith(t, strings.NewReplacer(`"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"admin":%q`, listen, admin),
 		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets)).Replace(configuration(journal, offices)), ""), admin
 }
 
 // ask makes one call at a second address and tells its status; every answer is due within 1 s.
-func ask(t *testing.T, admin, method, path string) int {
+func adminRequest(t *testing.T, admin, method, path string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", admin)
 	if err != nil {
@@ -60,9 +60,9 @@
 }
 
 // until asks for the health check until it has that status.
-func until(t *testing.T, admin string, status int) {
+func waitForHealth(t *testing.T, admin string, status int) {
 	t.Helper()
-	for k := 0; ask(t, admin, "GET", "/healthcheck") != status; k++ {
+	for k := 0; adminRequest(t, admin, "GET", "/healthcheck") != status; k++ {
 		if k > 2000 {
 			t.Fatalf("never %d", status)
 		}
@@ -73,75 +73,75 @@
 // A drain under calls: the answers of what is open still come, no idle connection is kept, and none that has had its answer;
 // ok has callers come again. fail and ok cross each other, and the last one holds.
 func TestDrainUnderCalls(t *testing.T) {
-	office := newProcessor(newLedger(), "office")
-	p, admin := operated(t, newJournal(t), []string{sipOffice(t, office)}, free(t), 1024)
-	until(t, admin, 200)
+	office := newProcessor(newAttemptLog(), "office")
+	p, admin := startWithAdmin(t, newJournal(t), []string{sipOffice(t, office)}, freeAddr(t), 1024)
+	waitForHealth(t, admin, 200)
 	idle, busy := dial(t, p.sip), dial(t, p.sip)
-	idle.write(options)
-	idle.want(200, "")
+	idle.write(optionsRequest)
+	idle.expect(200, "")
 	office.line.Lock() // nothing is answered before the drain
 	busy.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
-	if got := ask(t, admin, "POST", "/healthcheck/fail"); got != 200 {
+	if got := adminRequest(t, admin, "POST", "/healthcheck/fail"); got != 200 {
 		t.Errorf("fail: %d", got)
 	}
-	until(t, admin, 503)
+	waitForHealth(t, admin, 503)
 	idle.SetReadDeadline(time.Now().Add(4 * time.Second)) // as long as callers may be held after the call
 	if _, err := idle.Next(); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
 	late := dial(t, p.sip)
-	late.write(options)
-	late.want(503, "")
+	late.write(optionsRequest)
+	late.expect(503, "")
 	office.line.Unlock()
-	busy.want(200, "")
+	busy.expect(200, "")
 	busy.write("BYE sip:x@net SIP/2.0\r\nCall-ID: 0000000000000001\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n")
-	busy.want(200, "")
-	for _, c := range []*peer{busy, late} {
+	busy.expect(200, "")
+	for _, c := range []*callerConn{busy, late} {
 		if _, err := c.Next(); err != io.EOF {
 			t.Errorf("with nothing open: %v", err)
 		}
 	}
 	var wg sync.WaitGroup
 	for k := range 20 {
-		wg.Go(func() { ask(t, admin, "POST", []string{"/healthcheck/fail", "/healthcheck/ok"}[k%2]) })
+		wg.Go(func() { adminRequest(t, admin, "POST", []string{"/healthcheck/fail", "/healthcheck/ok"}[k%2]) })
 	}
 	wg.Wait()
-	ask(t, admin, "POST", "/healthcheck/ok")
-	until(t, admin, 200)
+	adminRequest(t, admin, "POST", "/healthcheck/ok")
+	waitForHealth(t, admin, 200)
 	kept := dial(t, p.sip)
-	kept.write(options)
-	kept.want(200, "")
+	kept.write(optionsRequest)
+	kept.expect(200, "")
 	p.stop()
 }
 
 // An upgrade while 500 connections arrive, each with one request: the new process listens beside the old one, the old one is
 // told to end, and every request has its answer from one of them.
 func TestUpgradeUnderConnections(t *testing.T) {
-	office := sipOffice(t, newProcessor(newLedger(), "office"))
-	journal, listen := newJournal(t), free(t)
-	old, _ := operated(t, journal, []string{office}, listen, 1024)
+	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
+	journal, listen := newJournal(t), freeAddr(t)
+	old, _ := startWithAdmin(t, journal, []string{office}, listen, 1024)
 	const connections = 500
-	var answered, turned atomic.Int64
+	var answered, rejected atomic.Int64
 	var wg sync.WaitGroup
 	ended := make(chan bool)
 	for k := range connections {
 		if k == connections/4 {
-			_, admin := operated(t, journal, []string{office}, listen, 1024)
-			until(t, admin, 200)
+			_, admin := startWithAdmin(t, journal, []string{office}, listen, 1024)
+			waitForHealth(t, admin, 200)
 			old.Process.Signal(syscall.SIGTERM)
 			go func() { <-old.ended; close(ended) }()
 		}
 		wg.Go(func() {
 			c, err := net.Dial("tcp", listen)
 			if err != nil {
-				turned.Add(1)
+				rejected.Add(1)
 				return
 			}
 			defer c.Close()
-			io.WriteString(c, options)
+			io.WriteString(c, optionsRequest)
 			m, err := sip.NewReader(c).Next()
 			if err != nil || m.Status != 200 && m.Status != 503 {
-				turned.Add(1)
+				rejected.Add(1)
 				return
 			}
 			answered.Add(1)
@@ -150,9 +150,9 @@
 	}
 	wg.Wait()
 	<-ended
-	t.Logf("%d answered, %d turned back", answered.Load(), turned.Load())
-	if turned.Load() > 2 || answered.Load()+turned.Load() != connections {
-		t.Errorf("%d answered, %d turned back", answered.Load(), turned.Load())
+	t.Logf("%d answered, %d turned back", answered.Load(), rejected.Load())
+	if rejected.Load() > 2 || answered.Load()+rejected.Load() != connections {
+		t.Errorf("%d answered, %d turned back", answered.Load(), rejected.Load())
 	}
 	if code := old.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("the old process ended with %d", code)
@@ -161,27 +161,27 @@
 
 // A new process that can't start leaves the old one serving.
 func TestAnUpgradeThatCannotStart(t *testing.T) {
-	journal, listen := newJournal(t), free(t)
-	old, admin := operated(t, journal, nil, listen, 1024)
+	journal, listen := newJournal(t), freeAddr(t)
+	old, admin := startWithAdmin(t, journal, nil, listen, 1024)
 	text := strings.Replace(configuration(journal, nil), `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"admin":%q`, listen, admin), 1)
 	second := startWith(t, text, "") // at the same second address
 	<-second.ended
 	if code := second.ProcessState.ExitCode(); code != 1 || !strings.Contains(second.log.String(), "admin") {
 		t.Errorf("exit code %d, %q", code, second.log.String())
 	}
-	until(t, admin, 200)
+	waitForHealth(t, admin, 200)
 	c := dial(t, listen)
-	c.write(options)
-	c.want(200, "")
+	c.write(optionsRequest)
+	c.expect(200, "")
 	old.stop()
 }
 
 // A crowd with few descriptors: hundreds connect and say nothing, or stop half way. A slow caller is served, and the second
 // address answers beside it, also beside half calls of its own.
 func TestACrowdWithFewDescriptors(t *testing.T) {
-	office := sipOffice(t, newProcessor(newLedger(), "office"))
-	p, admin := operated(t, newJournal(t), []string{office}, free(t), 64)
-	until(t, admin, 200)
+	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
+	p, admin := startWithAdmin(t, newJournal(t), []string{office}, freeAddr(t), 64)
+	waitForHealth(t, admin, 200)
 	var crowd []net.Conn
 	join := func(n int) {
 		for range n {
@@ -210,9 +210,9 @@
 			time.Sleep(40 * time.Millisecond) // longer, in all, than silent ones keep their place
 			join(10)
 		}
-		slow.want(200, "")
+		slow.expect(200, "")
 		slow.Close()
-		if got := ask(t, admin, "GET", "/healthcheck"); got != 200 {
+		if got := adminRequest(t, admin, "GET", "/healthcheck"); got != 200 {
 			t.Errorf("health check: %d", got)
 		}
 	}
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/peers.go
@@ -28,43 +28,43 @@
 )
 
 // auditMost bounds the claims that wait to be written down.
-const auditMost = 4096
+const auditQueueSize = 4096
 
 // talking makes the instance a member of its fleet.
-func talking(in *instance) (part, error) {
+func newPeers(in *instance) (subsystem, error) {
 	s := in.own.Peers
 	if s.Listen == "" {
-		return part{}, nil
+		return subsystem{}, nil
 	}
 	// The core's clock must not step, as parts of budgets end by it.
 	began := time.Now()
 	in.options.Now = func() time.Time { return began.Add(time.Since(began)) }
-	var draw [8]byte
-	rand.Read(draw[:])
-	epoch := binary.BigEndian.Uint64(draw[:]) | 1
+	var randomBytes [8]byte
+	rand.Read(randomBytes[:])
+	epoch := binary.BigEndian.Uint64(randomBytes[:]) | 1
 	name := cmp.Or(s.Name, in.p.Name)
 	log := in.log.With(logs.Part, "peers")
-	record := &audit{path: s.Audit, lines: make(chan any, auditMost)}
-	record.put("start", began, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
+	record := &auditLog{path: s.Audit, records: make(chan any, auditQueueSize)}
+	record.add("start", began, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
 	settings := shared.Config{Control: in.p.Settings, Planned: in.p.Planned, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.Numbers,
-		Budgets: s.Budgets, DetectOutliers: s.Judgements, Count: count.Config{OmitCheck: without}, Outlier: outlier.Config{OmitCheck: without},
-		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.p.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: without}}
+		Budgets: s.Budgets, DetectOutliers: s.Judgements, Count: count.Config{OmitCheck: omittedCheck}, Outlier: outlier.Config{OmitCheck: omittedCheck},
+		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.p.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: omittedCheck}}
 	for _, t := range in.p.Shares {
 		settings.Tenants = append(settings.Tenants, t.Name)
 	}
-	reign := int64(0) // until when; the core's goroutine alone looks at it
-	in.shared = shared.New(settings, in.p.Seed^epoch, in.started.UnixNano(), shared.Callbacks{
-		Claim: func(c lease.Claim) { record.put("claim", in.options.Now(), c) },
+	leaderUntil := int64(0) // until when; the core's goroutine alone looks at it
+	in.shared = shared.New(settings, in.p.Seed^epoch, in.startedAt.UnixNano(), shared.Callbacks{
+		Claim: func(c lease.Claim) { record.add("claim", in.options.Now(), c) },
 		Leader: func(until int64) {
 			now := in.options.Now()
-			if now.UnixNano() > reign {
+			if now.UnixNano() > leaderUntil {
 				log.Info("hands budgets out", "reason", "majority", "for", time.Unix(0, until).Sub(now).Round(time.Millisecond))
 			}
-			reign = until
-			record.put("reign", now, until)
+			leaderUntil = until
+			record.add("reign", now, until)
 		},
 		Decision: func(v outlier.Decision) {
-			record.put("verdict", in.options.Now(), v)
+			record.add("verdict", in.options.Now(), v)
 			state := "ended"
 			if v.Avoided {
 				state = "avoided"
@@ -72,21 +72,21 @@
 			log.Warn("office judged", "server", strconv.FormatUint(v.Server, 16), "state", state, "reason", v.Reason, "witnesses", v.Observers, "against", v.GoodReports)
 		},
 	})
-	in.joins(in.shared)
+	in.addModule(in.shared)
 	handlers := map[string]peers.Handler{"look": func(_ context.Context, _ string, c net.Conn) {
-		c.SetDeadline(time.Now().Add(lookFor))
-		if b, err := json.Marshal(in.talks()); err == nil {
+		c.SetDeadline(time.Now().Add(statusWriteTimeout))
+		if b, err := json.Marshal(in.peersStatus()); err == nil {
 			peers.WriteMessage(c, b)
 		}
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: remember(in.own), Log: log, Module: in.shared,
+		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: membersFile(in.own), Log: log, Module: in.shared,
 		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
-	return part{
+	return subsystem{
 		run: func(ctx context.Context) error {
 			g, ctx := errgroup.WithContext(ctx)
 			g.Go(func() error {
@@ -98,7 +98,7 @@
 			g.Go(func() error { return record.run(ctx, in) })
 			return g.Wait()
 		},
-		status: func(st *ctl.Status) { st.Peers = in.talks() },
+		status: func(st *ctl.Status) { st.Peers = in.peersStatus() },
 		reload: func(p *config.Project) {
 			if len(p.Peers.Secrets) > 0 && !slices.EqualFunc(p.Peers.Secrets, s.Secrets, slices.Equal) {
 				if err := in.peers.Keys(p.Peers.Secrets); err != nil {
@@ -110,10 +110,10 @@
 }
 
 // lookFor is how long another member may take to read what this one tells.
-const lookFor = 2 * time.Second
+const statusWriteTimeout = 2 * time.Second
 
 // remember names the file of the members' addresses; empty without a folder of its own.
-func remember(own *config.Project) string {
+func membersFile(own *config.Project) string {
 	if own.State.Dir == "" {
 		return ""
 	}
@@ -121,7 +121,7 @@
 }
 
 // talks is what this instance knows of its fleet.
-func (in *instance) talks() *ctl.Peers {
+func (in *instance) peersStatus() *ctl.Peers {
 	t := &ctl.Peers{Status: in.peers.Status()}
 	in.core.Look(func() { t.Shared = in.shared.Look(in.options.Now().UnixNano()) })
 	return t
@@ -129,14 +129,14 @@
 
 // audit writes down what this instance claims, line by line, for a checker. It never keeps the core waiting: what does not
 // fit is counted.
-type audit struct {
-	path  string
-	lines chan any
-	lost  atomic.Int64
+type auditLog struct {
+	path    string
+	records chan any
+	dropped atomic.Int64
 }
 
 // line is one claim. Times are the core's, in Unix nanoseconds.
-type line struct {
+type auditRecord struct {
 	At    int64  `json:"at"`
 	Kind  string `json:"kind"` // start, claim, reign, verdict, look
 	Claim any    `json:"claim"`
@@ -146,21 +146,21 @@
 	Datagrams int64 `json:"datagrams,omitempty"`
 }
 
-func (a *audit) put(kind string, at time.Time, claim any) {
+func (a *auditLog) add(kind string, at time.Time, claim any) {
 	if a.path == "" {
 		return
 	}
 	select {
-	case a.lines <- line{At: at.UnixNano(), Kind: kind, Claim: claim}:
+	case a.records <- auditRecord{At: at.UnixNano(), Kind: kind, Claim: claim}:
 	default:
-		a.lost.Add(1)
+		a.dropped.Add(1)
 	}
 }
 
 // lookEvery is how often counts and budgets are written down beside what changes.
-const lookEvery = 500 * time.Millisecond
+const auditInterval = 500 * time.Millisecond
 
-func (a *audit) run(ctx context.Context, in *instance) error {
+func (a *auditLog) run(ctx context.Context, in *instance) error {
 	if a.path == "" {
 		return nil
 	}
@@ -171,14 +171,14 @@
 	}
 	defer f.Close()
 	e := json.NewEncoder(f)
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(auditInterval)
 	defer tick.Stop()
 	for {
 		var l any
 		select {
 		case <-ctx.Done():
 			return nil
-		case l = <-a.lines:
+		case l = <-a.records:
 		case <-tick.C:
 			var look shared.Look
 			at := int64(math.MinInt64)
@@ -190,7 +190,7 @@
 				return nil // the core has ended
 			}
 			st := in.peers.Status()
-			one := line{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
+			one := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
 			for _, m := range st.Members {
 				if m.State == peers.Alive || m.State == peers.Suspect {
 					one.Alive++
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -19,7 +19,7 @@
 const oldKey, newKey = "MDEyMzQ1Njc4OWFiY2RlZg==", "ZmVkY2JhOTg3NjU0MzIxMA=="
 
 // knows asks a process what it knows of the others; nil: it does not say.
-func knows(socket string) *ctl.Peers {
+func queryPeers(socket string) *ctl.Peers {
 	var out bytes.Buffer
 	if run([]string{"peers", "--socket", socket, "--json"}, signals{}, &out, &out) != exitOK {
 		return nil
@@ -32,8 +32,8 @@
 }
 
 // together tells whether a process takes so many to be there and has heard of all within a second or so.
-func together(socket string, members int) bool {
-	p := knows(socket)
+func allHeard(socket string, members int) bool {
+	p := queryPeers(socket)
 	if p == nil {
 		return false
 	}
@@ -79,14 +79,14 @@
 	for _, name := range names {
 		all[name] = start(t, feed, nil, settings(name, quoted(oldKey)))
 		if name == "a" {
-			until("a tells its address", func() bool { return knows(filepath.Join(dir, "a")) != nil })
-			seed = fmt.Sprintf("%q", knows(filepath.Join(dir, "a")).Addr)
+			until("a tells its address", func() bool { return queryPeers(filepath.Join(dir, "a")) != nil })
+			seed = fmt.Sprintf("%q", queryPeers(filepath.Join(dir, "a")).Addr)
 		}
 	}
 	everyone := func(n int, of ...string) func() bool {
 		return func() bool {
 			for _, name := range of {
-				if !together(filepath.Join(dir, name), n) {
+				if !allHeard(filepath.Join(dir, name), n) {
 					return false
 				}
 			}
@@ -117,12 +117,12 @@
 	until("they still hear each other", everyone(4, names...))
 
 	twin := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
-	until("the second d holds its tongue", func() bool { p := knows(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
+	until("the second d holds its tongue", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
 	twin.Process.Kill()
 
 	all["d"].Process.Kill()
 	until("d is gone", func() bool {
-		for _, m := range knows(filepath.Join(dir, "a")).Members {
+		for _, m := range queryPeers(filepath.Join(dir, "a")).Members {
 			if m.Name == "d" {
 				return m.State == peers.Gone
 			}
@@ -131,7 +131,7 @@
 	})
 	all["c"].stop()
 	until("c has left", func() bool {
-		for _, m := range knows(filepath.Join(dir, "b")).Members {
+		for _, m := range queryPeers(filepath.Join(dir, "b")).Members {
 			if m.Name == "c" {
 				return m.State == peers.Left
 			}
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -19,7 +19,7 @@
 )
 
 // settling runs settle against a service that answers after a while, on the test's clock, and tells how long it took.
-func settling(t *testing.T, answers time.Duration) (took time.Duration) {
+func listWaitTime(t *testing.T, answers time.Duration) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.Quiet(), OnChange: func([]exchange.Office, bool) {},
 			Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -41,7 +41,7 @@
 			}}}
 		go in.feed.Run(t.Context())
 		began := time.Now()
-		in.settle(t.Context())
+		in.waitForList(t.Context())
 		took = time.Since(began)
 	})
 	return took
@@ -49,8 +49,8 @@
 
 // A start beside another process waits for the list, and no longer than settleFor where the service says nothing.
 func TestSettleEnds(t *testing.T) {
-	for answers, want := range map[time.Duration]time.Duration{0: endStep, 400 * time.Millisecond: 400*time.Millisecond + endStep, time.Hour: settleFor + endStep} {
-		if took := settling(t, answers); took > want {
+	for answers, want := range map[time.Duration]time.Duration{0: pollInterval, 400 * time.Millisecond: 400*time.Millisecond + pollInterval, time.Hour: listWaitTimeout + pollInterval} {
+		if took := listWaitTime(t, answers); took > want {
 			t.Errorf("answered after %v: ready after %v", answers, took)
 		}
 	}
@@ -62,10 +62,10 @@
 func TestReadyWhereEverythingOutsideHangs(t *testing.T) {
 	silent := netcase.Accept(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	hanging := hangingDiscovery(t) // as a server: connects hang
-	admin, state := free(t), t.TempDir()
+	admin, state := freeAddr(t), t.TempDir()
 	project := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
 	text := strings.Replace(configuration(silent, []string{hanging.addr, silent}), `"listen":"127.0.0.1:0"`,
-		fmt.Sprintf(`"listen":%q,"admin":%q`, free(t), admin), 1)
+		fmt.Sprintf(`"listen":%q,"admin":%q`, freeAddr(t), admin), 1)
 	for round := range 2 { // the second one takes the first one's snapshot up
 		began := time.Now()
 		p := startWith(t, text, project)
@@ -75,7 +75,7 @@
 		if took := time.Since(began); took > 10*time.Second {
 			t.Errorf("start %d: ready after %v", round, took)
 		}
-		until(t, admin, http.StatusOK)
+		waitForHealth(t, admin, http.StatusOK)
 		if found := p.logged("snapshot=\"taken up"); found != (round == 1) {
 			t.Errorf("start %d: snapshot taken up %v", round, found)
 		}
--- a/cmd/masthill/configuring.go
+++ b/cmd/masthill/releasemember.go
@@ -13,15 +13,15 @@
 )
 
 // configuring takes configuration releases from the fleet's servers. Nothing waits for them: what is in force goes on.
-func configuring(in *instance) (part, error) {
+func newReleaseMember(in *instance) (subsystem, error) {
 	s := in.own.Distribution
 	if len(s.Servers) == 0 {
-		return part{}, nil
+		return subsystem{}, nil
 	}
 	member := releases.NewMember(releases.MemberOptions{Name: in.p.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.Public,
 		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.p.Seed, Log: in.log.With(logs.Part, "releases"), Apply: in.applyRelease,
-		Dial: descriptors.Dialer(in.descriptors.shortage)})
-	return part{run: member.Run, status: func(st *ctl.Status) {
+		Dial: descriptors.Dialer(in.descriptors.onShortage)})
+	return subsystem{run: member.Run, status: func(st *ctl.Status) {
 		status := member.Status()
 		st.Release = &status
 	}}, nil
@@ -53,29 +53,29 @@
 	if err != nil {
 		return err
 	}
-	if err := in.checkUsed(live); err != nil {
+	if err := in.checkSubsystemsEnabled(live); err != nil {
 		return err
 	}
 	in.logLevels.Set(general, parts)
 	if in.shares != nil {
 		in.core.Look(func() { in.shares.SetFractions(tenants) })
 	}
-	if in.controls != nil {
+	if in.callWSFront != nil {
 		callers := in.own.CallWS.Callers
 		if live.CallWS.Callers != nil {
 			callers = live.CallWS.Callers
 		}
-		in.controls.SetCallers(callers)
+		in.callWSFront.SetCallers(callers)
 	}
 	return nil
 }
 
 // checkUsed finds what a release wants to change and this instance does not use.
-func (in *instance) checkUsed(live *config.Live) error {
+func (in *instance) checkSubsystemsEnabled(live *config.Live) error {
 	if live.Shares.Fractions != nil && in.shares == nil {
 		return config.Fault{Key: "shares.fractions", Text: "shares are off at this instance"}
 	}
-	if live.CallWS.Callers != nil && in.controls == nil {
+	if live.CallWS.Callers != nil && in.callWSFront == nil {
 		return config.Fault{Key: "callws.callers", Text: "call control over WebSocket is off at this instance"}
 	}
 	return nil
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -92,11 +92,11 @@
 func readContent(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, coded{exitUsage, err}
+		return nil, exitError{exitUsage, err}
 	}
-	unresolved := func(name string) string { return "a value in the environment: " + name }
-	if _, err := config.ParseLive(file, string(text), unresolved); err != nil {
-		return nil, coded{exitUsage, err}
+	placeholder := func(name string) string { return "a value in the environment: " + name }
+	if _, err := config.ParseLive(file, string(text), placeholder); err != nil {
+		return nil, exitError{exitUsage, err}
 	}
 	return text, nil
 }
@@ -120,12 +120,12 @@
 	for k, text := range c.Keys {
 		key, err := config.ParsePublicKey(text)
 		if err != nil {
-			return coded{exitUsage, fmt.Errorf("--keys, key %d: %w", k+1, err)}
+			return exitError{exitUsage, fmt.Errorf("--keys, key %d: %w", k+1, err)}
 		}
 		keys = append(keys, key)
 	}
 	if !slices.Contains(c.Servers, c.Listen) {
-		return coded{exitUsage, fmt.Errorf("--listen: %s is none of --servers", c.Listen)}
+		return exitError{exitUsage, fmt.Errorf("--listen: %s is none of --servers", c.Listen)}
 	}
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -148,14 +148,14 @@
 }
 
 // all asks all servers the same, at the same time, and tells how many did as asked.
-func (c configFleet) all(ask func(ctx context.Context, client *releases.Client, server string) error) (done int, err error) {
+func (c configFleet) onAllServers(request func(ctx context.Context, client *releases.Client, server string) error) (done int, err error) {
 	client := releases.NewClient(nil)
 	defer client.Close()
 	failures := make([]error, len(c.Servers))
 	var g errgroup.Group
 	for k, server := range c.Servers {
 		g.Go(func() error {
-			if err := ask(context.Background(), client, server); err != nil {
+			if err := request(context.Background(), client, server); err != nil {
 				failures[k] = fmt.Errorf("%s: %w", server, err)
 			}
 			return nil
@@ -175,7 +175,7 @@
 func (c configFleet) overview() (distribution.Overview, error) {
 	var mu sync.Mutex
 	var statuses []distribution.Status
-	done, err := c.all(func(ctx context.Context, client *releases.Client, server string) error {
+	done, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
 		status, err := client.Status(ctx, server)
 		if err == nil {
 			mu.Lock()
@@ -185,7 +185,7 @@
 		return err
 	})
 	if done == 0 {
-		return distribution.Overview{}, coded{exitNobody, err}
+		return distribution.Overview{}, exitError{exitNoAnswer, err}
 	}
 	return distribution.NewOverview(statuses), err
 }
@@ -205,7 +205,7 @@
 }
 
 // publishRetry is the pause before servers that refused are asked again.
-const publishRetry = 500 * time.Millisecond
+const retryInterval = 500 * time.Millisecond
 
 func (c configPublish) Run(out stdout) error {
 	release, err := c.release()
@@ -213,8 +213,8 @@
 		return err
 	}
 	accepted := 0
-	for end := time.Now().Add(c.Wait); ; time.Sleep(publishRetry) {
-		accepted, err = c.all(func(ctx context.Context, client *releases.Client, server string) error {
+	for end := time.Now().Add(c.Wait); ; time.Sleep(retryInterval) {
+		accepted, err = c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
 			return client.Publish(ctx, server, *release)
 		})
 		if accepted >= c.majority() || time.Now().After(end) {
@@ -222,7 +222,7 @@
 		}
 	}
 	if accepted < c.majority() {
-		return coded{exitFailed, fmt.Errorf("version %d: %d of %d servers have it: %w", release.Version, accepted, len(c.Servers), err)}
+		return exitError{exitFailed, fmt.Errorf("version %d: %d of %d servers have it: %w", release.Version, accepted, len(c.Servers), err)}
 	}
 	fmt.Fprintf(out, "version %d: %d of %d servers have it\n", release.Version, accepted, len(c.Servers))
 	if c.Follow == 0 {
@@ -239,13 +239,13 @@
 	}
 	key, err := readPrivateKey(c.KeyFile)
 	if err != nil {
-		return nil, coded{exitUsage, err}
+		return nil, exitError{exitUsage, err}
 	}
 	release := &distribution.Release{Fleet: c.Fleet, Version: distribution.Version(c.Version), Content: content}
 	for _, text := range c.Stage {
 		stage, err := parseStage(text)
 		if err != nil {
-			return nil, coded{exitUsage, err}
+			return nil, exitError{exitUsage, err}
 		}
 		release.Stages = append(release.Stages, stage)
 	}
@@ -277,17 +277,17 @@
 // follow waits until every instance has taken a release, or it is halted.
 func (c configPublish) follow(out stdout, version distribution.Version) error {
 	var o distribution.Overview
-	for end := time.Now().Add(c.Follow); time.Now().Before(end); time.Sleep(publishRetry) {
+	for end := time.Now().Add(c.Follow); time.Now().Before(end); time.Sleep(retryInterval) {
 		o, _ = c.overview()
 		if o.Version == version && o.Halted != "" {
-			return coded{exitHalted, fmt.Errorf("version %d is halted: %s", version, o.Halted)}
+			return exitError{exitHalted, fmt.Errorf("version %d is halted: %s", version, o.Halted)}
 		}
 		if o.Version == version && o.Settled() && len(o.Members) > 0 {
 			fmt.Fprintf(out, "version %d: %d instances run it\n", version, o.States()[distribution.Applied])
 			return nil
 		}
 	}
-	return coded{exitFailed, fmt.Errorf("version %d: not with all instances after %v: %v", version, c.Follow, o.States())}
+	return exitError{exitFailed, fmt.Errorf("version %d: not with all instances after %v: %v", version, c.Follow, o.States())}
 }
 
 type configHalt struct {
@@ -300,11 +300,11 @@
 func (c configHalt) Run(out stdout) error {
 	key, err := readPrivateKey(c.KeyFile)
 	if err != nil {
-		return coded{exitUsage, err}
+		return exitError{exitUsage, err}
 	}
 	order := distribution.HaltOrder{Fleet: c.Fleet, Version: distribution.Version(c.Version), Reason: c.Reason}
 	order.Sign(key)
-	done, err := c.all(func(ctx context.Context, client *releases.Client, server string) error {
+	done, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
 		return client.Halt(ctx, server, order)
 	})
 	if done == 0 {
@@ -326,7 +326,7 @@
 		return err
 	}
 	if c.JSON {
-		return indented(out, o)
+		return printJSON(out, o)
 	}
 	fmt.Fprintf(out, "newest version %d, last good before it %d", o.Version, o.LastGood)
 	if o.Halted != "" {
--- a/cmd/masthill/releases_test.go
+++ b/cmd/masthill/releases_test.go
@@ -26,7 +26,7 @@
 )
 
 // releaseBed is a fleet that takes configuration releases: servers and instances in processes of their own.
-type releaseBed struct {
+type releaseFixture struct {
 	t         *testing.T
 	dir, key  string
 	public    string
@@ -34,39 +34,39 @@
 	processes []*exec.Cmd // of the servers
 }
 
-func newReleaseBed(t *testing.T, servers int) *releaseBed {
+func newReleaseFixture(t *testing.T, servers int) *releaseFixture {
 	t.Helper()
-	b := &releaseBed{t: t, dir: t.TempDir()}
+	b := &releaseFixture{t: t, dir: t.TempDir()}
 	b.key = filepath.Join(b.dir, "key")
 	out, code := b.masthill("keygen", b.key)
 	if b.public = strings.TrimSpace(out); code != exitOK {
 		t.Fatal(out)
 	}
 	for range servers {
-		b.servers = append(b.servers, free(t))
+		b.servers = append(b.servers, freeAddr(t))
 	}
 	b.processes = make([]*exec.Cmd, servers)
 	for k := range servers {
-		b.serve(k)
+		b.startServer(k)
 	}
 	return b
 }
 
 // command is one command line of masthill config.
-func (b *releaseBed) command(args ...string) *exec.Cmd {
+func (b *releaseFixture) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], append([]string{"config"}, args...)...)
 	cmd.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1")
 	return cmd
 }
 
-func (b *releaseBed) masthill(args ...string) (out string, code int) {
+func (b *releaseFixture) masthill(args ...string) (out string, code int) {
 	cmd := b.command(args...)
 	text, _ := cmd.CombinedOutput()
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
 // serve starts a server, which goes on with what it kept.
-func (b *releaseBed) serve(k int) {
+func (b *releaseFixture) startServer(k int) {
 	b.t.Helper()
 	cmd := b.command("serve", "--fleet", releaseFleet, "--servers", strings.Join(b.servers, ","), "--listen", b.servers[k],
 		"--dir", filepath.Join(b.dir, fmt.Sprint("server", k)), "--keys", b.public)
@@ -85,22 +85,22 @@
 	}
 }
 
-func (b *releaseBed) kill(k int) {
+func (b *releaseFixture) killServer(k int) {
 	b.processes[k].Process.Kill()
 	b.processes[k].Wait()
 }
 
 // instance starts an instance of a zone that follows servers; more is added to its settings.
-func (b *releaseBed) instance(name, zone string, servers []string, more string) *program {
+func (b *releaseFixture) instance(name, zone string, servers []string, more string) *program {
 	b.t.Helper()
 	quoted, _ := json.Marshal(servers)
-	text := strings.Replace(configuration(newJournal(b.t), []string{sipOffice(b.t, newProcessor(newLedger(), "office"))}), `"name":"n0"`, fmt.Sprintf(`"name":%q`, name), 1)
+	text := strings.Replace(configuration(newJournal(b.t), []string{sipOffice(b.t, newProcessor(newAttemptLog(), "office"))}), `"name":"n0"`, fmt.Sprintf(`"name":%q`, name), 1)
 	return startWith(b.t, text, fmt.Sprintf("[distribution]\nservers = %s\nfleet = %q\nzone = %q\nkeys = [%q]\nmax_age = \"3s\"\ndir = %q\n[shares]\nenabled = true\n%s",
 		quoted, releaseFleet, zone, b.public, filepath.Join(b.dir, name), more))
 }
 
 // publish publishes a release that zone a takes at once and all others after rest.
-func (b *releaseBed) publish(content, rest, follow string) (out string, code int) {
+func (b *releaseFixture) publish(content, rest, follow string) (out string, code int) {
 	b.t.Helper()
 	file := filepath.Join(b.dir, "content.toml")
 	if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
@@ -110,7 +110,7 @@
 		"--rest", rest, "--wait", "10s", "--follow", follow, file)
 }
 
-func (b *releaseBed) published(content, rest, follow string) {
+func (b *releaseFixture) mustPublish(content, rest, follow string) {
 	b.t.Helper()
 	if out, code := b.publish(content, rest, follow); code != exitOK {
 		b.t.Fatalf("exit code %d: %s", code, out)
@@ -118,7 +118,7 @@
 }
 
 // until waits until the servers together tell something.
-func (b *releaseBed) until(what string, is func(o distribution.Overview) bool) {
+func (b *releaseFixture) waitUntil(what string, is func(o distribution.Overview) bool) {
 	b.t.Helper()
 	var out string
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -132,7 +132,7 @@
 }
 
 // runs tells whether an instance runs a version.
-func runs(o distribution.Overview, member string, version distribution.Version) bool {
+func isRunning(o distribution.Overview, member string, version distribution.Version) bool {
 	for _, m := range o.Members {
 		if m.Member == member && m.AgeMS < 5000 {
 			return m.Running == version
@@ -142,7 +142,7 @@
 }
 
 // waitLogged waits for a line in a program's log.
-func (p *program) waitLogged(text string) {
+func (p *program) waitForLog(text string) {
 	p.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !p.logged(text); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -152,11 +152,11 @@
 }
 
 // answers tells whether the instance serves its callers.
-func (p *program) answers() {
+func (p *program) checkServing() {
 	p.t.Helper()
 	c := dial(p.t, p.sip)
-	c.write(options)
-	c.want(200, "")
+	c.write(optionsRequest)
+	c.expect(200, "")
 }
 
 // tokenStatus is what a call socket's upgrade with a token is answered.
@@ -179,12 +179,12 @@
 // A release is in force everywhere by its stages, and changes what it says: here who may connect. One that an instance
 // cannot apply is halted, and all go back.
 func TestAReleaseAndOneThatIsHalted(t *testing.T) {
-	b := newReleaseBed(t, 3)
+	b := newReleaseFixture(t, 3)
 	callers := fmt.Sprintf("[callws]\nlisten = \"127.0.0.1:0\"\ncallers = { station = %q }\n", oldToken)
 	a := b.instance("a0", "a", b.servers, callers)
 	b0 := b.instance("b0", "b", b.servers, callers)
 	plain := b.instance("b1", "b", b.servers, "") // no call control: it cannot take a release that changes callers
-	b.published("[shares.fractions]\nacme = 0.5\n", "1s", "20s")
+	b.mustPublish("[shares.fractions]\nacme = 0.5\n", "1s", "20s")
 	if got := tokenStatus(t, a.callws, oldToken); got == http.StatusUnauthorized {
 		t.Error("a caller is turned away that the release says nothing of")
 	}
@@ -192,7 +192,9 @@
 	if code != exitHalted || !strings.Contains(out, "could not apply") {
 		t.Fatalf("exit code %d: %s", code, out)
 	}
-	b.until("back", func(o distribution.Overview) bool { return runs(o, "a0", 1) && runs(o, "b0", 1) && runs(o, "b1", 1) })
+	b.waitUntil("back", func(o distribution.Overview) bool {
+		return isRunning(o, "a0", 1) && isRunning(o, "b0", 1) && isRunning(o, "b1", 1)
+	})
 	if !a.logged("version=2 before=1") || !plain.logged("call control over WebSocket is off") {
 		t.Error("the release was not tried")
 	}
@@ -200,7 +202,7 @@
 		t.Error("the token of before does not work again")
 	}
 	plain.stop()
-	b.published(fmt.Sprintf("[callws.callers]\nstation = %q\n", newToken), "1s", "20s")
+	b.mustPublish(fmt.Sprintf("[callws.callers]\nstation = %q\n", newToken), "1s", "20s")
 	for _, p := range []*program{a, b0} {
 		if was, is := tokenStatus(t, p.callws, oldToken), tokenStatus(t, p.callws, newToken); was != http.StatusUnauthorized || is == http.StatusUnauthorized {
 			t.Errorf("the old token is answered %d, the new one %d", was, is)
@@ -214,28 +216,28 @@
 // All servers are lost: instances serve, keep what runs over their own restarts, and tell how old it is. When servers come
 // back, one after the other, the fleet follows them.
 func TestAllConfigurationServersLost(t *testing.T) {
-	b := newReleaseBed(t, 3)
+	b := newReleaseFixture(t, 3)
 	one := b.instance("a0", "a", b.servers, "")
-	b.published("[log]\nlevel = \"debug\"\n", "0s", "20s")
+	b.mustPublish("[log]\nlevel = \"debug\"\n", "0s", "20s")
 	for k := range b.servers {
-		b.kill(k)
+		b.killServer(k)
 	}
-	one.waitLogged("configuration server left")
-	one.answers()
+	one.waitForLog("configuration server left")
+	one.checkServing()
 	one.stop()
 	again := b.instance("a0", "a", b.servers, "")
-	again.waitLogged("version=1 before=\"the same\"")
-	again.answers()
-	b.serve(1)
-	b.until("followed again", func(o distribution.Overview) bool { return runs(o, "a0", 1) })
+	again.waitForLog("version=1 before=\"the same\"")
+	again.checkServing()
+	b.startServer(1)
+	b.waitUntil("followed again", func(o distribution.Overview) bool { return isRunning(o, "a0", 1) })
 	if out, code := b.publish("[log]\nlevel = \"info\"\n", "0s", "0s"); code != exitFailed || !strings.Contains(out, "1 of 3 servers") {
 		t.Errorf("published without a majority: exit code %d: %s", code, out)
 	}
-	b.serve(0)
-	b.until("copied", func(o distribution.Overview) bool {
+	b.startServer(0)
+	b.waitUntil("copied", func(o distribution.Overview) bool {
 		return len(o.Servers) == 2 && o.Servers[0].Version == 2 && o.Servers[1].Version == 2
 	})
-	b.until("in force", func(o distribution.Overview) bool { return runs(o, "a0", 2) })
+	b.waitUntil("in force", func(o distribution.Overview) bool { return isRunning(o, "a0", 2) })
 }
 
 // relay passes connections on to a server, until it is cut.
@@ -286,7 +288,7 @@
 	r.mu.Unlock()
 }
 
-func (r *relay) set(cut bool) {
+func (r *relay) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = cut
@@ -300,7 +302,7 @@
 // A region is cut off from all servers: it keeps what runs and says that it is stale, the rest takes a new release, and the
 // region takes it once it is healed. Meanwhile two versions run side by side.
 func TestARegionCutOffFromItsServers(t *testing.T) {
-	b := newReleaseBed(t, 3)
+	b := newReleaseFixture(t, 3)
 	var relays []*relay
 	var through []string
 	for _, server := range b.servers {
@@ -310,12 +312,12 @@
 	socket := filepath.Join(b.dir, "ctl")
 	far := b.instance("far", "b", through, fmt.Sprintf("[socket]\npath = %q\n", socket))
 	b.instance("near", "a", b.servers, "")
-	b.published("[log]\nlevel = \"info\"\n", "0s", "20s")
+	b.mustPublish("[log]\nlevel = \"info\"\n", "0s", "20s")
 	for _, r := range relays {
-		r.set(true)
+		r.setCut(true)
 	}
-	b.published("[log]\nlevel = \"warn\"\n", "0s", "0s")
-	b.until("in force near by", func(o distribution.Overview) bool { return runs(o, "near", 2) })
+	b.mustPublish("[log]\nlevel = \"warn\"\n", "0s", "0s")
+	b.waitUntil("in force near by", func(o distribution.Overview) bool { return isRunning(o, "near", 2) })
 	state := func() (told struct {
 		Release struct {
 			State   distribution.State
@@ -342,17 +344,17 @@
 	if got := state().Release; got.Running != 1 || got.AgeMS < 3000 {
 		t.Errorf("%+v", got)
 	}
-	far.answers()
+	far.checkServing()
 	for _, r := range relays {
-		r.set(false)
+		r.setCut(false)
 	}
-	b.until("healed", func(o distribution.Overview) bool { return runs(o, "far", 2) })
+	b.waitUntil("healed", func(o distribution.Overview) bool { return isRunning(o, "far", 2) })
 }
 
 // One of two servers lies: it tells a release that nobody signed, and then one that is long past. The instance leaves it
 // each time and runs what the other one has.
 func TestAServerThatLies(t *testing.T) {
-	b := newReleaseBed(t, 1)
+	b := newReleaseFixture(t, 1)
 	forged := distribution.Release{Fleet: releaseFleet, Version: 9, Stages: []distribution.Stage{{}}, Content: []byte("[log]\nlevel = \"error\"\n"), Signature: make([]byte, 64)}
 	var mu sync.Mutex
 	head := distribution.Head{Version: forged.Version, Digest: forged.Digest()}
@@ -366,40 +368,42 @@
 		json.NewEncoder(w).Encode(map[string]any{"head": head, "tag": fmt.Sprint(head.Version)})
 	}))
 	defer liar.Close()
-	b.kill(0) // so that it asks the liar
+	b.killServer(0) // so that it asks the liar
 	one := b.instance("a0", "a", []string{liar.Listener.Addr().String(), b.servers[0]}, "")
-	one.waitLogged("reason=forged")
-	b.serve(0)
-	b.until("followed", func(o distribution.Overview) bool { return runs(o, "a0", 0) })
-	b.published("[log]\nlevel = \"info\"\n", "0s", "20s")
+	one.waitForLog("reason=forged")
+	b.startServer(0)
+	b.waitUntil("followed", func(o distribution.Overview) bool { return isRunning(o, "a0", 0) })
+	b.mustPublish("[log]\nlevel = \"info\"\n", "0s", "20s")
 	mu.Lock()
 	head = distribution.Head{}
 	mu.Unlock()
-	b.kill(0) // so that it asks the liar again
-	one.waitLogged("reason=stale")
-	b.serve(0)
-	b.until("followed again", func(o distribution.Overview) bool { return runs(o, "a0", 1) })
+	b.killServer(0) // so that it asks the liar again
+	one.waitForLog("reason=stale")
+	b.startServer(0)
+	b.waitUntil("followed again", func(o distribution.Overview) bool { return isRunning(o, "a0", 1) })
 	if one.logged("version=9") {
 		t.Error("it took the forged release")
 	}
-	one.answers()
+	one.checkServing()
 }
 
 // A server is lost in the midst of a release, and an operator halts the release at one server: all hear of both.
 func TestAHaltInTheMidstOfARelease(t *testing.T) {
-	b := newReleaseBed(t, 3)
+	b := newReleaseFixture(t, 3)
 	b.instance("a0", "a", b.servers, "")
 	b.instance("b0", "b", b.servers, "")
-	b.published("[log]\nlevel = \"info\"\n", "0s", "20s")
-	b.published("[log]\nlevel = \"warn\"\n", "30s", "0s")
-	b.until("in its first stage", func(o distribution.Overview) bool { return runs(o, "a0", 2) && runs(o, "b0", 1) })
-	b.kill(0)
+	b.mustPublish("[log]\nlevel = \"info\"\n", "0s", "20s")
+	b.mustPublish("[log]\nlevel = \"warn\"\n", "30s", "0s")
+	b.waitUntil("in its first stage", func(o distribution.Overview) bool { return isRunning(o, "a0", 2) && isRunning(o, "b0", 1) })
+	b.killServer(0)
 	if out, code := b.masthill("halt", "--fleet", releaseFleet, "--servers", b.servers[1], "--key-file", b.key, "--version", "2", "--reason", "calls are lost"); code != exitOK {
 		t.Fatal(out)
 	}
-	b.until("back", func(o distribution.Overview) bool { return runs(o, "a0", 1) && runs(o, "b0", 1) && o.Halted != "" })
-	b.serve(0) // it kept version 2 as good, and hears
-	b.until("heard by all", func(o distribution.Overview) bool {
+	b.waitUntil("back", func(o distribution.Overview) bool {
+		return isRunning(o, "a0", 1) && isRunning(o, "b0", 1) && o.Halted != ""
+	})
+	b.startServer(0) // it kept version 2 as good, and hears
+	b.waitUntil("heard by all", func(o distribution.Overview) bool {
 		for _, s := range o.Servers {
 			if s.Halted == "" {
 				return false
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -38,25 +38,25 @@
 const (
 	// acceptFor is how long after SIGTERM new connections are accepted (PROTOCOL: they come for 0.2 to
 	// 0.4 s), takeFor how long requests still come on open ones (0.2 s more), both with a margin.
-	acceptFor, takeFor = 450 * time.Millisecond, 700 * time.Millisecond
+	acceptPeriod, requestPeriod = 450 * time.Millisecond, 700 * time.Millisecond
 	// killAfter, with the longest deadline counted as longestMost at most, is the time from SIGTERM to SIGKILL
 	// (PROTOCOL). refuseLead before it, what still waits is refused; flushFor is the time that the last answers then get
 	// to be written and read.
-	killAfter, longestMost = 700 * time.Millisecond, 3 * time.Second
-	refuseLead, flushFor   = 400 * time.Millisecond, 200 * time.Millisecond
+	killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
+	refuseMargin, flushTimeout    = 400 * time.Millisecond, 200 * time.Millisecond
 	// drainAfter is how long after an operator's call idle connections are kept: the platform asks ten times a second and
 	// stops new connections 0.2 s after a no, and callers that lose theirs before would only come again.
-	drainAfter = 400 * time.Millisecond
+	drainDelay = 400 * time.Millisecond
 	// settleFor is how long a start beside another process waits for the list, of the 6 s in which it is to be ready.
-	settleFor = 1500 * time.Millisecond
+	listWaitTimeout = 1500 * time.Millisecond
 	// endStep is how often an orderly end looks whether it is through.
-	endStep = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 	// connPart and connEach bound the platform's callers by memory too: a connection's buffers, stacks and what
 	// may be queued for it, in an eighth of the limit.
-	connPart, connEach = 8, 32 << 10
+	connMemoryDivisor, connMemoryBytes = 8, 32 << 10
 	// memoryPart is the part of the memory limit that the Go heap may take; the rest is for the program's own
 	// pages, stacks, socket buffers and files.
-	memoryPart = 0.7
+	heapFraction = 0.7
 )
 
 // front is one way in for callers.
@@ -76,12 +76,12 @@
 	p, err := config.Load(os.Getenv)
 	own, ownErr := config.LoadProject(os.Getenv)
 	if faults := append(config.All(err), config.All(ownErr)...); len(faults) > 0 {
-		return coded{exitUsage, fmt.Errorf("configuration: %w", faults)}
+		return exitError{exitUsage, fmt.Errorf("configuration: %w", faults)}
 	}
 	debug.FreeOSMemory() // the schema and its compiler are needed no more
 	log, levels, err := logger(own)
 	if err != nil {
-		return coded{exitUsage, err}
+		return exitError{exitUsage, err}
 	}
 	return serve(p, own, s, log.With("node", p.Name), levels)
 }
@@ -116,59 +116,59 @@
 
 // instance is one running session controller, put together from its parts.
 type instance struct {
-	p           *config.Platform
-	own         *config.Project
-	log         *slog.Logger
-	logLevels   *logs.Levels
-	options     exchange.Options // of the core, until it is made
-	known       *state.Snapshot  // of the process before; nil: none
-	passed      map[string]net.Listener
-	manager     *notify.Manager
-	core        *exchange.Exchange
-	feed        *journal.Client
-	calls       *caller.Server
-	fronts      map[front]*listener.Listener
-	listeners   map[string]net.Listener // the same by name, for a supervisor that takes them over
-	keeper      *state.Keeper           // nil: nothing is kept
-	recovery    *recovery.Recovery      // nil: off
-	levels      *levels.Levels          // nil: off
-	shared      *shared.Shared          // nil: off
-	shares      *shares.Shares          // nil: off
-	controls    *callws.Front           // nil: off
-	peers       *peers.Peers            // nil: off
-	parts       []part
-	descriptors *allocation
-	started     time.Time
-	reason      string // of the start
-	snapshot    string // taken up, or why not
-	listen      string
-	state       readiness.State
-	atWarning   atomic.Value // string
+	p               *config.Platform
+	own             *config.Project
+	log             *slog.Logger
+	logLevels       *logs.Levels
+	options         exchange.Options // of the core, until it is made
+	previous        *state.Snapshot  // of the process before; nil: none
+	passedListeners map[string]net.Listener
+	manager         *notify.Manager
+	core            *exchange.Exchange
+	feed            *journal.Client
+	callerFront     *caller.Server
+	fronts          map[front]*listener.Listener
+	listeners       map[string]net.Listener // the same by name, for a supervisor that takes them over
+	keeper          *state.Keeper           // nil: nothing is kept
+	recovery        *recovery.Recovery      // nil: off
+	levels          *levels.Levels          // nil: off
+	shared          *shared.Shared          // nil: off
+	shares          *shares.Shares          // nil: off
+	callWSFront     *callws.Front           // nil: off
+	peers           *peers.Peers            // nil: off
+	parts           []subsystem
+	descriptors     *allocation
+	startedAt       time.Time
+	startReason     string // of the start
+	snapshotResult  string // taken up, or why not
+	listenAddr      string
+	state           readiness.State
+	configWarning   atomic.Value // string
 }
 
 func serve(p *config.Platform, own *config.Project, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
-	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * memoryPart))
+	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * heapFraction))
 	if own.Old {
-		log.Warn("settings under an old name", "file", own.File, "why", oldName)
+		log.Warn("settings under an old name", "file", own.File, "why", oldNameWarning)
 	}
-	in := &instance{p: p, own: own, log: log, logLevels: logLevels, started: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
+	in := &instance{p: p, own: own, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
 	var err error
-	if in.passed, err = notify.Listeners(os.Getenv); err != nil {
+	if in.passedListeners, err = notify.Listeners(os.Getenv); err != nil {
 		return err
 	}
 	if in.manager, err = notify.Open(os.Getenv); err != nil {
 		log.Warn("service manager not told", "err", err)
 	}
 	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: p.MemoryMB << 20}
-	for _, make := range subsystems {
-		one, err := make(in)
+	for _, construct := range constructors {
+		one, err := construct(in)
 		if err != nil {
 			return err
 		}
 		in.parts = append(in.parts, one)
 	}
-	for name, l := range in.passed {
+	for name, l := range in.passedListeners {
 		log.Warn("passed socket not used", "name", name, "addr", l.Addr().String())
 		l.Close()
 	}
@@ -194,11 +194,11 @@
 		in.state.End()
 		in.manager.Stopping("answers what it has taken")
 		for _, one := range in.parts {
-			if one.end != nil {
-				one.end()
+			if one.onShutdown != nil {
+				one.onShutdown()
 			}
 		}
-		in.end()
+		in.shutDown()
 		stop()
 		return nil
 	})
@@ -210,18 +210,18 @@
 			case <-signals.reload:
 				in.manager.Reloading()
 				in.reload()
-				in.manager.Ready("serving " + in.listen)
+				in.manager.Ready("serving " + in.listenAddr)
 			}
 		}
 	})
 	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.UnansweredCalls() }) })
-	g.Go(func() error { in.follow(ctx); return nil })
+	g.Go(func() error { in.followPhase(ctx); return nil })
 	if in.p.Admin != "" {
-		in.settle(ctx)
+		in.waitForList(ctx)
 	}
 	pos, _ := in.feed.Position()
 	in.state.MarkStarted() // before the line that tells so
-	in.log.Info("serving", "listen", in.listen, "pos", pos, "start", in.reason, "snapshot", in.snapshot)
+	in.log.Info("serving", "listen", in.listenAddr, "pos", pos, "start", in.startReason, "snapshot", in.snapshotResult)
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
@@ -230,16 +230,16 @@
 
 // settle waits a moment for the list's service: an instance that is started beside the one before it, in an upgrade, must
 // not send callers to offices that its own list does not know to have gone. Without the service it starts all the same.
-func (in *instance) settle(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, settleFor)
+func (in *instance) waitForList(ctx context.Context) {
+	limit, cancel := context.WithTimeout(ctx, listWaitTimeout)
 	defer cancel()
 	for !in.feed.IsLive() && limit.Err() == nil {
-		time.Sleep(endStep)
+		time.Sleep(pollInterval)
 	}
 }
 
 // follow has the fronts and the service manager do what the instance's state asks, until the end.
-func (in *instance) follow(ctx context.Context) {
+func (in *instance) followPhase(ctx context.Context) {
 	for last := readiness.Starting; ctx.Err() == nil && last != readiness.Ending; {
 		now := in.state.WaitForChange(ctx, last)
 		if now == last {
@@ -250,10 +250,10 @@
 			for f := range in.fronts {
 				f.Resume()
 			}
-			in.manager.Ready("serving " + in.listen)
+			in.manager.Ready("serving " + in.listenAddr)
 		case readiness.Draining:
 			for f := range in.fronts {
-				f.Drain(drainAfter)
+				f.Drain(drainDelay)
 			}
 			in.manager.Status("draining")
 		}
@@ -265,11 +265,11 @@
 // status is what the control socket tells.
 func (in *instance) status() ctl.Status {
 	core := in.core.Status()
-	pos, heard := in.feed.Position()
-	s := ctl.Status{Name: in.p.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.started, StartReason: in.reason,
-		Snapshot: in.snapshot, Listen: in.listen, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.p.MemoryMB, SocketsMost: in.p.Sockets, Core: core}
-	if !heard.IsZero() {
-		s.ListAgeMS = time.Since(heard).Milliseconds()
+	pos, lastHeard := in.feed.Position()
+	s := ctl.Status{Name: in.p.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.startedAt, StartReason: in.startReason,
+		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.p.MemoryMB, SocketsMost: in.p.Sockets, Core: core}
+	if !lastHeard.IsZero() {
+		s.ListAgeMS = time.Since(lastHeard).Milliseconds()
 	}
 	for _, one := range in.parts {
 		if one.status != nil {
@@ -277,7 +277,7 @@
 		}
 	}
 	s.MemoryMB, s.Descriptors = ctl.Usage()
-	s.ConfigWarning, _ = in.atWarning.Load().(string)
+	s.ConfigWarning, _ = in.configWarning.Load().(string)
 	switch in.state.Phase() {
 	case readiness.Draining, readiness.Ending:
 		s.Phase = ctl.Draining
@@ -299,13 +299,13 @@
 	p, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error("configuration kept", "err", err)
-		in.atWarning.Store("the last reload found faults: " + err.Error())
+		in.configWarning.Store("the last reload found faults: " + err.Error())
 		return
 	}
-	in.atWarning.Store("")
+	in.configWarning.Store("")
 	if p.Listen != old.Listen || p.Name != old.Name || p.Cores != old.Cores || p.MemoryMB != old.MemoryMB ||
 		p.Sockets != old.Sockets || !reflect.DeepEqual(p.Settings, old.Settings) {
-		in.atWarning.Store("name, listen, limits and settings changed: they take a restart")
+		in.configWarning.Store("name, listen, limits and settings changed: they take a restart")
 		log.Warn("configuration read in part", "why", "name, listen, limits and settings take a restart")
 	}
 	log.Info("configuration read", "journal", p.Journal)
@@ -313,13 +313,13 @@
 		feed.SetAddr(p.Journal)
 	}
 	old.Journal = p.Journal // read nowhere else
-	if !slices.ContainsFunc(in.parts, func(one part) bool { return one.reload != nil }) {
+	if !slices.ContainsFunc(in.parts, func(one subsystem) bool { return one.reload != nil }) {
 		return // the settings' schema costs memory, and nobody would use them
 	}
 	own, err := config.LoadProject(os.Getenv)
 	if err != nil {
 		log.Error("settings kept", "err", err)
-		in.atWarning.Store("the last reload found faults: " + err.Error())
+		in.configWarning.Store("the last reload found faults: " + err.Error())
 		return
 	}
 	for _, one := range in.parts {
@@ -331,24 +331,24 @@
 
 // refuseAfter is when, after SIGTERM, what still waits is refused: in time before SIGKILL, which comes sooner the
 // shorter the deadlines of the settings are, and never before all that may still come has come.
-func refuseAfter(classes []exchange.Class) time.Duration {
+func refusalDelay(classes []exchange.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	return max(takeFor, min(longest, longestMost)+killAfter-refuseLead)
+	return max(requestPeriod, min(longest, maxCountedDeadline)+killDelay-refuseMargin)
 }
 
 // end is the planned end: new calls are taken as long as they may come, and all that was taken is answered. What comes
 // later still, such as the rest of a request that was read in part, is answered or refused, to the last connection.
-func (in *instance) end() {
+func (in *instance) shutDown() {
 	x, began := in.core, time.Now()
 	in.log.Info("ending", "open", x.UnansweredCalls())
-	time.Sleep(acceptFor)
+	time.Sleep(acceptPeriod)
 	for _, l := range in.fronts {
 		l.Drain()
 	}
-	time.Sleep(takeFor - time.Since(began))
+	time.Sleep(requestPeriod - time.Since(began))
 	for f := range in.fronts {
 		f.Drain(0)
 	}
@@ -358,15 +358,15 @@
 		}
 		return n
 	}
-	last := refuseAfter(in.p.Names.Classes)
+	last := refusalDelay(in.p.Names.Classes)
 	for (unfinished() > 0 || x.UnansweredCalls() > 0) && time.Since(began) < last {
-		time.Sleep(endStep)
+		time.Sleep(pollInterval)
 	}
 	for f := range in.fronts {
 		f.Refuse() // before the core does, lest it be handed more
 	}
 	x.RefuseAll()
-	ctx, cancel := context.WithTimeout(context.Background(), flushFor)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	var g errgroup.Group
 	for f := range in.fronts {
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -156,35 +156,35 @@
 }
 
 // peer is a caller's SIP connection.
-type peer struct {
+type callerConn struct {
 	net.Conn
 	*sip.Reader
 	t *testing.T
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *callerConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, sip.NewReader(c), t}
+	return &callerConn{c, sip.NewReader(c), t}
 }
 
-func invite(id, more string) string {
+func invite(id, extraHeaders string) string {
 	return "INVITE sip:17@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: " + id + "\r\nCSeq: 1 INVITE\r\n" +
-		"Subject: open-log\r\n" + more + "Content-Length: 5\r\n\r\noffer"
+		"Subject: open-log\r\n" + extraHeaders + "Content-Length: 5\r\n\r\noffer"
 }
 
-func (p *peer) write(text string) {
+func (p *callerConn) write(text string) {
 	if _, err := io.WriteString(p.Conn, text); err != nil {
 		p.t.Error(err)
 	}
 }
 
 // want reads on to a message of that status or method.
-func (p *peer) want(status int, method string) *sip.Message {
+func (p *callerConn) expect(status int, method string) *sip.Message {
 	p.t.Helper()
 	m, err := p.Next()
 	if err != nil || m.Status != status || string(m.Method) != method {
@@ -197,44 +197,44 @@
 // processor is what a stand-in office works with: one line that takes set-ups in turn, slow for a while, and full
 // beyond some that wait. It notes what no caller's side sees: two attempts of a call out at once.
 type processor struct {
-	*ledger
-	name    string
-	line    sync.Mutex
-	mu      sync.Mutex
-	waiting int
-	slow    bool
-	drop    map[string]bool // given up while they waited
-	over    string          // a call from before, released on the next connection
+	*attemptLog
+	name             string
+	line             sync.Mutex
+	mu               sync.Mutex
+	waiting          int
+	slow             bool
+	abandoned        map[string]bool // given up while they waited
+	releaseOnConnect string          // a call from before, released on the next connection
 }
 
 // ledger is what all stand-in offices of a test note together.
-type ledger struct {
-	mu        sync.Mutex
-	out       map[string]string // call to the office where its attempt is out
-	overlaps  map[string]string // calls sent while an attempt was out, and where that was
-	cancelled map[string]bool   // call at office
-	attempts  int
+type attemptLog struct {
+	mu           sync.Mutex
+	openAttempts map[string]string // call to the office where its attempt is out
+	overlaps     map[string]string // calls sent while an attempt was out, and where that was
+	canceled     map[string]bool   // call at office
+	attempts     int
 }
 
-func newLedger() *ledger {
-	return &ledger{out: map[string]string{}, overlaps: map[string]string{}, cancelled: map[string]bool{}}
+func newAttemptLog() *attemptLog {
+	return &attemptLog{openAttempts: map[string]string{}, overlaps: map[string]string{}, canceled: map[string]bool{}}
 }
 
-const queueMost = 12
+const maxQueue = 12
 
 // setup works on a set-up and answers it by accept or refuse. It returns at once.
 func (p *processor) setup(id string, accept, refuse func()) {
-	p.ledger.mu.Lock()
+	p.attemptLog.mu.Lock()
 	p.attempts++
-	if at, ok := p.out[id]; ok {
+	if at, ok := p.openAttempts[id]; ok {
 		p.overlaps[id] = at
 	}
-	p.out[id] = p.name
-	p.ledger.mu.Unlock()
+	p.openAttempts[id] = p.name
+	p.attemptLog.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.drop, id)
-	if p.waiting >= queueMost {
+	delete(p.abandoned, id)
+	if p.waiting >= maxQueue {
 		p.ended(id)
 		refuse()
 		return
@@ -253,7 +253,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.waiting--
-		if p.drop[id] {
+		if p.abandoned[id] {
 			return
 		}
 		p.ended(id)
@@ -262,19 +262,19 @@
 }
 
 func (p *processor) ended(id string) {
-	p.ledger.mu.Lock()
-	defer p.ledger.mu.Unlock()
-	delete(p.out, id)
+	p.attemptLog.mu.Lock()
+	defer p.attemptLog.mu.Unlock()
+	delete(p.openAttempts, id)
 }
 
 func (p *processor) cancel(id string) {
 	p.mu.Lock()
-	p.drop[id] = true
+	p.abandoned[id] = true
 	p.mu.Unlock()
-	p.ledger.mu.Lock()
-	defer p.ledger.mu.Unlock()
-	delete(p.out, id)
-	p.cancelled[id+" "+p.name] = true
+	p.attemptLog.mu.Lock()
+	defer p.attemptLog.mu.Unlock()
+	delete(p.openAttempts, id)
+	p.canceled[id+" "+p.name] = true
 }
 
 func (p *processor) setSlow(slow bool) {
@@ -283,8 +283,8 @@
 	p.slow = slow
 }
 
-func newProcessor(l *ledger, name string) *processor {
-	return &processor{ledger: l, name: name, drop: map[string]bool{}}
+func newProcessor(l *attemptLog, name string) *processor {
+	return &processor{attemptLog: l, name: name, abandoned: map[string]bool{}}
 }
 
 // sipOffice is a stand-in that speaks the platform's protocol.
@@ -297,8 +297,8 @@
 			io.WriteString(c, text)
 		}
 		write("NOTIFY sip:x@net SIP/2.0\r\nX-State: x0:100;x1:100\r\nContent-Length: 0\r\n\r\n")
-		if p.over != "" {
-			write("BYE sip:x@net SIP/2.0\r\nCall-ID: " + p.over + "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n" +
+		if p.releaseOnConnect != "" {
+			write("BYE sip:x@net SIP/2.0\r\nCall-ID: " + p.releaseOnConnect + "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n" +
 				"Content-Length: 0\r\n\r\n")
 		}
 		for r := sip.NewReader(c); ; {
--- a/cmd/masthill/takeover_test.go
+++ b/cmd/masthill/takeover_test.go
@@ -24,7 +24,7 @@
 }
 
 // launched are the processes that were started with a gate, whether they have passed it or not.
-func launched(gate string) (pids []string) {
+func launchedProcesses(gate string) (pids []string) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, file := range files {
 		environment, err := os.ReadFile(file)
@@ -40,10 +40,10 @@
 }
 
 // untilLaunched waits for the process behind a gate.
-func (b *fleetBed) untilLaunched(gate string) {
+func (b *fleetFixture) waitForLaunch(gate string) {
 	b.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if len(launched(gate)) == 1 {
+		if len(launchedProcesses(gate)) == 1 {
 			return
 		}
 	}
@@ -51,9 +51,9 @@
 }
 
 // kill ends the supervisor without a word.
-func (b *fleetBed) kill() {
-	b.up.Process.Kill()
-	b.up.Wait()
+func (b *fleetFixture) killSupervisor() {
+	b.supervisor.Process.Kill()
+	b.supervisor.Wait()
 }
 
 // A supervisor is killed after it has launched an instance and before it has written that down. The instance claims its
@@ -63,14 +63,14 @@
 	first, second := filepath.Join(t.TempDir(), "first"), filepath.Join(t.TempDir(), "second")
 	t.Setenv(launchGate, first)
 	b := newFleet(t, 1)
-	b.untilLaunched(first)
-	b.kill()
+	b.waitForLaunch(first)
+	b.killSupervisor()
 	if err := os.Remove(filepath.Join(b.spec.Dir, "fleet.json")); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(launchGate, second)
 	b.start()
-	b.untilLaunched(second)
+	b.waitForLaunch(second)
 	open := func(gate string) {
 		if err := os.WriteFile(gate, nil, 0o600); err != nil {
 			t.Fatal(err)
@@ -79,11 +79,11 @@
 	open(first)
 	waitForFile(filepath.Join(b.spec.Dir, "0", "run.json"))
 	open(second)
-	s := b.until("taken over", func(s *fleet.Status) bool { return serving(s) && len(launched(second)) == 0 })
+	s := b.waitUntil("taken over", func(s *fleet.Status) bool { return allServing(s) && len(launchedProcesses(second)) == 0 })
 	if m := s.Instances[0]; m.Ends != 0 {
 		t.Errorf("a launch beside a running instance counts as a crash: %+v", m)
 	}
-	if n := b.processes(); n != 1 {
+	if n := b.countProcesses(); n != 1 {
 		t.Errorf("%d instances of 1", n)
 	}
 }
@@ -94,18 +94,18 @@
 	gate := filepath.Join(t.TempDir(), "gate")
 	t.Setenv(launchGate, gate)
 	b := newFleet(t, 1)
-	b.untilLaunched(gate)
-	b.kill()
+	b.waitForLaunch(gate)
+	b.killSupervisor()
 	b.start()
-	b.until("supervised", func(s *fleet.Status) bool { return len(s.Instances) == 1 })
+	b.waitUntil("supervised", func(s *fleet.Status) bool { return len(s.Instances) == 1 })
 	if err := os.WriteFile(gate, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s := b.until("taken over", serving)
+	s := b.waitUntil("taken over", allServing)
 	if m := s.Instances[0]; m.Ends != 0 || m.Generation != "1" {
 		t.Errorf("%+v", m)
 	}
-	if n := b.processes(); n != 1 {
+	if n := b.countProcesses(); n != 1 {
 		t.Errorf("%d instances of 1", n)
 	}
 }
@@ -114,11 +114,11 @@
 // same address.
 func TestAnInstanceEndsWithoutASupervisor(t *testing.T) {
 	b := newFleet(t, 1)
-	before := b.until("up", serving).Instances[0]
-	b.kill()
+	before := b.waitUntil("up", allServing).Instances[0]
+	b.killSupervisor()
 	syscall.Kill(before.PID, syscall.SIGKILL)
 	b.start()
-	after := b.until("up again", serving).Instances[0]
+	after := b.waitUntil("up again", allServing).Instances[0]
 	if after.Listen != before.Listen {
 		t.Errorf("it listens at %s, and did at %s", after.Listen, before.Listen)
 	}
