--- a/cmd/masthill/broken.go
+++ b/cmd/masthill/broken.go
@@ -4,5 +4,5 @@
 
 import "os"
 
-// without names a guard that is left out, to show that the lab's checkers notice.
+// omittedCheck names one check to leave out, to test that the lab's checkers notice.
 var omittedCheck = os.Getenv("MASTHILL_WITHOUT")
--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -15,42 +15,42 @@
 	"masthill/internal/sip"
 )
 
-// shrinkFor is how long clients may take to be within a smaller share: connections end in order.
+// shrinkTimeout is how long clients may take to get within a smaller share, as their connections are closed gracefully.
 const shrinkTimeout = 2 * time.Second
 
-// resizable is a front whose bound can change.
+// resizable is a front whose limit of connections can change.
 type resizable interface{ SetMaxOpen(n int) }
 
-// allocation keeps each user of descriptors within its share, and changes the shares with the list of servers, with a
-// second process at the same address, and with a limit that is lowered from outside.
+// allocation keeps each user of file descriptors within its share. It recomputes the shares when the list of servers
+// changes, when a second process serves the same address, and when the limit is lowered from outside.
 type allocation struct {
 	log     *slog.Logger
-	servers *descriptors.Gate // connections to them
+	servers *descriptors.Gate // limits the connections to servers
 
-	mu            sync.Mutex
-	demand        descriptors.Demand
-	budget        descriptors.Budget
-	listedServers map[uint64]bool // servers on the list
-	maxPlaces     int             // the clients' places that the memory allows
-	clients       sharedFront     // the platform's front
-	webSocket     sharedFront
+	mu              sync.Mutex
+	demand          descriptors.Demand
+	budget          descriptors.Budget
+	listedServers   map[uint64]bool // by server number
+	maxClientPlaces int             // limit of client connections by memory
+	clients         sharedFront     // the front that the platform's callers connect to
+	webSocket       sharedFront
 }
 
-// sharedFront is one front with its listener, once it is open.
+// sharedFront is one front and its listener; both are nil until the front is attached.
 type sharedFront struct {
 	resizable
 	listener *listener.Bounded
 }
 
-// newAllocation plans for a demand.
-func newAllocation(d descriptors.Demand, maxPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listedServers: map[uint64]bool{}, maxPlaces: maxPlaces}
+// newAllocation makes an allocation with the shares for a demand.
+func newAllocation(d descriptors.Demand, maxClientPlaces int, log *slog.Logger) *allocation {
+	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listedServers: map[uint64]bool{}, maxClientPlaces: maxClientPlaces}
 	a.demand.Limit = effectiveLimit(d.Limit)
 	a.replan()
 	return a
 }
 
-// processLimit is the lower one of a limit and what the system allows this process now.
+// effectiveLimit is the lower of limit and the process's current limit of open files.
 func effectiveLimit(limit int) int {
 	var allowed syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &allowed); err == nil && allowed.Cur < uint64(limit) {
@@ -59,7 +59,7 @@
 	return limit
 }
 
-// plan makes the budget anew and applies it. Called under the lock, or before there is a second user.
+// replan recomputes the budget and applies it. It is called with the lock held, or before the allocation is in use.
 func (a *allocation) replan() {
 	a.budget = descriptors.Plan(a.demand)
 	a.servers.SetLimit(a.budget.Servers)
@@ -67,14 +67,15 @@
 	a.webSocket.apply(a.budget.WebSocket)
 }
 
-// clientsFront is the platform's front's share, within what the memory allows.
+// clientsShare is the share of the platform's front, limited by memory too.
 func (a *allocation) clientsShare() descriptors.Front {
 	f := a.budget.Clients
-	f.Places = min(f.Places, a.maxPlaces)
+	f.Places = min(f.Places, a.maxClientPlaces)
 	return f
 }
 
-// operatorsPlaces is how many connections the operators' address holds at once, beside the one that waits for a place.
+// adminMaxOpen is how many connections the operators' address serves at once; one descriptor of its share is for the
+// connection that waits to be served.
 func (a *allocation) adminMaxOpen() int { return max(a.budget.Operators-1, 1) }
 
 func (f sharedFront) apply(share descriptors.Front) {
@@ -84,7 +85,7 @@
 	}
 }
 
-// attach hands a front and its listener over to the allocation.
+// attach places a front and its listener under the allocation, and returns the listener to serve from.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
 	l.Shortage = a.onShortage
 	a.mu.Lock()
@@ -94,7 +95,7 @@
 	return to.listener
 }
 
-// list follows how many servers there are.
+// onServerList recomputes the shares when the number of servers on the list has changed.
 func (a *allocation) onServerList(changed []exchange.Office, full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,21 +119,22 @@
 	}
 }
 
-// upgrade halves the budget while another process serves the same address, and returns once clients are within it.
+// onUpgrade halves the budget while another process serves the same address. It returns once clients are within their
+// shares, or after shrinkTimeout.
 func (a *allocation) onUpgrade(present bool) {
-	began := time.Now()
-	a.share(present)
-	for a.exceeded() && time.Since(began) < shrinkTimeout {
+	startedAt := time.Now()
+	a.setUpgrade(present)
+	for a.exceeded() && time.Since(startedAt) < shrinkTimeout {
 		time.Sleep(pollInterval)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.log.Info("descriptors shared out", "upgrade", present, "total", a.budget.Total, "clients", a.budget.Clients.Descriptors,
-		"held", a.clients.held(), "after_ms", time.Since(began).Milliseconds())
+		"held", a.clients.held(), "after_ms", time.Since(startedAt).Milliseconds())
 }
 
-// share plans with or without another process.
-func (a *allocation) share(present bool) {
+// setUpgrade recomputes the shares with or without another process at the same address.
+func (a *allocation) setUpgrade(present bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.demand.Upgrade != present {
@@ -141,7 +143,7 @@
 	}
 }
 
-// exceeded tells whether clients hold more than their share.
+// exceeded tells whether clients hold more descriptors than their shares.
 func (a *allocation) exceeded() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -157,7 +159,8 @@
 	return f.listener.Held()
 }
 
-// shortage is called where no descriptor was left: a limit that was lowered is planned for, and idle clients make room.
+// onShortage is called when no descriptor was left. If the limit has been lowered from outside, it recomputes the shares,
+// and the fronts close idle connections.
 func (a *allocation) onShortage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -168,7 +171,7 @@
 	}
 }
 
-// dial bounds the connections that one way to servers makes.
+// dial wraps a dial function so that its connections stay within the share for servers.
 func (a *allocation) dial(dial office.Dial) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
 		if !a.servers.Take() {
@@ -183,7 +186,7 @@
 	}
 }
 
-// heldPeer gives its descriptor back when it ends.
+// gatedPeer returns its descriptor to the gate when its connection ends.
 type gatedPeer struct {
 	office.Peer
 	gate *descriptors.Gate
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -134,7 +134,7 @@
 }
 
 // press has clients come until the end, several at once, so that whatever is freed is taken at once.
-func (c *idleClients) keepConnecting(addrs ...string) (end func()) {
+func (c *idleClients) keepConnecting(addrs ...string) (stop func()) {
 	var over atomic.Bool
 	var all sync.WaitGroup
 	for _, addr := range addrs {
@@ -194,19 +194,19 @@
 
 // connectsTo is a server that notes when connections to it come, and ends those there are when asked.
 type fakeServer struct {
-	addr  string
-	came  chan time.Time
-	mu    sync.Mutex
-	conns []net.Conn
+	addr     string
+	accepted chan time.Time
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
 func newFakeServer(t *testing.T) *fakeServer {
-	s := &fakeServer{came: make(chan time.Time, 1000)}
+	s := &fakeServer{accepted: make(chan time.Time, 1000)}
 	s.addr = netcase.Accept(t, func(c net.Conn) {
 		s.mu.Lock()
 		s.conns = append(s.conns, c)
 		s.mu.Unlock()
-		s.came <- time.Now()
+		s.accepted <- time.Now()
 		io.Copy(io.Discard, c)
 	})
 	return s
@@ -278,13 +278,13 @@
 				slowest = max(slowest, time.Since(asked))
 				ended := time.Now()
 				old.closeConnections()
-				reconnect = max(reconnect, waitForConnection(t, "a server's connection", old.came, ended))
+				reconnect = max(reconnect, waitForConnection(t, "a server's connection", old.accepted, ended))
 				most = max(most, p.openDescriptors())
 			}
 			back := time.Now()
 			d.startServing()
 			followed := waitForConnection(t, "discovery", d.connected, back)
-			told := waitForConnection(t, "a new server", late.came, back)
+			told := waitForConnection(t, "a new server", late.accepted, back)
 			t.Logf("health check %v, server connected again %v, discovery followed %v, its new server connected %v, descriptors %d", slowest, reconnect, followed, told, most)
 			if slowest > maxDelay || reconnect > maxDelay || followed > maxDelay || told > maxDelay {
 				t.Error("too late")
@@ -309,7 +309,7 @@
 	for range 3 {
 		ended := time.Now()
 		server.closeConnections()
-		waitForConnection(t, "a server's connection", server.came, ended)
+		waitForConnection(t, "a server's connection", server.accepted, ended)
 		if got := adminRequest(t, admin, "GET", "/healthcheck"); got != 200 {
 			t.Errorf("health check: %d", got)
 		}
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -18,7 +18,7 @@
 	"masthill/internal/fleet"
 )
 
-// fleetCmd runs and changes many instances.
+// fleetCmd has the commands that run and change many instances on one machine.
 type fleetCmd struct {
 	Up      fleetUp      `cmd:"" help:"Start the fleet and supervise it, until SIGTERM or 'fleet down'."`
 	Status  fleetStatus  `cmd:"" help:"Tell what the instances do."`
@@ -28,7 +28,7 @@
 	Down    fleetDown    `cmd:"" help:"End all instances in order, and the supervisor."`
 }
 
-// fleetFile is the argument that all have.
+// fleetFile is the argument that all fleet commands have.
 type fleetFile struct {
 	File string `arg:"" name:"FLEET.toml" help:"The fleet's file."`
 }
@@ -41,7 +41,7 @@
 	return spec, nil
 }
 
-// dial finds the fleet's supervisor.
+// dial makes a client of the fleet's supervisor.
 func (f fleetFile) dial() (*fleet.Client, error) {
 	spec, err := f.load()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return fleet.Dial(spec), nil
 }
 
-// nobody gives an error that tells of no supervisor its exit code.
+// withNoAnswerCode gives an error the exit code exitNoAnswer if no instance or supervisor answered.
 func withNoAnswerCode(err error) error {
 	if errors.Is(err, ctl.ErrNobody) {
 		return exitError{exitNoAnswer, err}
@@ -69,11 +69,11 @@
 	if err != nil {
 		return err
 	}
-	own, err := config.ParseProject("", "", os.Getenv)
+	project, err := config.ParseProject("", "", os.Getenv)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
-	log, _, err := logger(own)
+	log, _, err := logger(project)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
@@ -158,7 +158,7 @@
 	if err := client.Order(ctx, "down", ""); err != nil {
 		return withNoAnswerCode(err)
 	}
-	for { // until nobody answers any more
+	for { // until the supervisor has ended
 		if _, err := client.Status(ctx); errors.Is(err, ctl.ErrNobody) {
 			return nil
 		}
@@ -181,7 +181,7 @@
 
 func (c fleetUpgrade) Run(out stdout) error { return runRollout(c.fleetFile, c.Program, c.NoWait, out) }
 
-// roll begins a rollout and follows it to its end. An interrupt ends the following, not the rollout.
+// runRollout starts a rollout and prints its progress until it ends. An interrupt stops the printing, not the rollout.
 func runRollout(f fleetFile, program string, noWait bool, out stdout) error {
 	client, err := f.dial()
 	if err != nil {
@@ -189,9 +189,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if program != "" { // as seen from here, not from where the supervisor runs
+	if program != "" { // a relative path refers to this directory, not to the supervisor's
 		if info, err := os.Stat(program); err != nil || info.IsDir() {
-			return exitError{exitUsage, fmt.Errorf("%s: no program there", program)}
+			return exitError{exitUsage, fmt.Errorf("%s: no such program", program)}
 		}
 		if program, err = filepath.Abs(program); err != nil {
 			return err
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -14,7 +14,7 @@
 	"masthill/internal/fleet"
 )
 
-// checkCmd reads every file as serving would, and tells all faults in one go.
+// checkCmd reads every file as serveCmd does, and prints all faults.
 type checkCmd struct {
 	JSON   bool `help:"Print the faults as JSON Lines."`
 	Schema bool `help:"Print the JSON Schema of the operators' settings and check nothing."`
@@ -26,7 +26,7 @@
 		return err
 	}
 	_, err := config.Load(os.Getenv)
-	own, ownErr := config.LoadProject(os.Getenv)
+	project, ownErr := config.LoadProject(os.Getenv)
 	faults := append(config.All(err), config.All(ownErr)...)
 	for _, f := range faults {
 		if c.JSON {
@@ -38,7 +38,7 @@
 	if len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
-	if own.Old {
+	if project.Old {
 		fmt.Fprintln(out, oldNameWarning)
 	}
 	if !c.JSON {
@@ -47,9 +47,10 @@
 	return nil
 }
 
-const oldNameWarning = "the settings have a name of before: use deploy/masthill.toml and MASTHILL_SETTINGS"
+// oldNameWarning is printed where the settings are found under their former name.
+const oldNameWarning = "the settings have their former name: use deploy/masthill.toml and MASTHILL_SETTINGS"
 
-// statusCmd asks an instance.
+// statusCmd prints the status of an instance.
 type statusCmd struct {
 	Socket string `help:"The instance's control socket; else the one that the settings name." placeholder:"PATH"`
 	JSON   bool   `help:"Print JSON."`
@@ -67,15 +68,15 @@
 	return nil
 }
 
-// ask asks the instance that the command line or the settings name.
+// queryStatus gets the status of the instance that the command line or else the settings name.
 func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
-		own, err := config.LoadProject(os.Getenv)
+		project, err := config.LoadProject(os.Getenv)
 		if err != nil {
 			return nil, exitError{exitUsage, err}
 		}
-		if path = own.Socket.Path; path == "" {
+		if path = project.Socket.Path; path == "" {
 			return nil, exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
@@ -92,7 +93,7 @@
 	return e.Encode(v)
 }
 
-// peersCmd tells what an instance knows of the others.
+// peersCmd prints what an instance knows of the other members of its fleet.
 type peersCmd struct {
 	statusCmd
 }
@@ -112,8 +113,9 @@
 	return nil
 }
 
-// launchCmd becomes another program, with LISTEN_PID set to this process, which only the process itself can know, and
-// with the lock of its folder held to its end. The fleet starts its instances by it.
+// launchCmd replaces itself by another program. Before, it locks the instance's directory until the process ends, and sets
+// LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor starts the
+// instances by it.
 type launchCmd struct {
 	Dir        string   `required:""`
 	Generation string   `required:""`
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -16,14 +16,14 @@
 	"masthill/internal/fleet"
 )
 
-// levelsCmd prints the history of levels.
+// levelsCmd prints the last changes of the level of service, of one instance or of a fleet.
 type levelsCmd struct {
 	Socket string `help:"The instance's control socket; else the one that the settings name." placeholder:"PATH"`
 	Fleet  string `help:"A fleet's file: the history of all its instances, side by side." placeholder:"FLEET.toml"`
 	JSON   bool   `help:"Print a JSON line for each change."`
 }
 
-// entry is one change of one instance.
+// instanceChange is one change of the level of service at one instance.
 type instanceChange struct {
 	Instance string `json:"instance"`
 	levels.Change
@@ -47,19 +47,19 @@
 			sockets = append(sockets, m.Socket)
 		}
 	case c.Socket == "":
-		own, err := config.LoadProject(os.Getenv)
+		project, err := config.LoadProject(os.Getenv)
 		if err != nil {
 			return exitError{exitUsage, err}
 		}
-		if sockets[0] = own.Socket.Path; sockets[0] == "" {
+		if sockets[0] = project.Socket.Path; sockets[0] == "" {
 			return exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket or --fleet")}
 		}
 	}
 	var names []string
-	var all []instanceChange
+	var changes []instanceChange
 	for _, path := range sockets {
 		st, err := ctl.Ask(ctx, path)
-		if err != nil && c.Fleet != "" { // the others still tell
+		if err != nil && c.Fleet != "" { // the other instances are still printed
 			fmt.Fprintf(os.Stderr, "masthill: %s: %v\n", path, err)
 			continue
 		}
@@ -68,23 +68,23 @@
 		}
 		names = append(names, st.Name)
 		for _, ch := range st.Levels {
-			all = append(all, instanceChange{st.Name, ch})
+			changes = append(changes, instanceChange{st.Name, ch})
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
+	sort.SliceStable(changes, func(i, j int) bool { return changes[i].At < changes[j].At })
 	if c.JSON {
-		for _, e := range all {
+		for _, e := range changes {
 			if err := json.NewEncoder(out).Encode(e); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return printChanges(out, names, all)
+	return printChanges(out, names, changes)
 }
 
-// table prints a column for each instance, and a line for each change.
-func printChanges(out stdout, names []string, all []instanceChange) error {
+// printChanges prints a table with a column for each instance and a line for each change.
+func printChanges(out stdout, names []string, changes []instanceChange) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "time")
 	currentLevels := map[string]levels.Level{}
@@ -92,7 +92,7 @@
 		fmt.Fprint(t, "\t", name)
 	}
 	fmt.Fprintln(t, "\tby\treason\treading\tuntil")
-	for _, e := range all {
+	for _, e := range changes {
 		currentLevels[e.Instance] = e.To
 		fmt.Fprint(t, time.Unix(0, e.At).UTC().Format("15:04:05.0"))
 		for _, name := range names {
@@ -100,7 +100,7 @@
 		}
 		fmt.Fprintf(t, "\t%s\t%s\t%.2f\t%s\n", e.Instance, e.Reason, e.Score, e.ExitCondition)
 	}
-	if len(all) == 0 {
+	if len(changes) == 0 {
 		fmt.Fprintln(t, "no change")
 	}
 	return t.Flush()
--- a/cmd/masthill/main.go
+++ b/cmd/masthill/main.go
@@ -1,5 +1,6 @@
-// Command masthill is one session controller: it takes calls from callers and places each at an office. Further
-// commands check its files, tell what an instance does, and run many of them on one machine.
+// Command masthill runs one session controller, which takes calls from callers and places each at an office. Further
+// commands check its files, show the status of an instance, publish configuration releases, and run many instances on one
+// machine.
 package main
 
 import (
@@ -17,18 +18,19 @@
 // The exit codes.
 const (
 	exitOK       = 0
-	exitFailed   = 1 // what was asked for failed
-	exitUsage    = 2 // the command line or a file is wrong; trying again is no use
-	exitNoAnswer = 3 // no instance answers
-	exitHalted   = 4 // a rollout halted, and was turned back where that was asked for
+	exitFailed   = 1 // the command failed
+	exitUsage    = 2 // the command line or a file is wrong; retrying does not help
+	exitNoAnswer = 3 // no instance, supervisor or configuration server answers
+	exitHalted   = 4 // a rollout or a release was halted; a rollout was rolled back if that was asked for
 )
 
-// coded is an error with the exit code that it means.
+// exitError is an error with the exit code to end with.
 type exitError struct {
 	code int
 	error
 }
 
+// Unwrap gives errors.Is and errors.As the error without its exit code.
 func (c exitError) Unwrap() error { return c.error }
 
 // cli is the command line.
@@ -45,29 +47,29 @@
 	Launch  launchCmd  `cmd:"" hidden:"" help:"Take over passed listening sockets and become the program."`
 }
 
-// signals are what the platform tells a running program.
+// signals are the operating system's signals that a running program handles.
 type signals struct{ term, reload chan os.Signal }
 
-// leave is the exit code that kong asks for.
+// kongExit is the exit code that kong asks for; run recovers it from a panic.
 type kongExit int
 
-// stdout is where commands print, but for tests.
+// stdout is the writer that commands print to; tests set another one.
 type stdout struct{ io.Writer }
 
 func main() {
-	// Caught before anything else: by default either signal would end the program at once.
+	// Caught before anything else, because by default either signal ends the program at once.
 	s := signals{term: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.term, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	os.Exit(run(os.Args[1:], s, os.Stdout, os.Stderr))
 }
 
-// run runs one command line and gives the exit code.
-func run(args []string, s signals, out, errs io.Writer) (code int) {
-	if len(args) == 0 { // as the platform starts it, where each megabyte counts: the parser's tables are not made
-		return reportError(serveCmd{}.Run(s), errs)
+// run executes one command line and returns the exit code.
+func run(args []string, s signals, out, errOut io.Writer) (code int) {
+	if len(args) == 0 { // as the platform starts it; without the parser's tables, to save memory
+		return reportError(serveCmd{}.Run(s), errOut)
 	}
-	defer func() { // kong asks to leave in the middle of parsing, after help
+	defer func() { // kong exits in the middle of parsing after it has printed help
 		if r := recover(); r != nil {
 			exit, ok := r.(kongExit)
 			if !ok {
@@ -77,30 +79,30 @@
 		}
 	}()
 	var c cli
-	parser, err := kong.New(&c, kong.Name("masthill"), kong.Writers(out, errs),
+	parser, err := kong.New(&c, kong.Name("masthill"), kong.Writers(out, errOut),
 		kong.Description("A session controller. Exit codes: 0 done; 1 failed; 2 the command line or a file is wrong; "+
 			"3 no instance answers; 4 a rollout halted."),
 		kong.Exit(func(code int) { panic(kongExit(code)) }), kong.Bind(s), kong.Bind(stdout{out}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		panic(err) // a fault of the program
+		panic(err) // the cli struct is invalid
 	}
 	if len(args) > 0 && args[0] == "help" {
 		args = append(args[1:len(args):len(args)], "--help")
 	}
 	ctx, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(errs, "masthill:", err)
+		fmt.Fprintln(errOut, "masthill:", err)
 		return exitUsage
 	}
-	return reportError(ctx.Run(), errs)
+	return reportError(ctx.Run(), errOut)
 }
 
-// finish prints an error and gives its exit code.
-func reportError(err error, errs io.Writer) int {
+// reportError prints err, if it is not nil, and returns its exit code.
+func reportError(err error, errOut io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(errs, "masthill:", err)
+	fmt.Fprintln(errOut, "masthill:", err)
 	var withCode exitError
 	if errors.As(err, &withCode) {
 		return withCode.code
@@ -112,7 +114,7 @@
 	Command []string `arg:"" optional:"" help:"The command to explain."`
 }
 
-// Run is never reached: run asks for help in its place, which knows the command that help is wanted for.
+// Run is never reached: the function run turns "help COMMAND" into "COMMAND --help" before parsing.
 func (helpCmd) Run() error { return nil }
 
 type versionCmd struct{}
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// version is the program's, from what the build noted: a version of the module, or the commit.
+// version is the version of the program as the build recorded it: that of the module, or the commit.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -41,7 +41,7 @@
 
 	// A planned end: what was taken is answered, and what still comes on an open connection too.
 	late := dial(t, p.sip)
-	office.line.Lock() // nothing is answered before the end has begun
+	office.processing.Lock() // nothing is answered before the end has begun
 	caller.write(invite("0000000000000002", "X-Patience: 60000\r\n"))
 	p.Process.Signal(syscall.SIGTERM)
 	for status := 0; status != 503; {
@@ -53,7 +53,7 @@
 		status = m.Status
 	}
 	late.write(invite("0000000000000003", "X-Patience: 60000\r\n"))
-	office.line.Unlock()
+	office.processing.Unlock()
 	caller.expect(200, "")
 	late.expect(200, "")
 	p.stop()
@@ -94,7 +94,7 @@
 	office := newProcessor(ledger, "office")
 	p := start(t, first, []string{sipOffice(t, office)}, "")
 	caller := dial(t, p.sip)
-	office.line.Lock()
+	office.processing.Lock()
 	caller.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
 	p.reload(func(string) string { return "{" })
 	for kept := false; !kept; { // the second signal must not meet the first
@@ -107,7 +107,7 @@
 	if pos := <-asked; pos != "1" {
 		t.Errorf("the new service was asked from %s", pos)
 	}
-	office.line.Unlock()
+	office.processing.Unlock()
 	caller.expect(200, "")
 	p.stop()
 }
@@ -157,14 +157,14 @@
 	wg.Wait()
 	p.stop()
 
-	stood := 0
+	accepted := 0
 	for c := range callers {
 		for k := range calls {
 			for _, id := range []string{sipID(c, k), wsID(c, k)} {
 				if a := got.answers[id]; len(a) != 1 {
 					t.Errorf("call %s got the answers %q", id, a)
 				} else if a[0] == "stands" {
-					stood++
+					accepted++
 				}
 			}
 		}
@@ -177,10 +177,10 @@
 			t.Errorf("call %s had a second attempt out, the first at %s", id, at)
 		}
 	}
-	if stood == 0 || stood == 2*callers*calls || ledger.attempts < stood {
-		t.Errorf("%d of %d calls stood with %d attempts: no slowdown to speak of", stood, 2*callers*calls, ledger.attempts)
+	if accepted == 0 || accepted == 2*callers*calls || ledger.attempts < accepted {
+		t.Errorf("%d of %d calls stood with %d attempts: no slowdown to speak of", accepted, 2*callers*calls, ledger.attempts)
 	}
-	t.Logf("%d of %d calls stood, %d attempts, %d cancels", stood, 2*callers*calls, ledger.attempts, len(ledger.canceled))
+	t.Logf("%d of %d calls stood, %d attempts, %d cancels", accepted, 2*callers*calls, ledger.attempts, len(ledger.canceled))
 }
 
 func sipID(caller, call int) string { return fmt.Sprintf("%08x%08x", 0xa0+caller, call) }
--- a/cmd/masthill/operation_test.go
+++ b/cmd/masthill/operation_test.go
@@ -79,7 +79,7 @@
 	idle, busy := dial(t, p.sip), dial(t, p.sip)
 	idle.write(optionsRequest)
 	idle.expect(200, "")
-	office.line.Lock() // nothing is answered before the drain
+	office.processing.Lock() // nothing is answered before the drain
 	busy.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
 	if got := adminRequest(t, admin, "POST", "/healthcheck/fail"); got != 200 {
 		t.Errorf("fail: %d", got)
@@ -92,7 +92,7 @@
 	late := dial(t, p.sip)
 	late.write(optionsRequest)
 	late.expect(503, "")
-	office.line.Unlock()
+	office.processing.Unlock()
 	busy.expect(200, "")
 	busy.write("BYE sip:x@net SIP/2.0\r\nCall-ID: 0000000000000001\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n")
 	busy.expect(200, "")
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -32,27 +32,26 @@
 	"masthill/internal/store"
 )
 
-// part is one subsystem of an instance, with the life cycle that all share: it is made from the settings, runs in the
-// instance's group until the end, hears that the planned end begins, and tells its status. What it does not do is nil; a
-// part that the settings leave off is empty.
+// subsystem is one part of an instance. Its constructor makes it from the settings; it then runs in the instance's errgroup
+// until the end. A function that it does not have is nil; a subsystem that the settings turn off has none.
 type subsystem struct {
 	run        func(ctx context.Context) error
-	onShutdown func()                // the planned end begins; new calls still come for a moment
-	status     func(*ctl.Status)     // from any goroutine
-	reload     func(*config.Project) // new settings: what can change under a running program does
+	onShutdown func()                // called when a graceful shutdown begins; new calls still arrive for a moment
+	status     func(*ctl.Status)     // adds to a status; called from any goroutine
+	reload     func(*config.Project) // applies those new settings that can change in a running program
 }
 
-// subsystems makes the parts, in this order: what takes part in decisions comes before the core, in the order in which it
-// is asked, and what needs the core comes behind it.
+// constructors make the subsystems, in this order. Decision modules come before the core, in the order in which it asks
+// them; what needs the core comes after it.
 var constructors = []func(*instance) (subsystem, error){
-	newSnapshots, newDescriptorAllocation, newPeers, newRecovery, newLevels, newShares, newGoodput, newStore, newCore, newCallerFront, newOfficePool, newJournalFeed, newCallWSFront,
-	newReleaseMember, newAdmin, newControlSocket,
+	newSnapshots, newDescriptorAllocation, newPeers, newRecovery, newLevels, newShares, newGoodput, newStore, newCore,
+	newCallerFront, newOfficePool, newJournalFeed, newCallWSFront, newReleaseMember, newAdmin, newControlSocket,
 }
 
-// joins adds a decision module beside control.
+// addModule adds a decision module to the core's options.
 func (in *instance) addModule(m join.Module) { in.options.Join = append(in.options.Join, m) }
 
-// snapshots keeps what has been learnt, and takes up what the process before kept.
+// newSnapshots makes the subsystem that writes snapshots of the learned state, and loads the one of the previous process.
 func newSnapshots(in *instance) (p subsystem, err error) {
 	in.previous = in.loadSnapshot()
 	if in.keeper != nil {
@@ -61,15 +60,15 @@
 	return p, nil
 }
 
-// load takes up the snapshot of the process before, where the settings name a directory, and finds the reason of this
-// start: what a supervisor says, or else what the snapshot tells.
+// loadSnapshot loads the snapshot of the previous process if the settings name a directory for it. It also finds the reason
+// of this start: the one that a supervisor gives, or else the one that follows from the snapshot.
 func (in *instance) loadSnapshot() *state.Snapshot {
 	in.startReason, in.snapshotResult = "first", "off"
-	var known *state.Snapshot
-	if dir := in.own.State.Dir; dir != "" {
-		in.keeper = &state.Keeper{Dir: dir, Instance: in.p.Name, Every: in.own.State.Every, Log: in.log.With(logs.Part, "state"),
+	var previous *state.Snapshot
+	if dir := in.project.State.Dir; dir != "" {
+		in.keeper = &state.Keeper{Dir: dir, Instance: in.platform.Name, Every: in.project.State.Every, Log: in.log.With(logs.Part, "state"),
 			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
-		s, err := state.Load(dir, in.p.Name, time.Now(), in.own.State.MostAge)
+		s, err := state.Load(dir, in.platform.Name, time.Now(), in.project.State.MostAge)
 		switch {
 		case errors.Is(err, state.ErrNone):
 			in.snapshotResult = "none"
@@ -77,7 +76,7 @@
 			in.startReason, in.snapshotResult = "unknown", err.Error()
 			in.log.Warn("snapshot left out", "why", err)
 		default:
-			known, in.snapshotResult = s, fmt.Sprintf("taken up, %v old", time.Since(s.At).Round(time.Millisecond))
+			previous, in.snapshotResult = s, fmt.Sprintf("taken up, %v old", time.Since(s.At).Round(time.Millisecond))
 			in.startReason = "crash"
 			if s.Ended != "" {
 				in.startReason = "restart"
@@ -87,42 +86,43 @@
 	if givenReason := os.Getenv("MASTHILL_START"); givenReason != "" {
 		in.startReason = givenReason
 	}
-	return known
+	return previous
 }
 
-// allocating shares the descriptors out, and notices another process at the same address, as in an upgrade.
+// newDescriptorAllocation makes the allocation of file descriptors. Where there is an operators' address, its subsystem
+// watches for another process at the same address, as in an upgrade.
 func newDescriptorAllocation(in *instance) (subsystem, error) {
 	peers := 0
-	if in.own.Peers.Listen != "" {
-		peers = cmp.Or(in.own.Peers.Most, in.p.Settings.GroupSize)
+	if in.project.Peers.Listen != "" {
+		peers = cmp.Or(in.project.Peers.Most, in.platform.Settings.GroupSize)
 	}
 	log := in.log.With(logs.Part, "descriptors")
-	in.descriptors = newAllocation(descriptors.Demand{Limit: in.p.Sockets, Peers: peers, Operators: in.p.Admin != "",
-		WebSocket: in.own.CallWS.Listen != "", Control: in.own.Socket.Path != "", Store: in.own.Store.Driver != "",
-		Releases: len(in.own.Distribution.Servers) > 0},
-		in.p.MemoryMB<<20/connMemoryDivisor/connMemoryBytes, log)
-	if in.p.Admin == "" {
+	in.descriptors = newAllocation(descriptors.Demand{Limit: in.platform.Sockets, Peers: peers, Operators: in.platform.Admin != "",
+		WebSocket: in.project.CallWS.Listen != "", Control: in.project.Socket.Path != "", Store: in.project.Store.Driver != "",
+		Releases: len(in.project.Distribution.Servers) > 0},
+		in.platform.MemoryMB<<20/connMemoryDivisor/connMemoryBytes, log)
+	if in.platform.Admin == "" {
 		return subsystem{}, nil
 	}
-	return subsystem{run: sibling.Open(os.TempDir(), in.p.Listen, log, in.descriptors.onUpgrade).Run}, nil
+	return subsystem{run: sibling.Open(os.TempDir(), in.platform.Listen, log, in.descriptors.onUpgrade).Run}, nil
 }
 
-// recovering paces what a newly started instance sends.
+// newRecovery adds the module that limits the rate of set-ups of a newly started instance.
 func newRecovery(in *instance) (subsystem, error) {
-	if in.own.Recovery.Enabled {
+	if in.project.Recovery.Enabled {
 		var evidence []recovery.Evidence
 		if in.previous != nil {
 			evidence = in.previous.Evidence()
 		}
-		in.recovery = recovery.New(recovery.Settings{Control: in.p.Settings, Planned: in.p.Planned}, in.p.Seed, in.startedAt.UnixNano(), evidence)
+		in.recovery = recovery.New(recovery.Settings{Control: in.platform.Settings, Planned: in.platform.Planned}, in.platform.Seed, in.startedAt.UnixNano(), evidence)
 		in.addModule(in.recovery)
 	}
 	return subsystem{}, nil
 }
 
-// levelling names levels of reduced service.
+// newLevels adds the module that sets the level of service, and makes the subsystem that feeds it gauges.
 func newLevels(in *instance) (subsystem, error) {
-	if !in.own.Levels.Enabled {
+	if !in.project.Levels.Enabled {
 		return subsystem{}, nil
 	}
 	var isRecovering func(int64) bool
@@ -130,7 +130,7 @@
 		isRecovering = in.recovery.Recovering
 	}
 	log := in.log.With(logs.Part, "levels")
-	in.levels = levels.New(in.p.Settings, in.p.Seed, in.startedAt.UnixNano(), isRecovering, func(c levels.Change) {
+	in.levels = levels.New(in.platform.Settings, in.platform.Seed, in.startedAt.UnixNano(), isRecovering, func(c levels.Change) {
 		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.ExitCondition)
 	})
 	if in.previous != nil {
@@ -143,10 +143,10 @@
 	return subsystem{run: in.runGauges, status: func(s *ctl.Status) { s.Levels = in.levelHistory() }}, nil
 }
 
-// gaugeEvery is how often the instance's own readings are taken for the levels: a few reads of /proc.
+// gaugeInterval is how often the instance's resource use is read for the levels, which takes a few reads of /proc.
 const gaugeInterval = time.Second
 
-// gauge brings the levels what no event tells.
+// runGauges reports to the core, for the levels, the resource use that no event carries.
 func (in *instance) runGauges(ctx context.Context) error {
 	tick := time.NewTicker(gaugeInterval)
 	defer tick.Stop()
@@ -157,8 +157,8 @@
 		case <-tick.C:
 		}
 		memory, descriptors := ctl.Usage()
-		in.core.Gauge(levels.Memory, memory/float64(in.p.MemoryMB))
-		in.core.Gauge(levels.Descriptors, float64(descriptors)/float64(in.p.Sockets))
+		in.core.Gauge(levels.Memory, memory/float64(in.platform.MemoryMB))
+		in.core.Gauge(levels.Descriptors, float64(descriptors)/float64(in.platform.Sockets))
 		in.core.Gauge(levels.Inbox, in.core.InboxUsed())
 		if _, lastHeard := in.feed.Position(); !lastHeard.IsZero() {
 			in.core.Gauge(levels.ListAge, time.Since(lastHeard).Seconds()/10)
@@ -166,20 +166,21 @@
 	}
 }
 
-// history are the last changes of the level of service, also after the core's end.
-func (in *instance) levelHistory() (all []levels.Change) {
+// levelHistory returns the last changes of the level of service, also after the core's end.
+func (in *instance) levelHistory() (changes []levels.Change) {
 	coreRuns := false
-	in.core.Look(func() { all, coreRuns = in.levels.History(), true })
+	in.core.Look(func() { changes, coreRuns = in.levels.History(), true })
 	if !coreRuns {
-		all = in.levels.History() // nothing changes it any more
+		changes = in.levels.History() // the core has ended, so nothing changes it any more
 	}
-	return all
+	return changes
 }
 
-// sharing holds members to their shares, by the whole fleet's counts where instances talk.
+// newShares adds the module that holds tenants to their shares, by the counts of the whole fleet if this instance is a
+// member of one.
 func newShares(in *instance) (subsystem, error) {
-	if in.own.Shares.Enabled {
-		in.shares = shares.New(in.p.Settings, in.p.Shares, in.p.Planned, in.p.Seed, in.startedAt.UnixNano())
+	if in.project.Shares.Enabled {
+		in.shares = shares.New(in.platform.Settings, in.platform.Shares, in.platform.Planned, in.platform.Seed, in.startedAt.UnixNano())
 		if in.shared != nil {
 			in.shares.UseFleetTotals(in.shared)
 		}
@@ -188,11 +189,11 @@
 	return subsystem{}, nil
 }
 
-// bounding bounds what is out by what came back in time.
+// newGoodput adds the module that limits the outstanding set-ups by the share that is answered in time.
 func newGoodput(in *instance) (subsystem, error) {
-	if in.own.Goodput.Enabled {
+	if in.project.Goodput.Enabled {
 		log := in.log.With(logs.Part, "goodput")
-		in.addModule(goodput.New(goodput.Settings{Control: in.p.Settings}, in.p.Seed, in.startedAt.UnixNano(), func(c goodput.Change) {
+		in.addModule(goodput.New(goodput.Settings{Control: in.platform.Settings}, in.platform.Seed, in.startedAt.UnixNano(), func(c goodput.Change) {
 			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
 				"in_vain", math.Round(c.LateShare*100)/100)
 		}))
@@ -200,12 +201,12 @@
 	return subsystem{}, nil
 }
 
-// recording writes calls to the store of record.
+// newStore makes the subsystem that writes call records to the database.
 func newStore(in *instance) (subsystem, error) {
-	if in.own.Store.Driver == "" {
+	if in.project.Store.Driver == "" {
 		return subsystem{}, nil
 	}
-	records, err := store.Open(store.Options{Driver: in.own.Store.Driver, DSN: in.own.Store.DSN, Instance: in.p.Name, Log: in.log.With(logs.Part, "store")})
+	records, err := store.Open(store.Options{Driver: in.project.Store.Driver, DSN: in.project.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.Part, "store")})
 	if err != nil {
 		return subsystem{}, err
 	}
@@ -213,7 +214,7 @@
 	return subsystem{run: records.Run}, nil
 }
 
-// deciding is the core.
+// newCore makes the core.
 func newCore(in *instance) (p subsystem, err error) {
 	in.options.OnUnknownRelease = func(id string, cut bool) { in.callerFront.Release(id, cut) }
 	if in.core, err = exchange.New(in.options); err != nil {
@@ -222,11 +223,11 @@
 	return subsystem{run: in.core.Run}, nil
 }
 
-// calling is the platform's front.
+// newCallerFront makes the front that the platform's callers connect to.
 func newCallerFront(in *instance) (p subsystem, err error) {
-	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.p.Names, Ready: in.state.Ready,
+	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.platform.Names, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.clientsShare().Places})
-	l, err := in.openListener("callers", in.p.Listen)
+	l, err := in.openListener("callers", in.platform.Listen)
 	if err != nil {
 		return p, err
 	}
@@ -235,52 +236,53 @@
 	return subsystem{run: func(ctx context.Context) error { return in.callerFront.Serve(ctx, bounded) }}, nil
 }
 
-// opens takes a passed socket over, or opens one.
+// openListener takes over the listening socket that was passed under a name, or else opens one.
 func (in *instance) openListener(name, addr string) (l *listener.Listener, err error) {
 	if passed, ok := in.passedListeners[name].(*net.TCPListener); ok {
 		l = listener.New(passed)
 		delete(in.passedListeners, name)
-	} else if l, err = listener.Open(addr, in.p.Admin != ""); err != nil {
+	} else if l, err = listener.Open(addr, in.platform.Admin != ""); err != nil {
 		return nil, err
 	}
 	in.listeners[name] = l
 	return l, nil
 }
 
-// placing is the offices' side.
+// newOfficePool makes the connections to the offices, over SIP and WebSocket.
 func newOfficePool(in *instance) (subsystem, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.Part, "offices"), ConnectWait: in.p.ConnectWait,
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.Part, "offices"), ConnectWait: in.platform.ConnectWait,
 		ListLive: func() bool { return in.feed.IsLive() },
-		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.Fields)),
-			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.Fields))}})
+		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.platform.Name, in.platform.Settings.Fields)),
+			"ws": in.descriptors.dial(callws.Dial(in.platform.Settings.Fields))}})
 	in.core.SetOffices(offices)
 	return subsystem{run: offices.Run}, nil
 }
 
-// following is the list of offices; what the process before had learnt of them follows what is known at the start.
+// newJournalFeed makes the client of the journal service, which keeps the list of offices. The core first gets the list
+// that the configuration holds, then what the previous process had learned of the offices.
 func newJournalFeed(in *instance) (subsystem, error) {
-	in.feed = &journal.Client{Addr: in.p.Journal, Log: in.log.With(logs.Part, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
+	in.feed = &journal.Client{Addr: in.platform.Journal, Log: in.log.With(logs.Part, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
 		OnChange: func(changed []exchange.Office, full bool) {
 			in.descriptors.onServerList(changed, full)
 			in.core.UpdateOffices(changed, full)
 		}}
-	in.feed.LoadInitial(in.p.Known)
+	in.feed.LoadInitial(in.platform.Known)
 	if in.previous != nil {
 		in.core.Restore(in.previous.Learnt)
 	}
 	return subsystem{run: in.feed.Run}, nil
 }
 
-// controlling is call control over WebSocket.
+// newCallWSFront makes the front for call control over WebSocket.
 func newCallWSFront(in *instance) (subsystem, error) {
-	if in.own.CallWS.Listen == "" {
+	if in.project.CallWS.Listen == "" {
 		return subsystem{}, nil
 	}
-	l, err := in.openListener("callws", in.own.CallWS.Listen)
+	l, err := in.openListener("callws", in.project.CallWS.Listen)
 	if err != nil {
 		return subsystem{}, fmt.Errorf("callws.listen: %w", err)
 	}
-	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.p.Names, Callers: in.own.CallWS.Callers, Ready: in.state.Ready,
+	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.platform.Names, Callers: in.project.CallWS.Callers, Ready: in.state.Ready,
 		MaxOpen: in.descriptors.budget.WebSocket.Places})
 	in.fronts[f], in.callWSFront = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
@@ -288,12 +290,12 @@
 	return subsystem{run: func(ctx context.Context) error { return f.Serve(ctx, bounded) }}, nil
 }
 
-// administering is the operators' second address.
+// newAdmin makes the server of the operators' address.
 func newAdmin(in *instance) (subsystem, error) {
-	if in.p.Admin == "" {
+	if in.platform.Admin == "" {
 		return subsystem{}, nil
 	}
-	l, err := listener.Open(in.p.Admin, false)
+	l, err := listener.Open(in.platform.Admin, false)
 	if err != nil {
 		return subsystem{}, fmt.Errorf("admin: %w", err)
 	}
@@ -304,9 +306,9 @@
 	return subsystem{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
 
-// socket is the control socket.
+// newControlSocket makes the control socket.
 func newControlSocket(in *instance) (subsystem, error) {
-	path := in.own.Socket.Path
+	path := in.project.Socket.Path
 	if path == "" {
 		return subsystem{}, nil
 	}
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -27,44 +27,44 @@
 	"masthill/internal/peers"
 )
 
-// auditMost bounds the claims that wait to be written down.
+// auditQueueSize is how many records may wait to be written to the audit file.
 const auditQueueSize = 4096
 
-// talking makes the instance a member of its fleet.
+// newPeers makes the subsystem by which the instance is a member of its fleet, and adds the shared module.
 func newPeers(in *instance) (subsystem, error) {
-	s := in.own.Peers
+	s := in.project.Peers
 	if s.Listen == "" {
 		return subsystem{}, nil
 	}
-	// The core's clock must not step, as parts of budgets end by it.
-	began := time.Now()
-	in.options.Now = func() time.Time { return began.Add(time.Since(began)) }
+	// The core's clock must not step, because leases expire by it.
+	startTime := time.Now()
+	in.options.Now = func() time.Time { return startTime.Add(time.Since(startTime)) }
 	var randomBytes [8]byte
 	rand.Read(randomBytes[:])
 	epoch := binary.BigEndian.Uint64(randomBytes[:]) | 1
-	name := cmp.Or(s.Name, in.p.Name)
+	name := cmp.Or(s.Name, in.platform.Name)
 	log := in.log.With(logs.Part, "peers")
-	record := &auditLog{path: s.Audit, records: make(chan any, auditQueueSize)}
-	record.add("start", began, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
-	settings := shared.Config{Control: in.p.Settings, Planned: in.p.Planned, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.Numbers,
+	audit := &auditLog{path: s.Audit, records: make(chan any, auditQueueSize)}
+	audit.add("start", startTime, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
+	settings := shared.Config{Control: in.platform.Settings, Planned: in.platform.Planned, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.Numbers,
 		Budgets: s.Budgets, DetectOutliers: s.Judgements, Count: count.Config{OmitCheck: omittedCheck}, Outlier: outlier.Config{OmitCheck: omittedCheck},
-		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.p.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: omittedCheck}}
-	for _, t := range in.p.Shares {
+		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.platform.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: omittedCheck}}
+	for _, t := range in.platform.Shares {
 		settings.Tenants = append(settings.Tenants, t.Name)
 	}
-	leaderUntil := int64(0) // until when; the core's goroutine alone looks at it
-	in.shared = shared.New(settings, in.p.Seed^epoch, in.startedAt.UnixNano(), shared.Callbacks{
-		Claim: func(c lease.Claim) { record.add("claim", in.options.Now(), c) },
+	leaderUntil := int64(0) // until when this instance is the leader; used by the core's goroutine alone
+	in.shared = shared.New(settings, in.platform.Seed^epoch, in.startedAt.UnixNano(), shared.Callbacks{
+		Claim: func(c lease.Claim) { audit.add("claim", in.options.Now(), c) },
 		Leader: func(until int64) {
 			now := in.options.Now()
 			if now.UnixNano() > leaderUntil {
 				log.Info("hands budgets out", "reason", "majority", "for", time.Unix(0, until).Sub(now).Round(time.Millisecond))
 			}
 			leaderUntil = until
-			record.add("reign", now, until)
+			audit.add("reign", now, until)
 		},
 		Decision: func(v outlier.Decision) {
-			record.add("verdict", in.options.Now(), v)
+			audit.add("verdict", in.options.Now(), v)
 			state := "ended"
 			if v.Avoided {
 				state = "avoided"
@@ -81,7 +81,7 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: membersFile(in.own), Log: log, Module: in.shared,
+		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: membersFile(in.project), Log: log, Module: in.shared,
 		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return subsystem{}, err
@@ -91,11 +91,11 @@
 			g, ctx := errgroup.WithContext(ctx)
 			g.Go(func() error {
 				if err := in.peers.Run(ctx); err != nil { // calls do not depend on it
-					log.Error("no member of the fleet", "reason", "failed", "err", err)
+					log.Error("not a member of the fleet", "reason", "failed", "err", err)
 				}
 				return nil
 			})
-			g.Go(func() error { return record.run(ctx, in) })
+			g.Go(func() error { return audit.run(ctx, in) })
 			return g.Wait()
 		},
 		status: func(st *ctl.Status) { st.Peers = in.peersStatus() },
@@ -109,38 +109,38 @@
 	}, nil
 }
 
-// lookFor is how long another member may take to read what this one tells.
+// statusWriteTimeout is how long another member may take to read this one's status.
 const statusWriteTimeout = 2 * time.Second
 
-// remember names the file of the members' addresses; empty without a folder of its own.
-func membersFile(own *config.Project) string {
-	if own.State.Dir == "" {
+// membersFile is the path of the file that keeps the members' addresses; empty if the settings name no directory for state.
+func membersFile(project *config.Project) string {
+	if project.State.Dir == "" {
 		return ""
 	}
-	return filepath.Join(own.State.Dir, "members.json")
+	return filepath.Join(project.State.Dir, "members.json")
 }
 
-// talks is what this instance knows of its fleet.
+// peersStatus is what this instance knows of the other members of its fleet.
 func (in *instance) peersStatus() *ctl.Peers {
 	t := &ctl.Peers{Status: in.peers.Status()}
 	in.core.Look(func() { t.Shared = in.shared.Look(in.options.Now().UnixNano()) })
 	return t
 }
 
-// audit writes down what this instance claims, line by line, for a checker. It never keeps the core waiting: what does not
-// fit is counted.
+// auditLog writes the claims of this instance to a file, as JSON Lines for a checker. It never blocks the core: records
+// that do not fit into its queue are dropped and counted.
 type auditLog struct {
 	path    string
 	records chan any
 	dropped atomic.Int64
 }
 
-// line is one claim. Times are the core's, in Unix nanoseconds.
+// auditRecord is one line of the audit file. Times are by the core's clock, in Unix nanoseconds.
 type auditRecord struct {
 	At    int64  `json:"at"`
 	Kind  string `json:"kind"` // start, claim, reign, verdict, look
 	Claim any    `json:"claim"`
-	// A look also tells how many members are taken to be there, and the bytes and datagrams sent so far.
+	// Of a look also: how many members are taken to be alive, and the bytes and datagrams sent so far.
 	Alive     int   `json:"alive,omitempty"`
 	Bytes     int64 `json:"bytes,omitempty"`
 	Datagrams int64 `json:"datagrams,omitempty"`
@@ -157,7 +157,7 @@
 	}
 }
 
-// lookEvery is how often counts and budgets are written down beside what changes.
+// auditInterval is how often the counts and budgets are written, in addition to each change.
 const auditInterval = 500 * time.Millisecond
 
 func (a *auditLog) run(ctx context.Context, in *instance) error {
@@ -190,13 +190,13 @@
 				return nil // the core has ended
 			}
 			st := in.peers.Status()
-			one := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
+			record := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
 			for _, m := range st.Members {
 				if m.State == peers.Alive || m.State == peers.Suspect {
-					one.Alive++
+					record.Alive++
 				}
 			}
-			l = one
+			l = record
 		}
 		if err := e.Encode(l); err != nil {
 			in.log.Error("claims not written", logs.Part, "peers", "reason", "disk", "err", err)
--- a/cmd/masthill/releasemember.go
+++ b/cmd/masthill/releasemember.go
@@ -12,14 +12,15 @@
 	"masthill/internal/releases"
 )
 
-// configuring takes configuration releases from the fleet's servers. Nothing waits for them: what is in force goes on.
+// newReleaseMember makes the subsystem that follows configuration releases from the fleet's configuration servers. Nothing
+// waits for the servers: until a release arrives, the configuration in force stays.
 func newReleaseMember(in *instance) (subsystem, error) {
-	s := in.own.Distribution
+	s := in.project.Distribution
 	if len(s.Servers) == 0 {
 		return subsystem{}, nil
 	}
-	member := releases.NewMember(releases.MemberOptions{Name: in.p.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.Public,
-		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.p.Seed, Log: in.log.With(logs.Part, "releases"), Apply: in.applyRelease,
+	member := releases.NewMember(releases.MemberOptions{Name: in.platform.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.Public,
+		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.platform.Seed, Log: in.log.With(logs.Part, "releases"), Apply: in.applyRelease,
 		Dial: descriptors.Dialer(in.descriptors.onShortage)})
 	return subsystem{run: member.Run, status: func(st *ctl.Status) {
 		status := member.Status()
@@ -27,8 +28,7 @@
 	}}, nil
 }
 
-// applyRelease puts a release in force, or without one what the instance's own files say. A release with a fault in it
-// changes nothing.
+// applyRelease applies a release or, if it is nil, the instance's own files. A release with a fault changes nothing.
 func (in *instance) applyRelease(release *distribution.Release) error {
 	live := &config.Live{}
 	if release != nil {
@@ -38,11 +38,11 @@
 			return err
 		}
 	}
-	tenants, err := live.TenantFractions(in.p.Shares)
+	tenants, err := live.TenantFractions(in.platform.Shares)
 	if err != nil {
 		return err
 	}
-	level, byPart := in.own.Log.Level, in.own.Log.Levels
+	level, byPart := in.project.Log.Level, in.project.Log.Levels
 	if live.Log.Level != "" {
 		level = live.Log.Level
 	}
@@ -61,7 +61,7 @@
 		in.core.Look(func() { in.shares.SetFractions(tenants) })
 	}
 	if in.callWSFront != nil {
-		callers := in.own.CallWS.Callers
+		callers := in.project.CallWS.Callers
 		if live.CallWS.Callers != nil {
 			callers = live.CallWS.Callers
 		}
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// checkUsed finds what a release wants to change and this instance does not use.
+// checkSubsystemsEnabled returns a fault for a setting of a release that belongs to a subsystem which is off at this
+// instance.
 func (in *instance) checkSubsystemsEnabled(live *config.Live) error {
 	if live.Shares.Fractions != nil && in.shares == nil {
 		return config.Fault{Key: "shares.fractions", Text: "shares are off at this instance"}
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -57,7 +57,7 @@
 	return err
 }
 
-// readPrivateKey reads a file that keygen wrote.
+// readPrivateKey reads a private key from a file that configKeygen wrote.
 func readPrivateKey(file string) (ed25519.PrivateKey, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return nil, fmt.Errorf("%s: no private key", file)
+		return nil, fmt.Errorf("%s: not a private key", file)
 	}
 	return ed25519.NewKeyFromSeed(seed), nil
 }
@@ -87,8 +87,8 @@
 	return err
 }
 
-// readContent reads and checks the content of a release. Values that stand in the environment are looked up where the
-// release is applied; here each counts as one of its own.
+// readContent reads and checks the content of a release. Values that refer to the environment are looked up by the instance
+// that applies the release; for the check each stands for a distinct text.
 func readContent(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return text, nil
 }
 
-// configFleet is what most of the commands need to know of a fleet.
+// configFleet holds the flags that most of the commands share.
 type configFleet struct {
 	Servers []string `required:"" name:"servers" placeholder:"HOST:PORT" help:"All configuration servers of the fleet."`
 	Fleet   string   `required:"" help:"The fleet's name; releases of another one are refused."`
@@ -125,7 +125,7 @@
 		keys = append(keys, key)
 	}
 	if !slices.Contains(c.Servers, c.Listen) {
-		return exitError{exitUsage, fmt.Errorf("--listen: %s is none of --servers", c.Listen)}
+		return exitError{exitUsage, fmt.Errorf("--listen: %s is not one of --servers", c.Listen)}
 	}
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -147,8 +147,9 @@
 		Dir: c.Dir, Log: log}).Serve(ctx, l)
 }
 
-// all asks all servers the same, at the same time, and tells how many did as asked.
-func (c configFleet) onAllServers(request func(ctx context.Context, client *releases.Client, server string) error) (done int, err error) {
+// onAllServers sends the same request to all servers at the same time. It returns how many of them succeeded, and the
+// errors of the others.
+func (c configFleet) onAllServers(request func(ctx context.Context, client *releases.Client, server string) error) (succeeded int, err error) {
 	client := releases.NewClient(nil)
 	defer client.Close()
 	failures := make([]error, len(c.Servers))
@@ -164,18 +165,18 @@
 	g.Wait()
 	for _, err := range failures {
 		if err == nil {
-			done++
+			succeeded++
 		}
 	}
-	return done, errors.Join(failures...)
+	return succeeded, errors.Join(failures...)
 }
 
-// overview asks all servers for what they know. Servers that do not answer are told in err; without any, it is ErrNobody's
-// exit code.
+// overview gets the status of all servers and combines them. Servers that do not answer are named in err; if none answers,
+// err has the exit code exitNoAnswer.
 func (c configFleet) overview() (distribution.Overview, error) {
 	var mu sync.Mutex
 	var statuses []distribution.Status
-	done, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
+	answered, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
 		status, err := client.Status(ctx, server)
 		if err == nil {
 			mu.Lock()
@@ -184,13 +185,13 @@
 		}
 		return err
 	})
-	if done == 0 {
+	if answered == 0 {
 		return distribution.Overview{}, exitError{exitNoAnswer, err}
 	}
 	return distribution.NewOverview(statuses), err
 }
 
-// majority is how many of the servers have to have a release.
+// majority is how many of the servers have to accept a release.
 func (c configFleet) majority() int { return len(c.Servers)/2 + 1 }
 
 type configPublish struct {
@@ -204,7 +205,7 @@
 	File    string        `arg:"" help:"The content, as TOML."`
 }
 
-// publishRetry is the pause before servers that refused are asked again.
+// retryInterval is the pause before a release is sent again, or the servers are asked again for its state.
 const retryInterval = 500 * time.Millisecond
 
 func (c configPublish) Run(out stdout) error {
@@ -231,7 +232,7 @@
 	return c.follow(out, release.Version)
 }
 
-// release makes and signs the release.
+// release builds and signs the release.
 func (c configPublish) release() (*distribution.Release, error) {
 	content, err := readContent(c.File)
 	if err != nil {
@@ -261,11 +262,11 @@
 	return release, nil
 }
 
-// parseStage reads a stage as the command line has it: zones, and when they take the release.
+// parseStage parses a --stage flag: the zones, and how long after its publication they take the release.
 func parseStage(text string) (stage distribution.Stage, err error) {
 	zones, after, ok := strings.Cut(text, "=")
 	if !ok || zones == "" {
-		return stage, fmt.Errorf("--stage %q: wanted ZONE,ZONE=AFTER", text)
+		return stage, fmt.Errorf("--stage %q: expected ZONE,ZONE=AFTER", text)
 	}
 	stage.Zones = strings.Split(zones, ",")
 	if stage.After, err = time.ParseDuration(after); err != nil {
@@ -274,7 +275,7 @@
 	return stage, nil
 }
 
-// follow waits until every instance has taken a release, or it is halted.
+// follow waits until every instance runs a release, or the release is halted.
 func (c configPublish) follow(out stdout, version distribution.Version) error {
 	var o distribution.Overview
 	for end := time.Now().Add(c.Follow); time.Now().Before(end); time.Sleep(retryInterval) {
@@ -287,7 +288,7 @@
 			return nil
 		}
 	}
-	return exitError{exitFailed, fmt.Errorf("version %d: not with all instances after %v: %v", version, c.Follow, o.States())}
+	return exitError{exitFailed, fmt.Errorf("version %d: not running on all instances after %v: %v", version, c.Follow, o.States())}
 }
 
 type configHalt struct {
@@ -304,13 +305,13 @@
 	}
 	order := distribution.HaltOrder{Fleet: c.Fleet, Version: distribution.Version(c.Version), Reason: c.Reason}
 	order.Sign(key)
-	done, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
+	succeeded, err := c.onAllServers(func(ctx context.Context, client *releases.Client, server string) error {
 		return client.Halt(ctx, server, order)
 	})
-	if done == 0 {
+	if succeeded == 0 {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "version %d: halted at %d of %d servers; they tell the others\n", c.Version, done, len(c.Servers))
+	_, err = fmt.Fprintf(out, "version %d: halted at %d of %d servers; they tell the others\n", c.Version, succeeded, len(c.Servers))
 	return err
 }
 
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -36,35 +36,37 @@
 )
 
 const (
-	// acceptFor is how long after SIGTERM new connections are accepted (PROTOCOL: they come for 0.2 to
-	// 0.4 s), takeFor how long requests still come on open ones (0.2 s more), both with a margin.
+	// acceptPeriod is how long after SIGTERM new connections are accepted: the platform still opens some for 0.2 to 0.4 s.
+	// requestPeriod is how long after SIGTERM requests are expected on open connections: 0.2 s more. Both have a margin.
 	acceptPeriod, requestPeriod = 450 * time.Millisecond, 700 * time.Millisecond
-	// killAfter, with the longest deadline counted as longestMost at most, is the time from SIGTERM to SIGKILL
-	// (PROTOCOL). refuseLead before it, what still waits is refused; flushFor is the time that the last answers then get
-	// to be written and read.
+	// The platform sends SIGKILL killDelay plus the longest deadline, which counts as maxCountedDeadline at most, after
+	// SIGTERM. refuseMargin before that, the calls that still wait are refused; the last answers then have flushTimeout to
+	// be written and read.
 	killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
 	refuseMargin, flushTimeout    = 400 * time.Millisecond, 200 * time.Millisecond
-	// drainAfter is how long after an operator's call idle connections are kept: the platform asks ten times a second and
-	// stops new connections 0.2 s after a no, and callers that lose theirs before would only come again.
+	// drainDelay is how long idle connections are kept after an operator orders a drain. The platform checks the health ten
+	// times a second and stops new connections 0.2 s after a check fails; callers that lost a connection earlier would only
+	// reconnect.
 	drainDelay = 400 * time.Millisecond
-	// settleFor is how long a start beside another process waits for the list, of the 6 s in which it is to be ready.
+	// listWaitTimeout is how long a start waits for the journal service where another process may be serving. An instance
+	// has 6 s to become ready.
 	listWaitTimeout = 1500 * time.Millisecond
-	// endStep is how often an orderly end looks whether it is through.
+	// pollInterval is the pause between checks of a condition that is waited for.
 	pollInterval = 5 * time.Millisecond
-	// connPart and connEach bound the platform's callers by memory too: a connection's buffers, stacks and what
-	// may be queued for it, in an eighth of the limit.
+	// The connections of the platform's callers may take one part in connMemoryDivisor of the memory limit. Each counts as
+	// connMemoryBytes, for its buffers, its stacks and what may be queued for it.
 	connMemoryDivisor, connMemoryBytes = 8, 32 << 10
-	// memoryPart is the part of the memory limit that the Go heap may take; the rest is for the program's own
-	// pages, stacks, socket buffers and files.
+	// heapFraction is the fraction of the memory limit that Go's runtime may use; the rest is for the program's own pages,
+	// stacks, socket buffers and files.
 	heapFraction = 0.7
 )
 
-// front is one way in for callers.
+// front is a server that callers connect to, over SIP or WebSocket.
 type front interface {
-	Drain(after time.Duration) // connections are closed as they have nothing open
-	Resume()
-	Unfinished() int // connections that a drain has still to serve
-	Refuse()         // what still comes is refused at once
+	Drain(after time.Duration) // beginning after that time, closes connections that have no call open
+	Resume()                   // ends a drain
+	Unfinished() int           // connections that still have calls open
+	Refuse()                   // from now on, requests are refused at once
 	Shutdown(ctx context.Context)
 	Serve(ctx context.Context, l net.Listener) error
 }
@@ -74,29 +76,29 @@
 
 func (serveCmd) Run(s signals) error {
 	p, err := config.Load(os.Getenv)
-	own, ownErr := config.LoadProject(os.Getenv)
+	project, ownErr := config.LoadProject(os.Getenv)
 	if faults := append(config.All(err), config.All(ownErr)...); len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("configuration: %w", faults)}
 	}
-	debug.FreeOSMemory() // the schema and its compiler are needed no more
-	log, levels, err := logger(own)
+	debug.FreeOSMemory() // the schema and its compiler are no longer needed
+	log, levels, err := logger(project)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
-	return serve(p, own, s, log.With("node", p.Name), levels)
+	return serve(p, project, s, log.With("node", p.Name), levels)
 }
 
-// logger makes the log that the settings ask for. MASTHILL_LOG=debug comes before their level, for all parts.
-func logger(own *config.Project) (*slog.Logger, *logs.Levels, error) {
-	general, parts, err := logLevels(own.Log.Level, own.Log.Levels)
+// logger makes the logger for the settings. MASTHILL_LOG=debug overrides their general level.
+func logger(project *config.Project) (*slog.Logger, *logs.Levels, error) {
+	general, parts, err := logLevels(project.Log.Level, project.Log.Levels)
 	if err != nil {
 		return nil, nil, err
 	}
 	levels := logs.NewLevels(general, parts)
-	return logs.New(logs.Options{Out: os.Stderr, JSON: own.Log.Format == "json", Repeats: own.Log.Repeats, Levels: levels}), levels, nil
+	return logs.New(logs.Options{Out: os.Stderr, JSON: project.Log.Format == "json", Repeats: project.Log.Repeats, Levels: levels}), levels, nil
 }
 
-// logLevels reads the names of a general level and of the levels by part.
+// logLevels parses the general log level, which MASTHILL_LOG overrides, and the levels by part of the program.
 func logLevels(general string, byPart map[string]string) (slog.Level, map[string]slog.Level, error) {
 	if name := os.Getenv("MASTHILL_LOG"); name != "" {
 		general = name
@@ -114,59 +116,60 @@
 	return level, parts, nil
 }
 
-// instance is one running session controller, put together from its parts.
+// instance is one running session controller, assembled from its subsystems.
 type instance struct {
-	p               *config.Platform
-	own             *config.Project
+	platform        *config.Platform
+	project         *config.Project
 	log             *slog.Logger
 	logLevels       *logs.Levels
-	options         exchange.Options // of the core, until it is made
-	previous        *state.Snapshot  // of the process before; nil: none
+	options         exchange.Options // of the core; subsystems add to them until it is made
+	previous        *state.Snapshot  // the snapshot that the previous process kept; nil: none
 	passedListeners map[string]net.Listener
 	manager         *notify.Manager
 	core            *exchange.Exchange
 	feed            *journal.Client
 	callerFront     *caller.Server
 	fronts          map[front]*listener.Listener
-	listeners       map[string]net.Listener // the same by name, for a supervisor that takes them over
-	keeper          *state.Keeper           // nil: nothing is kept
+	listeners       map[string]net.Listener // by name, for a supervisor that takes them over
+	keeper          *state.Keeper           // nil: no snapshots are kept
 	recovery        *recovery.Recovery      // nil: off
 	levels          *levels.Levels          // nil: off
 	shared          *shared.Shared          // nil: off
 	shares          *shares.Shares          // nil: off
 	callWSFront     *callws.Front           // nil: off
 	peers           *peers.Peers            // nil: off
-	parts           []subsystem
+	subsystems      []subsystem
 	descriptors     *allocation
 	startedAt       time.Time
-	startReason     string // of the start
-	snapshotResult  string // taken up, or why not
+	startReason     string
+	snapshotResult  string // whether a snapshot was restored, or why not
 	listenAddr      string
 	state           readiness.State
-	configWarning   atomic.Value // string
+	configWarning   atomic.Value // string; empty: none
 }
 
-func serve(p *config.Platform, own *config.Project, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
-	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * heapFraction))
-	if own.Old {
-		log.Warn("settings under an old name", "file", own.File, "why", oldNameWarning)
-	}
-	in := &instance{p: p, own: own, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
+// serve makes the subsystems of an instance and runs it to its end.
+func serve(platform *config.Platform, project *config.Project, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(platform.Cores))))
+	debug.SetMemoryLimit(int64(float64(platform.MemoryMB<<20) * heapFraction))
+	if project.Old {
+		log.Warn("settings under an old name", "file", project.File, "why", oldNameWarning)
+	}
+	in := &instance{platform: platform, project: project, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
 	var err error
 	if in.passedListeners, err = notify.Listeners(os.Getenv); err != nil {
 		return err
 	}
 	if in.manager, err = notify.Open(os.Getenv); err != nil {
-		log.Warn("service manager not told", "err", err)
+		log.Warn("service manager not notified", "err", err)
 	}
-	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: p.MemoryMB << 20}
+	in.options = exchange.Options{Settings: platform.Settings, Seed: platform.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: platform.MemoryMB << 20}
 	for _, construct := range constructors {
-		one, err := construct(in)
+		sub, err := construct(in)
 		if err != nil {
 			return err
 		}
-		in.parts = append(in.parts, one)
+		in.subsystems = append(in.subsystems, sub)
 	}
 	for name, l := range in.passedListeners {
 		log.Warn("passed socket not used", "name", name, "addr", l.Addr().String())
@@ -175,14 +178,14 @@
 	return in.run(signals)
 }
 
-// run starts all parts and waits for the end.
+// run starts all subsystems and waits until they have ended.
 func (in *instance) run(signals signals) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	g, ctx := errgroup.WithContext(ctx)
-	for _, one := range in.parts {
-		if one.run != nil {
-			g.Go(func() error { return one.run(ctx) })
+	for _, sub := range in.subsystems {
+		if sub.run != nil {
+			g.Go(func() error { return sub.run(ctx) })
 		}
 	}
 	g.Go(func() error {
@@ -193,9 +196,9 @@
 		}
 		in.state.End()
 		in.manager.Stopping("answers what it has taken")
-		for _, one := range in.parts {
-			if one.onShutdown != nil {
-				one.onShutdown()
+		for _, sub := range in.subsystems {
+			if sub.onShutdown != nil {
+				sub.onShutdown()
 			}
 		}
 		in.shutDown()
@@ -216,11 +219,11 @@
 	})
 	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.UnansweredCalls() }) })
 	g.Go(func() error { in.followPhase(ctx); return nil })
-	if in.p.Admin != "" {
+	if in.platform.Admin != "" {
 		in.waitForList(ctx)
 	}
 	pos, _ := in.feed.Position()
-	in.state.MarkStarted() // before the line that tells so
+	in.state.MarkStarted() // before the log line that says so
 	in.log.Info("serving", "listen", in.listenAddr, "pos", pos, "start", in.startReason, "snapshot", in.snapshotResult)
 	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
@@ -228,17 +231,18 @@
 	return nil
 }
 
-// settle waits a moment for the list's service: an instance that is started beside the one before it, in an upgrade, must
-// not send callers to offices that its own list does not know to have gone. Without the service it starts all the same.
+// waitForList waits up to listWaitTimeout for the journal service. An instance that an upgrade starts beside the previous
+// one must not send calls to offices that have gone while its own list still has them. If the service does not answer,
+// the instance starts all the same.
 func (in *instance) waitForList(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, listWaitTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, listWaitTimeout)
 	defer cancel()
-	for !in.feed.IsLive() && limit.Err() == nil {
+	for !in.feed.IsLive() && waitCtx.Err() == nil {
 		time.Sleep(pollInterval)
 	}
 }
 
-// follow has the fronts and the service manager do what the instance's state asks, until the end.
+// followPhase resumes or drains the fronts and notifies the service manager as the phase changes, until the shutdown.
 func (in *instance) followPhase(ctx context.Context) {
 	for last := readiness.Starting; ctx.Err() == nil && last != readiness.Ending; {
 		now := in.state.WaitForChange(ctx, last)
@@ -262,18 +266,18 @@
 	}
 }
 
-// status is what the control socket tells.
+// status is the answer to a status request on the control socket.
 func (in *instance) status() ctl.Status {
 	core := in.core.Status()
 	pos, lastHeard := in.feed.Position()
-	s := ctl.Status{Name: in.p.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.startedAt, StartReason: in.startReason,
-		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.p.MemoryMB, SocketsMost: in.p.Sockets, Core: core}
+	s := ctl.Status{Name: in.platform.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.startedAt, StartReason: in.startReason,
+		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.platform.MemoryMB, SocketsMost: in.platform.Sockets, Core: core}
 	if !lastHeard.IsZero() {
 		s.ListAgeMS = time.Since(lastHeard).Milliseconds()
 	}
-	for _, one := range in.parts {
-		if one.status != nil {
-			one.status(&s)
+	for _, sub := range in.subsystems {
+		if sub.status != nil {
+			sub.status(&s)
 		}
 	}
 	s.MemoryMB, s.Descriptors = ctl.Usage()
@@ -292,10 +296,10 @@
 	return s
 }
 
-// reload takes a new configuration. Only the journal service can change under a running program; calls and
-// connections go on. A file that is wrong changes nothing.
+// reload reads the configuration again. Of the platform's file only the address of the journal service can change in a
+// running program; calls and connections go on. A file with a fault changes nothing.
 func (in *instance) reload() {
-	old, feed, log := in.p, in.feed, in.log
+	old, feed, log := in.platform, in.feed, in.log
 	p, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error("configuration kept", "err", err)
@@ -305,32 +309,32 @@
 	in.configWarning.Store("")
 	if p.Listen != old.Listen || p.Name != old.Name || p.Cores != old.Cores || p.MemoryMB != old.MemoryMB ||
 		p.Sockets != old.Sockets || !reflect.DeepEqual(p.Settings, old.Settings) {
-		in.configWarning.Store("name, listen, limits and settings changed: they take a restart")
-		log.Warn("configuration read in part", "why", "name, listen, limits and settings take a restart")
+		in.configWarning.Store("name, listen, limits or settings changed: this needs a restart")
+		log.Warn("configuration read in part", "why", "changes of name, listen, limits and settings need a restart")
 	}
 	log.Info("configuration read", "journal", p.Journal)
 	if p.Journal != old.Journal {
 		feed.SetAddr(p.Journal)
 	}
-	old.Journal = p.Journal // read nowhere else
-	if !slices.ContainsFunc(in.parts, func(one subsystem) bool { return one.reload != nil }) {
-		return // the settings' schema costs memory, and nobody would use them
+	old.Journal = p.Journal // not read by any other goroutine
+	if !slices.ContainsFunc(in.subsystems, func(s subsystem) bool { return s.reload != nil }) {
+		return // checking the settings costs memory, and no subsystem would use them
 	}
-	own, err := config.LoadProject(os.Getenv)
+	project, err := config.LoadProject(os.Getenv)
 	if err != nil {
 		log.Error("settings kept", "err", err)
 		in.configWarning.Store("the last reload found faults: " + err.Error())
 		return
 	}
-	for _, one := range in.parts {
-		if one.reload != nil {
-			one.reload(own)
+	for _, sub := range in.subsystems {
+		if sub.reload != nil {
+			sub.reload(project)
 		}
 	}
 }
 
-// refuseAfter is when, after SIGTERM, what still waits is refused: in time before SIGKILL, which comes sooner the
-// shorter the deadlines of the settings are, and never before all that may still come has come.
+// refusalDelay is the time from SIGTERM to the refusal of the calls that still wait. It ends before SIGKILL, which comes
+// sooner the shorter the deadlines of the classes are, but never before requestPeriod.
 func refusalDelay(classes []exchange.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
@@ -339,16 +343,17 @@
 	return max(requestPeriod, min(longest, maxCountedDeadline)+killDelay-refuseMargin)
 }
 
-// end is the planned end: new calls are taken as long as they may come, and all that was taken is answered. What comes
-// later still, such as the rest of a request that was read in part, is answered or refused, to the last connection.
+// shutDown ends the instance gracefully: it takes new calls as long as they may arrive, and answers all calls that it took.
+// What arrives later, such as the rest of a request that was read in part, is answered or refused, until the last
+// connection is closed.
 func (in *instance) shutDown() {
-	x, began := in.core, time.Now()
-	in.log.Info("ending", "open", x.UnansweredCalls())
+	core, startedAt := in.core, time.Now()
+	in.log.Info("ending", "open", core.UnansweredCalls())
 	time.Sleep(acceptPeriod)
 	for _, l := range in.fronts {
 		l.Drain()
 	}
-	time.Sleep(requestPeriod - time.Since(began))
+	time.Sleep(requestPeriod - time.Since(startedAt))
 	for f := range in.fronts {
 		f.Drain(0)
 	}
@@ -358,14 +363,14 @@
 		}
 		return n
 	}
-	last := refusalDelay(in.p.Names.Classes)
-	for (unfinished() > 0 || x.UnansweredCalls() > 0) && time.Since(began) < last {
+	refuseAt := refusalDelay(in.platform.Names.Classes)
+	for (unfinished() > 0 || core.UnansweredCalls() > 0) && time.Since(startedAt) < refuseAt {
 		time.Sleep(pollInterval)
 	}
 	for f := range in.fronts {
-		f.Refuse() // before the core does, lest it be handed more
+		f.Refuse() // before the core does, so that no more calls reach it
 	}
-	x.RefuseAll()
+	core.RefuseAll()
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	var g errgroup.Group
@@ -373,5 +378,5 @@
 		g.Go(func() error { f.Shutdown(ctx); return nil })
 	}
 	g.Wait()
-	in.log.Info("ended", "after_ms", time.Since(began).Milliseconds())
+	in.log.Info("ended", "after_ms", time.Since(startedAt).Milliseconds())
 }
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -80,11 +80,11 @@
 }
 
 // startWith starts the program with a configuration of the test's own.
-func startWith(t *testing.T, text, callws string) *program {
+func startWith(t *testing.T, platformText, projectText string) *program {
 	t.Helper()
 	dir := t.TempDir()
 	file, project := filepath.Join(dir, "config.json"), filepath.Join(dir, "callws.toml")
-	for name, text := range map[string]string{file: text, project: callws} {
+	for name, text := range map[string]string{file: platformText, project: projectText} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 type processor struct {
 	*attemptLog
 	name             string
-	line             sync.Mutex
+	processing       sync.Mutex
 	mu               sync.Mutex
 	waiting          int
 	slow             bool
@@ -241,8 +241,8 @@
 	}
 	p.waiting++
 	go func() {
-		p.line.Lock()
-		defer p.line.Unlock()
+		p.processing.Lock()
+		defer p.processing.Unlock()
 		p.mu.Lock()
 		work := time.Millisecond
 		if p.slow {
--- a/cmd/masthill/unbroken.go
+++ b/cmd/masthill/unbroken.go
@@ -2,5 +2,5 @@
 
 package main
 
-// without names a guard that is left out: none, but in the lab's deliberately broken builds.
+// omittedCheck is empty: only the lab's deliberately broken builds leave a check out.
 const omittedCheck = ""
