--- a/cmd/masthill/deploy_test.go
+++ b/cmd/masthill/deploy_test.go
@@ -19,8 +19,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// deployed builds the program as the deploy file's build does, lays it out as run expects it, with the operators'
-// settings as they are in the repository, and starts run.
+// startDeployed builds the program with the build command of the deploy file, lays out a directory as the run command
+// expects it, with the operators' settings of the repository, and starts the run command.
 func startDeployed(t *testing.T) *exec.Cmd {
 	t.Helper()
 	var deploy struct{ Build, Run string }
@@ -70,7 +70,7 @@
 	return cmd
 }
 
-// sockets are the numbers of a process's open sockets.
+// socketInodes are the inode numbers of a process's open sockets.
 func socketInodes(pid int) (all []string) {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	for _, f := range files {
@@ -81,7 +81,8 @@
 	return all
 }
 
-// rows are the fields of the rows of a process's table under /proc/PID/net that are its own.
+// socketRows are the rows, split into fields, of a table under /proc/PID/net that belong to the process's own sockets.
+// inode is the column of the socket's inode number.
 func socketRows(t *testing.T, pid int, table string, inode int) (mine [][]string) {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/%s", pid, table))
@@ -97,8 +98,8 @@
 	return mine
 }
 
-// On the platform the program is one process, linked dynamically against the C library; it listens where it was told and
-// nowhere else, opens no Unix socket and starts no other process, whatever other installations have.
+// On the platform the program is one process that is linked dynamically against the C library. It listens only at the
+// configured address, opens no Unix socket and starts no other process.
 func TestAsThePlatformRunsIt(t *testing.T) {
 	cmd := startDeployed(t)
 	pid := cmd.Process.Pid
@@ -109,10 +110,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	time.Sleep(200 * time.Millisecond) // what it opens after its listener
+	time.Sleep(200 * time.Millisecond) // time to open anything after its listener
 	exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid))
 	if err != nil || filepath.Base(exe) != "masthill" {
-		t.Fatalf("run is no exec: the process is %q, %v", exe, err)
+		t.Fatalf("the run command does not exec the program: the process is %q, %v", exe, err)
 	}
 	file, err := elf.Open(exe)
 	if err != nil {
@@ -125,7 +126,7 @@
 	}
 	var at []string
 	for _, f := range socketRows(t, pid, "tcp", 9) {
-		if f[3] != "0A" { // it listens
+		if f[3] != "0A" { // only sockets in the state LISTEN
 			continue
 		}
 		address, port, _ := strings.Cut(f[1], ":")
@@ -140,7 +141,7 @@
 		at = append(at, net.IPv4(b[3], b[2], b[1], b[0]).String())
 	}
 	if len(at) != 1 || at[0] != "127.0.0.1" {
-		t.Errorf("it listens at %v, told 127.0.0.1", at)
+		t.Errorf("it listens at %v, want 127.0.0.1 alone", at)
 	}
 	for table, inode := range map[string]int{"unix": 6, "tcp6": 9, "udp": 9, "udp6": 9} {
 		if mine := socketRows(t, pid, table, inode); len(mine) > 0 {
@@ -149,15 +150,15 @@
 	}
 	children, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	if err != nil || len(children) == 0 {
-		t.Fatal("no look at its children", err)
+		t.Fatal("cannot read its children", err)
 	}
 	for _, f := range children {
 		if text, _ := os.ReadFile(f); len(text) > 0 {
-			t.Errorf("it started %s", text)
+			t.Errorf("it started the processes %s", text)
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Error("end:", err)
+		t.Error("exit:", err)
 	}
 }
--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -159,8 +159,8 @@
 	return f.listener.Held()
 }
 
-// onShortage is called when no descriptor was left. If the limit has been lowered from outside, it recomputes the shares,
-// and the fronts close idle connections.
+// onShortage is called when no descriptor was left. If the limit has been lowered from outside, it recomputes the
+// shares, and the fronts close idle connections.
 func (a *allocation) onShortage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -26,25 +26,25 @@
 	"masthill/internal/sip"
 )
 
-// fewDescriptors is the limit of the tests here: the lowest that the platform sets.
+// fewDescriptors is the limit of descriptors in these tests, the lowest that the platform sets.
 const fewDescriptors = 96
 
-// busy is the bound of what takes under 1 s on a machine with time to spare; the figures are logged.
+// maxDelay bounds what takes under 1 s on an idle machine; the measured times are logged.
 const maxDelay = 5 * time.Second
 
-// discovery is a stand-in for the list's service that is down at first, in one of three ways, and comes back.
+// fakeDiscovery is a fake journal service that is down at first, in one of three ways, and then serves.
 type fakeDiscovery struct {
 	t         *testing.T
 	addr      string
-	listener  net.Listener // nil: connects are refused
-	event     string       // told once it is back
+	listener  net.Listener // nil: connections are refused
+	event     string       // sent once it serves
 	connected chan time.Time
 }
 
-// refusingDiscovery refuses connects while it is down.
+// refusingDiscovery refuses connections while it is down.
 func refusingDiscovery(t *testing.T) *fakeDiscovery { return &fakeDiscovery{t: t, addr: freeAddr(t)} }
 
-// hangingDiscovery takes no connects while it is down: the queue of its socket is full.
+// hangingDiscovery does not accept connections while it is down: the accept queue of its socket is full.
 func hangingDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -63,8 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() }) // and kept until then
-	for {                           // until a connect hangs
+	t.Cleanup(func() { l.Close() })
+	for { // until a connection attempt hangs
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
 		if err != nil {
 			break
@@ -74,12 +74,12 @@
 	return &fakeDiscovery{t: t, addr: l.Addr().String(), listener: l}
 }
 
-// silentDiscovery takes connects and says nothing while it is down.
+// silentDiscovery accepts connections and sends nothing while it is down.
 func silentDiscovery(t *testing.T) *fakeDiscovery {
 	return &fakeDiscovery{t: t, addr: "", listener: netcase.Listen(t)}
 }
 
-// comesBack serves from now on.
+// startServing has the service answer from now on.
 func (d *fakeDiscovery) startServing() {
 	d.t.Helper()
 	d.connected = make(chan time.Time, 100)
@@ -100,22 +100,23 @@
 	d.t.Cleanup(func() { server.Close() })
 }
 
-// crowd is idle clients that take all they can get.
+// idleClients hold as many idle connections as they can get.
 type idleClients struct {
 	t     *testing.T
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// idle are the ways in which clients hold a connection and ask for nothing; each is written after the connect.
+// idleOpenings are what idle clients write after they connect: nothing, a part of a request, or a request that needs no
+// call.
 var idleOpenings = []string{"", "INVITE sip:17@net SI", optionsRequest, "GET /v1/calls HTTP/1.1\r\nHost: x\r\n", "GET /healthc"}
 
-// join connects that many, and leaves them open.
+// connect opens n connections and keeps them open.
 func (c *idleClients) connect(addr string, n int) {
 	for k := range n {
 		conn, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 		if err != nil {
-			continue // the queue of its socket is full: it has all it can hold
+			continue // the accept queue is full: the server holds all it can
 		}
 		io.WriteString(conn, idleOpenings[k%len(idleOpenings)])
 		c.mu.Lock()
@@ -133,7 +134,8 @@
 	c.conns = nil
 }
 
-// press has clients come until the end, several at once, so that whatever is freed is taken at once.
+// keepConnecting has several clients connect at the same time until it is stopped, so that each freed place is taken at
+// once.
 func (c *idleClients) keepConnecting(addrs ...string) (stop func()) {
 	var over atomic.Bool
 	var all sync.WaitGroup
@@ -142,7 +144,7 @@
 			all.Go(func() {
 				for !over.Load() {
 					c.connect(addr, 10)
-					time.Sleep(20 * time.Millisecond) // some thousands a second, within the machine's ports
+					time.Sleep(20 * time.Millisecond) // some thousands a second, so that the machine does not run out of ports
 					c.mu.Lock()
 					if len(c.conns) > 3000 {
 						for _, old := range c.conns[:1000] {
@@ -158,7 +160,7 @@
 	return func() { over.Store(true); all.Wait(); c.closeAll() }
 }
 
-// held counts the descriptors of a program.
+// openDescriptors counts the program's open descriptors.
 func (p *program) openDescriptors() int {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil {
@@ -167,17 +169,17 @@
 	return len(names)
 }
 
-// holds waits until the program holds that many descriptors: the crowd has come.
+// waitForDescriptors waits until the program holds n descriptors, which shows that the idle clients have connected.
 func (p *program) waitForDescriptors(n int) {
 	p.t.Helper()
 	for began := time.Now(); p.openDescriptors() < n; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
-			p.t.Fatalf("%d descriptors held, never %d", p.openDescriptors(), n)
+			p.t.Fatalf("%d descriptors held after 10 s, want %d", p.openDescriptors(), n)
 		}
 	}
 }
 
-// limit sets the program's limit of descriptors from outside.
+// limit sets the program's descriptor limit from outside.
 func (p *program) limit(n uint64) {
 	p.t.Helper()
 	if err := unix.Prlimit(p.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n}, nil); err != nil {
@@ -185,14 +187,14 @@
 	}
 }
 
-// logged tells whether the program's log holds a text.
+// logged tells whether the program's log contains a text.
 func (p *program) logged(text string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Contains(p.log.String(), text)
 }
 
-// connectsTo is a server that notes when connections to it come, and ends those there are when asked.
+// fakeServer is a server that records when it accepts connections, and can close those that it holds.
 type fakeServer struct {
 	addr     string
 	accepted chan time.Time
@@ -212,7 +214,7 @@
 	return s
 }
 
-// restart ends all connections.
+// closeConnections closes all connections, as a restart does.
 func (s *fakeServer) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +224,7 @@
 	s.conns = nil
 }
 
-// after waits for the next connection and tells how long it took.
+// waitForConnection waits for the next connection and returns how long after since it was accepted.
 func waitForConnection(t *testing.T, what string, came <-chan time.Time, since time.Time) time.Duration {
 	t.Helper()
 	for {
@@ -238,9 +240,9 @@
 	}
 }
 
-// Idle clients fill all that they can while discovery is down, silent callers the operators' address. The health check
-// answers, a server whose connection ended is connected again, and discovery is followed at once when it is
-// back: a server that it names gets its connection. No descriptor is lacking at any time.
+// While discovery is down, idle clients take all places at both fronts and silent ones those of the operators' address.
+// The health check still answers, and a server whose connection was closed is connected again. When discovery is back,
+// its list is followed at once: a new server on it is connected. The program never runs out of descriptors.
 func TestIdleClientsLeaveTheOthersTheirDescriptors(t *testing.T) {
 	for name, down := range map[string]func(*testing.T) *fakeDiscovery{"refuses": refusingDiscovery, "hangs": hangingDiscovery, "silent": silentDiscovery} {
 		t.Run(name, func(t *testing.T) {
@@ -287,17 +289,17 @@
 			told := waitForConnection(t, "a new server", late.accepted, back)
 			t.Logf("health check %v, server connected again %v, discovery followed %v, its new server connected %v, descriptors %d", slowest, reconnect, followed, told, most)
 			if slowest > maxDelay || reconnect > maxDelay || followed > maxDelay || told > maxDelay {
-				t.Error("too late")
+				t.Error("slower than maxDelay")
 			}
 			if p.logged("too many open files") || most > fewDescriptors {
-				t.Errorf("no descriptor left; %d held", most)
+				t.Errorf("out of descriptors, or beyond the limit: %d held", most)
 			}
 		})
 	}
 }
 
-// A limit that is lowered from outside: connects and accepts go on as soon as a descriptor is free, and idle clients are made
-// to free some.
+// After the limit is lowered from outside, idle clients are evicted to free descriptors, and connecting to servers and
+// accepting go on as soon as one is free.
 func TestALimitLoweredFromOutside(t *testing.T) {
 	server := newFakeServer(t)
 	p, admin := startWithAdmin(t, newJournal(t), []string{server.addr}, freeAddr(t), 1024)
@@ -315,11 +317,11 @@
 		}
 	}
 	if !p.logged("limited from outside") {
-		t.Error("not noticed")
+		t.Error("the lowered limit was not noticed")
 	}
 }
 
-// Two processes of an upgrade hold no more than the limit together, with a crowd before both.
+// The two processes of an upgrade together hold no more descriptors than the limit while idle clients connect to both.
 func TestAnUpgradeSharesTheDescriptors(t *testing.T) {
 	server := newFakeServer(t)
 	list, listen := newJournal(t), freeAddr(t)
@@ -346,7 +348,7 @@
 	}
 }
 
-// quietPeer is a connection to a server on which nothing is ever heard.
+// silentPeer is a connection to a server that sends nothing.
 type silentPeer struct{ office.Peer }
 
 func (silentPeer) Run(ctx context.Context, _ office.Handler) (sip.Reason, error) {
@@ -354,8 +356,8 @@
 	return sip.Closed, nil
 }
 
-// More servers than there are descriptors: connects beyond the share fail at once with a reason of their own, the clients keep
-// a third, and a connection that ends lets the next one come up.
+// With more servers than descriptors, connections beyond the servers' share fail at once with ErrShareTaken and the
+// clients keep a third. When a connection ends, another one can be made.
 func TestMoreServersThanDescriptors(t *testing.T) {
 	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.Quiet())
 	var servers []exchange.Office
@@ -390,7 +392,7 @@
 		t.Errorf("after the others ended: %v", err)
 	}
 	if _, err := a.dial(func(context.Context, string) (office.Peer, error) { return nil, syscall.ECONNREFUSED })(t.Context(), ""); err == nil || a.servers.Held() != 1 {
-		t.Errorf("a connect that failed holds its descriptor: %d", a.servers.Held())
+		t.Errorf("a failed connection keeps its descriptor: %d held", a.servers.Held())
 	}
 	a.onServerList(nil, true)
 	if a.budget.Servers >= up {
@@ -398,7 +400,7 @@
 	}
 }
 
-// The shares suffice for what the parts hold at most.
+// The shares cover the most descriptors that their users hold.
 func TestSharesFitTheParts(t *testing.T) {
 	b := descriptors.Plan(descriptors.Demand{Limit: fewDescriptors})
 	if most := journal.MaxConnects + 1; b.Discovery < most {
--- a/cmd/masthill/end_test.go
+++ b/cmd/masthill/end_test.go
@@ -9,7 +9,8 @@
 	"masthill/internal/exchange"
 )
 
-// SIGKILL comes the sooner the shorter the deadlines of a deployment are: what still waits has to be refused before it.
+// SIGKILL comes the sooner the shorter the deadlines of a deployment are. Calls that still wait have to be refused
+// before it.
 func TestWhenWhatWaitsIsRefused(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Minute} {
 		got := refusalDelay([]exchange.Class{{Deadline: longest / 2}, {Deadline: longest}})
@@ -20,8 +21,8 @@
 	}
 }
 
-// A request that was read in part when the end came was cut off with its connection. Its caller writes the rest and has
-// its answer.
+// A request that has been read in part when the shutdown begins is not cut off: its caller writes the rest and gets an
+// answer.
 func TestARequestReadInPartAtTheEnd(t *testing.T) {
 	ledger := newAttemptLog()
 	p := start(t, newJournal(t), []string{sipOffice(t, newProcessor(ledger, "office"))}, "")
@@ -29,7 +30,7 @@
 	text := invite("0000000000000001", "X-Patience: 60000\r\n")
 	caller.write(text[:60])
 	p.Process.Signal(syscall.SIGTERM)
-	for { // the end has begun, and nothing but this keeps it
+	for { // until the listener is closed; only the partial request keeps the program running
 		c, err := net.Dial("tcp", p.sip)
 		if err != nil {
 			break
--- a/cmd/masthill/fleet_test.go
+++ b/cmd/masthill/fleet_test.go
@@ -17,7 +17,7 @@
 	"masthill/internal/fleet"
 )
 
-// fleetBed is a fleet of this test's own program in a folder of the test's.
+// fleetFixture is a fleet of instances of the program under test, in a temporary directory.
 type fleetFixture struct {
 	t    *testing.T
 	file string
@@ -28,7 +28,7 @@
 
 func newFleet(t *testing.T, instances int) *fleetFixture {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "fl") // short: a socket's path is bounded
+	dir, err := os.MkdirTemp("", "fl") // short, as the length of a socket's path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 	return b
 }
 
-// masthill runs one command line.
+// masthill makes the command for one command line.
 func (b *fleetFixture) masthill(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1")
@@ -81,7 +81,7 @@
 	}
 }
 
-// until waits for something to be so; no machine is too slow for half a minute.
+// waitUntil waits for a status that meets the condition, for 30 s at most, which suffices on a slow machine.
 func (b *fleetFixture) waitUntil(what string, is func(s *fleet.Status) bool) *fleet.Status {
 	b.t.Helper()
 	var s *fleet.Status
@@ -105,7 +105,7 @@
 	return len(s.Instances) > 0
 }
 
-// processes counts what runs in the fleet's folders: never two in one.
+// countProcesses counts the processes that run in the instances' directories. Two in one directory fail the test.
 func (b *fleetFixture) countProcesses() (n int) {
 	b.t.Helper()
 	dirs, _ := filepath.Glob("/proc/[0-9]*/environ")
@@ -126,14 +126,14 @@
 	}
 	for dir, k := range seen {
 		if k > 1 {
-			b.t.Errorf("%d processes of %s", k, dir)
+			b.t.Errorf("%d processes in %s", k, dir)
 		}
 	}
 	return n
 }
 
-// A supervisor that is killed in the middle of a rollout loses no instance, and the one after it goes on: it takes the
-// running ones over, with their listening sockets, and finishes.
+// When a supervisor is killed in the middle of a rollout, no instance ends. The next supervisor takes over the running
+// instances, with their listening sockets, and completes the rollout.
 func TestASupervisorIsKilledMidRollout(t *testing.T) {
 	b := newFleet(t, 4)
 	first := b.waitUntil("up", allServing)
@@ -176,12 +176,12 @@
 	}
 	text, _ := os.ReadFile(filepath.Join(b.spec.Dir, "0", "log"))
 	if !strings.Contains(string(text), "start=restart snapshot=\"taken up") {
-		t.Errorf("no snapshot was taken up:\n%s", text)
+		t.Errorf("no snapshot was restored:\n%s", text)
 	}
 }
 
-// A new version that fails halts the rollout at its first instance and is turned back; one that can't read the files
-// replaces nothing at all.
+// A new version that fails halts the rollout at the first instance, and the rollout is rolled back. A version that
+// cannot read the files replaces no instance.
 func TestABadVersion(t *testing.T) {
 	b := newFleet(t, 3)
 	b.waitUntil("up", allServing)
@@ -203,7 +203,7 @@
 		}
 	}
 	if ends != 1 || b.countProcesses() != 3 {
-		t.Errorf("%d instances of the bad version failed, of one; %d run", ends, b.countProcesses())
+		t.Errorf("%d instances of the bad version failed, want 1; %d run, want 3", ends, b.countProcesses())
 	}
 	blind := filepath.Join(b.spec.Dir, "blind")
 	os.WriteFile(blind, []byte("#!/bin/sh\necho no such key\nexit 2\n"), 0o700)
@@ -215,12 +215,12 @@
 	}
 }
 
-// An instance that is killed comes back by itself, at its own address; while it is away connections wait for it.
+// An instance that is killed is restarted at the same address. Until then connections to it wait.
 func TestAKilledInstanceComesBack(t *testing.T) {
 	b := newFleet(t, 1)
 	m := b.waitUntil("up", allServing).Instances[0]
 	syscall.Kill(m.PID, syscall.SIGKILL)
-	p := dial(t, m.Listen) // into the backlog of a socket that the supervisor holds
+	p := dial(t, m.Listen) // waits in the backlog of the listening socket, which the supervisor holds too
 	p.write("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
 	p.expect(200, "")
 	s := b.waitUntil("back", func(s *fleet.Status) bool { return allServing(s) && s.Instances[0].PID != m.PID })
@@ -237,7 +237,7 @@
 	}
 }
 
-// A bad configuration is not tried again and again; a reload with a mended one brings the instance back.
+// An instance with a bad configuration is not restarted in a loop; a reload with a corrected one starts it again.
 func TestABadConfigurationIsNoCrashLoop(t *testing.T) {
 	b := newFleet(t, 1)
 	m := b.waitUntil("up", allServing).Instances[0]
@@ -248,7 +248,7 @@
 		t.Error(err)
 	}
 	if s, err := b.Status(t.Context()); err != nil || !allServing(s) || s.Instances[0].PID != m.PID {
-		t.Error("a fault in the files touched a running instance", s, err)
+		t.Error("a fault in the files affected a running instance", s, err)
 	}
 	syscall.Kill(m.PID, syscall.SIGKILL)
 	s := b.waitUntil("given up", func(s *fleet.Status) bool { return s.Instances[0].Phase == "failed" })
@@ -295,7 +295,7 @@
 	}
 }
 
-// The service manager hears of readiness, of a reload and of the end.
+// The service manager is notified of readiness, of a reload and of the shutdown.
 func TestTheServiceManager(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "notify")
 	l, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: path, Net: "unixgram"})
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// launchCmd replaces itself by another program. Before, it locks the instance's directory until the process ends, and sets
-// LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor starts the
-// instances by it.
+// launchCmd replaces itself by another program. Before, it locks the instance's directory until the process ends, and
+// sets LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor starts
+// the instances by it.
 type launchCmd struct {
 	Dir        string   `required:""`
 	Generation string   `required:""`
--- a/cmd/masthill/main.go
+++ b/cmd/masthill/main.go
@@ -1,6 +1,6 @@
 // Command masthill runs one session controller, which takes calls from callers and places each at an office. Further
-// commands check its files, show the status of an instance, publish configuration releases, and run many instances on one
-// machine.
+// commands check its files, show the status of an instance, publish configuration releases, and run many instances on
+// one machine.
 package main
 
 import (
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -39,9 +39,10 @@
 	caller.write("INVITE sip:17@net SIP/2.0\r\nCall-ID: short\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
 	caller.expect(400, "")
 
-	// A planned end: what was taken is answered, and what still comes on an open connection too.
+	// In a graceful shutdown, calls that were taken are answered, and so are those that still arrive on an open
+	// connection.
 	late := dial(t, p.sip)
-	office.processing.Lock() // nothing is answered before the end has begun
+	office.processing.Lock() // nothing is answered before the shutdown has begun
 	caller.write(invite("0000000000000002", "X-Patience: 60000\r\n"))
 	p.Process.Signal(syscall.SIGTERM)
 	for status := 0; status != 503; {
@@ -58,8 +59,8 @@
 	late.expect(200, "")
 	p.stop()
 
-	// A restart knows nothing but the configuration. The release of a call from before is passed on all the same,
-	// as its caller still holds the call, and new calls are taken.
+	// A restarted program knows nothing but the configuration. It still passes on the release of a call that was set up
+	// before, because the caller still holds the call, and it takes new calls.
 	office = newProcessor(ledger, "office")
 	office.releaseOnConnect = "0000000000000001"
 	p = start(t, feed, []string{sipOffice(t, office)}, "")
@@ -82,8 +83,8 @@
 	}
 }
 
-// SIGHUP ended the program. It reads the configuration anew: the journal client moves and goes on from its position,
-// a call under way and its connection go on, and a bad file changes nothing.
+// SIGHUP does not end the program but has it read the configuration again. The journal client moves to the new address
+// and goes on from its position, an open call and its connection stay, and a bad file changes nothing.
 func TestNewConfiguration(t *testing.T) {
 	asked := make(chan string, 10)
 	second := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -97,7 +98,7 @@
 	office.processing.Lock()
 	caller.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
 	p.reload(func(string) string { return "{" })
-	for kept := false; !kept; { // the second signal must not meet the first
+	for kept := false; !kept; { // so that the second signal does not merge with the first
 		time.Sleep(time.Millisecond)
 		p.mu.Lock()
 		kept = strings.Contains(p.log.String(), `msg="configuration kept"`)
@@ -105,7 +106,7 @@
 	}
 	p.reload(func(string) string { return configuration(second, nil) })
 	if pos := <-asked; pos != "1" {
-		t.Errorf("the new service was asked from %s", pos)
+		t.Errorf("the new service was asked for events after position %s", pos)
 	}
 	office.processing.Unlock()
 	caller.expect(200, "")
@@ -122,7 +123,7 @@
 	}
 }
 
-// tally counts the final answers of each call.
+// answerLog records the final answers to each call.
 type answerLog struct {
 	mu      sync.Mutex
 	answers map[string][]string
@@ -134,10 +135,10 @@
 	a.answers[id] = append(a.answers[id], answer)
 }
 
-// The operators' fear is a second path that keeps looser promises than the first. SIP and WebSocket callers call
-// through one program, to a SIP office and a WebSocket office, while the processors slow down for a while; some
-// sockets close mid-set-up and the calls are sent again. Each call gets exactly one answer, and no call has two
-// attempts out.
+// Guards against one of the two protocols giving weaker guarantees than the other. SIP and WebSocket callers call
+// through one program, to a SIP office and a WebSocket office, while the offices slow down for a while; some sockets
+// close in the middle of a set-up and the calls are sent again. Each call gets exactly one answer, and no call has two
+// attempts open.
 func TestMixedCallersDuringASlowdown(t *testing.T) {
 	const callers, calls = 6, 40
 	ledger := newAttemptLog()
@@ -172,21 +173,21 @@
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	for id, at := range ledger.overlaps {
-		// The cancel may have been read after the next office had the next attempt.
+		// The office may have read the cancel after the next office got the next attempt.
 		if !ledger.canceled[id+" "+at] {
-			t.Errorf("call %s had a second attempt out, the first at %s", id, at)
+			t.Errorf("call %s had a second attempt open, the first at %s", id, at)
 		}
 	}
 	if accepted == 0 || accepted == 2*callers*calls || ledger.attempts < accepted {
-		t.Errorf("%d of %d calls stood with %d attempts: no slowdown to speak of", accepted, 2*callers*calls, ledger.attempts)
+		t.Errorf("%d of %d calls accepted with %d attempts: the slowdown had no effect", accepted, 2*callers*calls, ledger.attempts)
 	}
-	t.Logf("%d of %d calls stood, %d attempts, %d cancels", accepted, 2*callers*calls, ledger.attempts, len(ledger.canceled))
+	t.Logf("%d of %d calls accepted, %d attempts, %d cancels", accepted, 2*callers*calls, ledger.attempts, len(ledger.canceled))
 }
 
 func sipID(caller, call int) string { return fmt.Sprintf("%08x%08x", 0xa0+caller, call) }
 func wsID(caller, call int) string  { return fmt.Sprintf("ws-%d-%d", caller, call) }
 
-// sipCaller makes calls over one connection and takes all answers.
+// sipCaller makes calls over one connection and records all answers.
 func sipCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	caller := dial(t, p.sip)
 	var wg sync.WaitGroup
@@ -217,8 +218,8 @@
 	wg.Wait()
 }
 
-// wsCaller makes calls over WebSocket. Half-way it loses its socket, comes back, and sends again what has no
-// answer.
+// wsCaller makes calls over WebSocket. Half-way it closes its socket, connects again, and sends the unanswered calls
+// again.
 func wsCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	open := func() *websocket.Conn {
 		ws, _, err := websocket.Dial(t.Context(), "ws://"+p.callws+"/v1/calls", &websocket.DialOptions{
@@ -237,7 +238,7 @@
 		}
 	}
 	answered := map[string]bool{}
-	// read takes answers until so many calls have theirs.
+	// read records answers until n calls are answered.
 	read := func(ws *websocket.Conn, n int) {
 		for len(answered) < n {
 			_, data, err := ws.Read(t.Context())
--- a/cmd/masthill/operation_test.go
+++ b/cmd/masthill/operation_test.go
@@ -17,11 +17,11 @@
 	"masthill/internal/sip"
 )
 
-// freeHosts counts the loopback addresses that free has given.
+// freeAddrCount counts the addresses that freeAddr has returned.
 var freeAddrCount atomic.Int64
 
-// free gives an address that nobody listens at, on a loopback host of its own: on a shared one, another test's listener or a
-// connection's own port could take the port before the program does.
+// freeAddr returns an address without a listener, on a loopback host of its own: on a shared host, another test's
+// listener or a connection's local port could take the port before the program does.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	process, n := os.Getpid(), freeAddrCount.Add(1)
@@ -33,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// operated starts a program that has a second address, in the platform's words.
+// startWithAdmin starts a program with an operators' address.
 func startWithAdmin(t *testing.T, journal string, offices []string, listen string, sockets int) (p *program, admin string) {
 	t.Helper()
 	admin = freeAddr(t)
@@ -41,7 +41,7 @@
 		`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets)).Replace(configuration(journal, offices)), ""), admin
 }
 
-// ask makes one call at a second address and tells its status; every answer is due within 1 s.
+// adminRequest makes one request to an operators' address and returns the status; each answer is due within 1 s.
 func adminRequest(t *testing.T, admin, method, path string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", admin)
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second)) // the bound of a test on a busy machine
+	c.SetDeadline(time.Now().Add(10 * time.Second)) // longer than 1 s, for a busy machine
 	io.WriteString(c, method+" "+path+" HTTP/1.1\r\nHost: admin\r\nContent-Length: 0\r\n\r\n")
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -59,19 +59,19 @@
 	return r.StatusCode
 }
 
-// until asks for the health check until it has that status.
+// waitForHealth repeats the health check until it has that status.
 func waitForHealth(t *testing.T, admin string, status int) {
 	t.Helper()
 	for k := 0; adminRequest(t, admin, "GET", "/healthcheck") != status; k++ {
 		if k > 2000 {
-			t.Fatalf("never %d", status)
+			t.Fatalf("the health check was never %d", status)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// A drain under calls: the answers of what is open still come, no idle connection is kept, and none that has had its answer;
-// ok has callers come again. fail and ok cross each other, and the last one holds.
+// In a drain with open calls, these are still answered, and connections that are idle or have had their answers are
+// closed. After ok, callers can connect again. When many fail and ok requests overlap, the last one holds.
 func TestDrainUnderCalls(t *testing.T) {
 	office := newProcessor(newAttemptLog(), "office")
 	p, admin := startWithAdmin(t, newJournal(t), []string{sipOffice(t, office)}, freeAddr(t), 1024)
@@ -85,9 +85,9 @@
 		t.Errorf("fail: %d", got)
 	}
 	waitForHealth(t, admin, 503)
-	idle.SetReadDeadline(time.Now().Add(4 * time.Second)) // as long as callers may be held after the call
+	idle.SetReadDeadline(time.Now().Add(4 * time.Second)) // the longest that a drain may keep idle connections
 	if _, err := idle.Next(); err != io.EOF {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("an idle connection: %v, want it closed", err)
 	}
 	late := dial(t, p.sip)
 	late.write(optionsRequest)
@@ -98,7 +98,7 @@
 	busy.expect(200, "")
 	for _, c := range []*callerConn{busy, late} {
 		if _, err := c.Next(); err != io.EOF {
-			t.Errorf("with nothing open: %v", err)
+			t.Errorf("a connection without open calls: %v, want it closed", err)
 		}
 	}
 	var wg sync.WaitGroup
@@ -114,8 +114,8 @@
 	p.stop()
 }
 
-// An upgrade while 500 connections arrive, each with one request: the new process listens beside the old one, the old one is
-// told to end, and every request has its answer from one of them.
+// An upgrade while 500 connections arrive, each with one request. The new process listens beside the old one, which is
+// then told to end, and every request is answered by one of them.
 func TestUpgradeUnderConnections(t *testing.T) {
 	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
 	journal, listen := newJournal(t), freeAddr(t)
@@ -146,25 +146,25 @@
 			}
 			answered.Add(1)
 		})
-		time.Sleep(4 * time.Millisecond) // spread over the old one's end, 0.45 s after its signal
+		time.Sleep(4 * time.Millisecond) // spread over the old process's shutdown, which stops accepting 0.45 s after its signal
 	}
 	wg.Wait()
 	<-ended
-	t.Logf("%d answered, %d turned back", answered.Load(), rejected.Load())
+	t.Logf("%d answered, %d rejected", answered.Load(), rejected.Load())
 	if rejected.Load() > 2 || answered.Load()+rejected.Load() != connections {
-		t.Errorf("%d answered, %d turned back", answered.Load(), rejected.Load())
+		t.Errorf("%d answered, %d rejected", answered.Load(), rejected.Load())
 	}
 	if code := old.ProcessState.ExitCode(); code != 0 {
 		t.Errorf("the old process ended with %d", code)
 	}
 }
 
-// A new process that can't start leaves the old one serving.
+// A new process that fails to start leaves the old one serving.
 func TestAnUpgradeThatCannotStart(t *testing.T) {
 	journal, listen := newJournal(t), freeAddr(t)
 	old, admin := startWithAdmin(t, journal, nil, listen, 1024)
 	text := strings.Replace(configuration(journal, nil), `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q,"admin":%q`, listen, admin), 1)
-	second := startWith(t, text, "") // at the same second address
+	second := startWith(t, text, "") // at the same operators' address
 	<-second.ended
 	if code := second.ProcessState.ExitCode(); code != 1 || !strings.Contains(second.log.String(), "admin") {
 		t.Errorf("exit code %d, %q", code, second.log.String())
@@ -176,8 +176,8 @@
 	old.stop()
 }
 
-// A crowd with few descriptors: hundreds connect and say nothing, or stop half way. A slow caller is served, and the second
-// address answers beside it, also beside half calls of its own.
+// With few descriptors, hundreds of clients connect and send nothing or part of a request. A slow caller is still
+// served, and the operators' address still answers, also while a client there has sent part of a request.
 func TestACrowdWithFewDescriptors(t *testing.T) {
 	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
 	p, admin := startWithAdmin(t, newJournal(t), []string{office}, freeAddr(t), 64)
@@ -207,7 +207,7 @@
 		text := invite(fmt.Sprintf("%016x", k+1), "X-Patience: 60000\r\n")
 		for n := 0; n < len(text); n += 12 {
 			slow.write(text[n:min(n+12, len(text))])
-			time.Sleep(40 * time.Millisecond) // longer, in all, than silent ones keep their place
+			time.Sleep(40 * time.Millisecond) // in total longer than silent connections are kept
 			join(10)
 		}
 		slow.expect(200, "")
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -32,8 +32,8 @@
 	"masthill/internal/store"
 )
 
-// subsystem is one part of an instance. Its constructor makes it from the settings; it then runs in the instance's errgroup
-// until the end. A function that it does not have is nil; a subsystem that the settings turn off has none.
+// subsystem is one part of an instance. Its constructor makes it from the settings; it then runs in the instance's
+// errgroup until the end. A function that it does not have is nil; a subsystem that the settings turn off has none.
 type subsystem struct {
 	run        func(ctx context.Context) error
 	onShutdown func()                // called when a graceful shutdown begins; new calls still arrive for a moment
@@ -51,7 +51,8 @@
 // addModule adds a decision module to the core's options.
 func (in *instance) addModule(m join.Module) { in.options.Join = append(in.options.Join, m) }
 
-// newSnapshots makes the subsystem that writes snapshots of the learned state, and loads the one of the previous process.
+// newSnapshots makes the subsystem that writes snapshots of the learned state, and loads the one of the previous
+// process.
 func newSnapshots(in *instance) (p subsystem, err error) {
 	in.previous = in.loadSnapshot()
 	if in.keeper != nil {
@@ -60,8 +61,8 @@
 	return p, nil
 }
 
-// loadSnapshot loads the snapshot of the previous process if the settings name a directory for it. It also finds the reason
-// of this start: the one that a supervisor gives, or else the one that follows from the snapshot.
+// loadSnapshot loads the snapshot of the previous process if the settings name a directory for it. It also finds the
+// reason of this start: the one that a supervisor gives, or else the one that follows from the snapshot.
 func (in *instance) loadSnapshot() *state.Snapshot {
 	in.startReason, in.snapshotResult = "first", "off"
 	var previous *state.Snapshot
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -112,7 +112,8 @@
 // statusWriteTimeout is how long another member may take to read this one's status.
 const statusWriteTimeout = 2 * time.Second
 
-// membersFile is the path of the file that keeps the members' addresses; empty if the settings name no directory for state.
+// membersFile is the path of the file that keeps the members' addresses; empty if the settings name no directory for
+// state.
 func membersFile(project *config.Project) string {
 	if project.State.Dir == "" {
 		return ""
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -15,10 +15,10 @@
 	"masthill/internal/peers"
 )
 
-// The keys of a fleet, in base64: each is of 16 bytes.
+// The keys of a fleet, each 16 bytes in base64.
 const oldKey, newKey = "MDEyMzQ1Njc4OWFiY2RlZg==", "ZmVkY2JhOTg3NjU0MzIxMA=="
 
-// knows asks a process what it knows of the others; nil: it does not say.
+// queryPeers asks a process what it knows of the other members; nil: no answer.
 func queryPeers(socket string) *ctl.Peers {
 	var out bytes.Buffer
 	if run([]string{"peers", "--socket", socket, "--json"}, signals{}, &out, &out) != exitOK {
@@ -31,7 +31,7 @@
 	return p
 }
 
-// together tells whether a process takes so many to be there and has heard of all within a second or so.
+// allHeard tells whether a process counts exactly that many members as alive and has heard from each within 1.5 s.
 func allHeard(socket string, members int) bool {
 	p := queryPeers(socket)
 	if p == nil {
@@ -55,8 +55,8 @@
 	return heard >= members
 }
 
-// Four real processes know of each other; keys are changed on half of them and then on all by SIGHUP; one is killed, and one
-// leaves; a second process of a name holds its tongue.
+// Four processes form a fleet. Their keys are changed by SIGHUP, on all of them and then on half; one is killed, and
+// one leaves. A second process of the same name stays silent.
 func TestProcessesKnowOfEachOther(t *testing.T) {
 	feed := newJournal(t)
 	dir := t.TempDir()
@@ -69,7 +69,7 @@
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("not in time: " + what)
+				t.Fatal("not within 30 s: " + what)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 	for _, name := range names {
 		all[name] = start(t, feed, nil, settings(name, quoted(oldKey)))
 		if name == "a" {
-			until("a tells its address", func() bool { return queryPeers(filepath.Join(dir, "a")) != nil })
+			until("a reports its address", func() bool { return queryPeers(filepath.Join(dir, "a")) != nil })
 			seed = fmt.Sprintf("%q", queryPeers(filepath.Join(dir, "a")).Addr)
 		}
 	}
@@ -93,7 +93,7 @@
 			return true
 		}
 	}
-	until("four know of four", everyone(4, names...))
+	until("all four hear each other", everyone(4, names...))
 	rotate := func(keys string, of ...string) {
 		for _, name := range of {
 			p := all[name]
@@ -112,12 +112,12 @@
 		}
 	}
 	rotate(quoted(oldKey, newKey), names...)
-	rotate(quoted(newKey, oldKey), "a", "b") // half of them seal with the new one
-	time.Sleep(1500 * time.Millisecond)      // what was heard before is old by then
+	rotate(quoted(newKey, oldKey), "a", "b") // half of them now encrypt with the new key
+	time.Sleep(1500 * time.Millisecond)      // until what was heard before is too old to count
 	until("they still hear each other", everyone(4, names...))
 
 	twin := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
-	until("the second d holds its tongue", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
+	until("the second d finds its name taken", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
 	twin.Process.Kill()
 
 	all["d"].Process.Kill()
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -18,7 +18,8 @@
 	"masthill/internal/netcase"
 )
 
-// settling runs settle against a service that answers after a while, on the test's clock, and tells how long it took.
+// listWaitTime runs waitForList against a journal service that answers after a delay, on a synthetic clock, and returns
+// how long it took.
 func listWaitTime(t *testing.T, answers time.Duration) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.Quiet(), OnChange: func([]exchange.Office, bool) {},
@@ -47,18 +48,18 @@
 	return took
 }
 
-// A start beside another process waits for the list, and no longer than settleFor where the service says nothing.
+// A start beside another process waits for the list, but no longer than listWaitTimeout if the service does not answer.
 func TestSettleEnds(t *testing.T) {
 	for answers, want := range map[time.Duration]time.Duration{0: pollInterval, 400 * time.Millisecond: 400*time.Millisecond + pollInterval, time.Hour: listWaitTimeout + pollInterval} {
 		if took := listWaitTime(t, answers); took > want {
-			t.Errorf("answered after %v: ready after %v", answers, took)
+			t.Errorf("the service answered after %v: the wait took %v", answers, took)
 		}
 	}
 }
 
-// Everything outside hangs: the list's service and the store of record take connects and say nothing, connects to servers
-// never come up, and a snapshot of the process before is there. The instance is ready all the same: it waits for the list
-// alone, by settleFor at the most.
+// Everything outside hangs: the journal service and the database accept connections and send nothing, and connections
+// to servers are never accepted. The second start also finds a snapshot. The instance still gets ready: it waits for
+// the list alone, and for listWaitTimeout at most.
 func TestReadyWhereEverythingOutsideHangs(t *testing.T) {
 	silent := netcase.Accept(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	hanging := hangingDiscovery(t) // as a server: connects hang
@@ -66,7 +67,7 @@
 	project := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
 	text := strings.Replace(configuration(silent, []string{hanging.addr, silent}), `"listen":"127.0.0.1:0"`,
 		fmt.Sprintf(`"listen":%q,"admin":%q`, freeAddr(t), admin), 1)
-	for round := range 2 { // the second one takes the first one's snapshot up
+	for round := range 2 { // the second start restores the snapshot of the first
 		began := time.Now()
 		p := startWith(t, text, project)
 		if !p.logged("msg=serving ") {
@@ -77,7 +78,7 @@
 		}
 		waitForHealth(t, admin, http.StatusOK)
 		if found := p.logged("snapshot=\"taken up"); found != (round == 1) {
-			t.Errorf("start %d: snapshot taken up %v", round, found)
+			t.Errorf("start %d: snapshot restored: %v", round, found)
 		}
 		p.stop()
 		if kept, _ := filepath.Glob(filepath.Join(state, "*")); len(kept) == 0 {
--- a/cmd/masthill/releasemember.go
+++ b/cmd/masthill/releasemember.go
@@ -12,8 +12,8 @@
 	"masthill/internal/releases"
 )
 
-// newReleaseMember makes the subsystem that follows configuration releases from the fleet's configuration servers. Nothing
-// waits for the servers: until a release arrives, the configuration in force stays.
+// newReleaseMember makes the subsystem that follows configuration releases from the fleet's configuration servers.
+// Nothing waits for the servers: until a release arrives, the configuration in force stays.
 func newReleaseMember(in *instance) (subsystem, error) {
 	s := in.project.Distribution
 	if len(s.Servers) == 0 {
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -87,8 +87,8 @@
 	return err
 }
 
-// readContent reads and checks the content of a release. Values that refer to the environment are looked up by the instance
-// that applies the release; for the check each stands for a distinct text.
+// readContent reads and checks the content of a release. Values that refer to the environment are looked up by the
+// instance that applies the release; for the check each stands for a distinct text.
 func readContent(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -171,8 +171,8 @@
 	return succeeded, errors.Join(failures...)
 }
 
-// overview gets the status of all servers and combines them. Servers that do not answer are named in err; if none answers,
-// err has the exit code exitNoAnswer.
+// overview gets the status of all servers and combines them. Servers that do not answer are named in err; if none
+// answers, err has the exit code exitNoAnswer.
 func (c configFleet) overview() (distribution.Overview, error) {
 	var mu sync.Mutex
 	var statuses []distribution.Status
--- a/cmd/masthill/releases_test.go
+++ b/cmd/masthill/releases_test.go
@@ -25,7 +25,7 @@
 	newToken     = "a-token-from-now-on-0123456789"
 )
 
-// releaseBed is a fleet that takes configuration releases: servers and instances in processes of their own.
+// releaseFixture is a fleet that follows configuration releases, with servers and instances in processes of their own.
 type releaseFixture struct {
 	t         *testing.T
 	dir, key  string
@@ -52,7 +52,7 @@
 	return b
 }
 
-// command is one command line of masthill config.
+// command makes the command for one command line of masthill config.
 func (b *releaseFixture) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], append([]string{"config"}, args...)...)
 	cmd.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1")
@@ -65,7 +65,7 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// serve starts a server, which goes on with what it kept.
+// startServer starts a server, which resumes from its stored state.
 func (b *releaseFixture) startServer(k int) {
 	b.t.Helper()
 	cmd := b.command("serve", "--fleet", releaseFleet, "--servers", strings.Join(b.servers, ","), "--listen", b.servers[k],
@@ -90,7 +90,7 @@
 	b.processes[k].Wait()
 }
 
-// instance starts an instance of a zone that follows servers; more is added to its settings.
+// instance starts an instance in a zone that follows some servers; more is appended to its settings.
 func (b *releaseFixture) instance(name, zone string, servers []string, more string) *program {
 	b.t.Helper()
 	quoted, _ := json.Marshal(servers)
@@ -99,7 +99,7 @@
 		quoted, releaseFleet, zone, b.public, filepath.Join(b.dir, name), more))
 }
 
-// publish publishes a release that zone a takes at once and all others after rest.
+// publish publishes a release that zone a takes at once and all others after rest, and follows it for the time follow.
 func (b *releaseFixture) publish(content, rest, follow string) (out string, code int) {
 	b.t.Helper()
 	file := filepath.Join(b.dir, "content.toml")
@@ -117,7 +117,7 @@
 	}
 }
 
-// until waits until the servers together tell something.
+// waitUntil waits until the combined status of the servers meets a condition.
 func (b *releaseFixture) waitUntil(what string, is func(o distribution.Overview) bool) {
 	b.t.Helper()
 	var out string
@@ -131,7 +131,7 @@
 	b.t.Fatalf("never %s: %s", what, out)
 }
 
-// runs tells whether an instance runs a version.
+// isRunning tells whether an instance runs a version, as it reported within 5 s.
 func isRunning(o distribution.Overview, member string, version distribution.Version) bool {
 	for _, m := range o.Members {
 		if m.Member == member && m.AgeMS < 5000 {
@@ -141,7 +141,7 @@
 	return false
 }
 
-// waitLogged waits for a line in a program's log.
+// waitForLog waits for a text in the program's log.
 func (p *program) waitForLog(text string) {
 	p.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !p.logged(text); time.Sleep(10 * time.Millisecond) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// answers tells whether the instance serves its callers.
+// checkServing checks that the instance serves its callers.
 func (p *program) checkServing() {
 	p.t.Helper()
 	c := dial(p.t, p.sip)
@@ -159,7 +159,7 @@
 	c.expect(200, "")
 }
 
-// tokenStatus is what a call socket's upgrade with a token is answered.
+// tokenStatus is the status of the answer to a request for a call socket with a token.
 func tokenStatus(t *testing.T, addr, token string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/v1/calls", nil)
@@ -176,17 +176,17 @@
 	return response.StatusCode
 }
 
-// A release is in force everywhere by its stages, and changes what it says: here who may connect. One that an instance
-// cannot apply is halted, and all go back.
+// A release comes into force on all instances by its stages and changes what it sets, here which callers may connect. A
+// release that an instance cannot apply is halted, and all instances go back to the last good one.
 func TestAReleaseAndOneThatIsHalted(t *testing.T) {
 	b := newReleaseFixture(t, 3)
 	callers := fmt.Sprintf("[callws]\nlisten = \"127.0.0.1:0\"\ncallers = { station = %q }\n", oldToken)
 	a := b.instance("a0", "a", b.servers, callers)
 	b0 := b.instance("b0", "b", b.servers, callers)
-	plain := b.instance("b1", "b", b.servers, "") // no call control: it cannot take a release that changes callers
+	plain := b.instance("b1", "b", b.servers, "") // without call control, it cannot apply a release that changes callers
 	b.mustPublish("[shares.fractions]\nacme = 0.5\n", "1s", "20s")
 	if got := tokenStatus(t, a.callws, oldToken); got == http.StatusUnauthorized {
-		t.Error("a caller is turned away that the release says nothing of")
+		t.Error("a caller that the release does not mention is refused")
 	}
 	out, code := b.publish(fmt.Sprintf("[callws.callers]\nstation = %q\n", newToken), "1s", "20s")
 	if code != exitHalted || !strings.Contains(out, "could not apply") {
@@ -196,10 +196,10 @@
 		return isRunning(o, "a0", 1) && isRunning(o, "b0", 1) && isRunning(o, "b1", 1)
 	})
 	if !a.logged("version=2 before=1") || !plain.logged("call control over WebSocket is off") {
-		t.Error("the release was not tried")
+		t.Error("no instance tried to apply the release")
 	}
 	if got := tokenStatus(t, a.callws, oldToken); got == http.StatusUnauthorized {
-		t.Error("the token of before does not work again")
+		t.Error("the old token does not work again")
 	}
 	plain.stop()
 	b.mustPublish(fmt.Sprintf("[callws.callers]\nstation = %q\n", newToken), "1s", "20s")
@@ -213,8 +213,8 @@
 	}
 }
 
-// All servers are lost: instances serve, keep what runs over their own restarts, and tell how old it is. When servers come
-// back, one after the other, the fleet follows them.
+// When all configuration servers are lost, instances keep serving and keep the release in force over their own
+// restarts. When the servers come back one after the other, the fleet follows them again.
 func TestAllConfigurationServersLost(t *testing.T) {
 	b := newReleaseFixture(t, 3)
 	one := b.instance("a0", "a", b.servers, "")
@@ -240,7 +240,7 @@
 	b.waitUntil("in force", func(o distribution.Overview) bool { return isRunning(o, "a0", 2) })
 }
 
-// relay passes connections on to a server, until it is cut.
+// relay forwards connections to a server; while it is cut, it closes them.
 type relay struct {
 	net.Listener
 	mu   sync.Mutex
@@ -299,8 +299,9 @@
 	}
 }
 
-// A region is cut off from all servers: it keeps what runs and says that it is stale, the rest takes a new release, and the
-// region takes it once it is healed. Meanwhile two versions run side by side.
+// A region that is cut off from all servers keeps the release in force and reports that it is stale, while the rest of
+// the fleet takes a new one. Two versions run side by side until the connections are restored, when the region takes
+// the new release too.
 func TestARegionCutOffFromItsServers(t *testing.T) {
 	b := newReleaseFixture(t, 3)
 	var relays []*relay
@@ -338,7 +339,7 @@
 	}
 	for end := time.Now().Add(30 * time.Second); state().Release.State != distribution.Stale; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never stale: %+v", state())
+			t.Fatalf("the instance was never stale: %+v", state())
 		}
 	}
 	if got := state().Release; got.Running != 1 || got.AgeMS < 3000 {
@@ -351,8 +352,8 @@
 	b.waitUntil("healed", func(o distribution.Overview) bool { return isRunning(o, "far", 2) })
 }
 
-// One of two servers lies: it tells a release that nobody signed, and then one that is long past. The instance leaves it
-// each time and runs what the other one has.
+// One of two servers is malicious: it announces a release without a valid signature, and later an outdated one. The
+// instance switches to the other server each time and runs the release of that one.
 func TestAServerThatLies(t *testing.T) {
 	b := newReleaseFixture(t, 1)
 	forged := distribution.Release{Fleet: releaseFleet, Version: 9, Stages: []distribution.Stage{{}}, Content: []byte("[log]\nlevel = \"error\"\n"), Signature: make([]byte, 64)}
@@ -368,7 +369,7 @@
 		json.NewEncoder(w).Encode(map[string]any{"head": head, "tag": fmt.Sprint(head.Version)})
 	}))
 	defer liar.Close()
-	b.killServer(0) // so that it asks the liar
+	b.killServer(0) // so that the instance asks the malicious server
 	one := b.instance("a0", "a", []string{liar.Listener.Addr().String(), b.servers[0]}, "")
 	one.waitForLog("reason=forged")
 	b.startServer(0)
@@ -377,17 +378,18 @@
 	mu.Lock()
 	head = distribution.Head{}
 	mu.Unlock()
-	b.killServer(0) // so that it asks the liar again
+	b.killServer(0) // so that the instance asks the malicious server again
 	one.waitForLog("reason=stale")
 	b.startServer(0)
 	b.waitUntil("followed again", func(o distribution.Overview) bool { return isRunning(o, "a0", 1) })
 	if one.logged("version=9") {
-		t.Error("it took the forged release")
+		t.Error("the instance took the forged release")
 	}
 	one.checkServing()
 }
 
-// A server is lost in the midst of a release, and an operator halts the release at one server: all hear of both.
+// In the middle of a release one server is lost, and an operator halts the release at another one. All servers learn of
+// the halt, also the lost one once it is back.
 func TestAHaltInTheMidstOfARelease(t *testing.T) {
 	b := newReleaseFixture(t, 3)
 	b.instance("a0", "a", b.servers, "")
@@ -402,7 +404,7 @@
 	b.waitUntil("back", func(o distribution.Overview) bool {
 		return isRunning(o, "a0", 1) && isRunning(o, "b0", 1) && o.Halted != ""
 	})
-	b.startServer(0) // it kept version 2 as good, and hears
+	b.startServer(0) // it has stored version 2 as good, and learns of the halt
 	b.waitUntil("heard by all", func(o distribution.Overview) bool {
 		for _, s := range o.Servers {
 			if s.Halted == "" {
@@ -414,6 +416,6 @@
 	b.processes[2].Process.Signal(syscall.SIGTERM)
 	b.processes[2].Wait()
 	if code := b.processes[2].ProcessState.ExitCode(); code != exitOK {
-		t.Errorf("a server ends with exit code %d", code)
+		t.Errorf("a server ended with exit code %d", code)
 	}
 }
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -36,28 +36,29 @@
 )
 
 const (
-	// acceptPeriod is how long after SIGTERM new connections are accepted: the platform still opens some for 0.2 to 0.4 s.
-	// requestPeriod is how long after SIGTERM requests are expected on open connections: 0.2 s more. Both have a margin.
+	// acceptPeriod is how long after SIGTERM new connections are accepted: the platform still opens some for 0.2 to 0.4
+	// s. requestPeriod is how long after SIGTERM requests are expected on open connections: 0.2 s more. Both have a
+	// margin.
 	acceptPeriod, requestPeriod = 450 * time.Millisecond, 700 * time.Millisecond
 	// The platform sends SIGKILL killDelay plus the longest deadline, which counts as maxCountedDeadline at most, after
-	// SIGTERM. refuseMargin before that, the calls that still wait are refused; the last answers then have flushTimeout to
-	// be written and read.
+	// SIGTERM. refuseMargin before that, the calls that still wait are refused; the last answers then have flushTimeout
+	// to be written and read.
 	killDelay, maxCountedDeadline = 700 * time.Millisecond, 3 * time.Second
 	refuseMargin, flushTimeout    = 400 * time.Millisecond, 200 * time.Millisecond
-	// drainDelay is how long idle connections are kept after an operator orders a drain. The platform checks the health ten
-	// times a second and stops new connections 0.2 s after a check fails; callers that lost a connection earlier would only
-	// reconnect.
+	// drainDelay is how long idle connections are kept after an operator orders a drain. The platform checks the health
+	// ten times a second and stops new connections 0.2 s after a check fails; callers that lost a connection earlier
+	// would only reconnect.
 	drainDelay = 400 * time.Millisecond
-	// listWaitTimeout is how long a start waits for the journal service where another process may be serving. An instance
-	// has 6 s to become ready.
+	// listWaitTimeout is how long a start waits for the journal service where another process may be serving. An
+	// instance has 6 s to become ready.
 	listWaitTimeout = 1500 * time.Millisecond
 	// pollInterval is the pause between checks of a condition that is waited for.
 	pollInterval = 5 * time.Millisecond
-	// The connections of the platform's callers may take one part in connMemoryDivisor of the memory limit. Each counts as
-	// connMemoryBytes, for its buffers, its stacks and what may be queued for it.
+	// The connections of the platform's callers may take one part in connMemoryDivisor of the memory limit. Each counts
+	// as connMemoryBytes, for its buffers, its stacks and what may be queued for it.
 	connMemoryDivisor, connMemoryBytes = 8, 32 << 10
-	// heapFraction is the fraction of the memory limit that Go's runtime may use; the rest is for the program's own pages,
-	// stacks, socket buffers and files.
+	// heapFraction is the fraction of the memory limit that Go's runtime may use; the rest is for the program's own
+	// pages, stacks, socket buffers and files.
 	heapFraction = 0.7
 )
 
@@ -231,9 +232,9 @@
 	return nil
 }
 
-// waitForList waits up to listWaitTimeout for the journal service. An instance that an upgrade starts beside the previous
-// one must not send calls to offices that have gone while its own list still has them. If the service does not answer,
-// the instance starts all the same.
+// waitForList waits up to listWaitTimeout for the journal service. An instance that an upgrade starts beside the
+// previous one must not send calls to offices that have gone while its own list still has them. If the service does not
+// answer, the instance starts all the same.
 func (in *instance) waitForList(ctx context.Context) {
 	waitCtx, cancel := context.WithTimeout(ctx, listWaitTimeout)
 	defer cancel()
@@ -343,8 +344,8 @@
 	return max(requestPeriod, min(longest, maxCountedDeadline)+killDelay-refuseMargin)
 }
 
-// shutDown ends the instance gracefully: it takes new calls as long as they may arrive, and answers all calls that it took.
-// What arrives later, such as the rest of a request that was read in part, is answered or refused, until the last
+// shutDown ends the instance gracefully: it takes new calls as long as they may arrive, and answers all calls that it
+// took. What arrives later, such as the rest of a request that was read in part, is answered or refused, until the last
 // connection is closed.
 func (in *instance) shutDown() {
 	core, startedAt := in.core, time.Now()
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -40,7 +40,7 @@
 	`"feedback":{"fields":["spare","total","cpu","waiting"]},"resolution_ns":5000000,"rules":{"cold_from":0.31,` +
 	`"cold_ns":15000000000,"drain_grace_ns":1000000000,"fall_multiple":2.0,"fall_ns":1000000000}}`
 
-// newJournal is a stand-in that sends a comment now and then and nothing else.
+// newJournal is a fake journal service that sends a comment every 50 ms and no events.
 func newJournal(t *testing.T) string {
 	return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil && t.Context().Err() == nil {
@@ -55,14 +55,14 @@
 type program struct {
 	*exec.Cmd
 	t            *testing.T
-	sip, callws  string // where it listens
-	config       string // its file
+	sip, callws  string // addresses that it listens at
+	config       string // path of the platform's file
 	mu           sync.Mutex
 	log          strings.Builder
 	ready, ended chan struct{}
 }
 
-// configuration is the platform's file; offices are addresses, cells in their order.
+// configuration is the text of the platform's file. offices are addresses; each gets a cell, in their order.
 func configuration(journal string, offices []string) string {
 	var servers []string
 	for k, addr := range offices {
@@ -73,13 +73,14 @@
 		`"settings":%s}`, journal, strings.Join(servers, ","), settings)
 }
 
-// start writes the configuration and starts the program; offices are addresses, cells in their order.
+// start starts the program with a configuration for offices, and waits until it is ready or has ended. callws is the
+// text of the operators' settings.
 func start(t *testing.T, journal string, offices []string, callws string) *program {
 	t.Helper()
 	return startWith(t, configuration(journal, offices), callws)
 }
 
-// startWith starts the program with a configuration of the test's own.
+// startWith does the same with the text of the platform's file.
 func startWith(t *testing.T, platformText, projectText string) *program {
 	t.Helper()
 	dir := t.TempDir()
@@ -112,7 +113,7 @@
 	return p
 }
 
-// Write takes the program's log, and from it the addresses where it listens.
+// Write receives the program's log, and reads from it the addresses that the program listens at.
 func (p *program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	return len(b), nil
 }
 
-// reload replaces the configuration and tells the program so.
+// reload changes the platform's file and has the program read it again.
 func (p *program) reload(change func(text string) string) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.config)
@@ -145,7 +146,7 @@
 	}
 }
 
-// stop ends the program as the platform does, and wants exit code 0.
+// stop ends the program as the platform does, and checks that its exit code is 0.
 func (p *program) stop() {
 	p.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
@@ -155,7 +156,7 @@
 	}
 }
 
-// peer is a caller's SIP connection.
+// callerConn is a caller's SIP connection.
 type callerConn struct {
 	net.Conn
 	*sip.Reader
@@ -183,7 +184,7 @@
 	}
 }
 
-// want reads on to a message of that status or method.
+// expect reads the next message and checks its status and method.
 func (p *callerConn) expect(status int, method string) *sip.Message {
 	p.t.Helper()
 	m, err := p.Next()
@@ -194,8 +195,8 @@
 	return m
 }
 
-// processor is what a stand-in office works with: one line that takes set-ups in turn, slow for a while, and full
-// beyond some that wait. It notes what no caller's side sees: two attempts of a call out at once.
+// processor handles the set-ups of a fake office, one at a time. It can be made slow, and refuses set-ups when maxQueue
+// of them wait. It records what callers cannot see: two open attempts of the same call.
 type processor struct {
 	*attemptLog
 	name             string
@@ -203,16 +204,16 @@
 	mu               sync.Mutex
 	waiting          int
 	slow             bool
-	abandoned        map[string]bool // given up while they waited
-	releaseOnConnect string          // a call from before, released on the next connection
+	abandoned        map[string]bool // calls canceled while they waited
+	releaseOnConnect string          // a call set up earlier, released on the next connection; empty: none
 }
 
-// ledger is what all stand-in offices of a test note together.
+// attemptLog records the attempts at all fake offices of a test.
 type attemptLog struct {
 	mu           sync.Mutex
-	openAttempts map[string]string // call to the office where its attempt is out
-	overlaps     map[string]string // calls sent while an attempt was out, and where that was
-	canceled     map[string]bool   // call at office
+	openAttempts map[string]string // by call: the office where its attempt is open
+	overlaps     map[string]string // by call that was sent while an attempt was open: the office of that attempt
+	canceled     map[string]bool   // by call and office
 	attempts     int
 }
 
@@ -222,7 +223,7 @@
 
 const maxQueue = 12
 
-// setup works on a set-up and answers it by accept or refuse. It returns at once.
+// setup queues a set-up, which is answered by accept or refuse. It returns at once.
 func (p *processor) setup(id string, accept, refuse func()) {
 	p.attemptLog.mu.Lock()
 	p.attempts++
@@ -287,7 +288,7 @@
 	return &processor{attemptLog: l, name: name, abandoned: map[string]bool{}}
 }
 
-// sipOffice is a stand-in that speaks the platform's protocol.
+// sipOffice is a fake office that speaks the platform's protocol.
 func sipOffice(t *testing.T, p *processor) string {
 	return netcase.Accept(t, func(c net.Conn) {
 		var mu sync.Mutex
@@ -323,7 +324,7 @@
 	})
 }
 
-// wsOffice is a stand-in that speaks call control over WebSocket.
+// wsOffice is a fake office that speaks call control over WebSocket.
 func wsOffice(t *testing.T, p *processor) string {
 	return "ws://" + netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{"callserver.v1"}})
--- a/cmd/masthill/takeover_test.go
+++ b/cmd/masthill/takeover_test.go
@@ -11,10 +11,11 @@
 	"masthill/internal/fleet"
 )
 
-// launchGate names a file that has to exist before a launched process claims its folder: tests order launches by it.
+// launchGate is the environment variable with the path of a file that has to exist before a launched process claims its
+// directory. Tests control the order of launches by it.
 const launchGate = "MASTHILL_TEST_LAUNCH_GATE"
 
-// waitForFile waits until a file exists, a minute at most; an empty path is no gate.
+// waitForFile waits until a file exists, for a minute at most. It returns at once if the path is empty.
 func waitForFile(path string) {
 	for end := time.Now().Add(time.Minute); path != "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if _, err := os.Stat(path); err == nil {
@@ -23,7 +24,7 @@
 	}
 }
 
-// launched are the processes that were started with a gate, whether they have passed it or not.
+// launchedProcesses are the processes that were launched with a gate and have not become the program yet.
 func launchedProcesses(gate string) (pids []string) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, file := range files {
@@ -39,7 +40,7 @@
 	return pids
 }
 
-// untilLaunched waits for the process behind a gate.
+// waitForLaunch waits for the process that waits at a gate.
 func (b *fleetFixture) waitForLaunch(gate string) {
 	b.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -47,18 +48,18 @@
 			return
 		}
 	}
-	b.t.Fatalf("no process behind %s", gate)
+	b.t.Fatalf("no process waits at %s", gate)
 }
 
-// kill ends the supervisor without a word.
+// killSupervisor ends the supervisor with SIGKILL.
 func (b *fleetFixture) killSupervisor() {
 	b.supervisor.Process.Kill()
 	b.supervisor.Wait()
 }
 
-// A supervisor is killed after it has launched an instance and before it has written that down. The instance claims its
-// folder only when the next supervisor has launched another one. The first runs and is taken over; the second ends, and is
-// no crash.
+// A supervisor is killed after it has launched an instance and before it has recorded that. The instance claims its
+// directory only when the next supervisor has launched another one. The first process runs and is taken over; the
+// second ends, which does not count as a crash.
 func TestASupervisorIsKilledWhileItLaunches(t *testing.T) {
 	first, second := filepath.Join(t.TempDir(), "first"), filepath.Join(t.TempDir(), "second")
 	t.Setenv(launchGate, first)
@@ -81,15 +82,15 @@
 	open(second)
 	s := b.waitUntil("taken over", func(s *fleet.Status) bool { return allServing(s) && len(launchedProcesses(second)) == 0 })
 	if m := s.Instances[0]; m.Ends != 0 {
-		t.Errorf("a launch beside a running instance counts as a crash: %+v", m)
+		t.Errorf("a launch beside a running instance counted as a crash: %+v", m)
 	}
 	if n := b.countProcesses(); n != 1 {
 		t.Errorf("%d instances of 1", n)
 	}
 }
 
-// The same, but what was launched is written down: its address is in use until it claims its folder, so that no other one
-// is launched beside it.
+// A supervisor is killed after it has recorded the launch of an instance. Its address counts as in use until the
+// instance claims its directory, so no other instance is launched beside it.
 func TestAnInstanceClaimsItsFolderLate(t *testing.T) {
 	gate := filepath.Join(t.TempDir(), "gate")
 	t.Setenv(launchGate, gate)
@@ -110,8 +111,8 @@
 	}
 }
 
-// An instance that ends while it has no supervisor takes its listening socket with it; the next supervisor opens it at the
-// same address.
+// When an instance ends while it has no supervisor, its listening socket is closed with it. The next supervisor opens a
+// new one at the same address.
 func TestAnInstanceEndsWithoutASupervisor(t *testing.T) {
 	b := newFleet(t, 1)
 	before := b.waitUntil("up", allServing).Instances[0]
@@ -120,6 +121,6 @@
 	b.start()
 	after := b.waitUntil("up again", allServing).Instances[0]
 	if after.Listen != before.Listen {
-		t.Errorf("it listens at %s, and did at %s", after.Listen, before.Listen)
+		t.Errorf("it listens at %s, before at %s", after.Listen, before.Listen)
 	}
 }
