--- a/cmd/masthill/deploy_test.go
+++ b/cmd/masthill/deploy_test.go
@@ -100,7 +100,7 @@
 
 // On the platform the program is one process that is linked dynamically against the C library. It listens only at the
 // configured address, opens no Unix socket and starts no other process.
-func TestAsThePlatformRunsIt(t *testing.T) {
+func TestDeployedProcess(t *testing.T) {
 	cmd := startDeployed(t)
 	pid := cmd.Process.Pid
 	var listening [][]string
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -243,7 +243,7 @@
 // While discovery is down, idle clients take all places at both fronts and silent ones those of the operators' address.
 // The health check still answers, and a server whose connection was closed is connected again. When discovery is back,
 // its list is followed at once: a new server on it is connected. The program never runs out of descriptors.
-func TestIdleClientsLeaveTheOthersTheirDescriptors(t *testing.T) {
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	for name, down := range map[string]func(*testing.T) *fakeDiscovery{"refuses": refusingDiscovery, "hangs": hangingDiscovery, "silent": silentDiscovery} {
 		t.Run(name, func(t *testing.T) {
 			old, late := newFakeServer(t), newFakeServer(t)
@@ -258,8 +258,8 @@
 			p.limit(fewDescriptors)
 			waitForHealth(t, admin, 200)
 			own := descriptors.Plan(descriptors.Demand{Limit: fewDescriptors, Operators: true, WebSocket: true})
-			if without := p.openDescriptors(); without > own.Runtime+own.Discovery+1 { // one connection to a server
-				t.Errorf("%d held without clients, %d planned for", without, own.Runtime+own.Discovery+1)
+			if heldWithoutClients := p.openDescriptors(); heldWithoutClients > own.Runtime+own.Discovery+1 { // one connection to a server
+				t.Errorf("%d held without clients, %d planned for", heldWithoutClients, own.Runtime+own.Discovery+1)
 			}
 			c := &idleClients{t: t}
 			c.connect(p.sip, 500)
@@ -269,7 +269,7 @@
 			silent := &idleClients{t: t}
 			defer silent.closeAll()
 			most := 0
-			var slowest, reconnect time.Duration
+			var healthCheckDelay, reconnectDelay time.Duration
 			for range 4 {
 				p.waitForDescriptors(fewDescriptors / 2)
 				silent.connect(admin, 20)
@@ -277,18 +277,18 @@
 				if got := adminRequest(t, admin, "GET", "/healthcheck"); got != 200 {
 					t.Errorf("health check: %d", got)
 				}
-				slowest = max(slowest, time.Since(asked))
+				healthCheckDelay = max(healthCheckDelay, time.Since(asked))
 				ended := time.Now()
 				old.closeConnections()
-				reconnect = max(reconnect, waitForConnection(t, "a server's connection", old.accepted, ended))
+				reconnectDelay = max(reconnectDelay, waitForConnection(t, "a server's connection", old.accepted, ended))
 				most = max(most, p.openDescriptors())
 			}
 			back := time.Now()
 			d.startServing()
-			followed := waitForConnection(t, "discovery", d.connected, back)
-			told := waitForConnection(t, "a new server", late.accepted, back)
-			t.Logf("health check %v, server connected again %v, discovery followed %v, its new server connected %v, descriptors %d", slowest, reconnect, followed, told, most)
-			if slowest > maxDelay || reconnect > maxDelay || followed > maxDelay || told > maxDelay {
+			discoveryDelay := waitForConnection(t, "discovery", d.connected, back)
+			newServerDelay := waitForConnection(t, "a new server", late.accepted, back)
+			t.Logf("health check %v, server connected again %v, discovery followed %v, its new server connected %v, descriptors %d", healthCheckDelay, reconnectDelay, discoveryDelay, newServerDelay, most)
+			if healthCheckDelay > maxDelay || reconnectDelay > maxDelay || discoveryDelay > maxDelay || newServerDelay > maxDelay {
 				t.Error("slower than maxDelay")
 			}
 			if p.logged("too many open files") || most > fewDescriptors {
--- a/cmd/masthill/end_test.go
+++ b/cmd/masthill/end_test.go
@@ -11,7 +11,7 @@
 
 // SIGKILL comes the sooner the shorter the deadlines of a deployment are. Calls that still wait have to be refused
 // before it.
-func TestWhenWhatWaitsIsRefused(t *testing.T) {
+func TestRefusalDelay(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 800 * time.Millisecond, 2 * time.Second, 3 * time.Second, time.Minute} {
 		got := refusalDelay([]exchange.Class{{Deadline: longest / 2}, {Deadline: longest}})
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -113,7 +113,7 @@
 	p.stop()
 }
 
-func TestBadConfigurationEndsWithTwo(t *testing.T) {
+func TestBadConfigurationExitCode(t *testing.T) {
 	for callws, key := range map[string]string{"[store]\ndriver = \"oracle\"": "store.driver", callWSSettings + "colour = 1": "colour"} {
 		p := start(t, "127.0.0.1:1", nil, callws)
 		<-p.ended
--- a/cmd/masthill/operation_test.go
+++ b/cmd/masthill/operation_test.go
@@ -182,7 +182,7 @@
 	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
 	p, admin := startWithAdmin(t, newJournal(t), []string{office}, freeAddr(t), 64)
 	waitForHealth(t, admin, 200)
-	var crowd []net.Conn
+	var conns []net.Conn
 	join := func(n int) {
 		for range n {
 			c, err := net.Dial("tcp", p.sip)
@@ -190,7 +190,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			if crowd = append(crowd, c); len(crowd)%2 == 0 {
+			if conns = append(conns, c); len(conns)%2 == 0 {
 				io.WriteString(c, "INVITE sip:17@net SI")
 			}
 		}
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -57,7 +57,7 @@
 
 // Four processes form a fleet. Their keys are changed by SIGHUP, on all of them and then on half; one is killed, and
 // one leaves. A second process of the same name stays silent.
-func TestProcessesKnowOfEachOther(t *testing.T) {
+func TestFleetMembership(t *testing.T) {
 	feed := newJournal(t)
 	dir := t.TempDir()
 	var seed string
@@ -83,7 +83,7 @@
 			seed = fmt.Sprintf("%q", queryPeers(filepath.Join(dir, "a")).Addr)
 		}
 	}
-	everyone := func(n int, of ...string) func() bool {
+	allHeardBy := func(n int, of ...string) func() bool {
 		return func() bool {
 			for _, name := range of {
 				if !allHeard(filepath.Join(dir, name), n) {
@@ -93,7 +93,7 @@
 			return true
 		}
 	}
-	until("all four hear each other", everyone(4, names...))
+	until("all four hear each other", allHeardBy(4, names...))
 	rotate := func(keys string, of ...string) {
 		for _, name := range of {
 			p := all[name]
@@ -114,11 +114,11 @@
 	rotate(quoted(oldKey, newKey), names...)
 	rotate(quoted(newKey, oldKey), "a", "b") // half of them now encrypt with the new key
 	time.Sleep(1500 * time.Millisecond)      // until what was heard before is too old to count
-	until("they still hear each other", everyone(4, names...))
+	until("they still hear each other", allHeardBy(4, names...))
 
-	twin := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
+	duplicate := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
 	until("the second d finds its name taken", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
-	twin.Process.Kill()
+	duplicate.Process.Kill()
 
 	all["d"].Process.Kill()
 	until("d is gone", func() bool {
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -49,7 +49,7 @@
 }
 
 // A start beside another process waits for the list, but no longer than listWaitTimeout if the service does not answer.
-func TestSettleEnds(t *testing.T) {
+func TestWaitForListEnds(t *testing.T) {
 	for answers, want := range map[time.Duration]time.Duration{0: pollInterval, 400 * time.Millisecond: 400*time.Millisecond + pollInterval, time.Hour: listWaitTimeout + pollInterval} {
 		if took := listWaitTime(t, answers); took > want {
 			t.Errorf("the service answered after %v: the wait took %v", answers, took)
@@ -60,7 +60,7 @@
 // Everything outside hangs: the journal service and the database accept connections and send nothing, and connections
 // to servers are never accepted. The second start also finds a snapshot. The instance still gets ready: it waits for
 // the list alone, and for listWaitTimeout at most.
-func TestReadyWhereEverythingOutsideHangs(t *testing.T) {
+func TestReadyWhileOutsideServicesHang(t *testing.T) {
 	silent := netcase.Accept(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	hanging := hangingDiscovery(t) // as a server: connects hang
 	admin, state := freeAddr(t), t.TempDir()
--- a/cmd/masthill/releases_test.go
+++ b/cmd/masthill/releases_test.go
@@ -354,12 +354,12 @@
 
 // One of two servers is malicious: it announces a release without a valid signature, and later an outdated one. The
 // instance switches to the other server each time and runs the release of that one.
-func TestAServerThatLies(t *testing.T) {
+func TestAMaliciousServer(t *testing.T) {
 	b := newReleaseFixture(t, 1)
 	forged := distribution.Release{Fleet: releaseFleet, Version: 9, Stages: []distribution.Stage{{}}, Content: []byte("[log]\nlevel = \"error\"\n"), Signature: make([]byte, 64)}
 	var mu sync.Mutex
 	head := distribution.Head{Version: forged.Version, Digest: forged.Digest()}
-	liar := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	maliciousServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/v1/releases") {
 			json.NewEncoder(w).Encode(forged)
 			return
@@ -368,9 +368,9 @@
 		defer mu.Unlock()
 		json.NewEncoder(w).Encode(map[string]any{"head": head, "tag": fmt.Sprint(head.Version)})
 	}))
-	defer liar.Close()
+	defer maliciousServer.Close()
 	b.killServer(0) // so that the instance asks the malicious server
-	one := b.instance("a0", "a", []string{liar.Listener.Addr().String(), b.servers[0]}, "")
+	one := b.instance("a0", "a", []string{maliciousServer.Listener.Addr().String(), b.servers[0]}, "")
 	one.waitForLog("reason=forged")
 	b.startServer(0)
 	b.waitUntil("followed", func(o distribution.Overview) bool { return isRunning(o, "a0", 0) })
