--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -9,44 +9,45 @@
 	"masthill/internal/sip"
 )
 
+// release is a release of a call that waits for a connection to be sent on.
 type release struct {
-	host  string // of its caller; empty: not known
-	msg   []byte
-	until time.Time
+	host      string // of the call's caller; empty: unknown
+	message   []byte
+	expiresAt time.Time
 }
 
 // Answer implements exchange.Caller.
-func (s *Server) Answer(id string, f exchange.FinalAnswer) {
+func (s *Server) Answer(id string, answer exchange.FinalAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
-	if t == nil || t.stood {
-		return // never a second answer
+	t := s.transactions[id]
+	if t == nil || t.established {
+		return // a call gets no second answer
 	}
-	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[f.Verdict]
-	b := append(sip.AppendStatus(make([]byte, 0, 512+len(f.Description)), status), t.echo...)
-	if f.Verdict == exchange.Stands {
-		t.stood, t.echo = true, nil
-		t.open, t.standing, t.used = t.open-1, t.standing+1, time.Now()
-		t.answered()
+	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Verdict]
+	b := append(sip.AppendStatus(make([]byte, 0, 512+len(answer.Description)), status), t.echoedHeaders...)
+	if answer.Verdict == exchange.Stands {
+		t.established, t.echoedHeaders = true, nil
+		t.openCalls, t.establishedCalls, t.lastUsed = t.openCalls-1, t.establishedCalls+1, time.Now()
+		t.wakeIfDrained()
 	} else {
 		s.remove(t)
 	}
-	if f.Wait > 0 {
-		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", f.Wait.Milliseconds())
+	if answer.Wait > 0 {
+		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", answer.Wait.Milliseconds())
 	}
-	t.Send(sip.AppendBody(b, f.Description))
+	t.Send(sip.AppendBody(b, answer.Description))
 }
 
-// Presence implements exchange.PresenceChecker: a set-up belongs to its connection, and only that may cancel it.
+// Presence implements exchange.PresenceChecker. A set-up belongs to its connection, and only that may cancel it.
 func (s *Server) Presence(id string) exchange.Presence {
-	t := s.waiting(id)
+	t := s.openTransaction(id)
 	if t == nil {
 		return exchange.Gone
 	}
 	input := t.Input()
 	switch {
-	case input == sip.InputEnded, s.waiting(id) != t: // cancelled before the look, which then finds nothing unread
+	case input == sip.InputEnded, s.openTransaction(id) != t: // cancelled before Input, which then reports nothing unread
 		return exchange.Gone
 	case input == sip.InputUnread:
 		return exchange.InputPending
@@ -54,24 +55,24 @@
 	return exchange.Connected
 }
 
-// waiting gives a set-up that waits for its answer, or nil.
-func (s *Server) waiting(id string) *txn {
+// openTransaction returns the transaction of an unanswered set-up, or nil.
+func (s *Server) openTransaction(id string) *transaction {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t := s.txns[id]; t != nil && t.conn != nil {
+	if t := s.transactions[id]; t != nil && t.conn != nil {
 		return t
 	}
 	return nil
 }
 
-// Release implements exchange.Caller. A call that stands belongs to no connection: where its own has gone,
-// any other will do, and the next one to open where there is none.
+// Release implements exchange.Caller. An established call belongs to no connection: if its own has ended, the release
+// is sent on any other, or on the next one to open if there is none.
 func (s *Server) Release(id string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
+	t := s.transactions[id]
 	if t == nil {
-		t = &txn{id: id, number: id}
+		t = &transaction{id: id, number: id}
 	}
 	s.remove(t)
 	cause := "Q.850;cause=16"
@@ -83,52 +84,52 @@
 	b = sip.AppendHeader(b, "Call-ID", id)
 	b = fmt.Appendf(b, "CSeq: %d BYE\r\n", t.seq+1)
 	b = sip.AppendBody(sip.AppendHeader(b, "Reason", cause), nil)
-	if t.conn != nil && s.conns[t.conn] && !t.gone {
+	if t.conn != nil && s.conns[t.conn] && !t.ending {
 		t.Send(b)
 		return
 	}
-	if c := s.another(t.conn); c != nil {
+	if c := s.connForRelease(t.conn); c != nil {
 		c.Send(b)
 		return
 	}
-	if len(s.late) < maxPendingReleases {
-		late := release{msg: b, until: time.Now().Add(releaseTimeout)}
+	if len(s.pendingReleases) < maxPendingReleases {
+		pending := release{message: b, expiresAt: time.Now().Add(releaseTimeout)}
 		if t.conn != nil {
-			late.host = t.host
+			pending.host = t.host
 		}
-		s.late = append(s.late, late)
+		s.pendingReleases = append(s.pendingReleases, pending)
 	}
 }
 
-// another finds a connection for the release of a call whose own has gone: one from the same host first, then one
-// that has asked for something, the last of those. A stranger who has only connected may never read it.
-func (s *Server) another(gone *conn) (best *conn) {
-	most := 0
+// connForRelease returns a connection for the release of a call whose own has ended: preferably one from the same host,
+// or else one with a valid request; among these the last used. A peer that has only connected may never read it.
+func (s *Server) connForRelease(ended *conn) (best *conn) {
+	bestFit := 0
 	for c := range s.conns {
 		fit := 0
 		switch {
-		case c.gone:
-		case gone != nil && c.host == gone.host:
+		case c.ending:
+		case ended != nil && c.host == ended.host:
 			fit = 3
-		case c.asked:
+		case c.hasRequested:
 			fit = 2
-		case gone == nil: // from before a restart: its caller may only just have come back
+		case ended == nil: // a call from before a restart, whose caller may have just reconnected
 			fit = 1
 		}
-		if fit > most || fit > 0 && fit == most && c.used.After(best.used) {
-			best, most = c, fit
+		if fit > bestFit || fit > 0 && fit == bestFit && c.lastUsed.After(best.lastUsed) {
+			best, bestFit = c, fit
 		}
 	}
 	return best
 }
 
-// flushLate gives a connection the releases that found none: at once those of its host, or of a call from before a
-// restart, and all of them once it has asked for something. Called under the lock.
-func (s *Server) flushLate(c *conn) {
-	s.late = slices.DeleteFunc(s.late, func(r release) bool {
-		if time.Now().After(r.until) {
+// flushPendingReleases sends the waiting releases on a connection: at once those of its host and of calls from before a
+// restart, and all of them once it has made a valid request. Called with the lock held.
+func (s *Server) flushPendingReleases(c *conn) {
+	s.pendingReleases = slices.DeleteFunc(s.pendingReleases, func(r release) bool {
+		if time.Now().After(r.expiresAt) {
 			return true
 		}
-		return (c.asked || r.host == "" || r.host == c.host) && c.Send(r.msg)
+		return (c.hasRequested || r.host == "" || r.host == c.host) && c.Send(r.message)
 	})
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -30,19 +30,19 @@
 		`"cell":2,"state":"` + state + `","weight":4}]}}`
 }
 
-type told struct {
+type update struct {
 	changed []exchange.Office
 	full    bool
 }
 
-func client(tell func(told)) *Client {
+func newClient(tell func(update)) *Client {
 	return &Client{Log: netcase.Quiet(), Backoff: func(int) time.Duration { return time.Millisecond },
-		OnChange: func(changed []exchange.Office, full bool) { tell(told{changed, full}) }}
+		OnChange: func(changed []exchange.Office, full bool) { tell(update{changed, full}) }}
 }
 
 func TestKnown(t *testing.T) {
-	var got []told
-	c := client(func(x told) { got = append(got, x) })
+	var got []update
+	c := newClient(func(x update) { got = append(got, x) })
 	c.LoadInitial(Known{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
 	if len(got) != 2 || c.Pos != 42 || !got[0].full || got[1].full {
 		t.Fatalf("%+v at %d", got, c.Pos)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestUnreadableEventsNameWhatIsWrong(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for in, want := range map[string]string{
 		`{`: "JSON", `{"pos":1}`: "no hosts", delta("UP"): "servers[0].state",
 		strings.Replace(full, "10.1.0.9:2905", "", 1): "no addr", strings.Replace(full, "s-00c41f7a", "", 1): "no id",
@@ -68,15 +68,15 @@
 	}
 }
 
-// A stream in any cuts gives the same events; a malformed one is passed over, and its number still counts, lest
-// every reconnect ask for it again.
-func TestStreamInAnyCuts(t *testing.T) {
+// A stream gives the same events however it is split into reads. A malformed event is skipped, and its number is
+// recorded, so that it is not requested again with each reconnect.
+func TestStreamInAnySplit(t *testing.T) {
 	text := ": hello\n\nid: 41\ndata: " + full + "\n\n:\n\nid: 42\r\ndata: {bad\r\n\r\nid: 42\ndata: " + full +
 		"\n\nid: 43\ndata: " + delta("DELETED") + "\n\nid: 44\ndata: " + delta("SERVING")
 	netcase.Check(t, func(t *rapid.T) {
 		n := 0
-		c := client(func(told) { n++ })
-		if heard, err := c.read(netcase.Cut(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
+		c := newClient(func(update) { n++ })
+		if heard, err := c.readEvents(netcase.Cut(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
 			t.Fatalf("%d events, at %d, %v", n, c.Pos, err)
 		}
 	})
@@ -84,16 +84,16 @@
 
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
-		c := client(func(told) {})
+		c := newClient(func(update) {})
 		data := netcase.Garbage(t, []byte("id: 41\ndata: "+full+"\n\n"))
-		if _, err := c.read(netcase.Cut(t, data), func() {}); err == nil {
+		if _, err := c.readEvents(netcase.Cut(t, data), func() {}); err == nil {
 			t.Fatal("no end")
 		}
 	})
 }
 
-// A broken stream is opened again with the number of the last event taken.
-func TestReconnectGoesOnWhereItWas(t *testing.T) {
+// A broken stream is opened again with the number of the last event received.
+func TestReconnectContinues(t *testing.T) {
 	asked := make(chan string, 100)
 	addr := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Last-Event-ID")
@@ -107,8 +107,8 @@
 			fmt.Fprint(w, "id: 3\ndata: {bad\n\n") // and the stream breaks
 		}
 	})
-	got := make(chan told, 1)
-	c := client(func(x told) { got <- x })
+	got := make(chan update, 1)
+	c := newClient(func(x update) { got <- x })
 	c.Addr, c.Pos = addr, 1
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -127,8 +127,8 @@
 	}
 }
 
-// A new configuration moves the client at once, also from a service that only stays silent, and the position goes on.
-func TestMoveKeepsThePosition(t *testing.T) {
+// SetAddr takes effect at once, even if the old service is silent but still connected, and the position is kept.
+func TestSetAddrKeepsPosition(t *testing.T) {
 	asked := make(chan string, 10)
 	serve := func(name string) string {
 		return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
@@ -138,8 +138,8 @@
 			<-r.Context().Done()
 		})
 	}
-	got := make(chan told, 1)
-	c := client(func(x told) { got <- x })
+	got := make(chan update, 1)
+	c := newClient(func(x update) { got <- x })
 	c.Addr, c.Pos = serve("old "), 6
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -176,8 +176,9 @@
 	}
 }
 
-// stream is a service on pipes: each connect goes to the next of the handlers, and the last one takes all that follow.
-func stream(t *testing.T, c *Client, handlers ...func(t *testing.T, peer net.Conn)) {
+// servePipes makes a service on pipes for the client: each connect is served by the next handler, and all further ones
+// by the last.
+func servePipes(t *testing.T, c *Client, handlers ...func(t *testing.T, peer net.Conn)) {
 	n := 0
 	c.Addr = "journal:1"
 	c.Dial = func(context.Context, string, string) (net.Conn, error) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// serves answers a request with a stream, which it hands on.
-func serves(say func(w io.Writer)) func(*testing.T, net.Conn) {
+// streamHandler answers a request with a stream, whose content say writes.
+func streamHandler(say func(w io.Writer)) func(*testing.T, net.Conn) {
 	return func(t *testing.T, peer net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(peer)); err != nil {
 			return
@@ -205,16 +206,16 @@
 	}
 }
 
-func hangs(_ *testing.T, peer net.Conn) { io.Copy(io.Discard, peer) }
+func hang(_ *testing.T, peer net.Conn) { io.Copy(io.Discard, peer) }
 
-// A long event over a slow way was taken for silence, as the limit counted whole lines, and each reconnect had it come
-// again from its start.
-func TestALongEventOverASlowWay(t *testing.T) {
+// A long event over a slow link was taken for silence, as the timeout was reset by whole lines only, and each reconnect
+// had it sent again from its start.
+func TestLongEventOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 1)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 1)
+		c := newClient(func(x update) { got <- x })
 		connects := 0
-		stream(t, c, serves(func(w io.Writer) {
+		servePipes(t, c, streamHandler(func(w io.Writer) {
 			connects++
 			for _, b := range []byte("id: 41\ndata: " + full + "\n\n") {
 				time.Sleep(silenceTimeout / 100)
@@ -232,36 +233,37 @@
 	})
 }
 
-// A stream that falls silent is left, and so is a connect that hangs, twice in a row: news counts as told 7 s after.
-func TestSilenceAndConnectsThatHang(t *testing.T) {
+// A silent stream and two hanging connects in a row are given up in time: changes are taken as known after 7 s.
+func TestSilenceAndHangingConnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 1)
-		c := client(func(x told) { got <- x })
+		got := make(chan update, 1)
+		c := newClient(func(x update) { got <- x })
 		var last time.Time
-		stream(t, c, serves(func(w io.Writer) {
+		servePipes(t, c, streamHandler(func(w io.Writer) {
 			io.WriteString(w, ":\n\n")
 			last = time.Now()
-		}), hangs, hangs, serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }))
+		}), hang, hang, streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }))
 		go c.Run(t.Context())
 		<-got
 		if took := time.Since(last); took > 6*time.Second {
-			t.Errorf("back %v after the last sign of life", took)
+			t.Errorf("event received %v after the last line of the silent stream", took)
 		}
 	})
 }
 
-// Two moves in a row, one of them between two events and one in the pause before a reconnect: the client follows the last.
-func TestMovesInARow(t *testing.T) {
+// After several calls of SetAddr, during a stream and during the pause before a reconnect, the client follows the last
+// address.
+func TestRepeatedSetAddr(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got := make(chan told, 10)
-		c := client(func(x told) { got <- x })
-		c.Backoff = func(int) time.Duration { return time.Hour } // only a move ends a pause
+		got := make(chan update, 10)
+		c := newClient(func(x update) { got <- x })
+		c.Backoff = func(int) time.Duration { return time.Hour } // only SetAddr ends a pause
 		var asked []string
 		handlers := map[string]func(*testing.T, net.Conn){
-			"first:1":  serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }),
-			"second:1": hangs,
-			"third:1":  func(_ *testing.T, peer net.Conn) {}, // closes at once: a pause follows
-			"fourth:1": serves(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\nid: 42\ndata: "+full+"\n\n") }),
+			"first:1":  streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\n") }),
+			"second:1": hang,
+			"third:1":  func(_ *testing.T, peer net.Conn) {}, // closes at once, so that a pause follows
+			"fourth:1": streamHandler(func(w io.Writer) { io.WriteString(w, "id: 41\ndata: "+full+"\n\nid: 42\ndata: "+full+"\n\n") }),
 		}
 		c.Dial = func(_ context.Context, _, addr string) (net.Conn, error) {
 			asked = append(asked, addr)
@@ -278,7 +280,7 @@
 		<-got
 		c.SetAddr("second:1")
 		c.SetAddr("third:1")
-		synctest.Wait() // in the pause
+		synctest.Wait() // until the client is in the pause
 		c.SetAddr("fourth:1")
 		<-got
 		synctest.Wait()
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// waitingMost bounds the attempts that wait for one connect, byesMost the releases.
-	waitingMost, byesMost = 256, 256
+	// maxWaitingAttempts and maxPendingReleases bound the attempts and the releases that wait for one connect.
+	maxWaitingAttempts, maxPendingReleases = 256, 256
 )
 
-// Options is what a Pool is made from.
+// Options configures a Pool.
 type Options struct {
 	Core        Core
 	Log         *slog.Logger
-	ConnectWait time.Duration   // a connection not up by then is refused
-	Dials       map[string]Dial // by scheme; "" for an address without one
-	ListLive    func() bool     // whether the list of offices is heard: what it would tell of has not happened
+	ConnectWait time.Duration   // a connect that takes longer counts as refused
+	Dials       map[string]Dial // by the scheme of the address; "": an address without one
+	ListLive    func() bool     // whether the server list is up to date, so that it would report the end of a server
 }
 
 // Pool holds the links to all offices on the list.
@@ -31,12 +31,12 @@
 	Options
 	mu    sync.Mutex
 	links map[uint64]*link
-	ctx   context.Context // of Run; nil before
+	ctx   context.Context // of Run; nil before and after
 	group *errgroup.Group
-	delay answerDelay // of all servers: one instance has few calls at each
+	delay answerDelay // of all servers together, as one instance has few calls at each
 }
 
-// NewPool makes a pool; Run starts it.
+// NewPool creates a pool. Its links connect once Run is called.
 func NewPool(o Options) *Pool {
 	if o.ListLive == nil {
 		o.ListLive = func() bool { return true }
@@ -44,7 +44,7 @@
 	return &Pool{Options: o, links: map[uint64]*link{}}
 }
 
-// Run serves the links until ctx ends.
+// Run keeps the links connected until ctx ends.
 func (p *Pool) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	p.mu.Lock()
@@ -55,7 +55,7 @@
 	p.mu.Unlock()
 	<-ctx.Done()
 	p.mu.Lock()
-	p.ctx = nil // no link starts from here on
+	p.ctx = nil // no link is started from here on
 	p.mu.Unlock()
 	return g.Wait()
 }
@@ -66,21 +66,22 @@
 	p.group.Go(func() error { l.run(ctx); return nil })
 }
 
-// List takes a change of the list. An office at a new address or with a new processor gets a new connection;
-// one that drains keeps its own, as calls stand there.
+// UpdateList applies a change of the server list; full: the change holds the whole list. An office at a new address, or
+// with a process started since the connection was opened, gets a new connection. One that drains keeps its connection,
+// as calls are established there.
 func (p *Pool) UpdateList(changed []exchange.Office, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	on := map[uint64]bool{}
+	listed := map[uint64]bool{}
 	for _, o := range changed {
-		on[o.Server] = o.State != control.Removed
+		listed[o.Server] = o.State != control.Removed
 		l := p.links[o.Server]
-		if l != nil && (o.State == control.Removed || o.Addr != l.addr || l.olderThan(o.ReadyAt)) {
+		if l != nil && (o.State == control.Removed || o.Addr != l.addr || l.connectedBefore(o.ReadyAt)) {
 			p.drop(l)
 			l = nil
 		}
 		if l == nil && o.State == control.Serving {
-			l = &link{pool: p, server: o.Server, addr: o.Addr, kick: make(chan struct{}, 1)}
+			l = &link{pool: p, server: o.Server, addr: o.Addr, wakeup: make(chan struct{}, 1)}
 			p.links[o.Server] = l
 			if p.ctx != nil {
 				p.start(l)
@@ -88,7 +89,7 @@
 		}
 	}
 	for id, l := range p.links {
-		if full && !on[id] {
+		if full && !listed[id] {
 			p.drop(l)
 		}
 	}
@@ -100,26 +101,26 @@
 	if l.cancel != nil {
 		l.cancel()
 	}
-	l.fail(control.ConnectionRefused)
+	l.failWaiting(control.ConnectionRefused)
 }
 
-// Invite sends an attempt, over a new connection if need be.
+// Invite sends an attempt, over a new connection if there is no usable one.
 func (p *Pool) Invite(a exchange.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[a.Server]
 	switch {
-	case l == nil || len(l.waiting) >= waitingMost:
+	case l == nil || len(l.waiting) >= maxWaitingAttempts:
 		p.Core.Ended(a.Server, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused})
-	case l.cur != nil && !l.cur.stale && l.cur.copies(a.ID) <= 0:
-		l.cur.invite(a)
+	case l.current != nil && !l.current.stale && l.current.duplicateWait(a.ID) <= 0:
+		l.current.invite(a)
 	default:
 		l.waiting = append(l.waiting, a)
 		l.wake()
 	}
 }
 
-// Cancel gives up an attempt. One that still waits for a connection is never sent.
+// Cancel cancels an attempt. One that still waits for a connection is never sent.
 func (p *Pool) Cancel(server uint64, id string, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,44 +134,45 @@
 			return
 		}
 	}
-	for _, s := range []*session{l.cur, l.prev} {
+	for _, s := range []*session{l.current, l.previous} {
 		if s == nil {
 			continue
 		}
-		if a, ok := s.out[id]; ok && a.n == n {
-			delete(s.out, id)
+		if a, ok := s.outstanding[id]; ok && a.n == n {
+			delete(s.outstanding, id)
 			s.peer.Cancel(id, n)
-			s.spent()
+			s.closeIfUnused()
 		}
 	}
 }
 
-// Bye releases a call at its office, on any connection; without one, on the next.
+// Bye releases a call at its office over the current connection, or over the next one if there is none.
 func (p *Pool) Bye(server uint64, id string, n int, cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[server]
 	switch {
 	case l == nil:
-	case l.cur != nil:
-		l.cur.bye(bye{id: id, n: n, cut: cut})
-	case len(l.byes) < byesMost:
-		l.byes = append(l.byes, bye{id: id, n: n, cut: cut})
+	case l.current != nil:
+		l.current.release(release{id: id, n: n, cut: cut})
+	case len(l.pendingReleases) < maxPendingReleases:
+		l.pendingReleases = append(l.pendingReleases, release{id: id, n: n, cut: cut})
 	}
 }
 
-// Suspect is told of an office from which something was due since that time. A connection on which nothing at
-// all was heard since then may lead to a machine that has vanished: it stays open and silent for ever, also
-// when the machine is back. With check, a new connection is tried even if nothing waits to be sent.
-func (p *Pool) ReportSilence(server uint64, since time.Time, check bool) {
+// ReportSilence tells that something has been due from an office since that time. If nothing at all was received on its
+// connection since then, the connection may lead to a machine that has vanished: it would stay open and silent for
+// ever, even after the machine is back. Attempts then go over a new connection. With forceConnect, it is opened even if
+// nothing waits to be sent.
+func (p *Pool) ReportSilence(server uint64, since time.Time, forceConnect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.links[server]
-	if l == nil || l.cur == nil || !check && !l.cur.mute() {
+	if l == nil || l.current == nil || !forceConnect && !l.current.answerTimedOut() {
 		return
 	}
-	if l.cur.heard.Before(since) && l.cur.asked.Before(since) {
-		l.cur.stale, l.check = true, l.check || check
+	if l.current.lastHeard.Before(since) && l.current.lastRefused.Before(since) {
+		l.current.stale, l.forceConnect = true, l.forceConnect || forceConnect
 		l.wake()
 	}
 }
--- a/internal/office/session.go
+++ b/internal/office/session.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// muteEvery is how often connections with attempts out are looked at: one that has brought nothing for
-	// answerDelay.silence is replaced.
-	muteEvery = 50 * time.Millisecond
-	// reportLag is how much later a report may come over one connection than over another of the same server.
-	reportLag = 50 * time.Millisecond
-	// copyFor is how long after an answer a copy of it may still come: it names its call and no attempt, and would end
-	// the next one that is out on the same connection. That long the next one waits, of answersMost calls at most.
-	copyFor, answersMost = 50 * time.Millisecond, 1024
-	// byeFor is how long ago a release may have been sent on a connection that ended to be sent again on the next: it may
-	// have been lost on its way, and a call that is released twice is released.
-	byeFor = time.Second
+	// silenceCheckInterval is how often connections with outstanding attempts are checked. One on which nothing was
+	// received for answerDelay.timeout is replaced.
+	silenceCheckInterval = 50 * time.Millisecond
+	// maxReportSkew is how much later a report may arrive over one connection than over another of the same server.
+	maxReportSkew = 50 * time.Millisecond
+	// duplicateWindow is how long after an answer a duplicate of it may still arrive. An answer identifies its call but no
+	// attempt, so a duplicate would end the call's next attempt on the same connection. The next attempt therefore waits
+	// for that long. This is tracked for at most maxRecentAnswers calls.
+	duplicateWindow, maxRecentAnswers = 50 * time.Millisecond, 1024
+	// releaseResendAge is the greatest age at which a release sent on a connection that has ended is sent again on the next
+	// one. It may have been lost, and releasing a call twice does no harm.
+	releaseResendAge = time.Second
 )
 
-// session is one connection of a link, with the attempts out on it, by call. An office's answer names its call and
-// no attempt (PROTOCOL: the Call-ID and the method of CSeq), so it ends the one that is out.
+// session is one connection of a link, with the attempts outstanding on it, by call. An office's answer identifies its
+// call but no attempt (PROTOCOL: the Call-ID and the method of CSeq), so it ends the attempt that is outstanding.
 type session struct {
 	*link
-	peer     Peer
-	out      map[string]sent
-	began    time.Time
-	ended    chan struct{}
-	heard    time.Time
-	silentAt time.Time // when the first set-up went out since anything was heard; zero: none did
-	asked    time.Time // when a connect beside it was last refused
-	stale    bool      // silent where an answer was due: new attempts go over a new connection
-	watching bool      // for that
-	answered []answer
-	released []bye // of late
+	peer           Peer
+	outstanding    map[string]sentAttempt
+	connectedAt    time.Time
+	done           chan struct{}
+	lastHeard      time.Time
+	awaitingSince  time.Time // when the first set-up was sent since anything was last received; zero: none was
+	lastRefused    time.Time // when another connect was last refused while this connection was open
+	stale          bool      // nothing was received although something was due: new attempts go over a new connection
+	watching       bool      // checkSilence is scheduled
+	recentAnswers  []answer
+	recentReleases []release // to be sent again if the connection ends
 }
 
 // answer is when a call's attempt was answered.
@@ -47,94 +48,95 @@
 	at time.Time
 }
 
-type sent struct {
+type sentAttempt struct {
 	n  int
 	at time.Time
 }
 
-// copies tells how long a copy of the last answer to a call may still come.
-func (s *session) copies(id string) time.Duration {
-	for k := len(s.answered) - 1; k >= 0; k-- {
-		if s.answered[k].id == id {
-			return copyFor - time.Since(s.answered[k].at)
+// duplicateWait is how long a duplicate of the last answer to a call may still arrive; 0 or less: no longer.
+func (s *session) duplicateWait(id string) time.Duration {
+	for k := len(s.recentAnswers) - 1; k >= 0; k-- {
+		if s.recentAnswers[k].id == id {
+			return duplicateWindow - time.Since(s.recentAnswers[k].at)
 		}
 	}
 	return 0
 }
 
-// note keeps an answer that a copy may follow.
-func (s *session) note(id string) {
+// recordAnswer remembers an answer, as a duplicate of it may follow.
+func (s *session) recordAnswer(id string) {
 	now := time.Now()
 	late := 0
-	for late < len(s.answered) && (len(s.answered)-late >= answersMost || now.Sub(s.answered[late].at) > copyFor) {
+	for late < len(s.recentAnswers) && (len(s.recentAnswers)-late >= maxRecentAnswers || now.Sub(s.recentAnswers[late].at) > duplicateWindow) {
 		late++
 	}
-	s.answered = append(slices.Delete(s.answered, 0, late), answer{id, now})
+	s.recentAnswers = append(slices.Delete(s.recentAnswers, 0, late), answer{id, now})
 }
 
-// bye sends a release, and keeps it for the case that the connection ends under it.
-func (s *session) bye(b bye) {
+// release sends a release, and keeps it in case the connection ends before it has arrived.
+func (s *session) release(b release) {
 	b.at = time.Now()
-	s.released = slices.DeleteFunc(s.released, func(old bye) bool { return b.at.Sub(old.at) > byeFor })
-	if len(s.released) < byesMost {
-		s.released = append(s.released, b)
+	s.recentReleases = slices.DeleteFunc(s.recentReleases, func(old release) bool { return b.at.Sub(old.at) > releaseResendAge })
+	if len(s.recentReleases) < maxPendingReleases {
+		s.recentReleases = append(s.recentReleases, b)
 	}
 	s.peer.Bye(b.id, b.n, b.cut)
 }
 
 func (s *session) invite(a exchange.Attempt) {
 	now := time.Now()
-	s.out[a.ID] = sent{a.Index, now}
-	if s.silentAt.IsZero() {
-		s.silentAt = now
+	s.outstanding[a.ID] = sentAttempt{a.Index, now}
+	if s.awaitingSince.IsZero() {
+		s.awaitingSince = now
 	}
 	s.peer.Invite(a)
 	if !s.watching {
 		s.watching = true
-		time.AfterFunc(muteEvery, s.watch)
+		time.AfterFunc(silenceCheckInterval, s.checkSilence)
 	}
 }
 
-// watch finds a connection that has gone mute: a spoilt one stays open and serves no further use, and its attempts
-// would be waited for until their time was up.
-func (s *session) watch() {
+// checkSilence marks the connection stale if the office has stopped answering on it. A connection that has failed may
+// stay open without carrying anything, and its attempts would otherwise run until they time out.
+func (s *session) checkSilence() {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if s.watching = len(s.out) > 0; !s.watching {
+	if s.watching = len(s.outstanding) > 0; !s.watching {
 		return
 	}
-	if s == s.cur && s.prev == nil && !s.stale && s.mute() {
-		s.stale, s.check = true, true
+	if s == s.current && s.previous == nil && !s.stale && s.answerTimedOut() {
+		s.stale, s.forceConnect = true, true
 		s.wake()
 	}
-	time.AfterFunc(muteEvery, s.watch)
+	time.AfterFunc(silenceCheckInterval, s.checkSilence)
 }
 
-// mute tells whether nothing at all has come for longer than set-ups take, counted from the first one that nothing was
-// heard after: the next ones would begin the silence anew, where each is called off early.
-func (s *session) mute() bool {
-	return !s.silentAt.IsZero() && time.Since(s.silentAt) >= s.pool.delay.silence()
+// answerTimedOut tells whether nothing at all was received for longer than set-ups take. The time counts from the first
+// set-up that was sent since something was last received: counted from the latest one, it would start again with each
+// set-up, and never expire if each is cancelled early.
+func (s *session) answerTimedOut() bool {
+	return !s.awaitingSince.IsZero() && time.Since(s.awaitingSince) >= s.pool.delay.timeout()
 }
 
-// spent closes a connection that has been replaced, once nothing is out on it any more.
-func (s *session) spent() {
-	if s == s.prev && len(s.out) == 0 {
+// closeIfUnused closes a connection that has been replaced, once no attempt is outstanding on it.
+func (s *session) closeIfUnused() {
+	if s == s.previous && len(s.outstanding) == 0 {
 		s.peer.Close()
 	}
 }
 
 func newSession(l *link, peer Peer) *session {
 	now := time.Now()
-	return &session{link: l, peer: peer, out: map[string]sent{}, began: now, heard: now, ended: make(chan struct{})}
+	return &session{link: l, peer: peer, outstanding: map[string]sentAttempt{}, connectedAt: now, lastHeard: now, done: make(chan struct{})}
 }
 
-// hasEnded tells whether there was a connection and it has ended.
+// hasEnded tells whether there was a connection and it has ended. The session may be nil.
 func (s *session) hasEnded() bool {
 	if s == nil {
 		return false
 	}
 	select {
-	case <-s.ended:
+	case <-s.done:
 		return true
 	default:
 		return false
@@ -143,112 +145,112 @@
 
 func (s *session) serve(ctx context.Context) error {
 	p := s.pool
-	defer close(s.ended)
+	defer close(s.done)
 	reason, err := s.peer.Run(ctx, s)
 	p.mu.Lock()
-	if s.cur == s {
-		s.cur = nil
-		s.silence.disconnected()
-		if s.probe != nil { // it was due for a server with a connection
-			s.probeAt(time.Now())
+	if s.current == s {
+		s.current = nil
+		s.liveness.recordDisconnected()
+		if s.probe != nil { // it was scheduled for a server with an open connection
+			s.scheduleProbe(time.Now())
 		}
 	}
-	if s.prev == s {
-		s.prev = nil
+	if s.previous == s {
+		s.previous = nil
 	}
-	out, silent := s.out, time.Since(s.heard) > silentFor && time.Since(s.asked) > silentFor
-	s.out = nil
-	for _, b := range s.released {
+	out, silent := s.outstanding, time.Since(s.lastHeard) > silentMachineTimeout && time.Since(s.lastRefused) > silentMachineTimeout
+	s.outstanding = nil
+	for _, b := range s.recentReleases {
 		switch l := s.link; {
-		case time.Since(b.at) > byeFor:
-		case l.cur != nil:
-			l.cur.bye(b)
-		case len(l.byes) < byesMost:
-			l.byes = append(l.byes, b)
+		case time.Since(b.at) > releaseResendAge:
+		case l.current != nil:
+			l.current.release(b)
+		case len(l.pendingReleases) < maxPendingReleases:
+			l.pendingReleases = append(l.pendingReleases, b)
 		}
 	}
 	p.mu.Unlock()
 	s.pool.Log.Info("office connection ended", "reason", reason, "server", s.server, "addr", s.addr,
-		"open", len(out), "age_ms", time.Since(s.began).Milliseconds(), "err", err)
+		"open", len(out), "age_ms", time.Since(s.connectedAt).Milliseconds(), "err", err)
 	for id, a := range out {
 		p.Core.Ended(s.server, id, a.n, exchange.Result{Outcome: control.ConnectionLost})
 	}
-	// A reset alone tells nothing of the calls: connections are reset on their way too, new, idle or in use. A
-	// process that died refuses what comes next, and the list tells of one that started; only a machine that had
-	// vanished and is back resets what was silent.
+	// A reset alone proves nothing about the calls: the network resets connections too, whether new, idle or in use. If
+	// the process has died, the next connect is refused, and the list reports a process that has started. Only a reset
+	// after a silence proves that the calls are gone: the machine had vanished and is back.
 	if reason == sip.PeerReset && silent {
 		p.Core.ServerLost(s.server)
 	}
 	return nil
 }
 
-// hear notes that the office speaks; it gives the attempt of the call that was out on this connection, -1 for
-// none.
-func (s *session) hear(id string) int {
+// onMessage records that something was received from the office. It removes the outstanding attempt of the call, if
+// any, and returns its index, or -1.
+func (s *session) onMessage(id string) int {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.heard, s.silentAt = time.Now(), time.Time{}
-	s.silence.heardAt(s.heard)
+	s.lastHeard, s.awaitingSince = time.Now(), time.Time{}
+	s.liveness.recordHeard(s.lastHeard)
 	if s.stale {
-		s.stale, s.check = false, false
+		s.stale, s.forceConnect = false, false
 		s.wake()
 	}
-	a, ok := s.out[id]
+	a, ok := s.outstanding[id]
 	if !ok {
 		return -1
 	}
-	delete(s.out, id)
+	delete(s.outstanding, id)
 	s.pool.delay.add(time.Since(a.at))
-	s.note(id)
-	s.spent()
+	s.recordAnswer(id)
+	s.closeIfUnused()
 	return a.n
 }
 
-// outlive ends the connection before, where it stays silent: what came over this one was due there too, though perhaps
-// a moment later.
-func (s *session) outlive() {
+// closeStalePrevious closes the previous connection unless something is received on it within maxReportSkew. What was
+// received on this one was due there too, though perhaps a little later.
+func (s *session) closeStalePrevious() {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if old := s.prev; old != nil && old != s && old.stale && old.heard.Before(s.began) {
-		time.AfterFunc(reportLag, func() { old.endUnlessHeard(s.began) })
+	if old := s.previous; old != nil && old != s && old.stale && old.lastHeard.Before(s.connectedAt) {
+		time.AfterFunc(maxReportSkew, func() { old.closeUnlessHeard(s.connectedAt) })
 	}
 }
 
-// endUnlessHeard closes a connection that has brought nothing since.
-func (s *session) endUnlessHeard(since time.Time) {
+// closeUnlessHeard closes the connection if nothing was received on it since then.
+func (s *session) closeUnlessHeard(since time.Time) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if s.heard.Before(since) {
+	if s.lastHeard.Before(since) {
 		s.peer.Close()
 	}
 }
 
-// Stood implements Hearer. An answer to an attempt that has ended goes on all the same: the exchange releases
-// what nobody waits for.
+// Accepted implements Handler. An answer to an attempt that has already ended is passed on too, as the exchange has to
+// release a call that nobody waits for.
 func (s *session) Accepted(id string, desc []byte) {
-	n := s.hear(id)
+	n := s.onMessage(id)
 	if n >= 0 {
-		s.outlive()
+		s.closeStalePrevious()
 	}
 	s.pool.Core.Accepted(s.server, id, n, desc)
 }
 
-// Ended implements Hearer.
+// Ended implements Handler.
 func (s *session) Ended(id string, e exchange.Result) {
-	s.pool.Core.Ended(s.server, id, s.hear(id), e)
+	s.pool.Core.Ended(s.server, id, s.onMessage(id), e)
 }
 
-// Released implements Hearer.
+// Released implements Handler.
 func (s *session) Released(id string, cut bool, report []float64) {
-	s.hear("")
+	s.onMessage("")
 	s.pool.Core.Released(s.server, id, cut, report)
 }
 
-// State implements Hearer.
+// State implements Handler.
 func (s *session) State(report []float64) {
-	s.hear("")
-	if time.Since(s.began) > muteEvery { // not the first one, which comes on a new connection alone
-		s.outlive()
+	s.onMessage("")
+	if time.Since(s.connectedAt) > silenceCheckInterval { // the first report comes on a new connection only
+		s.closeStalePrevious()
 	}
 	if report != nil {
 		s.pool.Core.State(s.server, report)
