--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -25,7 +25,7 @@
 // changes, when a second process serves the same address, and when the limit is lowered from outside.
 type allocation struct {
 	log     *slog.Logger
-	servers *descriptors.Gate // limits the connections to servers
+	servers *descriptors.Limiter // limits the connections to servers
 
 	mu              sync.Mutex
 	demand          descriptors.Demand
@@ -44,7 +44,7 @@
 
 // newAllocation makes an allocation with the shares for a demand.
 func newAllocation(d descriptors.Demand, maxClientPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listedServers: map[uint64]bool{}, maxClientPlaces: maxClientPlaces}
+	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listedServers: map[uint64]bool{}, maxClientPlaces: maxClientPlaces}
 	a.demand.Limit = effectiveLimit(d.Limit)
 	a.replan()
 	return a
@@ -68,9 +68,9 @@
 }
 
 // clientsShare is the share of the platform's front, limited by memory too.
-func (a *allocation) clientsShare() descriptors.Front {
+func (a *allocation) clientsShare() descriptors.FrontShare {
 	f := a.budget.Clients
-	f.Places = min(f.Places, a.maxClientPlaces)
+	f.MaxConnections = min(f.MaxConnections, a.maxClientPlaces)
 	return f
 }
 
@@ -78,19 +78,19 @@
 // connection that waits to be served.
 func (a *allocation) adminMaxOpen() int { return max(a.budget.Operators-1, 1) }
 
-func (f sharedFront) apply(share descriptors.Front) {
+func (f sharedFront) apply(share descriptors.FrontShare) {
 	if f.resizable != nil {
-		f.SetMaxOpen(share.Places)
+		f.SetMaxOpen(share.MaxConnections)
 		f.listener.SetLimit(share.Descriptors)
 	}
 }
 
 // attach places a front and its listener under the allocation, and returns the listener to serve from.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
-	l.Shortage = a.onShortage
+	l.OnShortage = a.onShortage
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	*to = sharedFront{f, listener.Bound(l, descriptors.NewGate(0))}
+	*to = sharedFront{f, listener.NewBounded(l, descriptors.NewLimiter(0))}
 	a.replan()
 	return to.listener
 }
@@ -150,7 +150,7 @@
 	return a.clients.exceeds(a.budget.Clients) || a.webSocket.exceeds(a.budget.WebSocket)
 }
 
-func (f sharedFront) exceeds(share descriptors.Front) bool { return f.held() > share.Descriptors }
+func (f sharedFront) exceeds(share descriptors.FrontShare) bool { return f.held() > share.Descriptors }
 
 func (f sharedFront) held() int {
 	if f.listener == nil {
@@ -174,10 +174,10 @@
 // dial wraps a dial function so that its connections stay within the share for servers.
 func (a *allocation) dial(dial office.Dial) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
-		if !a.servers.Take() {
-			return nil, descriptors.ErrShareTaken
+		if !a.servers.TryAcquire() {
+			return nil, descriptors.ErrShareExhausted
 		}
-		peer, err := descriptors.Persist(ctx, a.onShortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
+		peer, err := descriptors.OpenWithRetry(ctx, a.onShortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
 		if err != nil {
 			a.servers.Release()
 			return nil, err
@@ -189,7 +189,7 @@
 // gatedPeer returns its descriptor to the gate when its connection ends.
 type gatedPeer struct {
 	office.Peer
-	gate *descriptors.Gate
+	gate *descriptors.Limiter
 }
 
 // Run implements office.Peer.
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -204,7 +204,7 @@
 
 func newFakeServer(t *testing.T) *fakeServer {
 	s := &fakeServer{accepted: make(chan time.Time, 1000)}
-	s.addr = netcase.Accept(t, func(c net.Conn) {
+	s.addr = netcase.ServeConns(t, func(c net.Conn) {
 		s.mu.Lock()
 		s.conns = append(s.conns, c)
 		s.mu.Unlock()
@@ -359,7 +359,7 @@
 // With more servers than descriptors, connections beyond the servers' share fail at once with ErrShareTaken and the
 // clients keep a third. When a connection ends, another one can be made.
 func TestMoreServersThanDescriptors(t *testing.T) {
-	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.Quiet())
+	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.DiscardLogger())
 	var servers []exchange.Office
 	for k := range 200 {
 		servers = append(servers, exchange.Office{Entry: control.Entry{Server: uint64(k), State: control.Serving}})
@@ -374,7 +374,7 @@
 	up := 0
 	for range servers {
 		peer, err := dial(t.Context(), "server:1")
-		if errors.Is(err, descriptors.ErrShareTaken) {
+		if errors.Is(err, descriptors.ErrShareExhausted) {
 			continue
 		}
 		if err != nil {
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -87,7 +87,7 @@
 // and goes on from its position, an open call and its connection stay, and a bad file changes nothing.
 func TestNewConfiguration(t *testing.T) {
 	asked := make(chan string, 10)
-	second := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	second := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.Header.Get("Last-Event-ID")
 		<-r.Context().Done()
 	})
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -227,7 +227,7 @@
 // newCallerFront makes the front that the platform's callers connect to.
 func newCallerFront(in *instance) (p subsystem, err error) {
 	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.platform.Names, Ready: in.state.Ready,
-		MaxConnections: in.descriptors.clientsShare().Places})
+		MaxConnections: in.descriptors.clientsShare().MaxConnections})
 	l, err := in.openListener("callers", in.platform.Listen)
 	if err != nil {
 		return p, err
@@ -284,7 +284,7 @@
 		return subsystem{}, fmt.Errorf("callws.listen: %w", err)
 	}
 	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.platform.Names, Callers: in.project.CallWS.Callers, Ready: in.state.Ready,
-		MaxOpen: in.descriptors.budget.WebSocket.Places})
+		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
 	in.fronts[f], in.callWSFront = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
 	in.log.Info("serving call control", "listen", l.Addr().String())
@@ -300,10 +300,10 @@
 	if err != nil {
 		return subsystem{}, fmt.Errorf("admin: %w", err)
 	}
-	l.Shortage = in.descriptors.onShortage
+	l.OnShortage = in.descriptors.onShortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
 	s := admin.New(&in.state, in.log.With(logs.Part, "admin"))
-	s.MaxOpen = in.descriptors.adminMaxOpen()
+	s.MaxConnections = in.descriptors.adminMaxOpen()
 	return subsystem{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
 
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -22,7 +22,7 @@
 // how long it took.
 func listWaitTime(t *testing.T, answers time.Duration) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.Quiet(), OnChange: func([]exchange.Office, bool) {},
+		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.DiscardLogger(), OnChange: func([]exchange.Office, bool) {},
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				ours, theirs := net.Pipe()
 				go func() {
@@ -61,7 +61,7 @@
 // to servers are never accepted. The second start also finds a snapshot. The instance still gets ready: it waits for
 // the list alone, and for listWaitTimeout at most.
 func TestReadyWhileOutsideServicesHang(t *testing.T) {
-	silent := netcase.Accept(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	silent := netcase.ServeConns(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	hanging := hangingDiscovery(t) // as a server: connects hang
 	admin, state := freeAddr(t), t.TempDir()
 	project := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -42,7 +42,7 @@
 
 // newJournal is a fake journal service that sends a comment every 50 ms and no events.
 func newJournal(t *testing.T) string {
-	return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	return netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil && t.Context().Err() == nil {
 			fmt.Fprint(w, ":\n\n")
 			w.(http.Flusher).Flush()
@@ -290,7 +290,7 @@
 
 // sipOffice is a fake office that speaks the platform's protocol.
 func sipOffice(t *testing.T, p *processor) string {
-	return netcase.Accept(t, func(c net.Conn) {
+	return netcase.ServeConns(t, func(c net.Conn) {
 		var mu sync.Mutex
 		write := func(text string) {
 			mu.Lock()
@@ -326,7 +326,7 @@
 
 // wsOffice is a fake office that speaks call control over WebSocket.
 func wsOffice(t *testing.T, p *processor) string {
-	return "ws://" + netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	return "ws://" + netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{"callserver.v1"}})
 		if err != nil {
 			return
