--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -22,12 +22,12 @@
 
 func (c checkCmd) Run(out stdout) error {
 	if c.Schema {
-		_, err := out.Write(config.Schema)
+		_, err := out.Write(config.OperatorSettingsSchema)
 		return err
 	}
 	_, err := config.Load(os.Getenv)
-	project, ownErr := config.LoadProject(os.Getenv)
-	faults := append(config.All(err), config.All(ownErr)...)
+	project, ownErr := config.LoadOperatorSettings(os.Getenv)
+	faults := append(config.AllFaults(err), config.AllFaults(ownErr)...)
 	for _, f := range faults {
 		if c.JSON {
 			json.NewEncoder(out).Encode(f)
@@ -38,7 +38,7 @@
 	if len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
-	if project.Old {
+	if project.DeprecatedName {
 		fmt.Fprintln(out, oldNameWarning)
 	}
 	if !c.JSON {
@@ -64,7 +64,7 @@
 	if c.JSON {
 		return printJSON(out, s)
 	}
-	s.Text(out)
+	s.WriteText(out)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
-		project, err := config.LoadProject(os.Getenv)
+		project, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return nil, exitError{exitUsage, err}
 		}
@@ -80,8 +80,8 @@
 			return nil, exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
-	s, err := ctl.Ask(context.Background(), path)
-	if errors.Is(err, ctl.ErrNobody) {
+	s, err := ctl.FetchStatus(context.Background(), path)
+	if errors.Is(err, ctl.ErrNotRunning) {
 		return nil, exitError{exitNoAnswer, err}
 	}
 	return s, err
@@ -109,7 +109,7 @@
 	if c.JSON {
 		return printJSON(out, s.Peers)
 	}
-	s.Peers.Text(out)
+	s.Peers.WriteText(out)
 	return nil
 }
 
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -47,7 +47,7 @@
 			sockets = append(sockets, m.Socket)
 		}
 	case c.Socket == "":
-		project, err := config.LoadProject(os.Getenv)
+		project, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return exitError{exitUsage, err}
 		}
@@ -58,7 +58,7 @@
 	var names []string
 	var changes []instanceChange
 	for _, path := range sockets {
-		st, err := ctl.Ask(ctx, path)
+		st, err := ctl.FetchStatus(ctx, path)
 		if err != nil && c.Fleet != "" { // the other instances are still printed
 			fmt.Fprintf(os.Stderr, "masthill: %s: %v\n", path, err)
 			continue
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -36,9 +36,9 @@
 // errgroup until the end. A function that it does not have is nil; a subsystem that the settings turn off has none.
 type subsystem struct {
 	run        func(ctx context.Context) error
-	onShutdown func()                // called when a graceful shutdown begins; new calls still arrive for a moment
-	status     func(*ctl.Status)     // adds to a status; called from any goroutine
-	reload     func(*config.Project) // applies those new settings that can change in a running program
+	onShutdown func()                         // called when a graceful shutdown begins; new calls still arrive for a moment
+	status     func(*ctl.Status)              // adds to a status; called from any goroutine
+	reload     func(*config.OperatorSettings) // applies those new settings that can change in a running program
 }
 
 // constructors make the subsystems, in this order. Decision modules come before the core, in the order in which it asks
@@ -67,19 +67,19 @@
 	in.startReason, in.snapshotResult = "first", "off"
 	var previous *state.Snapshot
 	if dir := in.project.State.Dir; dir != "" {
-		in.keeper = &state.Keeper{Dir: dir, Instance: in.platform.Name, Every: in.project.State.Every, Log: in.log.With(logs.Part, "state"),
+		in.keeper = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.project.State.Interval, Log: in.log.With(logs.PartKey, "state"),
 			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
-		s, err := state.Load(dir, in.platform.Name, time.Now(), in.project.State.MostAge)
+		s, err := state.Load(dir, in.platform.Name, time.Now(), in.project.State.MaxAge)
 		switch {
-		case errors.Is(err, state.ErrNone):
+		case errors.Is(err, state.ErrNoSnapshot):
 			in.snapshotResult = "none"
 		case err != nil:
 			in.startReason, in.snapshotResult = "unknown", err.Error()
 			in.log.Warn("snapshot left out", "why", err)
 		default:
-			previous, in.snapshotResult = s, fmt.Sprintf("taken up, %v old", time.Since(s.At).Round(time.Millisecond))
+			previous, in.snapshotResult = s, fmt.Sprintf("taken up, %v old", time.Since(s.WrittenAt).Round(time.Millisecond))
 			in.startReason = "crash"
-			if s.Ended != "" {
+			if s.EndReason != "" {
 				in.startReason = "restart"
 			}
 		}
@@ -95,9 +95,9 @@
 func newDescriptorAllocation(in *instance) (subsystem, error) {
 	peers := 0
 	if in.project.Peers.Listen != "" {
-		peers = cmp.Or(in.project.Peers.Most, in.platform.Settings.GroupSize)
+		peers = cmp.Or(in.project.Peers.MaxInstances, in.platform.Settings.GroupSize)
 	}
-	log := in.log.With(logs.Part, "descriptors")
+	log := in.log.With(logs.PartKey, "descriptors")
 	in.descriptors = newAllocation(descriptors.Demand{Limit: in.platform.Sockets, Peers: peers, Operators: in.platform.Admin != "",
 		WebSocket: in.project.CallWS.Listen != "", Control: in.project.Socket.Path != "", Store: in.project.Store.Driver != "",
 		Releases: len(in.project.Distribution.Servers) > 0},
@@ -115,7 +115,7 @@
 		if in.previous != nil {
 			evidence = in.previous.Evidence()
 		}
-		in.recovery = recovery.New(recovery.Settings{Control: in.platform.Settings, Planned: in.platform.Planned}, in.platform.Seed, in.startedAt.UnixNano(), evidence)
+		in.recovery = recovery.New(recovery.Settings{Control: in.platform.Settings, Planned: in.platform.PlannedRate}, in.platform.Seed, in.startedAt.UnixNano(), evidence)
 		in.addModule(in.recovery)
 	}
 	return subsystem{}, nil
@@ -130,7 +130,7 @@
 	if in.recovery != nil {
 		isRecovering = in.recovery.Recovering
 	}
-	log := in.log.With(logs.Part, "levels")
+	log := in.log.With(logs.PartKey, "levels")
 	in.levels = levels.New(in.platform.Settings, in.platform.Seed, in.startedAt.UnixNano(), isRecovering, func(c levels.Change) {
 		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.ExitCondition)
 	})
@@ -181,7 +181,7 @@
 // member of one.
 func newShares(in *instance) (subsystem, error) {
 	if in.project.Shares.Enabled {
-		in.shares = shares.New(in.platform.Settings, in.platform.Shares, in.platform.Planned, in.platform.Seed, in.startedAt.UnixNano())
+		in.shares = shares.New(in.platform.Settings, in.platform.Shares, in.platform.PlannedRate, in.platform.Seed, in.startedAt.UnixNano())
 		if in.shared != nil {
 			in.shares.UseFleetTotals(in.shared)
 		}
@@ -193,7 +193,7 @@
 // newGoodput adds the module that limits the outstanding set-ups by the share that is answered in time.
 func newGoodput(in *instance) (subsystem, error) {
 	if in.project.Goodput.Enabled {
-		log := in.log.With(logs.Part, "goodput")
+		log := in.log.With(logs.PartKey, "goodput")
 		in.addModule(goodput.New(goodput.Settings{Control: in.platform.Settings}, in.platform.Seed, in.startedAt.UnixNano(), func(c goodput.Change) {
 			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
 				"in_vain", math.Round(c.LateShare*100)/100)
@@ -207,7 +207,7 @@
 	if in.project.Store.Driver == "" {
 		return subsystem{}, nil
 	}
-	records, err := store.Open(store.Options{Driver: in.project.Store.Driver, DSN: in.project.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.Part, "store")})
+	records, err := store.Open(store.Options{Driver: in.project.Store.Driver, DSN: in.project.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.PartKey, "store")})
 	if err != nil {
 		return subsystem{}, err
 	}
@@ -226,7 +226,7 @@
 
 // newCallerFront makes the front that the platform's callers connect to.
 func newCallerFront(in *instance) (p subsystem, err error) {
-	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.platform.Names, Ready: in.state.Ready,
+	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callers"), Names: in.platform.Names, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.clientsShare().MaxConnections})
 	l, err := in.openListener("callers", in.platform.Listen)
 	if err != nil {
@@ -251,7 +251,7 @@
 
 // newOfficePool makes the connections to the offices, over SIP and WebSocket.
 func newOfficePool(in *instance) (subsystem, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.Part, "offices"), ConnectWait: in.platform.ConnectWait,
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectWait: in.platform.ConnectTimeout,
 		ListLive: func() bool { return in.feed.IsLive() },
 		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.platform.Name, in.platform.Settings.Fields)),
 			"ws": in.descriptors.dial(callws.Dial(in.platform.Settings.Fields))}})
@@ -262,7 +262,7 @@
 // newJournalFeed makes the client of the journal service, which keeps the list of offices. The core first gets the list
 // that the configuration holds, then what the previous process had learned of the offices.
 func newJournalFeed(in *instance) (subsystem, error) {
-	in.feed = &journal.Client{Addr: in.platform.Journal, Log: in.log.With(logs.Part, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
+	in.feed = &journal.Client{Addr: in.platform.Journal, Log: in.log.With(logs.PartKey, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
 		OnChange: func(changed []exchange.Office, full bool) {
 			in.descriptors.onServerList(changed, full)
 			in.core.UpdateOffices(changed, full)
@@ -283,7 +283,7 @@
 	if err != nil {
 		return subsystem{}, fmt.Errorf("callws.listen: %w", err)
 	}
-	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.platform.Names, Callers: in.project.CallWS.Callers, Ready: in.state.Ready,
+	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.platform.Names, Callers: in.project.CallWS.Callers, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
 	in.fronts[f], in.callWSFront = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
@@ -302,7 +302,7 @@
 	}
 	l.OnShortage = in.descriptors.onShortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
-	s := admin.New(&in.state, in.log.With(logs.Part, "admin"))
+	s := admin.New(&in.state, in.log.With(logs.PartKey, "admin"))
 	s.MaxConnections = in.descriptors.adminMaxOpen()
 	return subsystem{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
@@ -319,6 +319,6 @@
 		return subsystem{}, nil
 	}
 	return subsystem{run: func(ctx context.Context) error {
-		return ctl.Serve(ctx, l, path, in.log.With(logs.Part, "socket"), in.status, in.listeners)
+		return ctl.Serve(ctx, l, path, in.log.With(logs.PartKey, "socket"), in.status, in.listeners)
 	}}, nil
 }
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -43,12 +43,12 @@
 	rand.Read(randomBytes[:])
 	epoch := binary.BigEndian.Uint64(randomBytes[:]) | 1
 	name := cmp.Or(s.Name, in.platform.Name)
-	log := in.log.With(logs.Part, "peers")
-	audit := &auditLog{path: s.Audit, records: make(chan any, auditQueueSize)}
+	log := in.log.With(logs.PartKey, "peers")
+	audit := &auditLog{path: s.AuditFile, records: make(chan any, auditQueueSize)}
 	audit.add("start", startTime, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
-	settings := shared.Config{Control: in.platform.Settings, Planned: in.platform.Planned, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.Numbers,
-		Budgets: s.Budgets, DetectOutliers: s.Judgements, Count: count.Config{OmitCheck: omittedCheck}, Outlier: outlier.Config{OmitCheck: omittedCheck},
-		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.platform.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: omittedCheck}}
+	settings := shared.Config{Control: in.platform.Settings, Planned: in.platform.PlannedRate, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.CountedNumbers,
+		Budgets: s.Budgets, DetectOutliers: s.DetectOutliers, Count: count.Config{OmitCheck: omittedCheck}, Outlier: outlier.Config{OmitCheck: omittedCheck},
+		Lease: lease.Config{Voters: s.Voters, MaxInstances: cmp.Or(s.MaxInstances, in.platform.Settings.GroupSize), Floor: s.FloorFraction, Term: int64(s.Term), OmitCheck: omittedCheck}}
 	for _, t := range in.platform.Shares {
 		settings.Tenants = append(settings.Tenants, t.Name)
 	}
@@ -81,7 +81,7 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: membersFile(in.project), Log: log, Module: in.shared,
+		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: membersFile(in.project), Log: log, Module: in.shared,
 		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return subsystem{}, err
@@ -99,9 +99,9 @@
 			return g.Wait()
 		},
 		status: func(st *ctl.Status) { st.Peers = in.peersStatus() },
-		reload: func(p *config.Project) {
-			if len(p.Peers.Secrets) > 0 && !slices.EqualFunc(p.Peers.Secrets, s.Secrets, slices.Equal) {
-				if err := in.peers.Keys(p.Peers.Secrets); err != nil {
+		reload: func(p *config.OperatorSettings) {
+			if len(p.Peers.DecodedKeys) > 0 && !slices.EqualFunc(p.Peers.DecodedKeys, s.DecodedKeys, slices.Equal) {
+				if err := in.peers.Keys(p.Peers.DecodedKeys); err != nil {
 					log.Error("keys kept", "reason", "unfit", "err", err)
 				}
 			}
@@ -114,7 +114,7 @@
 
 // membersFile is the path of the file that keeps the members' addresses; empty if the settings name no directory for
 // state.
-func membersFile(project *config.Project) string {
+func membersFile(project *config.OperatorSettings) string {
 	if project.State.Dir == "" {
 		return ""
 	}
@@ -167,7 +167,7 @@
 	}
 	f, err := os.OpenFile(a.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		in.log.Error("claims not written", logs.Part, "peers", "reason", "disk", "err", err)
+		in.log.Error("claims not written", logs.PartKey, "peers", "reason", "disk", "err", err)
 		return nil
 	}
 	defer f.Close()
@@ -200,7 +200,7 @@
 			l = record
 		}
 		if err := e.Encode(l); err != nil {
-			in.log.Error("claims not written", logs.Part, "peers", "reason", "disk", "err", err)
+			in.log.Error("claims not written", logs.PartKey, "peers", "reason", "disk", "err", err)
 			return nil
 		}
 	}
--- a/cmd/masthill/releasemember.go
+++ b/cmd/masthill/releasemember.go
@@ -19,8 +19,8 @@
 	if len(s.Servers) == 0 {
 		return subsystem{}, nil
 	}
-	member := releases.NewMember(releases.MemberOptions{Name: in.platform.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.Public,
-		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.platform.Seed, Log: in.log.With(logs.Part, "releases"), Apply: in.applyRelease,
+	member := releases.NewMember(releases.MemberOptions{Name: in.platform.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.PublicKeys,
+		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.platform.Seed, Log: in.log.With(logs.PartKey, "releases"), Apply: in.applyRelease,
 		Dial: descriptors.Dialer(in.descriptors.onShortage)})
 	return subsystem{run: member.Run, status: func(st *ctl.Status) {
 		status := member.Status()
@@ -30,10 +30,10 @@
 
 // applyRelease applies a release or, if it is nil, the instance's own files. A release with a fault changes nothing.
 func (in *instance) applyRelease(release *distribution.Release) error {
-	live := &config.Live{}
+	live := &config.LiveSettings{}
 	if release != nil {
 		var err error
-		live, err = config.ParseLive(fmt.Sprintf("release %d", release.Version), string(release.Content), os.Getenv)
+		live, err = config.ParseLiveSettings(fmt.Sprintf("release %d", release.Version), string(release.Content), os.Getenv)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 
 // checkSubsystemsEnabled returns a fault for a setting of a release that belongs to a subsystem which is off at this
 // instance.
-func (in *instance) checkSubsystemsEnabled(live *config.Live) error {
+func (in *instance) checkSubsystemsEnabled(live *config.LiveSettings) error {
 	if live.Shares.Fractions != nil && in.shares == nil {
 		return config.Fault{Key: "shares.fractions", Text: "shares are off at this instance"}
 	}
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -77,8 +77,8 @@
 
 func (serveCmd) Run(s signals) error {
 	p, err := config.Load(os.Getenv)
-	project, ownErr := config.LoadProject(os.Getenv)
-	if faults := append(config.All(err), config.All(ownErr)...); len(faults) > 0 {
+	project, ownErr := config.LoadOperatorSettings(os.Getenv)
+	if faults := append(config.AllFaults(err), config.AllFaults(ownErr)...); len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("configuration: %w", faults)}
 	}
 	debug.FreeOSMemory() // the schema and its compiler are no longer needed
@@ -90,13 +90,13 @@
 }
 
 // logger makes the logger for the settings. MASTHILL_LOG=debug overrides their general level.
-func logger(project *config.Project) (*slog.Logger, *logs.Levels, error) {
+func logger(project *config.OperatorSettings) (*slog.Logger, *logs.Levels, error) {
 	general, parts, err := logLevels(project.Log.Level, project.Log.Levels)
 	if err != nil {
 		return nil, nil, err
 	}
 	levels := logs.NewLevels(general, parts)
-	return logs.New(logs.Options{Out: os.Stderr, JSON: project.Log.Format == "json", Repeats: project.Log.Repeats, Levels: levels}), levels, nil
+	return logs.New(logs.Options{Output: os.Stderr, JSON: project.Log.Format == "json", MaxRepeats: project.Log.MaxRepeats, Levels: levels}), levels, nil
 }
 
 // logLevels parses the general log level, which MASTHILL_LOG overrides, and the levels by part of the program.
@@ -104,13 +104,13 @@
 	if name := os.Getenv("MASTHILL_LOG"); name != "" {
 		general = name
 	}
-	level, err := logs.Level(general)
+	level, err := logs.ParseLevel(general)
 	if err != nil {
 		return 0, nil, fmt.Errorf("MASTHILL_LOG: %w", err)
 	}
 	parts := map[string]slog.Level{}
 	for part, name := range byPart {
-		if parts[part], err = logs.Level(name); err != nil {
+		if parts[part], err = logs.ParseLevel(name); err != nil {
 			return 0, nil, fmt.Errorf("log.levels.%s: %w", part, err)
 		}
 	}
@@ -120,7 +120,7 @@
 // instance is one running session controller, assembled from its subsystems.
 type instance struct {
 	platform        *config.Platform
-	project         *config.Project
+	project         *config.OperatorSettings
 	log             *slog.Logger
 	logLevels       *logs.Levels
 	options         exchange.Options // of the core; subsystems add to them until it is made
@@ -132,7 +132,7 @@
 	callerFront     *caller.Server
 	fronts          map[front]*listener.Listener
 	listeners       map[string]net.Listener // by name, for a supervisor that takes them over
-	keeper          *state.Keeper           // nil: no snapshots are kept
+	keeper          *state.SnapshotWriter   // nil: no snapshots are kept
 	recovery        *recovery.Recovery      // nil: off
 	levels          *levels.Levels          // nil: off
 	shared          *shared.Shared          // nil: off
@@ -150,10 +150,10 @@
 }
 
 // serve makes the subsystems of an instance and runs it to its end.
-func serve(platform *config.Platform, project *config.Project, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
+func serve(platform *config.Platform, project *config.OperatorSettings, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(platform.Cores))))
 	debug.SetMemoryLimit(int64(float64(platform.MemoryMB<<20) * heapFraction))
-	if project.Old {
+	if project.DeprecatedName {
 		log.Warn("settings under an old name", "file", project.File, "why", oldNameWarning)
 	}
 	in := &instance{platform: platform, project: project, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
@@ -164,7 +164,7 @@
 	if in.manager, err = notify.Open(os.Getenv); err != nil {
 		log.Warn("service manager not notified", "err", err)
 	}
-	in.options = exchange.Options{Settings: platform.Settings, Seed: platform.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: platform.MemoryMB << 20}
+	in.options = exchange.Options{Settings: platform.Settings, Seed: platform.Seed, Now: time.Now, Log: log.With(logs.PartKey, "core"), MemoryBytes: platform.MemoryMB << 20}
 	for _, construct := range constructors {
 		sub, err := construct(in)
 		if err != nil {
@@ -218,7 +218,7 @@
 			}
 		}
 	})
-	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.UnansweredCalls() }) })
+	g.Go(func() error { return in.manager.RunWatchdog(ctx, func() { in.core.UnansweredCalls() }) })
 	g.Go(func() error { in.followPhase(ctx); return nil })
 	if in.platform.Admin != "" {
 		in.waitForList(ctx)
@@ -271,8 +271,8 @@
 func (in *instance) status() ctl.Status {
 	core := in.core.Status()
 	pos, lastHeard := in.feed.Position()
-	s := ctl.Status{Name: in.platform.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.startedAt, StartReason: in.startReason,
-		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.platform.MemoryMB, SocketsMost: in.platform.Sockets, Core: core}
+	s := ctl.Status{Name: in.platform.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, StartedAt: in.startedAt, StartReason: in.startReason,
+		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryLimitMB: in.platform.MemoryMB, DescriptorLimit: in.platform.Sockets, Core: core}
 	if !lastHeard.IsZero() {
 		s.ListAgeMS = time.Since(lastHeard).Milliseconds()
 	}
@@ -321,7 +321,7 @@
 	if !slices.ContainsFunc(in.subsystems, func(s subsystem) bool { return s.reload != nil }) {
 		return // checking the settings costs memory, and no subsystem would use them
 	}
-	project, err := config.LoadProject(os.Getenv)
+	project, err := config.LoadOperatorSettings(os.Getenv)
 	if err != nil {
 		log.Error("settings kept", "err", err)
 		in.configWarning.Store("the last reload found faults: " + err.Error())
--- a/cmd/masthill/takeover_test.go
+++ b/cmd/masthill/takeover_test.go
@@ -81,7 +81,7 @@
 	waitForFile(filepath.Join(b.spec.Dir, "0", "run.json"))
 	open(second)
 	s := b.waitUntil("taken over", func(s *fleet.Status) bool { return allServing(s) && len(launchedProcesses(second)) == 0 })
-	if m := s.Instances[0]; m.Ends != 0 {
+	if m := s.Instances[0]; m.UnexpectedExits != 0 {
 		t.Errorf("a launch beside a running instance counted as a crash: %+v", m)
 	}
 	if n := b.countProcesses(); n != 1 {
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	s := b.waitUntil("taken over", allServing)
-	if m := s.Instances[0]; m.Ends != 0 || m.Generation != "1" {
+	if m := s.Instances[0]; m.UnexpectedExits != 0 || m.Generation != "1" {
 		t.Errorf("%+v", m)
 	}
 	if n := b.countProcesses(); n != 1 {
