--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -27,13 +27,13 @@
 	log     *slog.Logger
 	servers *descriptors.Limiter // limits the connections to servers
 
-	mu              sync.Mutex
-	demand          descriptors.Demand
-	budget          descriptors.Budget
-	listedServers   map[uint64]bool // by server number
-	maxClientPlaces int             // limit of client connections by memory
-	clients         sharedFront     // the front that the platform's callers connect to
-	webSocket       sharedFront
+	mu                   sync.Mutex
+	demand               descriptors.Demand
+	budget               descriptors.Budget
+	listedServers        map[uint64]bool // by server number
+	maxClientConnections int             // limit of client connections by memory
+	clients              sharedFront     // the front that the platform's callers connect to
+	webSocket            sharedFront
 }
 
 // sharedFront is one front and its listener; both are nil until the front is attached.
@@ -43,8 +43,8 @@
 }
 
 // newAllocation makes an allocation with the shares for a demand.
-func newAllocation(d descriptors.Demand, maxClientPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listedServers: map[uint64]bool{}, maxClientPlaces: maxClientPlaces}
+func newAllocation(d descriptors.Demand, maxClientConnections int, log *slog.Logger) *allocation {
+	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listedServers: map[uint64]bool{}, maxClientConnections: maxClientConnections}
 	a.demand.Limit = effectiveLimit(d.Limit)
 	a.replan()
 	return a
@@ -70,13 +70,13 @@
 // clientsShare is the share of the platform's front, limited by memory too.
 func (a *allocation) clientsShare() descriptors.FrontShare {
 	f := a.budget.Clients
-	f.MaxConnections = min(f.MaxConnections, a.maxClientPlaces)
+	f.MaxConnections = min(f.MaxConnections, a.maxClientConnections)
 	return f
 }
 
-// adminMaxOpen is how many connections the operators' address serves at once; one descriptor of its share is for the
+// adminMaxConnections is how many connections the operators' address serves at once; one descriptor of its share is for the
 // connection that waits to be served.
-func (a *allocation) adminMaxOpen() int { return max(a.budget.Operators-1, 1) }
+func (a *allocation) adminMaxConnections() int { return max(a.budget.Operators-1, 1) }
 
 func (f sharedFront) apply(share descriptors.FrontShare) {
 	if f.resizable != nil {
@@ -182,18 +182,18 @@
 			a.servers.Release()
 			return nil, err
 		}
-		return &gatedPeer{peer, a.servers}, nil
+		return &limitedPeer{peer, a.servers}, nil
 	}
 }
 
-// gatedPeer returns its descriptor to the gate when its connection ends.
-type gatedPeer struct {
+// limitedPeer returns its descriptor to the limiter when its connection ends.
+type limitedPeer struct {
 	office.Peer
-	gate *descriptors.Limiter
+	limiter *descriptors.Limiter
 }
 
 // Run implements office.Peer.
-func (p *gatedPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
-	defer p.gate.Release()
+func (p *limitedPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
+	defer p.limiter.Release()
 	return p.Peer.Run(ctx, h)
 }
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -69,11 +69,11 @@
 	if err != nil {
 		return err
 	}
-	project, err := config.ParseOperatorSettings("", "", os.Getenv)
+	settings, err := config.ParseOperatorSettings("", "", os.Getenv)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
-	log, _, err := logger(project)
+	log, _, err := logger(settings)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
--- a/cmd/masthill/fleet_test.go
+++ b/cmd/masthill/fleet_test.go
@@ -105,7 +105,7 @@
 	return len(s.Instances) > 0
 }
 
-// countProcesses counts the processes that run in the instances' directories. Two in one directory fail the test.
+// countProcesses counts the processes that run in the instances' directories, and fails the test if two share one.
 func (b *fleetFixture) countProcesses() (n int) {
 	b.t.Helper()
 	dirs, _ := filepath.Glob("/proc/[0-9]*/environ")
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -26,8 +26,8 @@
 		return err
 	}
 	_, err := config.Load(os.Getenv)
-	project, ownErr := config.LoadOperatorSettings(os.Getenv)
-	faults := append(config.AllFaults(err), config.AllFaults(ownErr)...)
+	settings, settingsErr := config.LoadOperatorSettings(os.Getenv)
+	faults := append(config.AllFaults(err), config.AllFaults(settingsErr)...)
 	for _, f := range faults {
 		if c.JSON {
 			json.NewEncoder(out).Encode(f)
@@ -38,7 +38,7 @@
 	if len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
-	if project.DeprecatedName {
+	if settings.DeprecatedName {
 		fmt.Fprintln(out, oldNameWarning)
 	}
 	if !c.JSON {
@@ -72,11 +72,11 @@
 func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
-		project, err := config.LoadOperatorSettings(os.Getenv)
+		settings, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return nil, exitError{exitUsage, err}
 		}
-		if path = project.Socket.Path; path == "" {
+		if path = settings.Socket.Path; path == "" {
 			return nil, exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -47,11 +47,11 @@
 			sockets = append(sockets, m.Socket)
 		}
 	case c.Socket == "":
-		project, err := config.LoadOperatorSettings(os.Getenv)
+		settings, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return exitError{exitUsage, err}
 		}
-		if sockets[0] = project.Socket.Path; sockets[0] == "" {
+		if sockets[0] = settings.Socket.Path; sockets[0] == "" {
 			return exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket or --fleet")}
 		}
 	}
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -55,8 +55,8 @@
 // process.
 func newSnapshots(in *instance) (p subsystem, err error) {
 	in.previous = in.loadSnapshot()
-	if in.keeper != nil {
-		p.run = in.keeper.Run
+	if in.snapshotWriter != nil {
+		p.run = in.snapshotWriter.Run
 	}
 	return p, nil
 }
@@ -66,10 +66,10 @@
 func (in *instance) loadSnapshot() *state.Snapshot {
 	in.startReason, in.snapshotResult = "first", "off"
 	var previous *state.Snapshot
-	if dir := in.project.State.Dir; dir != "" {
-		in.keeper = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.project.State.Interval, Log: in.log.With(logs.PartKey, "state"),
+	if dir := in.settings.State.Dir; dir != "" {
+		in.snapshotWriter = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.settings.State.Interval, Log: in.log.With(logs.PartKey, "state"),
 			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
-		s, err := state.Load(dir, in.platform.Name, time.Now(), in.project.State.MaxAge)
+		s, err := state.Load(dir, in.platform.Name, time.Now(), in.settings.State.MaxAge)
 		switch {
 		case errors.Is(err, state.ErrNoSnapshot):
 			in.snapshotResult = "none"
@@ -94,13 +94,13 @@
 // watches for another process at the same address, as in an upgrade.
 func newDescriptorAllocation(in *instance) (subsystem, error) {
 	peers := 0
-	if in.project.Peers.Listen != "" {
-		peers = cmp.Or(in.project.Peers.MaxInstances, in.platform.Settings.GroupSize)
+	if in.settings.Peers.Listen != "" {
+		peers = cmp.Or(in.settings.Peers.MaxInstances, in.platform.Settings.GroupSize)
 	}
 	log := in.log.With(logs.PartKey, "descriptors")
 	in.descriptors = newAllocation(descriptors.Demand{Limit: in.platform.Sockets, Peers: peers, Operators: in.platform.Admin != "",
-		WebSocket: in.project.CallWS.Listen != "", Control: in.project.Socket.Path != "", Store: in.project.Store.Driver != "",
-		Releases: len(in.project.Distribution.Servers) > 0},
+		WebSocket: in.settings.CallWS.Listen != "", Control: in.settings.Socket.Path != "", Store: in.settings.Store.Driver != "",
+		Releases: len(in.settings.Distribution.Servers) > 0},
 		in.platform.MemoryMB<<20/connMemoryDivisor/connMemoryBytes, log)
 	if in.platform.Admin == "" {
 		return subsystem{}, nil
@@ -110,7 +110,7 @@
 
 // newRecovery adds the module that limits the rate of set-ups of a newly started instance.
 func newRecovery(in *instance) (subsystem, error) {
-	if in.project.Recovery.Enabled {
+	if in.settings.Recovery.Enabled {
 		var evidence []recovery.Evidence
 		if in.previous != nil {
 			evidence = in.previous.Evidence()
@@ -121,9 +121,9 @@
 	return subsystem{}, nil
 }
 
-// newLevels adds the module that sets the level of service, and makes the subsystem that feeds it gauges.
+// newLevels adds the module that sets the level of service, and makes the subsystem that reports resource use to it.
 func newLevels(in *instance) (subsystem, error) {
-	if !in.project.Levels.Enabled {
+	if !in.settings.Levels.Enabled {
 		return subsystem{}, nil
 	}
 	var isRecovering func(int64) bool
@@ -137,8 +137,8 @@
 	if in.previous != nil {
 		in.levels.Restore(in.startedAt.UnixNano(), in.previous.Levels)
 	}
-	if in.keeper != nil {
-		in.keeper.Levels = in.levelHistory
+	if in.snapshotWriter != nil {
+		in.snapshotWriter.Levels = in.levelHistory
 	}
 	in.addModule(in.levels)
 	return subsystem{run: in.runGauges, status: func(s *ctl.Status) { s.Levels = in.levelHistory() }}, nil
@@ -180,7 +180,7 @@
 // newShares adds the module that holds tenants to their shares, by the counts of the whole fleet if this instance is a
 // member of one.
 func newShares(in *instance) (subsystem, error) {
-	if in.project.Shares.Enabled {
+	if in.settings.Shares.Enabled {
 		in.shares = shares.New(in.platform.Settings, in.platform.Shares, in.platform.PlannedRate, in.platform.Seed, in.startedAt.UnixNano())
 		if in.shared != nil {
 			in.shares.UseFleetTotals(in.shared)
@@ -190,9 +190,9 @@
 	return subsystem{}, nil
 }
 
-// newGoodput adds the module that limits the outstanding set-ups by the share that is answered in time.
+// newGoodput adds the module that limits the outstanding set-ups by how many are answered in time.
 func newGoodput(in *instance) (subsystem, error) {
-	if in.project.Goodput.Enabled {
+	if in.settings.Goodput.Enabled {
 		log := in.log.With(logs.PartKey, "goodput")
 		in.addModule(goodput.New(goodput.Settings{Control: in.platform.Settings}, in.platform.Seed, in.startedAt.UnixNano(), func(c goodput.Change) {
 			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
@@ -204,10 +204,10 @@
 
 // newStore makes the subsystem that writes call records to the database.
 func newStore(in *instance) (subsystem, error) {
-	if in.project.Store.Driver == "" {
+	if in.settings.Store.Driver == "" {
 		return subsystem{}, nil
 	}
-	records, err := store.Open(store.Options{Driver: in.project.Store.Driver, DSN: in.project.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.PartKey, "store")})
+	records, err := store.Open(store.Options{Driver: in.settings.Store.Driver, DSN: in.settings.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.PartKey, "store")})
 	if err != nil {
 		return subsystem{}, err
 	}
@@ -276,14 +276,14 @@
 
 // newCallWSFront makes the front for call control over WebSocket.
 func newCallWSFront(in *instance) (subsystem, error) {
-	if in.project.CallWS.Listen == "" {
+	if in.settings.CallWS.Listen == "" {
 		return subsystem{}, nil
 	}
-	l, err := in.openListener("callws", in.project.CallWS.Listen)
+	l, err := in.openListener("callws", in.settings.CallWS.Listen)
 	if err != nil {
 		return subsystem{}, fmt.Errorf("callws.listen: %w", err)
 	}
-	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.platform.Names, Callers: in.project.CallWS.Callers, Ready: in.state.Ready,
+	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.platform.Names, Callers: in.settings.CallWS.Callers, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
 	in.fronts[f], in.callWSFront = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
@@ -303,13 +303,13 @@
 	l.OnShortage = in.descriptors.onShortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
 	s := admin.New(&in.state, in.log.With(logs.PartKey, "admin"))
-	s.MaxConnections = in.descriptors.adminMaxOpen()
+	s.MaxConnections = in.descriptors.adminMaxConnections()
 	return subsystem{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
 
 // newControlSocket makes the control socket.
 func newControlSocket(in *instance) (subsystem, error) {
-	path := in.project.Socket.Path
+	path := in.settings.Socket.Path
 	if path == "" {
 		return subsystem{}, nil
 	}
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -32,7 +32,7 @@
 
 // newPeers makes the subsystem by which the instance is a member of its fleet, and adds the shared module.
 func newPeers(in *instance) (subsystem, error) {
-	s := in.project.Peers
+	s := in.settings.Peers
 	if s.Listen == "" {
 		return subsystem{}, nil
 	}
@@ -81,7 +81,7 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: membersFile(in.project), Log: log, Module: in.shared,
+		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: membersFile(in.settings), Log: log, Module: in.shared,
 		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return subsystem{}, err
@@ -114,11 +114,11 @@
 
 // membersFile is the path of the file that keeps the members' addresses; empty if the settings name no directory for
 // state.
-func membersFile(project *config.OperatorSettings) string {
-	if project.State.Dir == "" {
+func membersFile(settings *config.OperatorSettings) string {
+	if settings.State.Dir == "" {
 		return ""
 	}
-	return filepath.Join(project.State.Dir, "members.json")
+	return filepath.Join(settings.State.Dir, "members.json")
 }
 
 // peersStatus is what this instance knows of the other members of its fleet.
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -62,14 +62,14 @@
 // the list alone, and for listWaitTimeout at most.
 func TestReadyWhileOutsideServicesHang(t *testing.T) {
 	silent := netcase.ServeConns(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	hanging := hangingDiscovery(t) // as a server: connects hang
+	hanging := hangingDiscovery(t) // as a server: connecting hangs
 	admin, state := freeAddr(t), t.TempDir()
-	project := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
+	settingsText := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
 	text := strings.Replace(configuration(silent, []string{hanging.addr, silent}), `"listen":"127.0.0.1:0"`,
 		fmt.Sprintf(`"listen":%q,"admin":%q`, freeAddr(t), admin), 1)
 	for round := range 2 { // the second start restores the snapshot of the first
 		began := time.Now()
-		p := startWith(t, text, project)
+		p := startWith(t, text, settingsText)
 		if !p.logged("msg=serving ") {
 			t.Fatal("not ready")
 		}
--- a/cmd/masthill/releasemember.go
+++ b/cmd/masthill/releasemember.go
@@ -15,7 +15,7 @@
 // newReleaseMember makes the subsystem that follows configuration releases from the fleet's configuration servers.
 // Nothing waits for the servers: until a release arrives, the configuration in force stays.
 func newReleaseMember(in *instance) (subsystem, error) {
-	s := in.project.Distribution
+	s := in.settings.Distribution
 	if len(s.Servers) == 0 {
 		return subsystem{}, nil
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	level, byPart := in.project.Log.Level, in.project.Log.Levels
+	level, byPart := in.settings.Log.Level, in.settings.Log.Levels
 	if live.Log.Level != "" {
 		level = live.Log.Level
 	}
@@ -61,7 +61,7 @@
 		in.core.Look(func() { in.shares.SetFractions(tenants) })
 	}
 	if in.callWSFront != nil {
-		callers := in.project.CallWS.Callers
+		callers := in.settings.CallWS.Callers
 		if live.CallWS.Callers != nil {
 			callers = live.CallWS.Callers
 		}
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// acceptPeriod is how long after SIGTERM new connections are accepted: the platform still opens some for 0.2 to 0.4
-	// s. requestPeriod is how long after SIGTERM requests are expected on open connections: 0.2 s more. Both have a
+	// acceptPeriod is how long after SIGTERM new connections are accepted: the platform still opens some for 0.2 to
+	// 0.4 s. requestPeriod is how long after SIGTERM requests are expected on open connections: 0.2 s more. Both have a
 	// margin.
 	acceptPeriod, requestPeriod = 450 * time.Millisecond, 700 * time.Millisecond
 	// The platform sends SIGKILL killDelay plus the longest deadline, which counts as maxCountedDeadline at most, after
@@ -77,26 +77,26 @@
 
 func (serveCmd) Run(s signals) error {
 	p, err := config.Load(os.Getenv)
-	project, ownErr := config.LoadOperatorSettings(os.Getenv)
-	if faults := append(config.AllFaults(err), config.AllFaults(ownErr)...); len(faults) > 0 {
+	settings, settingsErr := config.LoadOperatorSettings(os.Getenv)
+	if faults := append(config.AllFaults(err), config.AllFaults(settingsErr)...); len(faults) > 0 {
 		return exitError{exitUsage, fmt.Errorf("configuration: %w", faults)}
 	}
 	debug.FreeOSMemory() // the schema and its compiler are no longer needed
-	log, levels, err := logger(project)
+	log, levels, err := logger(settings)
 	if err != nil {
 		return exitError{exitUsage, err}
 	}
-	return serve(p, project, s, log.With("node", p.Name), levels)
+	return serve(p, settings, s, log.With("node", p.Name), levels)
 }
 
-// logger makes the logger for the settings. MASTHILL_LOG=debug overrides their general level.
-func logger(project *config.OperatorSettings) (*slog.Logger, *logs.Levels, error) {
-	general, parts, err := logLevels(project.Log.Level, project.Log.Levels)
+// logger makes the logger for the settings. MASTHILL_LOG overrides their general level.
+func logger(settings *config.OperatorSettings) (*slog.Logger, *logs.Levels, error) {
+	general, parts, err := logLevels(settings.Log.Level, settings.Log.Levels)
 	if err != nil {
 		return nil, nil, err
 	}
 	levels := logs.NewLevels(general, parts)
-	return logs.New(logs.Options{Output: os.Stderr, JSON: project.Log.Format == "json", MaxRepeats: project.Log.MaxRepeats, Levels: levels}), levels, nil
+	return logs.New(logs.Options{Output: os.Stderr, JSON: settings.Log.Format == "json", MaxRepeats: settings.Log.MaxRepeats, Levels: levels}), levels, nil
 }
 
 // logLevels parses the general log level, which MASTHILL_LOG overrides, and the levels by part of the program.
@@ -120,7 +120,7 @@
 // instance is one running session controller, assembled from its subsystems.
 type instance struct {
 	platform        *config.Platform
-	project         *config.OperatorSettings
+	settings        *config.OperatorSettings
 	log             *slog.Logger
 	logLevels       *logs.Levels
 	options         exchange.Options // of the core; subsystems add to them until it is made
@@ -132,7 +132,7 @@
 	callerFront     *caller.Server
 	fronts          map[front]*listener.Listener
 	listeners       map[string]net.Listener // by name, for a supervisor that takes them over
-	keeper          *state.SnapshotWriter   // nil: no snapshots are kept
+	snapshotWriter  *state.SnapshotWriter   // nil: no snapshots are kept
 	recovery        *recovery.Recovery      // nil: off
 	levels          *levels.Levels          // nil: off
 	shared          *shared.Shared          // nil: off
@@ -150,13 +150,13 @@
 }
 
 // serve makes the subsystems of an instance and runs it to its end.
-func serve(platform *config.Platform, project *config.OperatorSettings, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
+func serve(platform *config.Platform, settings *config.OperatorSettings, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(platform.Cores))))
 	debug.SetMemoryLimit(int64(float64(platform.MemoryMB<<20) * heapFraction))
-	if project.DeprecatedName {
-		log.Warn("settings under an old name", "file", project.File, "why", oldNameWarning)
+	if settings.DeprecatedName {
+		log.Warn("settings under an old name", "file", settings.File, "why", oldNameWarning)
 	}
-	in := &instance{platform: platform, project: project, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
+	in := &instance{platform: platform, settings: settings, log: log, logLevels: logLevels, startedAt: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
 	var err error
 	if in.passedListeners, err = notify.Listeners(os.Getenv); err != nil {
 		return err
@@ -321,7 +321,7 @@
 	if !slices.ContainsFunc(in.subsystems, func(s subsystem) bool { return s.reload != nil }) {
 		return // checking the settings costs memory, and no subsystem would use them
 	}
-	project, err := config.LoadOperatorSettings(os.Getenv)
+	settings, err := config.LoadOperatorSettings(os.Getenv)
 	if err != nil {
 		log.Error("settings kept", "err", err)
 		in.configWarning.Store("the last reload found faults: " + err.Error())
@@ -329,7 +329,7 @@
 	}
 	for _, sub := range in.subsystems {
 		if sub.reload != nil {
-			sub.reload(project)
+			sub.reload(settings)
 		}
 	}
 }
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-const settings = `{"group_size":1,"discovery":"pushed","extra":{"class_cells":[[0,1]],"clear_wait_ns":300000000,` +
+const platformSettings = `{"group_size":1,"discovery":"pushed","extra":{"class_cells":[[0,1]],"clear_wait_ns":300000000,` +
 	`"this_node":-1,"topology":"groups"},"grades":[{"name":"open-log","aim_ns":1200000000,"deadline_ns":9000000000,` +
 	`"effect":"free","late_value":0.25,"worth":1.0}],"limits":{"max_attempts":4,"may_cancel":true,"retry_after":true,` +
 	`"max_retry_after_ns":2000000000,"connect_timeout_ns":500000000},"tenants":[{"name":"acme"}],` +
@@ -70,7 +70,7 @@
 	}
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,`+
 		`"sockets":1024},"journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"version":1,"full":true,"servers":[%s]}}]},`+
-		`"settings":%s}`, journal, strings.Join(servers, ","), settings)
+		`"settings":%s}`, journal, strings.Join(servers, ","), platformSettings)
 }
 
 // start starts the program with a configuration for offices, and waits until it is ready or has ended. callws is the
@@ -81,17 +81,17 @@
 }
 
 // startWith does the same with the text of the platform's file.
-func startWith(t *testing.T, platformText, projectText string) *program {
+func startWith(t *testing.T, platformText, settingsText string) *program {
 	t.Helper()
 	dir := t.TempDir()
-	file, project := filepath.Join(dir, "config.json"), filepath.Join(dir, "callws.toml")
-	for name, text := range map[string]string{file: platformText, project: projectText} {
+	file, settingsFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "callws.toml")
+	for name, text := range map[string]string{file: platformText, settingsFile: settingsText} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	p := &program{Cmd: exec.Command(os.Args[0]), config: file, t: t, ready: make(chan struct{}), ended: make(chan struct{})}
-	p.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1", "PROXY_CONFIG="+file, "MASTHILL_SETTINGS="+project)
+	p.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1", "PROXY_CONFIG="+file, "MASTHILL_SETTINGS="+settingsFile)
 	p.Stderr = p
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
