--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// attach places a front and its listener under the allocation, and returns the listener to serve from.
+// attach has the allocation limit a front and its listener, and returns the limited listener to serve from.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
 	l.OnShortage = a.onShortage
 	a.mu.Lock()
