--- a/cmd/masthill-lab/scale.go
+++ b/cmd/masthill-lab/scale.go
@@ -47,7 +47,7 @@
 	if !o.Resume || o.JSON == "" {
 		return &scale.Results{}, nil
 	}
-	return scale.Read(o.JSON)
+	return scale.ReadResults(o.JSON)
 }
 
 // write writes what there is so far.
@@ -64,7 +64,7 @@
 }
 
 // steady is a fleet of which so many are real.
-func (o scaleOptions) steady(size, real int) (s scale.Steady, clean func(), err error) {
+func (o scaleOptions) steady(size, real int) (s scale.SteadyRun, clean func(), err error) {
 	if size < 3 || size > scaleMost || real > scaleRealMost || real > size {
 		return s, nil, fmt.Errorf("%d members, %d of them real: up to %d, and %d real ones", size, real, scaleMost, scaleRealMost)
 	}
@@ -87,18 +87,18 @@
 	if err != nil {
 		return s, nil, err
 	}
-	s.Layout = scale.Layout{Spec: scale.Spec{Size: size, Servers: servers, Zones: zones, Calls: o.Calls, Slow: o.Slow, Seed: o.Seed},
-		Groups: scale.Even(0, size-real, o.Each), Command: []string{self, "scale", "group"}}
-	s.Reals = scale.Reals{Program: program, Dir: dir}
+	s.Layout = scale.Layout{Spec: scale.Spec{Size: size, Servers: servers, Zones: zones, SyntheticCalls: o.Calls, ClockSlowdown: o.Slow, Seed: o.Seed},
+		Groups: scale.SplitEvenly(0, size-real, o.Each), Command: []string{self, "scale", "group"}}
+	s.RealMembers = scale.RealMembers{Program: program, Dir: dir}
 	for k := size - real; k < size; k++ {
 		s.Numbers = append(s.Numbers, k)
 	}
-	s.Warm, s.For, s.Progress = min(o.Warm, scaleForMost), min(o.For, scaleForMost), os.Stdout
+	s.WarmUp, s.MeasureFor, s.Progress = min(o.Warm, scaleForMost), min(o.For, scaleForMost), os.Stdout
 	return s, func() { os.RemoveAll(dir) }, nil
 }
 
 // measure measures one fleet.
-func (o scaleOptions) measure(ctx context.Context, size, real int, change func(*scale.Steady)) (*scale.Point, error) {
+func (o scaleOptions) measure(ctx context.Context, size, real int, change func(*scale.SteadyRun)) (*scale.Point, error) {
 	s, clean, err := o.steady(size, real)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 			fmt.Printf("%d members: measured already\n", size)
 			continue
 		}
-		p, err := c.measure(ctx, size, c.Real, func(s *scale.Steady) { s.Reals.Calls, s.Reals.Servers = c.RealCalls, c.RealServers })
+		p, err := c.measure(ctx, size, c.Real, func(s *scale.SteadyRun) { s.RealMembers.Calls, s.RealMembers.Servers = c.RealCalls, c.RealServers })
 		if err != nil {
 			return err
 		}
@@ -155,9 +155,9 @@
 		if err != nil {
 			return err
 		}
-		r.Trust = append(r.Trust, *t)
+		r.Comparisons = append(r.Comparisons, *t)
 		fmt.Printf("  %d members, hollow over real: bytes %.3f, datagrams %.3f, processor %.2f (one a process %.2f), memory %.2f\n",
-			size, t.Bytes, t.Grams, t.CPU, t.CPU1, t.Memory)
+			size, t.Bytes, t.Datagrams, t.CPU, t.CPUSingleMember, t.Memory)
 		if err := c.write(r); err != nil {
 			return err
 		}
@@ -166,16 +166,16 @@
 }
 
 // compare measures one size in four ways: real, real without knowing of others, hollow, and hollow with a process for each.
-func (c scaleTrustCmd) compare(ctx context.Context, size int) (*scale.Trust, error) {
+func (c scaleTrustCmd) compare(ctx context.Context, size int) (*scale.Comparison, error) {
 	var points [4]*scale.Point
 	for k, way := range []struct {
 		real   int
-		change func(*scale.Steady)
+		change func(*scale.SteadyRun)
 	}{
 		{size, nil},
-		{size, func(s *scale.Steady) { s.Plain = true }},
+		{size, func(s *scale.SteadyRun) { s.WithoutPeers = true }},
 		{0, nil},
-		{0, func(s *scale.Steady) { s.Groups = scale.Even(0, size, 1) }},
+		{0, func(s *scale.SteadyRun) { s.Groups = scale.SplitEvenly(0, size, 1) }},
 	} {
 		p, err := c.measure(ctx, size, way.real, way.change)
 		if err != nil {
@@ -183,7 +183,7 @@
 		}
 		points[k] = p
 	}
-	t := scale.NewTrust(size, *points[0].Real, *points[1].Real, points[2].Hollow, points[3].Hollow)
+	t := scale.Compare(size, *points[0].Real, *points[1].Real, points[2].Hollow, points[3].Hollow)
 	return &t, nil
 }
 
@@ -216,8 +216,8 @@
 		}
 		return c.write(r)
 	}
-	return scale.Strikes{Layout: s.Layout, Kinds: c.Kind, Each: c.Each, Warm: s.Warm, Quiet: min(c.Quiet, scaleForMost), Busy: s.For,
-		Cut: min(c.Cut, scaleForMost), Rest: min(c.Rest, scaleForMost), Progress: os.Stdout, Told: told}.Run(ctx)
+	return scale.FaultRun{Layout: s.Layout, Kinds: c.Kind, GroupSize: c.Each, WarmUp: s.WarmUp, MeasureIdle: min(c.Quiet, scaleForMost), MeasureBusy: s.MeasureFor,
+		PartitionFor: min(c.Cut, scaleForMost), MeasureBaseline: min(c.Rest, scaleForMost), Progress: os.Stdout, OnResult: told}.Run(ctx)
 }
 
 // scaleGroupCmd serves a group of hollow members until its input ends.
--- a/cmd/masthill-lab/scaleconfig.go
+++ b/cmd/masthill-lab/scaleconfig.go
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return scale.Releases{Size: size, Zones: zones, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, Rest: c.Rest, Content: c.Content,
-		Warm: min(c.Warm, scaleForMost), For: min(c.For, scaleForMost), Cut: min(c.Cut, scaleForMost), Faults: c.Faults, Seed: c.Seed,
+	return scale.ReleaseRun{Size: size, Zones: zones, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, SecondStageAfter: c.Rest, ContentSize: c.Content,
+		WarmUp: min(c.Warm, scaleForMost), MeasureFor: min(c.For, scaleForMost), OutageFor: min(c.Cut, scaleForMost), WithFaults: c.Faults, Seed: c.Seed,
 		Progress: os.Stdout}.Run(ctx)
 }
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -58,7 +58,7 @@
 }
 
 func callsAt(b *testing.B, servers int, among bool) {
-	s := Spec{Size: 470, Servers: servers, Seed: 1, Net: "127.1", List: "127.0.0.1:9", Known: []byte(`{"pos":0,"entries":[]}`)}
+	s := Spec{Size: 470, Servers: servers, Seed: 1, Network: "127.1", DiscoveryAddr: "127.0.0.1:9", InitialList: []byte(`{"pos":0,"entries":[]}`)}
 	p, _, err := s.configured(3)
 	if err != nil {
 		b.Fatal(err)
--- a/lab/scale/claims.go
+++ b/lab/scale/claims.go
@@ -17,12 +17,12 @@
 
 // Claim is one thing that a member claimed, with the time of the machine's clock.
 type Claim struct {
-	Name    string            `json:"name"`
-	Epoch   uint64            `json:"epoch"`
-	At      int64             `json:"at"`
-	Claim   lease.Claim       `json:"claim"`
-	Reign   int64             `json:"reign,omitempty"` // it allocates budgets until then
-	Verdict *outlier.Decision `json:"verdict,omitempty"`
+	Name        string            `json:"name"`
+	Epoch       uint64            `json:"epoch"`
+	At          int64             `json:"at"`
+	Claim       lease.Claim       `json:"claim"`
+	LeaderUntil int64             `json:"reign,omitempty"` // it allocates budgets until then
+	Decision    *outlier.Decision `json:"verdict,omitempty"`
 }
 
 // claims keeps a member's claims for a check.
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	c.reigns = until
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), Reign: until})
+	c.put(Claim{At: now.UnixNano(), LeaderUntil: until})
 }
 
 func (c *claims) judged(now time.Time, v outlier.Decision) {
@@ -55,7 +55,7 @@
 		c.avoided[v.Server] = true
 	}
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), Verdict: &v})
+	c.put(Claim{At: now.UnixNano(), Decision: &v})
 }
 
 // now tells which servers the member avoids, and whether it allocates budgets.
@@ -94,43 +94,43 @@
 }
 
 // Budgets is what the check of all claims found.
-type Budgets struct {
-	Claims    int      `json:"claims"`
-	Budgets   int      `json:"budgets"`
-	Overspent int      `json:"budgets_overspent"` // moments at which the parts in use added up to more than the pool
-	MostInUse float64  `json:"most_in_use"`       // of a pool, as a part of it
-	Rivals    int      `json:"two_allocators"`    // times that two held themselves to be the allocator
-	Texts     []string `json:"found,omitempty"`
+type BudgetCheck struct {
+	Claims            int      `json:"claims"`
+	Budgets           int      `json:"budgets"`
+	Overspent         int      `json:"budgets_overspent"` // moments at which the parts in use added up to more than the pool
+	MaxInUse          float64  `json:"most_in_use"`       // of a pool, as a part of it
+	ConcurrentLeaders int      `json:"two_allocators"`    // times that two held themselves to be the allocator
+	Findings          []string `json:"found,omitempty"`
 }
 
 // textsMost bounds what is told of a check.
 const textsMost = 10
 
-func (b *Budgets) found(n *int, format string, a ...any) {
+func (b *BudgetCheck) found(n *int, format string, a ...any) {
 	*n++
-	if len(b.Texts) < textsMost {
-		b.Texts = append(b.Texts, fmt.Sprintf(format, a...))
+	if len(b.Findings) < textsMost {
+		b.Findings = append(b.Findings, fmt.Sprintf(format, a...))
 	}
 }
 
 // CheckBudgets holds the claims of all members of a fleet against each other. ended tells when processes that were killed
 // had ended: they use nothing from then on.
-func CheckBudgets(all []Claim, members int, ended map[string]int64) Budgets {
-	b := Budgets{}
+func CheckBudgets(all []Claim, members int, ended map[string]int64) BudgetCheck {
+	b := BudgetCheck{}
 	slices.SortStableFunc(all, func(x, y Claim) int { return cmp.Compare(x.At, y.At) })
 	using := map[string]map[process]Claim{}
 	reigns := map[process]int64{}
 	for _, c := range all {
 		who := process{c.Name, c.Epoch}
 		switch {
-		case c.Verdict != nil:
-		case c.Reign > 0:
+		case c.Decision != nil:
+		case c.LeaderUntil > 0:
 			for other, until := range reigns {
 				if other != who && alive(other, c.At, ended) && until > c.At {
-					b.found(&b.Rivals, "%s and %s both allocate at %d", other.name, c.Name, c.At)
+					b.found(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
 				}
 			}
-			reigns[who] = max(reigns[who], c.Reign)
+			reigns[who] = max(reigns[who], c.LeaderUntil)
 		default:
 			b.Claims++
 			if using[c.Claim.Budget] == nil {
@@ -152,7 +152,7 @@
 
 // sum adds up what may be used of one budget at the moment of a claim. Parts grow by claims alone, so that the greatest
 // sums are at claims.
-func (b *Budgets) sum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
+func (b *BudgetCheck) sum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
 	sum, size, floor := int64(0), int64(0), int64(0)
 	for who, c := range using {
 		if c.Claim.Until <= now.At || !alive(who, now.At, ended) {
@@ -168,7 +168,7 @@
 	if sum == 0 || pool <= 0 {
 		return
 	}
-	b.MostInUse = max(b.MostInUse, float64(sum)/float64(pool))
+	b.MaxInUse = max(b.MaxInUse, float64(sum)/float64(pool))
 	if sum > pool {
 		b.found(&b.Overspent, "%s: %d of %d in use at %d by %d", now.Claim.Budget, sum, pool, now.At, len(using))
 	}
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -19,7 +19,7 @@
 )
 
 // Faults are all kinds, the simplest first.
-var Faults = []string{FaultMachine, FaultRack, FaultZone, FaultAllocator, FaultServer, FaultRegion, FaultRestarts}
+var FaultKinds = []string{FaultMachine, FaultRack, FaultZone, FaultAllocator, FaultServer, FaultRegion, FaultRestarts}
 
 const (
 	rackOf = 12
@@ -31,54 +31,54 @@
 
 // Fault is what one fault cost a fleet.
 type Fault struct {
-	Kind        string  `json:"kind"`
-	Size        int     `json:"size"`
-	Slow        float64 `json:"slow,omitempty"` // all times are by the slower clock
-	Calls       float64 `json:"made_up_calls_s"`
-	Struck      int     `json:"struck"` // members
-	LastedS     float64 `json:"lasted_s"`
-	AllKnowS    float64 `json:"all_know_s"`         // from its beginning until all that are left know; -1: not in time
-	HealedS     float64 `json:"healed_s,omitempty"` // from its end until all know of all again; -1: not in time
-	FalseDeaths int64   `json:"false_deaths"`       // deaths told of members that lived and could be reached
-	MeanBytes   float64 `json:"mean_wire_bytes_s"`  // of a member, over the fault
-	PeakBytes   float64 `json:"peak_wire_bytes_s"`  // of the members of one process on average, in the worst second or so
-	PeakGrams   float64 `json:"peak_datagrams_s"`   // the same
-	PeakCPU     float64 `json:"peak_cpu_percent"`   // of a core for each member of one process, the same
-	RestBytes   float64 `json:"rest_wire_bytes_s"`  // before the fault
-	RestCPU     float64 `json:"rest_cpu_percent"`   // before
-	HeapBefore  float64 `json:"heap_before_mb"`     // of a member
-	HeapAfter   float64 `json:"heap_after_mb"`      // once all is over
-	Budgets     Budgets `json:"budgets"`            // over the run
-	Dropped     int64   `json:"dropped"`            // messages that found no room, over the fault
-	OthersCores float64 `json:"others_cores"`       // that everything else on the machine used meanwhile
-	Note        string  `json:"note,omitempty"`
+	Kind           string      `json:"kind"`
+	Size           int         `json:"size"`
+	ClockSlowdown  float64     `json:"slow,omitempty"` // all times are by the slower clock
+	SyntheticCalls float64     `json:"made_up_calls_s"`
+	Affected       int         `json:"struck"` // members
+	DurationS      float64     `json:"lasted_s"`
+	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all that are left know; -1: not in time
+	RecoveredS     float64     `json:"healed_s,omitempty"` // from its end until all know of all again; -1: not in time
+	FalseDeaths    int64       `json:"false_deaths"`       // deaths told of members that lived and could be reached
+	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, over the fault
+	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // of the members of one process on average, in the worst second or so
+	PeakDatagrams  float64     `json:"peak_datagrams_s"`   // the same
+	PeakCPU        float64     `json:"peak_cpu_percent"`   // of a core for each member of one process, the same
+	BaselineBytes  float64     `json:"rest_wire_bytes_s"`  // before the fault
+	BaselineCPU    float64     `json:"rest_cpu_percent"`   // before
+	HeapBefore     float64     `json:"heap_before_mb"`     // of a member
+	HeapAfter      float64     `json:"heap_after_mb"`      // once all is over
+	Budgets        BudgetCheck `json:"budgets"`            // over the run
+	Dropped        int64       `json:"dropped"`            // messages that found no room, over the fault
+	OthersCores    float64     `json:"others_cores"`       // that everything else on the machine used meanwhile
+	Note           string      `json:"note,omitempty"`
 }
 
 // String tells a fault in a few lines.
 func (f *Fault) String() string {
 	return fmt.Sprintf("%s: %d of %d members struck, %.1f s; all knew after %.1f s, healed after %.1f s; false deaths %d; overspent %d (of %d claims, most in use %.2f), two allocators %d\n"+
 		"  bytes a second: %.0f at rest, %.0f over it, %.0f at most; processor %.2f%% at rest, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; others %.1f cores. %s",
-		f.Kind, f.Struck, f.Size, f.LastedS, f.AllKnowS, f.HealedS, f.FalseDeaths, f.Budgets.Overspent, f.Budgets.Claims, f.Budgets.MostInUse, f.Budgets.Rivals,
-		f.RestBytes, f.MeanBytes, f.PeakBytes, f.RestCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
+		f.Kind, f.Affected, f.Size, f.DurationS, f.DetectedS, f.RecoveredS, f.FalseDeaths, f.Budgets.Overspent, f.Budgets.Claims, f.Budgets.MaxInUse, f.Budgets.ConcurrentLeaders,
+		f.BaselineBytes, f.MeanBytes, f.PeakBytes, f.BaselineCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
 }
 
 // Strikes are faults that happen to one fleet, one after the other, after it was measured at rest.
-type Strikes struct {
+type FaultRun struct {
 	Layout
-	Kinds    []string
-	Each     int           // hollow members in a process, but for those that faults kill
-	Warm     time.Duration // after the start
-	Quiet    time.Duration // measured without made-up calls; 0: it is not
-	Busy     time.Duration // measured with them
-	Cut      time.Duration // how long a region is cut off, by the members' clock
-	Rest     time.Duration // before each fault, by the members' clock
-	Progress io.Writer
-	Told     func(*Point, *Fault) error // each result as it comes
+	Kinds           []string
+	GroupSize       int           // hollow members in a process, but for those that faults kill
+	WarmUp          time.Duration // after the start
+	MeasureIdle     time.Duration // measured without made-up calls; 0: it is not
+	MeasureBusy     time.Duration // measured with them
+	PartitionFor    time.Duration // how long a region is cut off, by the members' clock
+	MeasureBaseline time.Duration // before each fault, by the members' clock
+	Progress        io.Writer
+	OnResult        func(*Point, *Fault) error // each result as it comes
 }
 
 // Grouped puts members into processes so that faults can kill whole ones: each voter has one of its own, as has a machine;
 // a rack, a zone, and the rest.
-func Grouped(size, each int) (groups [][]int, rack, zone int) {
+func GroupForFaults(size, each int) (groups [][]int, rack, zone int) {
 	voters := (&Spec{Size: size}).Voters()
 	for _, k := range voters {
 		groups = append(groups, []int{k})
@@ -86,21 +86,21 @@
 	from := len(voters)
 	groups = append(groups, []int{from})
 	rack = len(groups)
-	groups = append(groups, Even(from+1, from+1+min(rackOf, size/4), rackOf)...)
+	groups = append(groups, SplitEvenly(from+1, from+1+min(rackOf, size/4), rackOf)...)
 	zone = len(groups)
 	from += 1 + min(rackOf, size/4)
 	to := min(from+max(size/11, 1), size)
-	groups = append(groups, Even(from, to, size)...)
-	return append(groups, Even(to, size, each)...), rack, zone
+	groups = append(groups, SplitEvenly(from, to, size)...)
+	return append(groups, SplitEvenly(to, size, each)...), rack, zone
 }
 
 // Run starts a fleet, measures it, has the faults happen and ends the fleet.
-func (s Strikes) Run(ctx context.Context) error {
+func (s FaultRun) Run(ctx context.Context) error {
 	var rack, zone int
-	s.Groups, rack, zone = Grouped(s.Size, max(s.Each, 1))
-	calls := s.Calls
-	s.Calls, s.Budgets = 0, true
-	f, err := Begin(ctx, s.Layout)
+	s.Groups, rack, zone = GroupForFaults(s.Size, max(s.GroupSize, 1))
+	calls := s.SyntheticCalls
+	s.SyntheticCalls, s.Budgets = 0, true
+	f, err := NewFleet(ctx, s.Layout)
 	if err != nil {
 		return err
 	}
@@ -109,18 +109,18 @@
 	if err := f.Start(); err != nil {
 		return err
 	}
-	met, err := f.Meet(s.Size)
+	met, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return err
 	}
 	s.say("all know of all after %.1f s by the members' clock", met.Seconds()/s.slow())
-	if err := f.pass(s.Warm); err != nil {
+	if err := f.pass(s.WarmUp); err != nil {
 		return err
 	}
 	for _, one := range []struct {
 		calls float64
 		long  time.Duration
-	}{{0, s.Quiet}, {calls, s.Busy}} {
+	}{{0, s.MeasureIdle}, {calls, s.MeasureBusy}} {
 		if one.long <= 0 {
 			continue
 		}
@@ -132,33 +132,33 @@
 		return err
 	}
 	for _, kind := range s.Kinds {
-		p := &strike{Strikes: s, kind: kind, f: f, rack: rack, zone: zone, size: f.left(),
-			r: &Fault{Kind: kind, Size: f.left(), Slow: s.Slow, Calls: calls}}
+		p := &strike{FaultRun: s, kind: kind, f: f, rack: rack, zone: zone, size: f.left(),
+			r: &Fault{Kind: kind, Size: f.left(), ClockSlowdown: s.ClockSlowdown, SyntheticCalls: calls}}
 		if err := p.run(); err != nil {
 			return fmt.Errorf("%s: %w", kind, err)
 		}
-		if err := s.Told(nil, p.r); err != nil {
+		if err := s.OnResult(nil, p.r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s Strikes) say(format string, a ...any) { Steady{Progress: s.Progress}.say(format, a...) }
+func (s FaultRun) say(format string, a ...any) { SteadyRun{Progress: s.Progress}.say(format, a...) }
 
 // measured measures the fleet at rest at a rate of made-up calls.
-func (s Strikes) measured(f *Fleet, calls float64, long, met time.Duration) error {
+func (s FaultRun) measured(f *Fleet, calls float64, long, met time.Duration) error {
 	if err := f.call(calls); err != nil {
 		return err
 	}
-	if err := f.pass(s.Warm); err != nil { // reports are up to six seconds old
+	if err := f.pass(s.WarmUp); err != nil { // reports are up to six seconds old
 		return err
 	}
 	p, err := f.measure(long)
 	if err != nil {
 		return err
 	}
-	p.MeetS, p.Processes = met.Seconds()/s.slow(), len(s.Groups)
+	p.ConvergedS, p.Processes = met.Seconds()/s.slow(), len(s.Groups)
 	s.say("at rest with %.0f made-up calls: %s", calls, p)
-	return s.Told(p, nil)
+	return s.OnResult(p, nil)
 }
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -72,7 +72,7 @@
 
 // run hands calls in until ctx ends.
 func (f *feed) run(ctx context.Context, m *Member) {
-	f.rate.Store(math.Float64bits(m.spec.Calls))
+	f.rate.Store(math.Float64bits(m.spec.SyntheticCalls))
 	tick := time.NewTicker(feedEvery)
 	defer tick.Stop()
 	due := 0.0
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -9,35 +9,35 @@
 
 // Line is a straight line through measurements, by least squares.
 type Line struct {
-	What   string  `json:"what"`
-	Of     string  `json:"of"` // what it goes by
-	At0    float64 `json:"intercept"`
-	At0CI  float64 `json:"intercept_ci95"` // half width
-	Slope  float64 `json:"slope"`
-	CI     float64 `json:"slope_ci95"` // half width
-	R2     float64 `json:"r_squared"`
-	Points int     `json:"points"`
+	Quantity    string  `json:"what"`
+	Variable    string  `json:"of"` // what it goes by
+	Intercept   float64 `json:"intercept"`
+	InterceptCI float64 `json:"intercept_ci95"` // half width
+	Slope       float64 `json:"slope"`
+	SlopeCI     float64 `json:"slope_ci95"` // half width
+	R2          float64 `json:"r_squared"`
+	Points      int     `json:"points"`
 }
 
 // Fit fits a line, with 95% confidence intervals of its two figures. It takes three points at least.
-func Fit(what, of string, x, y []float64) Line {
-	l := Line{What: what, Of: of, Points: len(x)}
+func FitLine(what, of string, x, y []float64) Line {
+	l := Line{Quantity: what, Variable: of, Points: len(x)}
 	if len(x) < 3 || stat.Variance(x, nil) == 0 {
 		return l
 	}
-	l.At0, l.Slope = stat.LinearRegression(x, y, nil, false)
+	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
 	mean, squares, rest := stat.Mean(x, nil), 0.0, 0.0
 	for k := range x {
 		squares += (x[k] - mean) * (x[k] - mean)
-		miss := y[k] - l.At0 - l.Slope*x[k]
+		miss := y[k] - l.Intercept - l.Slope*x[k]
 		rest += miss * miss
 	}
 	n := float64(len(x))
 	t := distuv.StudentsT{Nu: n - 2, Sigma: 1}.Quantile(0.975)
 	variance := rest / (n - 2)
-	l.CI = t * math.Sqrt(variance/squares)
-	l.At0CI = t * math.Sqrt(variance*(1/n+mean*mean/squares))
-	if l.R2 = stat.RSquared(x, y, nil, l.At0, l.Slope); math.IsNaN(l.R2) { // all the same
+	l.SlopeCI = t * math.Sqrt(variance/squares)
+	l.InterceptCI = t * math.Sqrt(variance*(1/n+mean*mean/squares))
+	if l.R2 = stat.RSquared(x, y, nil, l.Intercept, l.Slope); math.IsNaN(l.R2) { // all the same
 		l.R2 = 0
 	}
 	return l
@@ -45,28 +45,28 @@
 
 // Tells is how many datagrams a second a member has to send to tell all others its counts: each gets one every half
 // second, and every so many half seconds more in fleets over 64.
-func Tells(members int) float64 {
+func CountDatagrams(members int) float64 {
 	return 2 * float64(members-1) / math.Ceil(float64(members)/64)
 }
 
 // Lines fits a member's costs over points of different sizes with the same load.
-func Lines(points []*Point) []Line {
+func FitCosts(points []*Point) []Line {
 	var sizes, tells, rates, sent, wire, stream, cpu, resident, heap, age []float64
 	for _, p := range points {
 		h := p.Hollow
-		sizes, tells = append(sizes, float64(p.Size)), append(tells, Tells(p.Size))
-		rates = append(rates, h.SentDatagrams+h.GotDatagrams)
+		sizes, tells = append(sizes, float64(p.Size)), append(tells, CountDatagrams(p.Size))
+		rates = append(rates, h.SentDatagrams+h.ReceivedDatagrams)
 		sent, wire, stream = append(sent, h.SentDatagrams), append(wire, h.SentBytes+headers*h.SentDatagrams), append(stream, h.SentStream)
-		cpu, resident, heap, age = append(cpu, h.CPU), append(resident, h.Resident), append(heap, h.Heap), append(age, p.Counts.P99)
+		cpu, resident, heap, age = append(cpu, h.CPU), append(resident, h.Resident), append(heap, h.Heap), append(age, p.CountAges.P99)
 	}
 	return []Line{
-		Fit("datagrams sent a second", "counts told a second", tells, sent),
-		Fit("bytes sent in datagrams a second, with headers", "counts told a second", tells, wire),
-		Fit("bytes sent over streams a second", "members", sizes, stream),
-		Fit("processor, percent of a core", "datagrams sent and received a second", rates, cpu),
-		Fit("processor, percent of a core", "members", sizes, cpu),
-		Fit("memory, MB", "members", sizes, resident),
-		Fit("heap, MB", "members", sizes, heap),
-		Fit("age of a count, p99, ms", "members", sizes, age),
+		FitLine("datagrams sent a second", "counts told a second", tells, sent),
+		FitLine("bytes sent in datagrams a second, with headers", "counts told a second", tells, wire),
+		FitLine("bytes sent over streams a second", "members", sizes, stream),
+		FitLine("processor, percent of a core", "datagrams sent and received a second", rates, cpu),
+		FitLine("processor, percent of a core", "members", sizes, cpu),
+		FitLine("memory, MB", "members", sizes, resident),
+		FitLine("heap, MB", "members", sizes, heap),
+		FitLine("age of a count, p99, ms", "members", sizes, age),
 	}
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -48,7 +48,7 @@
 }
 
 // Even puts members from a number on into groups of a size.
-func Even(from, to, each int) (all [][]int) {
+func SplitEvenly(from, to, each int) (all [][]int) {
 	for k := from; k < to; k++ {
 		if n := len(all); n == 0 || len(all[n-1]) >= each {
 			all = append(all, nil)
@@ -70,12 +70,12 @@
 }
 
 // Begin opens the discovery service and the groups' processes; no member runs yet.
-func Begin(ctx context.Context, l Layout) (*Fleet, error) {
+func NewFleet(ctx context.Context, l Layout) (*Fleet, error) {
 	at, held, err := place(l.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l.Net, l.Origin = at, time.Now().UnixNano()
+	l.Network, l.ClockOrigin = at, time.Now().UnixNano()
 	var entries []standin.Entry
 	for k := range l.Servers {
 		entries = append(entries, entry(k, time.Time{}))
@@ -85,7 +85,7 @@
 		held.Close()
 		return nil, err
 	}
-	l.List, l.Known = list.Addr(), list.KnownList()
+	l.DiscoveryAddr, l.InitialList = list.Addr(), list.KnownList()
 	ctx, stop := context.WithCancel(ctx)
 	work, ctx := errgroup.WithContext(ctx)
 	f := &Fleet{Layout: l, ctx: ctx, work: work, stop: stop, held: held, list: list, dead: map[int]bool{}, ended: map[string]int64{}}
@@ -155,8 +155,8 @@
 }
 
 // Look looks at all groups; those that were killed have empty looks.
-func (f *Fleet) Look(a Ask) ([]Look, error) {
-	all := make([]Look, len(f.groups))
+func (f *Fleet) Snapshot(a SnapshotOptions) ([]Snapshot, error) {
+	all := make([]Snapshot, len(f.groups))
 	err := f.each(func(k int, r runner) error {
 		l, err := r.do(order{Do: doLook, Ask: a})
 		if err == nil {
@@ -175,10 +175,10 @@
 }
 
 // until looks at the fleet until something holds of all members, and tells how long that took.
-func (f *Fleet) until(what string, most time.Duration, holds func(s Sight) bool) (time.Duration, error) {
+func (f *Fleet) until(what string, most time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
 	began := time.Now()
 	for {
-		all, err := f.Look(Ask{})
+		all, err := f.Snapshot(SnapshotOptions{})
 		if err != nil {
 			return 0, err
 		}
@@ -216,14 +216,14 @@
 }
 
 // Meet waits until all members know of so many.
-func (f *Fleet) Meet(members int) (time.Duration, error) {
+func (f *Fleet) WaitForMembers(members int) (time.Duration, error) {
 	most := min(time.Duration(float64(meetFor)*f.slow()), meetMost)
-	return f.until(fmt.Sprintf("all %d members are known", members), most, func(s Sight) bool { return s.Alive == members })
+	return f.until(fmt.Sprintf("all %d members are known", members), most, func(s MemberStatus) bool { return s.Alive == members })
 }
 
 // call sets the made-up calls of all hollow members, a second.
 func (f *Fleet) call(rate float64) error {
-	f.Calls = rate
+	f.SyntheticCalls = rate
 	return f.each(func(_ int, r runner) error {
 		_, err := r.do(order{Do: doCall, Calls: rate})
 		return err
--- a/lab/scale/formula.go
+++ b/lab/scale/formula.go
@@ -24,20 +24,20 @@
 )
 
 // Datagrams is the most that a member sends a second at rest.
-func Datagrams(members int) float64 { return Tells(members) + probeDatagrams }
+func MaxDatagrams(members int) float64 { return CountDatagrams(members) + probeDatagrams }
 
 // Reports is how many reports a member's message carries at a rate of calls over so many servers.
-func Reports(calls float64, servers int) float64 {
+func ReportsPerMessage(calls float64, servers int) float64 {
 	return min(calls*reportFor, float64(servers), reportsMost)
 }
 
 // Bytes is the most that a member sends a second at rest, with the headers of datagrams.
-func Bytes(members, servers int, calls float64) float64 {
+func MaxBytes(members, servers int, calls float64) float64 {
 	each := countBytes
 	if calls > 0 {
-		each += callBytes + reportBytes*Reports(calls, servers)
+		each += callBytes + reportBytes*ReportsPerMessage(calls, servers)
 	}
-	return Datagrams(members)*each + streamBytes(members)
+	return MaxDatagrams(members)*each + streamBytes(members)
 }
 
 // streamBytes is what a member sends a second in exchanges of the list of members. The library begins them more rarely in
@@ -51,13 +51,13 @@
 }
 
 // Exceeds names each figure of a measurement that is over the formula.
-func Exceeds(p *Point, servers int) (all []string) {
+func ExceededLimits(p *Point, servers int) (all []string) {
 	for _, one := range []struct {
 		what        string
 		is, allowed float64
 	}{
-		{"datagrams a second", p.Hollow.SentDatagrams, Datagrams(p.Size)},
-		{"bytes a second", p.Hollow.SentWire, Bytes(p.Size, servers, p.Calls)},
+		{"datagrams a second", p.Hollow.SentDatagrams, MaxDatagrams(p.Size)},
+		{"bytes a second", p.Hollow.SentWire, MaxBytes(p.Size, servers, p.SyntheticCalls)},
 	} {
 		if one.is > one.allowed {
 			all = append(all, fmt.Sprintf("%d members: %.1f %s, and %.1f are the most", p.Size, one.is, one.what, one.allowed))
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -15,7 +15,7 @@
 )
 
 // Sight is what one member shows at one moment.
-type Sight struct {
+type MemberStatus struct {
 	Number    int           `json:"number"`
 	Name      string        `json:"name"`
 	Alive     int           `json:"alive"` // members that it takes to be there, itself among them
@@ -24,31 +24,31 @@
 	Deaths    int64         `json:"deaths"`            // how often it took another to have died, since the start of its process
 	Avoided   []uint64      `json:"avoided,omitempty"` // servers, on the others' word
 	Allocates bool          `json:"allocates,omitempty"`
-	Heard     int64         `json:"heard"`
+	Received  int64         `json:"heard"`
 	Dropped   int64         `json:"dropped"`
 	Traffic   peers.Traffic `json:"traffic"`
 	ListPos   int64         `json:"list_pos"`
 }
 
 // Look is what a group shows at one moment.
-type Look struct {
-	At       int64         `json:"at"` // Unix nanoseconds
-	Members  []Sight       `json:"members"`
-	CPU      time.Duration `json:"cpu_ns"` // of the process, since its start
-	Resident int64         `json:"resident_bytes"`
-	Heap     int64         `json:"heap_bytes"` // live, after a collection
-	Counts   []int64       `json:"count_ages_ms,omitempty"`
-	Judged   []int64       `json:"judgement_ages_ms,omitempty"`
-	Sources  int           `json:"sources,omitempty"` // processes whose counts a member keeps, at most
-	Claims   []Claim       `json:"claims,omitempty"`
-	Lost     int           `json:"claims_lost,omitempty"`
+type Snapshot struct {
+	At              int64          `json:"at"` // Unix nanoseconds
+	Members         []MemberStatus `json:"members"`
+	CPU             time.Duration  `json:"cpu_ns"` // of the process, since its start
+	Resident        int64          `json:"resident_bytes"`
+	Heap            int64          `json:"heap_bytes"` // live, after a collection
+	CountAgesMS     []int64        `json:"count_ages_ms,omitempty"`
+	JudgementAgesMS []int64        `json:"judgement_ages_ms,omitempty"`
+	CountSources    int            `json:"sources,omitempty"` // processes whose counts a member keeps, at most
+	Claims          []Claim        `json:"claims,omitempty"`
+	ClaimsLost      int            `json:"claims_lost,omitempty"`
 }
 
 // Ask is what a look is to tell beside what it always does; each costs processor time in the process that is looked at.
-type Ask struct {
-	Ages   int  `json:"ages"`   // ask so many members how old what they know is
-	Heap   bool `json:"heap"`   // collect garbage first, and tell what lives
-	Claims bool `json:"claims"` // and the claims since the last such look
+type SnapshotOptions struct {
+	MembersForAges int  `json:"ages"`   // ask so many members how old what they know is
+	Heap           bool `json:"heap"`   // collect garbage first, and tell what lives
+	Claims         bool `json:"claims"` // and the claims since the last such look
 }
 
 // Group is some hollow members in this process.
@@ -121,7 +121,7 @@
 }
 
 // Cut has these members reach only each other and all others only themselves; none: all reach all.
-func (g *Group) Cut(numbers []int) {
+func (g *Group) Partition(numbers []int) {
 	inside := map[int]bool{}
 	for _, k := range numbers {
 		inside[k] = true
@@ -138,14 +138,14 @@
 }
 
 // Silence has the made-up calls of all members to a server get no answer; 0: all servers answer.
-func (g *Group) Silence(server uint64) {
+func (g *Group) SilenceServer(server uint64) {
 	for _, m := range g.all() {
 		m.feed.silent.Store(server)
 	}
 }
 
 // Call sets the made-up calls of all members, a second.
-func (g *Group) Call(rate float64) {
+func (g *Group) SetCallRate(rate float64) {
 	for _, m := range g.all() {
 		m.feed.rate.Store(math.Float64bits(rate))
 	}
@@ -161,16 +161,16 @@
 }
 
 // Look looks at all members.
-func (g *Group) Look(a Ask) Look {
-	l := Look{At: time.Now().UnixNano()}
+func (g *Group) Snapshot(a SnapshotOptions) Snapshot {
+	l := Snapshot{At: time.Now().UnixNano()}
 	for n, m := range g.all() {
 		l.Members = append(l.Members, m.sight())
-		if n < a.Ages {
+		if n < a.MembersForAges {
 			m.ages(&l)
 		}
 		if a.Claims {
 			claims, lost := m.claims.take()
-			l.Claims, l.Lost = append(l.Claims, claims...), l.Lost+lost
+			l.Claims, l.ClaimsLost = append(l.Claims, claims...), l.ClaimsLost+lost
 		}
 	}
 	if a.Claims {
@@ -186,9 +186,9 @@
 }
 
 // sight looks at one member.
-func (m *Member) sight() Sight {
+func (m *Member) sight() MemberStatus {
 	st := m.peers.Status()
-	s := Sight{Number: m.k, Name: st.Name, Heard: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
+	s := MemberStatus{Number: m.k, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
 	for _, one := range st.Members {
 		switch one.State {
 		case peers.Alive:
@@ -206,15 +206,15 @@
 }
 
 // ages tells how old what a member knows of each other one is.
-func (m *Member) ages(l *Look) {
+func (m *Member) ages(l *Snapshot) {
 	now := m.now().UnixNano()
-	l.Judged = append(l.Judged, m.ear.ages(now)...)
+	l.JudgementAgesMS = append(l.JudgementAgesMS, m.ear.ages(now)...)
 	m.core.Look(func() {
 		known := m.shared.Look(now).KnownCounts
-		l.Sources = max(l.Sources, len(known))
+		l.CountSources = max(l.CountSources, len(known))
 		for _, k := range known {
 			if k.Name != m.spec.Name(m.k) {
-				l.Counts = append(l.Counts, k.AgeMS)
+				l.CountAgesMS = append(l.CountAgesMS, k.AgeMS)
 			}
 		}
 	})
--- a/lab/scale/kinds.go
+++ b/lab/scale/kinds.go
@@ -28,12 +28,12 @@
 	default:
 		err = fmt.Errorf("unknown kind of fault %q", p.kind)
 	}
-	p.r.LastedS = p.since(time.Since(began))
+	p.r.DurationS = p.since(time.Since(began))
 	return err
 }
 
 // all waits until something holds of all members, from now on; -1: it does not in time.
-func (p *strike) all(what string, holds func(Sight) bool) (float64, error) {
+func (p *strike) all(what string, holds func(MemberStatus) bool) (float64, error) {
 	took, err := p.f.until(what, p.real(faultMost), holds)
 	if err != nil && took > p.real(faultMost) {
 		p.r.Note = err.Error()
@@ -44,9 +44,9 @@
 
 // killed ends one process and waits until all others know that its members are gone.
 func (p *strike) killed(group int) (err error) {
-	p.r.Struck = len(p.Groups[group])
+	p.r.Affected = len(p.Groups[group])
 	p.f.Kill(group)
-	p.r.AllKnowS, err = p.all("the dead are known", func(s Sight) bool { return s.Alive == p.size-p.r.Struck })
+	p.r.DetectedS, err = p.all("the dead are known", func(s MemberStatus) bool { return s.Alive == p.size-p.r.Affected })
 	return err
 }
 
@@ -54,11 +54,13 @@
 func (p *strike) allocator() (err error) {
 	p.coldStart()
 	reigns := func() int {
-		looks, err := p.f.Look(Ask{Claims: true})
+		looks, err := p.f.Snapshot(SnapshotOptions{Claims: true})
 		if err != nil {
 			return -1
 		}
-		return slices.IndexFunc(looks, func(l Look) bool { return slices.ContainsFunc(l.Members, func(s Sight) bool { return s.Allocates }) })
+		return slices.IndexFunc(looks, func(l Snapshot) bool {
+			return slices.ContainsFunc(l.Members, func(s MemberStatus) bool { return s.Allocates })
+		})
 	}
 	group := -1
 	for end := time.Now().Add(p.real(10 * time.Second)); group < 0 && time.Now().Before(end); {
@@ -69,7 +71,7 @@
 	}
 	if group < 0 {
 		p.r.Note = "nobody allocated within 10 s"
-		p.r.AllKnowS = -1
+		p.r.DetectedS = -1
 		return nil
 	}
 	if err := p.f.pass(p.real(3 * time.Second)); err != nil { // parts are out, and in use
@@ -77,7 +79,7 @@
 	}
 	began := time.Now()
 	p.f.Kill(group)
-	p.r.Struck = len(p.Groups[group])
+	p.r.Affected = len(p.Groups[group])
 	for next := -1; next < 0; next = reigns() {
 		if time.Since(began) > p.real(30*time.Second) {
 			p.r.Note = "no other allocated within 30 s"
@@ -87,8 +89,8 @@
 			return err
 		}
 	}
-	p.r.HealedS = p.since(time.Since(began)) // another allocates
-	p.r.AllKnowS, err = p.all("the dead is known", func(s Sight) bool { return s.Alive == p.size-p.r.Struck })
+	p.r.RecoveredS = p.since(time.Since(began)) // another allocates
+	p.r.DetectedS, err = p.all("the dead is known", func(s MemberStatus) bool { return s.Alive == p.size-p.r.Affected })
 	return err
 }
 
@@ -102,7 +104,7 @@
 // server has a session server answer no call for a time.
 func (p *strike) server() (err error) {
 	const silent = listedFirst + 7
-	p.r.Struck = 1
+	p.r.Affected = 1
 	tell := func(server uint64) error {
 		return p.f.each(func(_ int, r runner) error {
 			_, err := r.do(order{Do: doSilence, Server: server})
@@ -112,21 +114,21 @@
 	if err := tell(silent); err != nil {
 		return err
 	}
-	p.r.AllKnowS, err = p.all("the server is avoided", func(s Sight) bool { return slices.Contains(s.Avoided, silent) })
+	p.r.DetectedS, err = p.all("the server is avoided", func(s MemberStatus) bool { return slices.Contains(s.Avoided, silent) })
 	if err != nil {
 		return err
 	}
 	if err := tell(0); err != nil {
 		return err
 	}
-	p.r.HealedS, err = p.all("the server is used again", func(s Sight) bool { return !slices.Contains(s.Avoided, silent) })
+	p.r.RecoveredS, err = p.all("the server is used again", func(s MemberStatus) bool { return !slices.Contains(s.Avoided, silent) })
 	return err
 }
 
 // region cuts a third of the members off and heals it.
 func (p *strike) region() (err error) {
 	away := p.Size / 3
-	p.r.Struck = away
+	p.r.Affected = away
 	cut := make([]int, away)
 	for k := range cut {
 		cut[k] = p.Size - 1 - k
@@ -142,7 +144,7 @@
 	if err := tell(cut); err != nil {
 		return err
 	}
-	p.r.AllKnowS, err = p.all("each side knows itself alone", func(s Sight) bool {
+	p.r.DetectedS, err = p.all("each side knows itself alone", func(s MemberStatus) bool {
 		if s.Number >= p.Size-away {
 			return s.Alive == away
 		}
@@ -151,21 +153,21 @@
 	if err != nil {
 		return err
 	}
-	if err := p.f.pass(max(p.real(p.Cut)-time.Since(began), 0)); err != nil {
+	if err := p.f.pass(max(p.real(p.PartitionFor)-time.Since(began), 0)); err != nil {
 		return err
 	}
 	if err := tell(nil); err != nil {
 		return err
 	}
 	p.coldStart()
-	p.r.HealedS, err = p.all("all know of all", func(s Sight) bool { return s.Alive == p.size })
+	p.r.RecoveredS, err = p.all("all know of all", func(s MemberStatus) bool { return s.Alive == p.size })
 	return err
 }
 
 // restarts has all members restart as in a release: one after the other in each process, and the voters after the rest, one
 // at a time.
 func (p *strike) restarts() (err error) {
-	p.r.Struck = p.size
+	p.r.Affected = p.size
 	p.coldStart()
 	voters := len(p.Voters())
 	one := func(r runner, k int) error {
@@ -191,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	p.r.HealedS, err = p.all("all know of all", func(s Sight) bool { return s.Alive == p.size })
+	p.r.RecoveredS, err = p.all("all know of all", func(s MemberStatus) bool { return s.Alive == p.size })
 	return err
 }
 
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -37,22 +37,22 @@
 
 // Spec is what all members of a fleet have in common.
 type Spec struct {
-	Size    int     `json:"size"`    // members
-	Servers int     `json:"servers"` // on the list
-	Zones   int     `json:"zones"`
-	Net     string  `json:"net"`     // the first two numbers of all addresses
-	List    string  `json:"list"`    // address of the discovery service
-	Known   []byte  `json:"known"`   // its list at the start
-	Calls   float64 `json:"calls"`   // made-up calls a second at each hollow member: what they make it tell, not their processor time
-	Budgets bool    `json:"budgets"` // cold servers have a shared budget
-	Without string  `json:"without"` // a guard that is left out, to show that the checks notice
-	Slow    float64 `json:"slow"`    // the clock of hollow members runs so many times slower; up to 1: as it is
-	Origin  int64   `json:"origin"`  // when the fleet began, Unix nanoseconds: the slower clock runs from there
-	Seed    uint64  `json:"seed"`
+	Size           int     `json:"size"`    // members
+	Servers        int     `json:"servers"` // on the list
+	Zones          int     `json:"zones"`
+	Network        string  `json:"net"`     // the first two numbers of all addresses
+	DiscoveryAddr  string  `json:"list"`    // address of the discovery service
+	InitialList    []byte  `json:"known"`   // its list at the start
+	SyntheticCalls float64 `json:"calls"`   // made-up calls a second at each hollow member: what they make it tell, not their processor time
+	Budgets        bool    `json:"budgets"` // cold servers have a shared budget
+	OmitCheck      string  `json:"without"` // a guard that is left out, to show that the checks notice
+	ClockSlowdown  float64 `json:"slow"`    // the clock of hollow members runs so many times slower; up to 1: as it is
+	ClockOrigin    int64   `json:"origin"`  // when the fleet began, Unix nanoseconds: the slower clock runs from there
+	Seed           uint64  `json:"seed"`
 }
 
 // slow is by how many times the clock is slower.
-func (s *Spec) slow() float64 { return max(s.Slow, 1) }
+func (s *Spec) slow() float64 { return max(s.ClockSlowdown, 1) }
 
 // clock makes the clock of members. It does not step, and is the same in all processes of a run.
 func (s *Spec) clock() func() time.Time {
@@ -66,7 +66,7 @@
 	if s.slow() == 1 {
 		return t
 	}
-	return time.Unix(0, s.Origin+int64(float64(t.UnixNano()-s.Origin)/s.slow()))
+	return time.Unix(0, s.ClockOrigin+int64(float64(t.UnixNano()-s.ClockOrigin)/s.slow()))
 }
 
 // Name is a member's name by its number.
@@ -77,13 +77,13 @@
 
 // Addr is a member's address by its number.
 func (s *Spec) Addr(k int) string {
-	return fmt.Sprintf("%s.%d.%d:2908", s.Net, 1+k/perSubnet, 1+k%perSubnet)
+	return fmt.Sprintf("%s.%d.%d:2908", s.Network, 1+k/perSubnet, 1+k%perSubnet)
 }
 
 // number is a member's number by its address; -1: it is none.
 func (s *Spec) number(a netip.Addr) int {
 	b := a.As4()
-	if !strings.HasPrefix(a.String(), s.Net+".") {
+	if !strings.HasPrefix(a.String(), s.Network+".") {
 		return -1
 	}
 	return (int(b[2])-1)*perSubnet + int(b[3]) - 1
@@ -118,9 +118,9 @@
 
 // Platform is the platform's file of a member.
 func (s *Spec) Platform(k int) map[string]any {
-	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedEach * float64(s.Size)}, s.List,
+	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedEach * float64(s.Size)}, s.DiscoveryAddr,
 		s.Seed+uint64(k)*0x9e3779b97f4a7c15)
-	p["known"] = json.RawMessage(s.Known)
+	p["known"] = json.RawMessage(s.InitialList)
 	return p
 }
 
@@ -177,8 +177,8 @@
 	epoch := rand.Uint64() | 1
 	m.claims.of(s.Name(k), epoch)
 	c := shared.Config{Control: p.Settings, Planned: p.PlannedRate, Name: s.Name(k), Machine: own.Peers.Machine, Epoch: epoch, Numbers: own.Peers.CountedNumbers,
-		Budgets: own.Peers.Budgets, DetectOutliers: own.Peers.DetectOutliers, Count: count.Config{OmitCheck: s.Without}, Outlier: outlier.Config{OmitCheck: s.Without},
-		Lease: lease.Config{Voters: own.Peers.Voters, MaxInstances: own.Peers.MaxInstances, Floor: own.Peers.FloorFraction, Term: int64(own.Peers.Term), OmitCheck: s.Without}}
+		Budgets: own.Peers.Budgets, DetectOutliers: own.Peers.DetectOutliers, Count: count.Config{OmitCheck: s.OmitCheck}, Outlier: outlier.Config{OmitCheck: s.OmitCheck},
+		Lease: lease.Config{Voters: own.Peers.Voters, MaxInstances: own.Peers.MaxInstances, Floor: own.Peers.FloorFraction, Term: int64(own.Peers.Term), OmitCheck: s.OmitCheck}}
 	for _, t := range p.Shares {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
@@ -198,9 +198,9 @@
 		m.core.UpdateOffices(changed, full)
 	}}
 	m.list.LoadInitial(p.Known)
-	m.ear = &ear{Shared: m.shared, without: s.Without, judged: map[string]int64{}}
+	m.ear = &ear{Shared: m.shared, without: s.OmitCheck, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
-		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.Slow})
+		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.ClockSlowdown})
 	return m, err
 }
 
@@ -236,12 +236,12 @@
 }
 
 // WithoutPace leaves out that everything is told once: a build that talks too much, for the tests to catch.
-const WithoutPace = "pace"
+const CheckPace = "pace"
 
 // Tick implements peers.Module.
 func (e *ear) Tick(now int64, members int) []shared.Outgoing {
 	out := e.Shared.Tick(now, members)
-	if e.without == WithoutPace {
+	if e.without == CheckPace {
 		out = append(out, out...)
 	}
 	return out
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -11,7 +11,7 @@
 )
 
 // Budget is what a member may spend on control.
-var Budget = struct{ CPU, MemoryMB, Bytes float64 }{CPU: 1.3, MemoryMB: 32, Bytes: 7000}
+var CostBudget = struct{ CPU, MemoryMB, Bytes float64 }{CPU: 1.3, MemoryMB: 32, Bytes: 7000}
 
 // panel is one picture: a cost by size, with its budget.
 type panel struct {
@@ -24,9 +24,9 @@
 // beside them, and the budget as a line.
 func Plot(points []*Point, file string) error {
 	panels := []panel{
-		{"KB a second sent, with headers", func(c *Cost) float64 { return c.SentWire / 1000 }, Budget.Bytes / 1000},
-		{"percent of a core", func(c *Cost) float64 { return c.CPU }, Budget.CPU},
-		{"memory, MB", func(c *Cost) float64 { return c.Resident }, Budget.MemoryMB},
+		{"KB a second sent, with headers", func(c *Cost) float64 { return c.SentWire / 1000 }, CostBudget.Bytes / 1000},
+		{"percent of a core", func(c *Cost) float64 { return c.CPU }, CostBudget.CPU},
+		{"memory, MB", func(c *Cost) float64 { return c.Resident }, CostBudget.MemoryMB},
 	}
 	canvas := vgsvg.New(13*vg.Inch, 4*vg.Inch)
 	row := make([]*plot.Plot, len(panels))
@@ -51,7 +51,7 @@
 	most := 0.0
 	for _, one := range points {
 		at := plotter.XY{X: float64(one.Size), Y: o.of(&one.Hollow)}
-		if one.Calls > 0 {
+		if one.SyntheticCalls > 0 {
 			busy = append(busy, at)
 		} else {
 			quiet = append(quiet, at)
--- a/lab/scale/proc.go
+++ b/lab/scale/proc.go
@@ -42,24 +42,24 @@
 }
 
 // Machine is how busy the machine is.
-type Machine struct {
-	At   int64   `json:"at"`
-	Busy float64 `json:"busy_core_s"` // processor time of everybody since the machine's start
-	Load float64 `json:"load_average"`
+type MachineLoad struct {
+	At          int64   `json:"at"`
+	BusySeconds float64 `json:"busy_core_s"` // processor time of everybody since the machine's start
+	LoadAverage float64 `json:"load_average"`
 }
 
 // LookAtMachine reads how busy the machine is.
-func LookAtMachine() Machine {
-	m := Machine{At: time.Now().UnixNano()}
+func ReadMachineLoad() MachineLoad {
+	m := MachineLoad{At: time.Now().UnixNano()}
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		m.Load, _ = strconv.ParseFloat(strings.Fields(string(text))[0], 64)
+		m.LoadAverage, _ = strconv.ParseFloat(strings.Fields(string(text))[0], 64)
 	}
 	if text, err := os.ReadFile("/proc/stat"); err == nil {
 		line, _, _ := strings.Cut(string(text), "\n")
 		for k, f := range strings.Fields(line) {
 			ticks, _ := strconv.ParseFloat(f, 64)
 			if k >= 1 && k <= 8 && k != 4 && k != 5 { // all but idle and waiting for disks
-				m.Busy += ticks / clockTicks
+				m.BusySeconds += ticks / clockTicks
 			}
 		}
 	}
@@ -67,6 +67,6 @@
 }
 
 // cores is how many cores were busy on average from one look to another.
-func cores(from, to Machine) float64 {
-	return (to.Busy - from.Busy) / (float64(to.At-from.At) / 1e9)
+func cores(from, to MachineLoad) float64 {
+	return (to.BusySeconds - from.BusySeconds) / (float64(to.At-from.At) / 1e9)
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -15,13 +15,13 @@
 
 // order is what a group is told to do.
 type order struct {
-	Do      string        `json:"do"`
-	Spec    *Spec         `json:"spec,omitempty"`
-	Members []int         `json:"members,omitempty"`
-	Pause   time.Duration `json:"pause,omitempty"`
-	Ask     Ask           `json:"ask"`
-	Server  uint64        `json:"server,omitempty"`
-	Calls   float64       `json:"calls,omitempty"`
+	Do      string          `json:"do"`
+	Spec    *Spec           `json:"spec,omitempty"`
+	Members []int           `json:"members,omitempty"`
+	Pause   time.Duration   `json:"pause,omitempty"`
+	Ask     SnapshotOptions `json:"ask"`
+	Server  uint64          `json:"server,omitempty"`
+	Calls   float64         `json:"calls,omitempty"`
 }
 
 // The orders.
@@ -38,8 +38,8 @@
 
 // reply is what a group answers.
 type reply struct {
-	Error string `json:"error,omitempty"`
-	Look  *Look  `json:"look,omitempty"`
+	Error string    `json:"error,omitempty"`
+	Look  *Snapshot `json:"look,omitempty"`
 }
 
 // obey carries an order out.
@@ -53,13 +53,13 @@
 	case doRestart:
 		err = g.Restart(o.Members, o.Pause)
 	case doCut:
-		g.Cut(o.Members)
+		g.Partition(o.Members)
 	case doSilence:
-		g.Silence(o.Server)
+		g.SilenceServer(o.Server)
 	case doCall:
-		g.Call(o.Calls)
+		g.SetCallRate(o.Calls)
 	case doLook:
-		l := g.Look(o.Ask)
+		l := g.Snapshot(o.Ask)
 		r.Look = &l
 	default:
 		err = fmt.Errorf("unknown order %q", o.Do)
@@ -100,7 +100,7 @@
 
 // runner runs one group, here or in a process of its own.
 type runner interface {
-	do(o order) (*Look, error)
+	do(o order) (*Snapshot, error)
 	kill() // at once, without a planned end
 	close()
 }
@@ -116,7 +116,7 @@
 	return &local{NewGroup(ctx, s), stop}
 }
 
-func (l *local) do(o order) (*Look, error) {
+func (l *local) do(o order) (*Snapshot, error) {
 	r := l.g.obey(o)
 	if r.Error != "" {
 		return nil, errors.New(r.Error)
@@ -183,7 +183,7 @@
 	return r, nil
 }
 
-func (r *remote) do(o order) (*Look, error) {
+func (r *remote) do(o order) (*Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := json.NewEncoder(r.in).Encode(o); err != nil {
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -18,13 +18,13 @@
 )
 
 // Reals are the members that are processes of the program, and the load that they are under.
-type Reals struct {
-	Numbers []int
-	Program string
-	Dir     string  // for their folders
-	Calls   float64 // real calls a second at each, by stand-ins for callers and servers; 0: none
-	Servers int     // stand-ins for servers, where there are calls
-	Plain   bool    // they know nothing of each other: what a process costs without control
+type RealMembers struct {
+	Numbers      []int
+	Program      string
+	Dir          string  // for their folders
+	Calls        float64 // real calls a second at each, by stand-ins for callers and servers; 0: none
+	Servers      int     // stand-ins for servers, where there are calls
+	WithoutPeers bool    // they know nothing of each other: what a process costs without control
 }
 
 // real is one process of the program.
@@ -38,7 +38,7 @@
 const realsAtOnce = 4
 
 // StartReals starts the real members, and their load.
-func (f *Fleet) StartReals(r Reals) error {
+func (f *Fleet) StartRealMembers(r RealMembers) error {
 	if len(r.Numbers) == 0 {
 		return nil
 	}
@@ -55,7 +55,7 @@
 		}
 		one := &real{k: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
 		one.Settings = fmt.Sprintf("[socket]\npath = %q\n", one.socket)
-		if !r.Plain {
+		if !r.WithoutPeers {
 			one.Settings += f.Settings(k)
 		}
 		list := f.list
@@ -98,7 +98,7 @@
 const loadPart = 0.7
 
 // load starts the stand-ins; nil without calls. Their servers are the first ones of the fleet's list.
-func (f *Fleet) load(r Reals) (*load, error) {
+func (f *Fleet) load(r RealMembers) (*load, error) {
 	if r.Calls <= 0 {
 		return nil, nil
 	}
@@ -143,7 +143,7 @@
 	at       int64
 	cpu      time.Duration
 	resident int64
-	sight    Sight
+	sight    MemberStatus
 	taken    uint64 // calls, since its start
 	counts   []int64
 }
@@ -162,7 +162,7 @@
 			all = append(all, l)
 			continue
 		}
-		l.sight = Sight{Number: r.k, Name: r.Name, Heard: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
+		l.sight = MemberStatus{Number: r.k, Name: r.Name, Received: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
 		for _, m := range s.Peers.Members {
 			if m.State == "alive" || m.State == "suspect" {
 				l.sight.Alive++
@@ -179,7 +179,7 @@
 }
 
 // MeetReals waits until all real members know of so many.
-func (f *Fleet) MeetReals(members int) error {
+func (f *Fleet) WaitForRealMembers(members int) error {
 	for end := time.Now().Add(meetFor); ; {
 		all, err := f.lookAtReals(f.ctx)
 		if err != nil {
--- a/lab/scale/releases.go
+++ b/lab/scale/releases.go
@@ -25,21 +25,21 @@
 
 // Releases is a fleet that takes configuration releases: servers in processes of their own, and hollow members, which are an
 // instance's side of it alone.
-type Releases struct {
-	Size     int
-	Zones    int
-	Program  string // that serves releases
-	Dir      string
-	Servers  int
-	Changes  int           // releases, one after the other
-	Rest     time.Duration // when all zones but the first take a release
-	Content  int           // bytes
-	Warm     time.Duration
-	For      time.Duration // measured at rest
-	Cut      time.Duration // how long the servers are lost, and a region cut off
-	Faults   bool
-	Seed     uint64
-	Progress io.Writer
+type ReleaseRun struct {
+	Size             int
+	Zones            int
+	Program          string // that serves releases
+	Dir              string
+	Servers          int
+	Changes          int           // releases, one after the other
+	SecondStageAfter time.Duration // when all zones but the first take a release
+	ContentSize      int           // bytes
+	WarmUp           time.Duration
+	MeasureFor       time.Duration // measured at rest
+	OutageFor        time.Duration // how long the servers are lost, and a region cut off
+	WithFaults       bool
+	Seed             uint64
+	Progress         io.Writer
 }
 
 const (
@@ -54,7 +54,7 @@
 
 // releaseRun is a run under way.
 type releaseRun struct {
-	Releases
+	ReleaseRun
 	ctx     context.Context
 	key     ed25519.PrivateKey
 	addrs   []string
@@ -70,10 +70,10 @@
 }
 
 // Run plays everything and gives the costs.
-func (r Releases) Run(ctx context.Context) (*ReleaseCost, error) {
+func (r ReleaseRun) Run(ctx context.Context) (*ReleaseCost, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = byte(r.Seed)
-	run := &releaseRun{Releases: r, key: ed25519.NewKeyFromSeed(seed), client: releases.NewClient(nil), tap: newWiretap(),
+	run := &releaseRun{ReleaseRun: r, key: ed25519.NewKeyFromSeed(seed), client: releases.NewClient(nil), tap: newWiretap(),
 		result:  &ReleaseCost{Size: r.Size, Servers: r.Servers, Changes: r.Changes},
 		inForce: map[distribution.Version]map[int]time.Time{}}
 	at, held, err := place(r.Seed)
@@ -104,7 +104,7 @@
 }
 
 func (r *releaseRun) say(format string, args ...any) {
-	Steady{Progress: r.Progress}.say(format, args...)
+	SteadyRun{Progress: r.Progress}.say(format, args...)
 }
 
 // serve starts a server, and waits until it answers.
@@ -193,8 +193,8 @@
 // publish publishes a release at a majority of the servers.
 func (r *releaseRun) publish() (time.Time, error) {
 	r.version++
-	release := distribution.Release{Fleet: releaseFleet, Version: r.version, Content: []byte("# " + strings.Repeat("x", max(r.Content-2, 0))),
-		Stages: []distribution.Stage{{Zones: []string{r.zone(0)}}, {After: r.Rest}}}
+	release := distribution.Release{Fleet: releaseFleet, Version: r.version, Content: []byte("# " + strings.Repeat("x", max(r.ContentSize-2, 0))),
+		Stages: []distribution.Stage{{Zones: []string{r.zone(0)}}, {After: r.SecondStageAfter}}}
 	release.Sign(r.key)
 	began := time.Now()
 	for end := began.Add(releaseWait); ; {
@@ -231,7 +231,7 @@
 
 // await waits until members run a version, and gives how long each took, in milliseconds; missing is how many do not in time.
 func (r *releaseRun) await(version distribution.Version, began time.Time, members []int) (took []float64, missing int, err error) {
-	for end := time.Now().Add(r.Rest + releaseWait); ; {
+	for end := time.Now().Add(r.SecondStageAfter + releaseWait); ; {
 		took = took[:0]
 		r.mu.Lock()
 		for _, k := range members {
@@ -262,11 +262,11 @@
 
 // play measures the fleet at rest, with releases one after the other, and under faults.
 func (r *releaseRun) play() error {
-	machine := LookAtMachine()
+	machine := ReadMachineLoad()
 	if err := r.settled(); err != nil {
 		return err
 	}
-	if err := r.pass(r.Warm); err != nil {
+	if err := r.pass(r.WarmUp); err != nil {
 		return err
 	}
 	rest, err := r.rest()
@@ -276,10 +276,10 @@
 	if err := r.changes(rest); err != nil {
 		return err
 	}
-	r.result.OthersCores, r.result.Load = max(cores(machine, LookAtMachine())-r.ownCores(machine), 0), LookAtMachine().Load
+	r.result.OthersCores, r.result.LoadAverage = max(cores(machine, ReadMachineLoad())-r.ownCores(machine), 0), ReadMachineLoad().LoadAverage
 	r.say("%d members: %.0f bytes a second and %.3f%% of a core at rest, %.0f while changes come; in force after %.0f ms (p99), %.0f ms at most; a server %.2f%%, %.1f MB",
-		r.Size, r.result.RestBytes, r.result.RestCPU, r.result.BusyBytes, r.result.InForceP99, r.result.InForceMax, r.result.ServerCPU, r.result.ServerMemory)
-	if !r.Faults {
+		r.Size, r.result.IdleBytes, r.result.IdleCPU, r.result.BusyBytes, r.result.AppliedP99, r.result.AppliedMax, r.result.ServerCPU, r.result.ServerMemory)
+	if !r.WithFaults {
 		return nil
 	}
 	return r.faults()
@@ -310,8 +310,8 @@
 func (r *releaseRun) rest() (use, error) {
 	before := r.use()
 	var ages []float64
-	for end := time.Now().Add(r.For); time.Now().Before(end); {
-		if err := r.pass(r.For / 10); err != nil {
+	for end := time.Now().Add(r.MeasureFor); time.Now().Before(end); {
+		if err := r.pass(r.MeasureFor / 10); err != nil {
 			return before, err
 		}
 		for _, m := range r.members {
@@ -320,10 +320,10 @@
 	}
 	after := r.use()
 	c := r.result
-	c.RestBytes, c.RestSegments, c.RestCPU = r.each(before, after)
+	c.IdleBytes, c.IdleSegments, c.IdleCPU = r.each(before, after)
 	slices.Sort(ages)
 	c.AgeP99, c.AgeMax = p99(ages), ages[len(ages)-1]
-	c.ServerBytes = c.RestBytes * float64(r.Size) / float64(r.Servers)
+	c.ServerBytes = c.IdleBytes * float64(r.Size) / float64(r.Servers)
 	return after, nil
 }
 
@@ -344,11 +344,11 @@
 	}
 	slices.Sort(took)
 	if len(took) > 0 {
-		c.InForceP99, c.InForceMax = p99(took), took[len(took)-1]
+		c.AppliedP99, c.AppliedMax = p99(took), took[len(took)-1]
 	}
 	after := r.use()
 	c.BusyBytes, _, c.BusyCPU = r.each(before, after)
-	c.ChangeBytes = (c.BusyBytes - c.RestBytes) * after.at.Sub(before.at).Seconds() / float64(max(r.Changes, 1))
+	c.BytesPerRelease = (c.BusyBytes - c.IdleBytes) * after.at.Sub(before.at).Seconds() / float64(max(r.Changes, 1))
 	for k := range after.servers {
 		c.ServerCPU = max(c.ServerCPU, 100*(after.servers[k]-before.servers[k]).Seconds()/after.at.Sub(before.at).Seconds())
 	}
--- a/lab/scale/releases_faults.go
+++ b/lab/scale/releases_faults.go
@@ -15,7 +15,7 @@
 		}
 		r.result.Faults = append(r.result.Faults, *fault)
 		r.say("  %s: %d struck; in force elsewhere after %.0f ms (p99), %.0f at most; healed after %.0f ms; greatest age told %.0f ms, %d told too little; %.0f bytes a second at most",
-			fault.Kind, fault.Struck, fault.InForceP99, fault.InForceMax, fault.HealedMS, fault.StaleMS, fault.Wrong, fault.PeakBytes)
+			fault.Kind, fault.Affected, fault.AppliedP99, fault.AppliedMax, fault.RecoveredMS, fault.MaxAgeMS, fault.AgesTooLow, fault.PeakBytes)
 	}
 	return nil
 }
@@ -39,9 +39,9 @@
 			for _, k := range deaf {
 				least := time.Since(since)
 				age := r.members[k].Status().AgeMS
-				fault.StaleMS = max(fault.StaleMS, float64(age))
+				fault.MaxAgeMS = max(fault.MaxAgeMS, float64(age))
 				if age < least.Milliseconds() {
-					fault.Wrong++
+					fault.AgesTooLow++
 				}
 			}
 		}
@@ -61,7 +61,7 @@
 	}
 	r.result.Missing += missing
 	if len(took) > 0 {
-		fault.InForceP99, fault.InForceMax = p99(took), took[len(took)-1]
+		fault.AppliedP99, fault.AppliedMax = p99(took), took[len(took)-1]
 	}
 	return nil
 }
@@ -73,19 +73,19 @@
 	if err != nil {
 		return err
 	}
-	fault.HealedMS = float64(time.Since(began).Milliseconds())
+	fault.RecoveredMS = float64(time.Since(began).Milliseconds())
 	if missing > 0 {
-		fault.HealedMS = -1
+		fault.RecoveredMS = -1
 	}
 	return nil
 }
 
 // serverLost kills one server in the midst of a release.
 func (r *releaseRun) serverLost(fault *ReleaseFault) error {
-	fault.Kind, fault.Struck = "one server lost", 1
+	fault.Kind, fault.Affected = "one server lost", 1
 	stop := r.watch(fault, nil, time.Now())
 	defer stop()
-	kill := time.AfterFunc(r.Rest/2, func() { r.kill(0) })
+	kill := time.AfterFunc(r.SecondStageAfter/2, func() { r.kill(0) })
 	defer kill.Stop()
 	if err := r.change(fault, r.all()); err != nil {
 		return err
@@ -95,7 +95,7 @@
 
 // serversRestarted restarts all servers, one after the other, with a release among them.
 func (r *releaseRun) serversRestarted(fault *ReleaseFault) error {
-	fault.Kind, fault.Struck = "servers restarted", r.Servers
+	fault.Kind, fault.Affected = "servers restarted", r.Servers
 	stop := r.watch(fault, nil, time.Now())
 	defer stop()
 	for k := range r.Servers {
@@ -121,7 +121,7 @@
 	for k := range r.Size / 3 {
 		cut = append(cut, r.Size-1-k)
 	}
-	fault.Kind, fault.Struck = "region cut off", len(cut)
+	fault.Kind, fault.Affected = "region cut off", len(cut)
 	r.tap.cutOff(cut...)
 	began := time.Now()
 	stop := r.watch(fault, cut, began)
@@ -129,7 +129,7 @@
 		stop()
 		return err
 	}
-	err := r.pass(time.Until(began.Add(r.Cut)))
+	err := r.pass(time.Until(began.Add(r.OutageFor)))
 	stop()
 	if err != nil {
 		return err
@@ -140,12 +140,12 @@
 
 // allServersLost kills all servers; when they are back, a release is published.
 func (r *releaseRun) allServersLost(fault *ReleaseFault) error {
-	fault.Kind, fault.Struck = "all servers lost", r.Servers
+	fault.Kind, fault.Affected = "all servers lost", r.Servers
 	for k := range r.Servers {
 		r.kill(k)
 	}
 	stop := r.watch(fault, r.all(), time.Now())
-	err := r.pass(r.Cut)
+	err := r.pass(r.OutageFor)
 	stop()
 	if err != nil {
 		return err
--- a/lab/scale/releases_test.go
+++ b/lab/scale/releases_test.go
@@ -20,27 +20,27 @@
 	}
 	var costs []*ReleaseCost
 	for n, size := range []int{20, 40} {
-		cost, err := Releases{Size: size, Zones: 2, Program: program, Dir: t.TempDir(), Servers: 3, Changes: 1, Content: 1024, For: 4 * time.Second,
-			Cut: 2 * time.Second, Faults: size == 40, Seed: uint64(50 + n)}.Run(t.Context())
+		cost, err := ReleaseRun{Size: size, Zones: 2, Program: program, Dir: t.TempDir(), Servers: 3, Changes: 1, ContentSize: 1024, MeasureFor: 4 * time.Second,
+			OutageFor: 2 * time.Second, WithFaults: size == 40, Seed: uint64(50 + n)}.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if cost.RestBytes <= 0 || cost.RestBytes > releaseBytes {
-			t.Errorf("%d members: %.0f bytes a second, and %d are the most", size, cost.RestBytes, releaseBytes)
+		if cost.IdleBytes <= 0 || cost.IdleBytes > releaseBytes {
+			t.Errorf("%d members: %.0f bytes a second, and %d are the most", size, cost.IdleBytes, releaseBytes)
 		}
 		if cost.Missing > 0 {
 			t.Errorf("%d members: %d times a release did not come", size, cost.Missing)
 		}
 		costs = append(costs, cost)
 	}
-	if few, many := costs[0].RestBytes, costs[1].RestBytes; many > 1.1*few {
+	if few, many := costs[0].IdleBytes, costs[1].IdleBytes; many > 1.1*few {
 		t.Errorf("%.0f bytes a second for each of 20 members, and %.0f for each of 40", few, many)
 	}
 	if n := len(costs[1].Faults); n != 4 {
 		t.Fatalf("%d faults", n)
 	}
 	for _, fault := range costs[1].Faults {
-		if fault.HealedMS < 0 || fault.Wrong > 0 {
+		if fault.RecoveredMS < 0 || fault.AgesTooLow > 0 {
 			t.Errorf("%+v", fault)
 		}
 	}
--- a/lab/scale/results.go
+++ b/lab/scale/results.go
@@ -12,18 +12,18 @@
 
 // Results are the measurements of one or more runs.
 type Results struct {
-	Points []*Point `json:"points"`
-	Faults []*Fault `json:"faults,omitempty"`
-	Trust  []Trust  `json:"trust,omitempty"`
+	Points      []*Point     `json:"points"`
+	Faults      []*Fault     `json:"faults,omitempty"`
+	Comparisons []Comparison `json:"trust,omitempty"`
 	// Releases are the costs of configuration releases, by size.
-	Releases      []*ReleaseCost `json:"releases,omitempty"`
-	ReleasesLines []Line         `json:"releases_lines,omitempty"`
-	Lines         []Line         `json:"lines,omitempty"` // of the points without made-up calls
-	Busy          []Line         `json:"lines_with_calls,omitempty"`
+	Releases       []*ReleaseCost `json:"releases,omitempty"`
+	ReleasesLines  []Line         `json:"releases_lines,omitempty"`
+	Lines          []Line         `json:"lines,omitempty"` // of the points without made-up calls
+	LinesWithCalls []Line         `json:"lines_with_calls,omitempty"`
 }
 
 // Read reads results; a file that is not there has none.
-func Read(file string) (*Results, error) {
+func ReadResults(file string) (*Results, error) {
 	r := &Results{}
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -42,18 +42,18 @@
 		if p.Hollow.Members == 0 {
 			continue
 		}
-		if p.Calls > 0 {
+		if p.SyntheticCalls > 0 {
 			busy = append(busy, p)
 		} else {
 			quiet = append(quiet, p)
 		}
 	}
-	r.Lines, r.Busy = nil, nil
+	r.Lines, r.LinesWithCalls = nil, nil
 	if len(quiet) >= 3 {
-		r.Lines = Lines(quiet)
+		r.Lines = FitCosts(quiet)
 	}
 	if len(busy) >= 3 {
-		r.Busy = Lines(busy)
+		r.LinesWithCalls = FitCosts(busy)
 	}
 	if len(r.Releases) >= 3 {
 		r.ReleasesLines = releaseLines(r.Releases)
@@ -72,7 +72,7 @@
 		if p.Real != nil {
 			reals = p.Real.Members
 		}
-		if p.Size == size && p.Calls == calls && p.Slow == slow && reals == real {
+		if p.Size == size && p.SyntheticCalls == calls && p.ClockSlowdown == slow && reals == real {
 			return true
 		}
 	}
@@ -90,22 +90,22 @@
 
 // Trust holds a fleet of real members against one of the same size and load that is hollow. What a real process costs
 // without knowing of others is no cost of control, and is taken off before.
-type Trust struct {
-	Size   int     `json:"size"`
-	Real   Cost    `json:"real"`
-	Plain  Cost    `json:"real_without_peers"`
-	Hollow Cost    `json:"hollow"`
-	Single Cost    `json:"hollow_one_a_process"`
-	Bytes  float64 `json:"bytes_ratio"` // hollow over real
-	Grams  float64 `json:"datagrams_ratio"`
-	CPU    float64 `json:"cpu_ratio"` // hollow over real less plain
-	CPU1   float64 `json:"cpu_ratio_one_a_process"`
-	Memory float64 `json:"memory_ratio"` // hollow over real less plain
+type Comparison struct {
+	Size            int     `json:"size"`
+	Real            Cost    `json:"real"`
+	WithoutPeers    Cost    `json:"real_without_peers"`
+	Hollow          Cost    `json:"hollow"`
+	SingleMember    Cost    `json:"hollow_one_a_process"`
+	Bytes           float64 `json:"bytes_ratio"` // hollow over real
+	Datagrams       float64 `json:"datagrams_ratio"`
+	CPU             float64 `json:"cpu_ratio"` // hollow over real less plain
+	CPUSingleMember float64 `json:"cpu_ratio_one_a_process"`
+	Memory          float64 `json:"memory_ratio"` // hollow over real less plain
 }
 
 // NewTrust makes the ratios.
-func NewTrust(size int, real, plain, hollow, single Cost) Trust {
-	return Trust{Size: size, Real: real, Plain: plain, Hollow: hollow, Single: single,
-		Bytes: hollow.SentWire / real.SentWire, Grams: hollow.SentDatagrams / real.SentDatagrams,
-		CPU: hollow.CPU / (real.CPU - plain.CPU), CPU1: single.CPU / (real.CPU - plain.CPU), Memory: hollow.Resident / (real.Resident - plain.Resident)}
+func Compare(size int, real, plain, hollow, single Cost) Comparison {
+	return Comparison{Size: size, Real: real, WithoutPeers: plain, Hollow: hollow, SingleMember: single,
+		Bytes: hollow.SentWire / real.SentWire, Datagrams: hollow.SentDatagrams / real.SentDatagrams,
+		CPU: hollow.CPU / (real.CPU - plain.CPU), CPUSingleMember: single.CPU / (real.CPU - plain.CPU), Memory: hollow.Resident / (real.Resident - plain.Resident)}
 }
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -17,17 +17,17 @@
 
 // small is a fleet in this process.
 func small(size int, calls float64) Layout {
-	return Layout{Spec: Spec{Size: size, Servers: size, Zones: 3, Calls: calls, Seed: 5}, Groups: Even(0, size, 10)}
+	return Layout{Spec: Spec{Size: size, Servers: size, Zones: 3, SyntheticCalls: calls, Seed: 5}, Groups: SplitEvenly(0, size, 10)}
 }
 
 // counted measures a fleet of hollow members by its counters.
 func counted(t *testing.T, l Layout) *Point {
 	t.Helper()
-	p, err := Steady{Layout: l, Warm: time.Second, For: 3 * time.Second}.Run(t.Context())
+	p, err := SteadyRun{Layout: l, WarmUp: time.Second, MeasureFor: 3 * time.Second}.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Hollow.Members != l.Size || p.Hollow.SentDatagrams < 1 || p.Hollow.SentStream <= 0 || p.Hollow.GotDatagrams < 1 {
+	if p.Hollow.Members != l.Size || p.Hollow.SentDatagrams < 1 || p.Hollow.SentStream <= 0 || p.Hollow.ReceivedDatagrams < 1 {
 		t.Fatalf("too little was seen: %+v", p)
 	}
 	return p
@@ -36,7 +36,7 @@
 // A machine that is busy makes members send less, so these bounds hold on any.
 func TestTrafficStaysUnderTheFormula(t *testing.T) {
 	for size, calls := range map[int]float64{20: 10, 40: 0} {
-		for _, found := range Exceeds(counted(t, small(size, calls)), size) {
+		for _, found := range ExceededLimits(counted(t, small(size, calls)), size) {
 			t.Error(found)
 		}
 	}
@@ -45,8 +45,8 @@
 // A build that tells everything twice is over the formula.
 func TestAChattyBuildIsCaught(t *testing.T) {
 	l := small(20, 0)
-	l.Without = WithoutPace
-	if p := counted(t, l); len(Exceeds(p, l.Size)) == 0 {
+	l.OmitCheck = CheckPace
+	if p := counted(t, l); len(ExceededLimits(p, l.Size)) == 0 {
 		t.Errorf("nothing found: %+v", p.Hollow)
 	}
 }
@@ -54,7 +54,7 @@
 // What a member keeps of others goes by how many there are and have been of late, not by how often they start.
 func TestStateHasItsBound(t *testing.T) {
 	const size, again = 20, 10
-	f, err := Begin(t.Context(), small(size, 5))
+	f, err := NewFleet(t.Context(), small(size, 5))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Meet(size); err != nil {
+	if _, err := f.WaitForMembers(size); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -70,16 +70,16 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := f.Meet(size); err != nil {
+	if _, err := f.WaitForMembers(size); err != nil {
 		t.Fatal(err)
 	}
-	looks, err := f.Look(Ask{Ages: size})
+	looks, err := f.Snapshot(SnapshotOptions{MembersForAges: size})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range looks {
-		if l.Sources < 2 || l.Sources > size+2*again {
-			t.Errorf("counts of %d processes are kept", l.Sources)
+		if l.CountSources < 2 || l.CountSources > size+2*again {
+			t.Errorf("counts of %d processes are kept", l.CountSources)
 		}
 		for _, s := range l.Members {
 			if s.Alive+s.Gone > size {
@@ -96,9 +96,9 @@
 func struck(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
 	t.Helper()
 	l := small(size, calls)
-	l.Without = without
-	err := Strikes{Layout: l, Kinds: []string{kind}, Each: 10, Cut: 2 * time.Second, Rest: time.Second,
-		Told: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
+	l.OmitCheck = without
+	err := FaultRun{Layout: l, Kinds: []string{kind}, GroupSize: 10, PartitionFor: 2 * time.Second, MeasureBaseline: time.Second,
+		OnResult: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,30 +107,30 @@
 
 func TestADeadAllocatorIsKnownToAll(t *testing.T) {
 	r := struck(t, FaultAllocator, 40, 10, "")
-	if r.AllKnowS < 0 || r.Struck != 1 || r.Note != "" {
+	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("not all know: %+v", r)
 	}
-	if r.Budgets.Overspent > 0 || r.Budgets.Rivals > 0 || r.Budgets.Claims < 40 || r.Budgets.MostInUse == 0 {
+	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 40 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
 func TestACutRegionEndsWithAllKnowing(t *testing.T) {
 	r := struck(t, FaultRegion, 12, pressing, "")
-	if r.AllKnowS < 0 || r.HealedS < 0 || r.Note != "" {
+	if r.DetectedS < 0 || r.RecoveredS < 0 || r.Note != "" {
 		t.Errorf("not all know: %+v", r)
 	}
-	if r.Budgets.Overspent > 0 || r.Budgets.Rivals > 0 || r.Budgets.Claims < 10 || r.Budgets.MostInUse == 0 {
+	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 10 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
 func TestALostAllocatorOverspendsNothing(t *testing.T) {
 	r := struck(t, FaultAllocator, 10, pressing, "")
-	if r.AllKnowS < 0 || r.Struck != 1 || r.Note != "" {
+	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("%+v", r)
 	}
-	if r.Budgets.Overspent > 0 || r.Budgets.Rivals > 0 || r.Budgets.Claims < 10 || r.Budgets.MostInUse == 0 {
+	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 10 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
@@ -138,14 +138,14 @@
 // With a slower clock the same happens, by that clock.
 func TestALostAllocatorBySlowerClock(t *testing.T) {
 	l := small(6, pressing)
-	l.Slow = 2
+	l.ClockSlowdown = 2
 	var r *Fault
-	err := Strikes{Layout: l, Kinds: []string{FaultAllocator}, Each: 6, Rest: time.Second,
-		Told: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
+	err := FaultRun{Layout: l, Kinds: []string{FaultAllocator}, GroupSize: 6, MeasureBaseline: time.Second,
+		OnResult: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.AllKnowS < 0 || r.Note != "" || r.Budgets.Overspent > 0 || r.Budgets.Claims < 6 {
+	if r.DetectedS < 0 || r.Note != "" || r.Budgets.Overspent > 0 || r.Budgets.Claims < 6 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -178,22 +178,22 @@
 		}
 	}
 	reign := func(name string, from, until float64) Claim {
-		return Claim{Name: name, Epoch: 1, At: at(from), Reign: at(until)}
+		return Claim{Name: name, Epoch: 1, At: at(from), LeaderUntil: at(until)}
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 3, 5)}, 2, nil); b.Rivals != 0 {
+	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 3, 5)}, 2, nil); b.ConcurrentLeaders != 0 {
 		t.Errorf("%+v", b)
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 2.9, 5)}, 2, nil); b.Rivals != 1 {
+	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 2.9, 5)}, 2, nil); b.ConcurrentLeaders != 1 {
 		t.Errorf("%+v", b)
 	}
 }
 
 func TestFit(t *testing.T) {
-	l := Fit("y", "x", []float64{1, 2, 3, 4}, []float64{3.1, 4.9, 7.1, 8.9})
-	if l.Slope < 1.9 || l.Slope > 2.1 || l.At0 < 0.8 || l.At0 > 1.2 || l.CI < 0.1 || l.CI > 0.5 || l.R2 < 0.99 {
+	l := FitLine("y", "x", []float64{1, 2, 3, 4}, []float64{3.1, 4.9, 7.1, 8.9})
+	if l.Slope < 1.9 || l.Slope > 2.1 || l.Intercept < 0.8 || l.Intercept > 1.2 || l.SlopeCI < 0.1 || l.SlopeCI > 0.5 || l.R2 < 0.99 {
 		t.Errorf("%+v", l)
 	}
-	if l := Fit("y", "x", []float64{1, 2}, []float64{1, 2}); l.Slope != 0 || l.Points != 2 {
+	if l := FitLine("y", "x", []float64{1, 2}, []float64{1, 2}); l.Slope != 0 || l.Points != 2 {
 		t.Errorf("a line through two points: %+v", l)
 	}
 }
@@ -203,7 +203,7 @@
 	for k := range 200 {
 		all = append(all, int64(200-k))
 	}
-	if a := agesFrom(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Looks != 200 {
+	if a := agesFrom(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Samples != 200 {
 		t.Errorf("%+v", a)
 	}
 	if a := agesFrom(nil); a != (Ages{}) {
@@ -214,7 +214,7 @@
 // Results are kept over a run that was cut, and a size that they have is not measured again.
 func TestResultsAreKept(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "results.json")
-	r, err := Read(file)
+	r, err := ReadResults(file)
 	if err != nil || len(r.Points) > 0 {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -224,7 +224,7 @@
 	if err := r.Write(file); err != nil {
 		t.Fatal(err)
 	}
-	if r, err = Read(file); err != nil || !r.Has(60, 0, 0, 0) || r.Has(60, 5, 0, 0) || r.Has(61, 0, 0, 0) || len(r.Lines) == 0 {
+	if r, err = ReadResults(file); err != nil || !r.Has(60, 0, 0, 0) || r.Has(60, 5, 0, 0) || r.Has(61, 0, 0, 0) || len(r.Lines) == 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if err := Plot(r.Points, file+".svg"); err != nil {
@@ -262,7 +262,7 @@
 }
 
 func TestAddressesAndNumbersAgree(t *testing.T) {
-	s := Spec{Net: "127.140", Size: 940}
+	s := Spec{Network: "127.140", Size: 940}
 	seen := map[string]bool{}
 	for k := range s.Size {
 		addr := s.Addr(k)
@@ -282,7 +282,7 @@
 
 func TestGroupsHoldEachMemberOnce(t *testing.T) {
 	for _, size := range []int{20, 40, 470} {
-		groups, rack, zone := Grouped(size, 40)
+		groups, rack, zone := GroupForFaults(size, 40)
 		seen := map[int]bool{}
 		for _, g := range groups {
 			for _, k := range g {
@@ -302,7 +302,7 @@
 func TestAnInterruptedRunEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(2*time.Second, cancel)
-	_, err := Steady{Layout: small(6, 0), Warm: time.Minute, For: time.Minute}.Run(ctx)
+	_, err := SteadyRun{Layout: small(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -16,55 +16,55 @@
 
 // Cost is what a member costs, as a mean over members of one kind.
 type Cost struct {
-	Members       int     `json:"members"`
-	SentDatagrams float64 `json:"sent_datagrams_s"`
-	SentBytes     float64 `json:"sent_datagram_bytes_s"` // payload
-	SentStream    float64 `json:"sent_stream_bytes_s"`
-	SentWire      float64 `json:"sent_wire_bytes_s"`                // all sent, with the headers of datagrams
-	MostWire      float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends most
-	GotDatagrams  float64 `json:"got_datagrams_s"`
-	GotBytes      float64 `json:"got_datagram_bytes_s"`
-	GotStream     float64 `json:"got_stream_bytes_s"`
-	CPU           float64 `json:"cpu_percent"` // of a core
-	Resident      float64 `json:"resident_mb"` // anonymous memory of the processes, over their members
-	Heap          float64 `json:"heap_mb,omitempty"`
-	Dropped       float64 `json:"dropped_s"` // messages that found no room
-	Calls         float64 `json:"calls_s,omitempty"`
+	Members           int     `json:"members"`
+	SentDatagrams     float64 `json:"sent_datagrams_s"`
+	SentBytes         float64 `json:"sent_datagram_bytes_s"` // payload
+	SentStream        float64 `json:"sent_stream_bytes_s"`
+	SentWire          float64 `json:"sent_wire_bytes_s"`                // all sent, with the headers of datagrams
+	MaxSentWire       float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends most
+	ReceivedDatagrams float64 `json:"got_datagrams_s"`
+	ReceivedBytes     float64 `json:"got_datagram_bytes_s"`
+	ReceivedStream    float64 `json:"got_stream_bytes_s"`
+	CPU               float64 `json:"cpu_percent"` // of a core
+	Resident          float64 `json:"resident_mb"` // anonymous memory of the processes, over their members
+	Heap              float64 `json:"heap_mb,omitempty"`
+	Dropped           float64 `json:"dropped_s"` // messages that found no room
+	Calls             float64 `json:"calls_s,omitempty"`
 }
 
 // Ages are how old what members know of each other is, in milliseconds.
 type Ages struct {
-	Looks  int     `json:"looks"`
-	Median float64 `json:"median_ms"`
-	P99    float64 `json:"p99_ms"`
-	Max    float64 `json:"max_ms"`
+	Samples int     `json:"looks"`
+	Median  float64 `json:"median_ms"`
+	P99     float64 `json:"p99_ms"`
+	Max     float64 `json:"max_ms"`
 }
 
 // Point is one measurement of a fleet at rest.
 type Point struct {
-	Size        int     `json:"size"`
-	Calls       float64 `json:"made_up_calls_s"` // at each hollow member
-	Slow        float64 `json:"slow,omitempty"`  // the clock ran so many times slower; all figures are by that clock
-	MeasuredS   float64 `json:"measured_s"`
-	MeetS       float64 `json:"meet_s"` // from the last start until all knew of all
-	Processes   int     `json:"processes"`
-	Hollow      Cost    `json:"hollow"`
-	Real        *Cost   `json:"real,omitempty"`
-	Counts      Ages    `json:"count_age"`
-	RealCounts  *Ages   `json:"real_count_age,omitempty"`
-	Judgements  Ages    `json:"judgement_age"`
-	Deaths      int64   `json:"deaths"` // that members took to be, with none
-	OwnCores    float64 `json:"own_cores"`
-	OthersCores float64 `json:"others_cores"` // that everything else on the machine used meanwhile
-	Load        float64 `json:"load_average"`
+	Size           int     `json:"size"`
+	SyntheticCalls float64 `json:"made_up_calls_s"` // at each hollow member
+	ClockSlowdown  float64 `json:"slow,omitempty"`  // the clock ran so many times slower; all figures are by that clock
+	MeasuredS      float64 `json:"measured_s"`
+	ConvergedS     float64 `json:"meet_s"` // from the last start until all knew of all
+	Processes      int     `json:"processes"`
+	Hollow         Cost    `json:"hollow"`
+	Real           *Cost   `json:"real,omitempty"`
+	CountAges      Ages    `json:"count_age"`
+	RealCountAges  *Ages   `json:"real_count_age,omitempty"`
+	JudgementAges  Ages    `json:"judgement_age"`
+	Deaths         int64   `json:"deaths"` // that members took to be, with none
+	OwnCores       float64 `json:"own_cores"`
+	OthersCores    float64 `json:"others_cores"` // that everything else on the machine used meanwhile
+	LoadAverage    float64 `json:"load_average"`
 }
 
 // Steady is how a fleet at rest is measured.
-type Steady struct {
+type SteadyRun struct {
 	Layout
-	Reals
-	Warm, For time.Duration
-	Progress  io.Writer
+	RealMembers
+	WarmUp, MeasureFor time.Duration
+	Progress           io.Writer
 }
 
 // agesOf is how many members of each group tell ages, ageLooks how often, agePause how long after each other.
@@ -74,8 +74,8 @@
 )
 
 // Run starts the fleet, measures it and ends it.
-func (s Steady) Run(ctx context.Context) (*Point, error) {
-	f, err := Begin(ctx, s.Layout)
+func (s SteadyRun) Run(ctx context.Context) (*Point, error) {
+	f, err := NewFleet(ctx, s.Layout)
 	if err != nil {
 		return nil, err
 	}
@@ -84,27 +84,27 @@
 	if err := f.Start(); err != nil {
 		return nil, err
 	}
-	if err := f.StartReals(s.Reals); err != nil {
+	if err := f.StartRealMembers(s.RealMembers); err != nil {
 		return nil, err
 	}
-	met, err := f.Meet(s.Size)
+	met, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return nil, err
 	}
-	if !s.Plain {
-		if err := f.MeetReals(s.Size); err != nil {
+	if !s.WithoutPeers {
+		if err := f.WaitForRealMembers(s.Size); err != nil {
 			return nil, err
 		}
 	}
-	s.say("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.Warm)
-	if err := f.pass(s.Warm); err != nil {
+	s.say("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.WarmUp)
+	if err := f.pass(s.WarmUp); err != nil {
 		return nil, err
 	}
-	p, err := f.measure(s.For)
+	p, err := f.measure(s.MeasureFor)
 	if err != nil {
 		return nil, err
 	}
-	p.MeetS, p.Processes = met.Seconds(), len(s.Groups)+len(s.Numbers)
+	p.ConvergedS, p.Processes = met.Seconds(), len(s.Groups)+len(s.Numbers)
 	s.say("  %s", p)
 	return p, nil
 }
@@ -112,14 +112,14 @@
 // String tells a point in a line.
 func (p *Point) String() string {
 	text := fmt.Sprintf("%.0f bytes and %.1f datagrams a second sent, %.2f%% of a core, %.2f MB, counts %.0f ms old (p99), judgements %.0f; own %.1f cores, others %.1f, load %.1f",
-		p.Hollow.SentWire, p.Hollow.SentDatagrams, p.Hollow.CPU, p.Hollow.Resident, p.Counts.P99, p.Judgements.P99, p.OwnCores, p.OthersCores, p.Load)
+		p.Hollow.SentWire, p.Hollow.SentDatagrams, p.Hollow.CPU, p.Hollow.Resident, p.CountAges.P99, p.JudgementAges.P99, p.OwnCores, p.OthersCores, p.LoadAverage)
 	if p.Real != nil {
 		text += fmt.Sprintf("; real: %.0f bytes, %.1f datagrams, %.2f%%, %.2f MB, %.1f calls a second", p.Real.SentWire, p.Real.SentDatagrams, p.Real.CPU, p.Real.Resident, p.Real.Calls)
 	}
 	return text
 }
 
-func (s Steady) say(format string, a ...any) {
+func (s SteadyRun) say(format string, a ...any) {
 	if s.Progress != nil {
 		fmt.Fprintf(s.Progress, time.Now().UTC().Format("15:04:05 ")+format+"\n", a...)
 	}
@@ -127,8 +127,8 @@
 
 // measure looks at a fleet that runs before and after a time.
 func (f *Fleet) measure(length time.Duration) (*Point, error) {
-	machine := LookAtMachine()
-	before, err := f.Look(Ask{})
+	machine := ReadMachineLoad()
+	before, err := f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	if err := f.pass(length); err != nil {
 		return nil, err
 	}
-	after, err := f.Look(Ask{})
+	after, err := f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return nil, err
 	}
@@ -147,8 +147,8 @@
 	if err != nil {
 		return nil, err
 	}
-	end := LookAtMachine()
-	p := &Point{Size: f.Size, Calls: f.Calls, Slow: f.Slow, MeasuredS: length.Seconds(), Load: end.Load}
+	end := ReadMachineLoad()
+	p := &Point{Size: f.Size, SyntheticCalls: f.SyntheticCalls, ClockSlowdown: f.ClockSlowdown, MeasuredS: length.Seconds(), LoadAverage: end.LoadAverage}
 	p.Hollow = hollowCost(before, after, f.slow())
 	if len(f.reals) > 0 {
 		c := realCost(realBefore, realAfter)
@@ -172,12 +172,12 @@
 	var counts, judged, real []int64
 	heap, members := int64(0), 0
 	for n := range ageLooks {
-		all, err := f.Look(Ask{Ages: agesOf, Heap: n == ageLooks-1})
+		all, err := f.Snapshot(SnapshotOptions{MembersForAges: agesOf, Heap: n == ageLooks-1})
 		if err != nil {
 			return err
 		}
 		for _, l := range all {
-			counts, judged = append(counts, l.Counts...), append(judged, l.Judged...)
+			counts, judged = append(counts, l.CountAgesMS...), append(judged, l.JudgementAgesMS...)
 			heap, members = heap+l.Heap, members+len(l.Members)
 		}
 		reals, err := f.lookAtReals(f.ctx)
@@ -192,16 +192,16 @@
 		}
 	}
 	p.Hollow.Heap = float64(heap) / 1e6 / float64(max(members/ageLooks, 1))
-	p.Counts, p.Judgements = agesFrom(counts), agesFrom(judged)
+	p.CountAges, p.JudgementAges = agesFrom(counts), agesFrom(judged)
 	if len(real) > 0 {
 		a := agesFrom(real)
-		p.RealCounts = &a
+		p.RealCountAges = &a
 	}
 	return nil
 }
 
 func agesFrom(all []int64) Ages {
-	a := Ages{Looks: len(all)}
+	a := Ages{Samples: len(all)}
 	if len(all) == 0 {
 		return a
 	}
@@ -214,14 +214,14 @@
 }
 
 // hollowCost is the difference of two looks, over the members that are in both.
-func hollowCost(before, after []Look, slow float64) Cost {
+func hollowCost(before, after []Snapshot, slow float64) Cost {
 	c := Cost{}
 	for k := range after {
 		if before[k].At == 0 || after[k].At == 0 {
 			continue
 		}
 		seconds := float64(after[k].At-before[k].At) / 1e9 / slow
-		first := map[int]Sight{}
+		first := map[int]MemberStatus{}
 		for _, m := range before[k].Members {
 			first[m.Number] = m
 		}
@@ -249,23 +249,23 @@
 }
 
 // add adds one member's traffic to a sum.
-func (c *Cost) add(a, b Sight, seconds float64) {
+func (c *Cost) add(a, b MemberStatus, seconds float64) {
 	rate := func(of func(peers.Traffic) int64) float64 { return float64(of(b.Traffic)-of(a.Traffic)) / seconds }
 	c.Members++
 	c.SentDatagrams += rate(func(t peers.Traffic) int64 { return t.SentDatagrams })
 	c.SentBytes += rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes })
 	c.SentStream += rate(func(t peers.Traffic) int64 { return t.SentStreamBytes })
-	c.GotDatagrams += rate(func(t peers.Traffic) int64 { return t.GotDatagrams })
-	c.GotBytes += rate(func(t peers.Traffic) int64 { return t.GotDatagramBytes })
-	c.GotStream += rate(func(t peers.Traffic) int64 { return t.GotStreamBytes })
+	c.ReceivedDatagrams += rate(func(t peers.Traffic) int64 { return t.GotDatagrams })
+	c.ReceivedBytes += rate(func(t peers.Traffic) int64 { return t.GotDatagramBytes })
+	c.ReceivedStream += rate(func(t peers.Traffic) int64 { return t.GotStreamBytes })
 	c.Dropped += float64(b.Dropped-a.Dropped) / seconds
-	c.MostWire = max(c.MostWire, rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes + t.SentStreamBytes + headers*t.SentDatagrams }))
+	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes + t.SentStreamBytes + headers*t.SentDatagrams }))
 }
 
 // mean makes a sum the mean of its members.
 func (c *Cost) mean() {
 	n := float64(max(c.Members, 1))
-	for _, v := range []*float64{&c.SentDatagrams, &c.SentBytes, &c.SentStream, &c.GotDatagrams, &c.GotBytes, &c.GotStream, &c.CPU, &c.Resident, &c.Dropped, &c.Calls} {
+	for _, v := range []*float64{&c.SentDatagrams, &c.SentBytes, &c.SentStream, &c.ReceivedDatagrams, &c.ReceivedBytes, &c.ReceivedStream, &c.CPU, &c.Resident, &c.Dropped, &c.Calls} {
 		*v /= n
 	}
 	c.SentWire = c.SentBytes + c.SentStream + headers*c.SentDatagrams
--- a/lab/scale/strike.go
+++ b/lab/scale/strike.go
@@ -9,7 +9,7 @@
 
 // strike is a fault under way.
 type strike struct {
-	Strikes
+	FaultRun
 	kind       string
 	size       int // members that were there before
 	f          *Fleet
@@ -17,7 +17,7 @@
 	rack, zone int
 	deaths     map[int]int64 // told before, by member
 	dropped    int64
-	samples    [][]Look
+	samples    [][]Snapshot
 	stop       chan struct{}
 	done       chan error
 }
@@ -27,7 +27,7 @@
 	if err := p.rest(); err != nil {
 		return err
 	}
-	machine := LookAtMachine()
+	machine := ReadMachineLoad()
 	p.watch()
 	err := p.play()
 	if err == nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	p.r.OthersCores = cores(machine, LookAtMachine()) - p.ownCores()
+	p.r.OthersCores = cores(machine, ReadMachineLoad()) - p.ownCores()
 	return p.sum()
 }
 
@@ -55,20 +55,20 @@
 	if err := p.f.pass(p.real(3 * time.Second)); err != nil {
 		return err
 	}
-	before, err := p.f.Look(Ask{})
+	before, err := p.f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return err
 	}
-	if err := p.f.pass(p.real(p.Rest)); err != nil {
+	if err := p.f.pass(p.real(p.MeasureBaseline)); err != nil {
 		return err
 	}
-	after, err := p.f.Look(Ask{Claims: true})
+	after, err := p.f.Snapshot(SnapshotOptions{Claims: true})
 	if err != nil {
 		return err
 	}
 	c := hollowCost(before, after, p.slow())
-	p.r.RestBytes, p.r.RestCPU = c.SentWire, c.CPU
-	heaps, err := p.f.Look(Ask{Heap: true})
+	p.r.BaselineBytes, p.r.BaselineCPU = c.SentWire, c.CPU
+	heaps, err := p.f.Snapshot(SnapshotOptions{Heap: true})
 	p.r.HeapBefore = heapEach(heaps)
 	p.deaths = map[int]int64{}
 	for _, l := range heaps {
@@ -80,7 +80,7 @@
 	return err
 }
 
-func heapEach(all []Look) float64 {
+func heapEach(all []Snapshot) float64 {
 	heap, members := int64(0), 0
 	for _, l := range all {
 		heap, members = heap+l.Heap, members+len(l.Members)
@@ -96,7 +96,7 @@
 	p.stop, p.done = make(chan struct{}), make(chan error, 1)
 	go func() {
 		for {
-			all, err := p.f.Look(Ask{Claims: true})
+			all, err := p.f.Snapshot(SnapshotOptions{Claims: true})
 			if err == nil {
 				p.samples = append(p.samples, all)
 			}
@@ -129,7 +129,7 @@
 // sum makes the figures.
 func (p *strike) sum() error {
 	p.peaks()
-	last, err := p.f.Look(Ask{Heap: true, Claims: true})
+	last, err := p.f.Snapshot(SnapshotOptions{Heap: true, Claims: true})
 	if err != nil {
 		return err
 	}
@@ -151,8 +151,8 @@
 			if before.At == 0 || after.At == 0 || len(after.Members) == 0 || after.At-before.At < int64(p.real(sampleEvery))/2 {
 				continue
 			}
-			c := hollowCost([]Look{sameMembers(before, after)}, []Look{after}, p.slow())
-			r.PeakBytes, r.PeakGrams, r.PeakCPU = max(r.PeakBytes, c.SentWire), max(r.PeakGrams, c.SentDatagrams), max(r.PeakCPU, c.CPU)
+			c := hollowCost([]Snapshot{sameMembers(before, after)}, []Snapshot{after}, p.slow())
+			r.PeakBytes, r.PeakDatagrams, r.PeakCPU = max(r.PeakBytes, c.SentWire), max(r.PeakDatagrams, c.SentDatagrams), max(r.PeakCPU, c.CPU)
 			sum, members = sum+c.SentWire*float64(c.Members), members+c.Members
 		}
 	}
@@ -160,7 +160,7 @@
 }
 
 // sameMembers makes a look in which members that restarted since begin from nothing.
-func sameMembers(before, after Look) Look {
+func sameMembers(before, after Snapshot) Snapshot {
 	now := map[int]peers.Traffic{}
 	for _, m := range after.Members {
 		now[m.Number] = m.Traffic
@@ -175,7 +175,7 @@
 }
 
 // falseDeaths counts what members took for deaths beyond those that there were.
-func (p *strike) falseDeaths(last []Look) {
+func (p *strike) falseDeaths(last []Snapshot) {
 	p.r.Dropped = -p.dropped
 	for _, l := range last {
 		for _, m := range l.Members {
@@ -193,12 +193,12 @@
 func (p *strike) owed(number int) int64 {
 	switch p.kind {
 	case FaultMachine, FaultRack, FaultZone, FaultAllocator:
-		return int64(p.r.Struck)
+		return int64(p.r.Affected)
 	case FaultRegion:
-		if number >= p.Size-p.r.Struck {
-			return int64(p.size - p.r.Struck)
+		if number >= p.Size-p.r.Affected {
+			return int64(p.size - p.r.Affected)
 		}
-		return int64(p.r.Struck)
+		return int64(p.r.Affected)
 	}
 	return 0
 }
