--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Each rule, broken on purpose, is caught; a clean history is not.
-func TestEachRuleIsCaught(t *testing.T) {
+// A violation of each rule is detected and described, and a history without violations is not reported.
+func TestViolationsAreDetected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	rules := Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond}
 	for _, tc := range []struct {
-		name string
-		do   func(l *Ledger)
-		of   func(b Violations) int
+		name   string
+		record func(l *Ledger)
+		count  func(b Violations) int
 	}{
 		{"clean", func(l *Ledger) {
 			l.AttemptSent("a", "n0", "s0", at(1))
@@ -48,13 +48,13 @@
 	} {
 		l := New(rules)
 		l.Offered("a", at(0))
-		tc.do(l)
+		tc.record(l)
 		b, _, _ := l.Result()
-		if tc.of(b) != 1 {
+		if tc.count(b) != 1 {
 			t.Errorf("%s: %+v", tc.name, b)
 		}
 		if tc.name != "clean" && (!b.Any() || len(b.Descriptions) != 1) {
-			t.Errorf("%s is not told: %+v", tc.name, b)
+			t.Errorf("%s is not reported once: %+v", tc.name, b)
 		}
 	}
 }
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -1,7 +1,8 @@
-// Package processor models the processor of a session server as the operators describe it: one line, in which answers
-// and releases wait behind new set-ups (other orders can be tried); a refusal, which costs work too, once the wait is too long; a cold start, from
-// which it falls over when far more is sent than it can do. It is told the time (nanoseconds) and does no I/O, so that
-// sockets and a simulated clock drive the same code.
+// Package processor models the processor of a session server as the operators describe it. It has one queue, in which
+// answers and releases wait behind new set-ups (other orders can be tried). It refuses set-ups, which costs work too, once
+// the wait is too long. It starts cold, and while cold falls over, that is stops for good, when it is sent far more than it
+// can do. Callers pass in the time (nanoseconds) and the package does no I/O, so that sockets and a simulated clock drive
+// the same code.
 package processor
 
 import (
@@ -11,33 +12,33 @@
 	"time"
 )
 
-// Params are a processor's figures. Works are times on a warm processor.
+// Params are a processor's figures. Amounts of work are nanoseconds on a warm processor.
 type Params struct {
-	SetUp, Answer, Release int64   // work of each step of a call that stands
-	Reject                 int64   // work of turning a set-up away
-	RefusalWait            int64   // the wait beyond which set-ups are turned away
-	ColdFrom               float64 // part of its capacity at the start
-	ColdSpan               int64   // until it is warm; linear in between
-	FallMultiple           float64 // of the present capacity, over FallWindow: a cold one falls over and stays down
+	SetUp, Answer, Release int64   // work of each step of an established call
+	Reject                 int64   // work of refusing a set-up
+	RefusalWait            int64   // expected wait above which set-ups are refused
+	ColdFrom               float64 // share of the full capacity at the start
+	ColdSpan               int64   // time until it is warm; the capacity grows linearly in between
+	FallMultiple           float64 // a cold processor falls over above this multiple of its present capacity over FallWindow
 	FallWindow             int64
-	QueueOrder             QueueOrder // in which order the work is done; the zero Line is the operators' description
-	DropAnswers            bool       // a call that is given up takes its pending answer with it, not its set-up alone
+	QueueOrder             QueueOrder // the zero value is the order that the operators describe
+	DropAnswers            bool       // dropping a call removes its queued answer, not only its set-up
 }
 
-// Line is the order in which a processor does its work.
+// QueueOrder is the order in which a processor does its work.
 type QueueOrder int
 
-// The orders.
+// The queue orders.
 const (
-	SetUpsFirst  QueueOrder = iota // answers and releases wait behind all set-ups, also later ones
-	FIFO                           // one line for all: answers and releases wait behind the set-ups that came before
+	SetUpsFirst  QueueOrder = iota // answers and releases wait behind all set-ups, including later ones
+	FIFO                           // all work is done in order of arrival
 	AnswersFirst                   // set-ups wait behind answers and releases
 )
 
-// Lines are the names of the orders, as experiments take them.
+// QueueOrders maps the names of the orders, as used on the command line, to their values.
 var QueueOrders = map[string]QueueOrder{"setups-first": SetUpsFirst, "in-turn": FIFO, "answers-first": AnswersFirst}
 
-// Capacity is the calls a second that a warm processor can take from set-up to release.
+// Capacity is the number of calls per second that a warm processor can handle from set-up to release.
 func (p Params) Capacity() float64 { return 1e9 / float64(p.SetUp+p.Answer+p.Release) }
 
 // Step is a kind of work.
@@ -51,94 +52,98 @@
 	reject
 )
 
-// Done is a piece of work that is finished.
+// Completed is a completed piece of work.
 type Completed struct {
 	Step Step
 	Call string
 	At   int64
 }
 
+// job is a queued or current piece of work.
 type job struct {
-	step Step
-	call string
-	left float64 // work
-	seq  int     // in order of coming
+	step      Step
+	call      string
+	remaining float64 // work
+	seq       int     // order of arrival
 }
 
 // Processor is one processor's state.
 type Processor struct {
-	p        Params
-	started  int64 // 0: long ago
-	slow     float64
-	silent   bool
-	fallen   bool
-	now      int64
-	cur      *job
-	setups   []*job // a FIFO
-	rest     []*job // answers, releases and rejects: behind all set-ups
-	arrivals []int64
-	busyFor  float64 // time busy, fading
-	worst    int64   // the longest wait seen by a set-up that came
-	setupsIn int
-	refused  int
-	seq      int
+	params        Params
+	startedAt     int64 // 0: long ago, so that it is warm
+	slowdown      float64
+	silent        bool
+	fellOver      bool
+	now           int64
+	current       *job
+	setUps        []*job // in order of arrival
+	otherWork     []*job // answers, releases and refusals, in order of arrival
+	arrivals      []int64
+	busyTime      float64 // busy time, decaying over utilizationWindow
+	maxWait       int64   // longest wait expected for any set-up when it was offered
+	setUpsOffered int
+	refused       int
+	seq           int
 }
 
-// New makes a processor that started at a time, cold, or long ago (0).
-func New(p Params, started int64) *Processor { return &Processor{p: p, started: started, slow: 1} }
+// New makes a processor that starts cold at startedAt, or that is warm if startedAt is 0.
+func New(params Params, startedAt int64) *Processor {
+	return &Processor{params: params, startedAt: startedAt, slowdown: 1}
+}
 
-// Speed is the work that it does in a unit of time at a moment.
+// Speed is the work done per unit of time at now; 1 is a warm processor that is not slowed down.
 func (p *Processor) Speed(now int64) float64 {
-	if p.silent || p.fallen {
+	if p.silent || p.fellOver {
 		return 0
 	}
-	return p.warmth(now) / p.slow
+	return p.warmth(now) / p.slowdown
 }
 
+// warmth is the share of the full capacity at now.
 func (p *Processor) warmth(now int64) float64 {
-	if p.started <= 0 || now >= p.started+p.p.ColdSpan {
+	if p.startedAt <= 0 || now >= p.startedAt+p.params.ColdSpan {
 		return 1
 	}
-	return p.p.ColdFrom + (1-p.p.ColdFrom)*float64(max(now-p.started, 0))/float64(p.p.ColdSpan)
+	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.startedAt, 0))/float64(p.params.ColdSpan)
 }
 
-// SetSlow makes it so many times slower from now on; 1: as usual.
-func (p *Processor) SetSlowdown(now int64, times float64) []Completed {
+// SetSlowdown makes the processor slower by a factor from now on; 1 is normal speed.
+func (p *Processor) SetSlowdown(now int64, factor float64) []Completed {
 	done := p.Advance(now)
-	p.slow = max(times, 1e-3)
+	p.slowdown = max(factor, 1e-3)
 	return done
 }
 
-// Silence makes it do nothing from now on, or work on where it stopped, cold.
+// SetSilent stops the processor, so that nothing is answered or refused, or has it go on cold from where it stopped.
 func (p *Processor) SetSilent(now int64, silent bool) []Completed {
 	done := p.Advance(now)
 	if p.silent && !silent {
-		p.started, p.arrivals = now, nil // what came before has met no cold processor
+		p.startedAt, p.arrivals = now, nil // earlier arrivals did not reach a cold processor
 	}
 	p.silent = silent
 	return done
 }
 
-// Fallen tells whether it has fallen over.
-func (p *Processor) FellOver() bool { return p.fallen }
+// FellOver tells whether the processor has fallen over.
+func (p *Processor) FellOver() bool { return p.fellOver }
 
-// backlog is the work in front of a new set-up.
+// backlog is the work that is done before a set-up that arrives now.
 func (p *Processor) backlog() (work float64) {
-	if p.cur != nil {
-		work = p.cur.left
+	if p.current != nil {
+		work = p.current.remaining
 	}
-	for _, j := range p.setups {
-		work += j.left
+	for _, j := range p.setUps {
+		work += j.remaining
 	}
-	if p.p.QueueOrder != SetUpsFirst {
-		for _, j := range p.rest {
-			work += j.left
+	if p.params.QueueOrder != SetUpsFirst {
+		for _, j := range p.otherWork {
+			work += j.remaining
 		}
 	}
 	return work
 }
 
-// Wait is how long a new set-up would wait now. A processor that stands still has no end of it.
+// ExpectedWait is how long a set-up that arrives now would wait. It is math.MaxInt64 for a processor that has stopped.
 func (p *Processor) ExpectedWait(now int64) int64 {
 	speed := p.Speed(now)
 	if speed <= 0 {
@@ -147,161 +152,164 @@
 	return int64(p.backlog() / speed)
 }
 
-// WorstWait is the longest wait that a set-up found when it came.
-func (p *Processor) MaxWait() int64 { return p.worst }
+// MaxWait is the longest wait expected for any set-up when it was offered.
+func (p *Processor) MaxWait() int64 { return p.maxWait }
 
-// Counts tells the set-ups that came and those turned away.
-func (p *Processor) Counts() (came, refused int) { return p.setupsIn, p.refused }
+// Counts gives the number of set-ups offered, and of those refused.
+func (p *Processor) Counts() (offered, refused int) { return p.setUpsOffered, p.refused }
 
-// Queue is the number of set-ups that wait.
-func (p *Processor) QueueLength() int { return len(p.setups) }
+// QueueLength is the number of set-ups that wait.
+func (p *Processor) QueueLength() int { return len(p.setUps) }
 
-// Util is the part of the last second or so that it was busy.
-func (p *Processor) Utilization() float64 { return min(p.busyFor/utilSpan, 1) }
+// Utilization is the share of about the last second that the processor was busy.
+func (p *Processor) Utilization() float64 { return min(p.busyTime/utilizationWindow, 1) }
 
-const utilSpan = 1e9
+// utilizationWindow is the time constant of the decaying busy time.
+const utilizationWindow = 1e9
 
-// Offer brings a set-up. Where it is turned away, wait is how long the caller is told to stay away.
+// Offer adds a set-up. Where it is refused, wait is how long the caller is told to wait.
 func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Completed) {
 	done = p.Advance(now)
-	p.setupsIn++
-	p.fall(now)
-	if p.silent || p.fallen {
-		return true, 0, done // it says nothing, ever
+	p.setUpsOffered++
+	p.recordArrival(now)
+	if p.silent || p.fellOver {
+		return true, 0, done // it never answers
 	}
 	wait = p.ExpectedWait(now)
-	p.worst = max(p.worst, wait)
-	if wait > p.p.RefusalWait {
+	p.maxWait = max(p.maxWait, wait)
+	if wait > p.params.RefusalWait {
 		p.refused++
-		p.wait(&p.rest, reject, call, p.p.Reject)
+		p.enqueue(&p.otherWork, reject, call, p.params.Reject)
 		return false, wait, done
 	}
-	p.wait(&p.setups, SetUp, call, p.p.SetUp)
+	p.enqueue(&p.setUps, SetUp, call, p.params.SetUp)
 	return true, 0, done
 }
 
-// wait puts work at the end of a line.
-func (p *Processor) wait(line *[]*job, s Step, call string, work int64) {
+// enqueue appends work to a queue, and starts it if the processor is idle.
+func (p *Processor) enqueue(queue *[]*job, s Step, call string, work int64) {
 	p.seq++
-	*line = append(*line, &job{s, call, float64(work), p.seq})
-	p.next()
+	*queue = append(*queue, &job{s, call, float64(work), p.seq})
+	p.startNext()
 }
 
-// fall notes a set-up that came, and lets a cold processor fall over that gets too many.
-func (p *Processor) fall(now int64) {
+// recordArrival counts a set-up, and has a cold processor fall over that gets too many.
+func (p *Processor) recordArrival(now int64) {
 	p.arrivals = append(p.arrivals, now)
-	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.p.FallWindow {
+	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.FallWindow {
 		p.arrivals = p.arrivals[1:]
 	}
 	w := p.warmth(now)
 	if w >= 1 {
 		return
 	}
-	budget := p.p.FallMultiple * w * p.p.Capacity() * float64(p.p.FallWindow) / 1e9
-	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // a little slack for chance
-		p.fallen = true
-		p.cur, p.setups, p.rest = nil, nil, nil
+	budget := p.params.FallMultiple * w * p.params.Capacity() * float64(p.params.FallWindow) / 1e9
+	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // allows for random variation
+		p.fellOver = true
+		p.current, p.setUps, p.otherWork = nil, nil, nil
 	}
 }
 
-// Add brings work that belongs to a call that stands.
+// Add adds the answer or the release of a call.
 func (p *Processor) Add(now int64, s Step, call string) []Completed {
 	done := p.Advance(now)
-	work := p.p.Answer
+	work := p.params.Answer
 	if s == Release {
-		work = p.p.Release
+		work = p.params.Release
 	}
-	if !p.fallen {
-		p.wait(&p.rest, s, call, work)
+	if !p.fellOver {
+		p.enqueue(&p.otherWork, s, call, work)
 	}
 	return done
 }
 
-// Drop takes a set-up that was given up out of the line.
+// Drop removes the queued set-up of a call that was given up, with DropAnswers also its answer.
 func (p *Processor) Drop(now int64, call string) []Completed {
 	done := p.Advance(now)
-	drop := func(line []*job, s Step) []*job {
-		return slices.DeleteFunc(line, func(j *job) bool { return j.call == call && j.step == s })
+	remove := func(queue []*job, s Step) []*job {
+		return slices.DeleteFunc(queue, func(j *job) bool { return j.call == call && j.step == s })
 	}
-	p.setups = drop(p.setups, SetUp)
-	if p.p.DropAnswers {
-		p.rest = drop(p.rest, Answer)
+	p.setUps = remove(p.setUps, SetUp)
+	if p.params.DropAnswers {
+		p.otherWork = remove(p.otherWork, Answer)
 	}
 	return done
 }
 
-// next begins a piece of work where none is under way.
-func (p *Processor) next() {
-	if p.cur != nil {
+// startNext starts the next piece of work if none is in progress.
+func (p *Processor) startNext() {
+	if p.current != nil {
 		return
 	}
-	setup := len(p.setups) > 0
-	if setup && len(p.rest) > 0 {
-		setup = p.p.QueueOrder == SetUpsFirst || p.p.QueueOrder == FIFO && p.setups[0].seq < p.rest[0].seq
+	takeSetUp := len(p.setUps) > 0
+	if takeSetUp && len(p.otherWork) > 0 {
+		takeSetUp = p.params.QueueOrder == SetUpsFirst || p.params.QueueOrder == FIFO && p.setUps[0].seq < p.otherWork[0].seq
 	}
-	if setup {
-		p.cur, p.setups = p.setups[0], p.setups[1:]
-	} else if len(p.rest) > 0 {
-		p.cur, p.rest = p.rest[0], p.rest[1:]
+	if takeSetUp {
+		p.current, p.setUps = p.setUps[0], p.setUps[1:]
+	} else if len(p.otherWork) > 0 {
+		p.current, p.otherWork = p.otherWork[0], p.otherWork[1:]
 	}
 }
 
-// step bounds how long the speed is taken as constant while it warms up.
-const step = int64(50e6)
+// maxStep bounds how long the speed is taken as constant while the processor warms up.
+const maxStep = int64(50e6)
 
-// Advance works up to a time and gives what was finished, in order.
+// Advance simulates the work up to now and gives what was completed, in order.
 func (p *Processor) Advance(now int64) (done []Completed) {
 	if p.now == 0 {
 		p.now = now
 	}
 	for p.now < now {
-		part := min(now-p.now, step)
+		slice := min(now-p.now, maxStep)
 		speed := p.Speed(p.now)
-		if p.cur != nil && speed > 0 {
-			if need := int64(math.Ceil(p.cur.left / speed)); need <= part {
-				part = max(need, 1)
-				p.pass(part, true)
-				j := p.cur
-				p.cur = nil
+		if p.current != nil && speed > 0 {
+			if needed := int64(math.Ceil(p.current.remaining / speed)); needed <= slice {
+				slice = max(needed, 1)
+				p.elapse(slice, true)
+				j := p.current
+				p.current = nil
 				if j.step != reject {
 					done = append(done, Completed{j.step, j.call, p.now})
 				}
-				p.next()
+				p.startNext()
 				continue
 			}
-			p.cur.left -= speed * float64(part)
+			p.current.remaining -= speed * float64(slice)
 		}
-		p.pass(part, p.cur != nil && speed > 0)
+		p.elapse(slice, p.current != nil && speed > 0)
 	}
 	return done
 }
 
-func (p *Processor) pass(d int64, busy bool) {
+// elapse advances the clock by d and updates the utilization.
+func (p *Processor) elapse(d int64, busy bool) {
 	p.now += d
-	p.busyFor *= math.Exp(-float64(d) / utilSpan)
+	p.busyTime *= math.Exp(-float64(d) / utilizationWindow)
 	if busy {
-		p.busyFor += utilSpan * (1 - math.Exp(-float64(d)/utilSpan))
+		p.busyTime += utilizationWindow * (1 - math.Exp(-float64(d)/utilizationWindow))
 	}
 }
 
-// Due is when the next piece of work will be finished, if nothing else comes; 0: there is none.
+// NextDue is when the processor should be advanced next: when the current work completes, or after maxStep if that is
+// sooner. 0: no work is in progress.
 func (p *Processor) NextDue() int64 {
 	speed := p.Speed(p.now)
-	if p.cur == nil || speed <= 0 {
+	if p.current == nil || speed <= 0 {
 		return 0
 	}
-	return p.now + max(min(int64(math.Ceil(p.cur.left/speed)), step), 1)
+	return p.now + max(min(int64(math.Ceil(p.current.remaining/speed)), maxStep), 1)
 }
 
-// Draw draws a processor's figures as the brief gives their ranges, for one of so many that are planned for so many calls a
-// second together.
+// DrawParams draws the figures of a processor from the ranges that the platform specifies, for one of a number of servers
+// that together are planned for so many calls per second.
 func DrawParams(planned float64, servers int, rng *rand.Rand) Params {
-	use := 0.72 + rng.Float64()*0.15
-	work := use * float64(servers) / planned * 1e9 // of a whole call, so that the planned load uses so much
-	follow := 0.25 + rng.Float64()*0.25
-	setup := work / (1 + follow)
-	refuse := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
-	return Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2),
-		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refuse), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
+	utilization := 0.72 + rng.Float64()*0.15
+	work := utilization * float64(servers) / planned * 1e9 // of a whole call, so that the planned load takes this utilization
+	followShare := 0.25 + rng.Float64()*0.25
+	setUpWork := work / (1 + followShare)
+	refusalWait := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
+	return Params{SetUp: int64(setUpWork), Answer: int64(setUpWork * followShare / 2), Release: int64(setUpWork * followShare / 2),
+		Reject: int64(setUpWork * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
 		FallMultiple: 2, FallWindow: int64(time.Second)}
 }
