--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -81,8 +81,8 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: membersFile(in.settings), Log: log, Module: in.shared,
-		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
+		Advertise: s.Advertise, Seeds: s.Seeds, AddrOverrides: s.AddrOverrides, Keys: s.DecodedKeys, MembersFile: membersFile(in.settings), Log: log, Module: in.shared,
+		TryRun: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return subsystem{}, err
 	}
@@ -101,7 +101,7 @@
 		status: func(st *ctl.Status) { st.Peers = in.peersStatus() },
 		reload: func(p *config.OperatorSettings) {
 			if len(p.Peers.DecodedKeys) > 0 && !slices.EqualFunc(p.Peers.DecodedKeys, s.DecodedKeys, slices.Equal) {
-				if err := in.peers.Keys(p.Peers.DecodedKeys); err != nil {
+				if err := in.peers.SetKeys(p.Peers.DecodedKeys); err != nil {
 					log.Error("keys kept", "reason", "unfit", "err", err)
 				}
 			}
@@ -191,7 +191,7 @@
 				return nil // the core has ended
 			}
 			st := in.peers.Status()
-			record := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
+			record := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentBytes, Datagrams: st.SentDatagrams}
 			for _, m := range st.Members {
 				if m.State == peers.Alive || m.State == peers.Suspect {
 					record.Alive++
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -117,7 +117,7 @@
 	until("they still hear each other", allHeardBy(4, names...))
 
 	duplicate := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
-	until("the second d finds its name taken", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
+	until("the second d finds its name taken", func() bool { p := queryPeers(filepath.Join(dir, "twin")); return p != nil && p.NameTakenBy != "" })
 	duplicate.Process.Kill()
 
 	all["d"].Process.Kill()
