--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -68,7 +68,7 @@
 	var previous *state.Snapshot
 	if dir := in.settings.State.Dir; dir != "" {
 		in.snapshotWriter = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.settings.State.Interval, Log: in.log.With(logs.PartKey, "state"),
-			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
+			Learnt: func() (l control.LearnedState) { return in.core.LearnedState() }}
 		s, err := state.Load(dir, in.platform.Name, time.Now(), in.settings.State.MaxAge)
 		switch {
 		case errors.Is(err, state.ErrNoSnapshot):
@@ -158,11 +158,11 @@
 		case <-tick.C:
 		}
 		memory, descriptors := ctl.Usage()
-		in.core.Gauge(levels.Memory, memory/float64(in.platform.MemoryMB))
-		in.core.Gauge(levels.Descriptors, float64(descriptors)/float64(in.platform.Sockets))
-		in.core.Gauge(levels.Inbox, in.core.InboxUsed())
+		in.core.ReportGauge(levels.Memory, memory/float64(in.platform.MemoryMB))
+		in.core.ReportGauge(levels.Descriptors, float64(descriptors)/float64(in.platform.Sockets))
+		in.core.ReportGauge(levels.Inbox, in.core.InboxUsed())
 		if _, lastHeard := in.feed.Position(); !lastHeard.IsZero() {
-			in.core.Gauge(levels.ListAge, time.Since(lastHeard).Seconds()/10)
+			in.core.ReportGauge(levels.ListAge, time.Since(lastHeard).Seconds()/10)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 // levelHistory returns the last changes of the level of service, also after the core's end.
 func (in *instance) levelHistory() (changes []levels.Change) {
 	coreRuns := false
-	in.core.Look(func() { changes, coreRuns = in.levels.History(), true })
+	in.core.Inspect(func() { changes, coreRuns = in.levels.History(), true })
 	if !coreRuns {
 		changes = in.levels.History() // the core has ended, so nothing changes it any more
 	}
@@ -251,10 +251,10 @@
 
 // newOfficePool makes the connections to the offices, over SIP and WebSocket.
 func newOfficePool(in *instance) (subsystem, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectWait: in.platform.ConnectTimeout,
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectTimeout: in.platform.ConnectTimeout,
 		ListLive: func() bool { return in.feed.IsLive() },
-		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.platform.Name, in.platform.Settings.Fields)),
-			"ws": in.descriptors.dial(callws.Dial(in.platform.Settings.Fields))}})
+		Dialers: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.platform.Name, in.platform.Settings.ReportFields)),
+			"ws": in.descriptors.dial(callws.Dial(in.platform.Settings.ReportFields))}})
 	in.core.SetOffices(offices)
 	return subsystem{run: offices.Run}, nil
 }
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -135,7 +135,7 @@
 	snapshotWriter  *state.SnapshotWriter   // nil: no snapshots are kept
 	recovery        *recovery.Recovery      // nil: off
 	levels          *levels.Levels          // nil: off
-	shared          *shared.Shared          // nil: off
+	shared          *shared.Module          // nil: off
 	shares          *shares.Shares          // nil: off
 	callWSFront     *callws.Front           // nil: off
 	peers           *peers.Peers            // nil: off
