--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -17,35 +17,36 @@
 	"masthill/internal/netcase"
 )
 
-const callwsOn = `[callws]
+const callWSSettings = `[callws]
 listen = "127.0.0.1:0"
 [callws.callers]
 station-7 = "a token of sixteen"
 `
 
-const options = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
+const optionsRequest = "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n"
 
 func TestServeEndAndRestart(t *testing.T) {
-	ledger, feed := newLedger(), newJournal(t)
+	ledger, feed := newAttemptLog(), newJournal(t)
 	office := newProcessor(ledger, "office")
 	p := start(t, feed, []string{sipOffice(t, office)}, "")
 	caller := dial(t, p.sip)
-	caller.write(options)
-	caller.want(200, "")
+	caller.write(optionsRequest)
+	caller.expect(200, "")
 	caller.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
-	if m := caller.want(200, ""); string(m.Body) != "log of 0000000000000001" {
+	if m := caller.expect(200, ""); string(m.Body) != "log of 0000000000000001" {
 		t.Errorf("description %q", m.Body)
 	}
 	caller.write("INVITE sip:17@net SIP/2.0\r\nCall-ID: short\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n")
-	caller.want(400, "")
+	caller.expect(400, "")
 
-	// A planned end: what was taken is answered, and what still comes on an open connection too.
+	// In a graceful shutdown, calls that were taken are answered, and so are those that still arrive on an open
+	// connection.
 	late := dial(t, p.sip)
-	office.line.Lock() // nothing is answered before the end has begun
+	office.processing.Lock() // nothing is answered before the shutdown has begun
 	caller.write(invite("0000000000000002", "X-Patience: 60000\r\n"))
 	p.Process.Signal(syscall.SIGTERM)
 	for status := 0; status != 503; {
-		late.write(options)
+		late.write(optionsRequest)
 		m, err := late.Next()
 		if err != nil {
 			t.Fatal(err)
@@ -53,24 +54,24 @@
 		status = m.Status
 	}
 	late.write(invite("0000000000000003", "X-Patience: 60000\r\n"))
-	office.line.Unlock()
-	caller.want(200, "")
-	late.want(200, "")
+	office.processing.Unlock()
+	caller.expect(200, "")
+	late.expect(200, "")
 	p.stop()
 
-	// A restart knows nothing but the configuration. The release of a call from before is passed on all the same,
-	// as its caller still holds the call, and new calls are taken.
+	// A restarted program knows nothing but the configuration. It still passes on the release of a call that was set up
+	// before, because the caller still holds the call, and it takes new calls.
 	office = newProcessor(ledger, "office")
-	office.over = "0000000000000001"
+	office.releaseOnConnect = "0000000000000001"
 	p = start(t, feed, []string{sipOffice(t, office)}, "")
 	caller = dial(t, p.sip)
-	if m := caller.want(0, "BYE"); string(m.Get("Call-ID")) != "0000000000000001" {
+	if m := caller.expect(0, "BYE"); string(m.Get("Call-ID")) != "0000000000000001" {
 		t.Errorf("release %+v", m)
 	}
 	caller.write(invite("0000000000000004", "X-Patience: 60000\r\n"))
-	caller.want(200, "")
+	caller.expect(200, "")
 	caller.write("garbage\r\n\r\n")
-	caller.want(400, "")
+	caller.expect(400, "")
 	if _, err := caller.Next(); err != io.EOF {
 		t.Error("unreadable framing left the connection open")
 	}
@@ -82,22 +83,22 @@
 	}
 }
 
-// SIGHUP ended the program. It reads the configuration anew: the journal client moves and goes on from its position,
-// a call under way and its connection go on, and a bad file changes nothing.
+// SIGHUP does not end the program but has it read the configuration again. The journal client moves to the new address
+// and goes on from its position, an open call and its connection stay, and a bad file changes nothing.
 func TestNewConfiguration(t *testing.T) {
 	asked := make(chan string, 10)
 	second := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.Header.Get("Last-Event-ID")
 		<-r.Context().Done()
 	})
-	ledger, first := newLedger(), newJournal(t)
+	ledger, first := newAttemptLog(), newJournal(t)
 	office := newProcessor(ledger, "office")
 	p := start(t, first, []string{sipOffice(t, office)}, "")
 	caller := dial(t, p.sip)
-	office.line.Lock()
+	office.processing.Lock()
 	caller.write(invite("0000000000000001", "X-Patience: 60000\r\n"))
 	p.reload(func(string) string { return "{" })
-	for kept := false; !kept; { // the second signal must not meet the first
+	for kept := false; !kept; { // so that the second signal does not merge with the first
 		time.Sleep(time.Millisecond)
 		p.mu.Lock()
 		kept = strings.Contains(p.log.String(), `msg="configuration kept"`)
@@ -105,15 +106,15 @@
 	}
 	p.reload(func(string) string { return configuration(second, nil) })
 	if pos := <-asked; pos != "1" {
-		t.Errorf("the new service was asked from %s", pos)
+		t.Errorf("the new service was asked for events after position %s", pos)
 	}
-	office.line.Unlock()
-	caller.want(200, "")
+	office.processing.Unlock()
+	caller.expect(200, "")
 	p.stop()
 }
 
-func TestBadConfigurationEndsWithTwo(t *testing.T) {
-	for callws, key := range map[string]string{"[store]\ndriver = \"oracle\"": "store.driver", callwsOn + "colour = 1": "colour"} {
+func TestBadConfigurationExitCode(t *testing.T) {
+	for callws, key := range map[string]string{"[store]\ndriver = \"oracle\"": "store.driver", callWSSettings + "colour = 1": "colour"} {
 		p := start(t, "127.0.0.1:1", nil, callws)
 		<-p.ended
 		if code, log := p.ProcessState.ExitCode(), p.log.String(); code != 2 || strings.Count(log, "\n") != 1 || !strings.Contains(log, key) {
@@ -122,28 +123,28 @@
 	}
 }
 
-// tally counts the final answers of each call.
-type tally struct {
+// answerLog records the final answers to each call.
+type answerLog struct {
 	mu      sync.Mutex
 	answers map[string][]string
 }
 
-func (a *tally) add(id, answer string) {
+func (a *answerLog) add(id, answer string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answers[id] = append(a.answers[id], answer)
 }
 
-// The operators' fear is a second path that keeps looser promises than the first. SIP and WebSocket callers call
-// through one program, to a SIP office and a WebSocket office, while the processors slow down for a while; some
-// sockets close mid-set-up and the calls are sent again. Each call gets exactly one answer, and no call has two
-// attempts out.
+// Guards against one of the two protocols giving weaker guarantees than the other. SIP and WebSocket callers call
+// through one program, to a SIP office and a WebSocket office, while the offices slow down for a while; some sockets
+// close in the middle of a set-up and the calls are sent again. Each call gets exactly one answer, and no call has two
+// attempts open.
 func TestMixedCallersDuringASlowdown(t *testing.T) {
 	const callers, calls = 6, 40
-	ledger := newLedger()
+	ledger := newAttemptLog()
 	one, two := newProcessor(ledger, "sip"), newProcessor(ledger, "ws")
-	p := start(t, newJournal(t), []string{sipOffice(t, one), wsOffice(t, two)}, callwsOn)
-	got := &tally{answers: map[string][]string{}}
+	p := start(t, newJournal(t), []string{sipOffice(t, one), wsOffice(t, two)}, callWSSettings)
+	got := &answerLog{answers: map[string][]string{}}
 	var wg sync.WaitGroup
 	for c := range callers {
 		wg.Go(func() { sipCaller(t, p, c, calls, got) })
@@ -157,14 +158,14 @@
 	wg.Wait()
 	p.stop()
 
-	stood := 0
+	accepted := 0
 	for c := range callers {
 		for k := range calls {
 			for _, id := range []string{sipID(c, k), wsID(c, k)} {
 				if a := got.answers[id]; len(a) != 1 {
 					t.Errorf("call %s got the answers %q", id, a)
 				} else if a[0] == "stands" {
-					stood++
+					accepted++
 				}
 			}
 		}
@@ -172,22 +173,22 @@
 	ledger.mu.Lock()
 	defer ledger.mu.Unlock()
 	for id, at := range ledger.overlaps {
-		// The cancel may have been read after the next office had the next attempt.
-		if !ledger.cancelled[id+" "+at] {
-			t.Errorf("call %s had a second attempt out, the first at %s", id, at)
+		// The office may have read the cancel after the next office got the next attempt.
+		if !ledger.canceled[id+" "+at] {
+			t.Errorf("call %s had a second attempt open, the first at %s", id, at)
 		}
 	}
-	if stood == 0 || stood == 2*callers*calls || ledger.attempts < stood {
-		t.Errorf("%d of %d calls stood with %d attempts: no slowdown to speak of", stood, 2*callers*calls, ledger.attempts)
+	if accepted == 0 || accepted == 2*callers*calls || ledger.attempts < accepted {
+		t.Errorf("%d of %d calls accepted with %d attempts: the slowdown had no effect", accepted, 2*callers*calls, ledger.attempts)
 	}
-	t.Logf("%d of %d calls stood, %d attempts, %d cancels", stood, 2*callers*calls, ledger.attempts, len(ledger.cancelled))
+	t.Logf("%d of %d calls accepted, %d attempts, %d cancels", accepted, 2*callers*calls, ledger.attempts, len(ledger.canceled))
 }
 
 func sipID(caller, call int) string { return fmt.Sprintf("%08x%08x", 0xa0+caller, call) }
 func wsID(caller, call int) string  { return fmt.Sprintf("ws-%d-%d", caller, call) }
 
-// sipCaller makes calls over one connection and takes all answers.
-func sipCaller(t *testing.T, p *program, c, calls int, got *tally) {
+// sipCaller makes calls over one connection and records all answers.
+func sipCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	caller := dial(t, p.sip)
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -217,9 +218,9 @@
 	wg.Wait()
 }
 
-// wsCaller makes calls over WebSocket. Half-way it loses its socket, comes back, and sends again what has no
-// answer.
-func wsCaller(t *testing.T, p *program, c, calls int, got *tally) {
+// wsCaller makes calls over WebSocket. Half-way it closes its socket, connects again, and sends the unanswered calls
+// again.
+func wsCaller(t *testing.T, p *program, c, calls int, got *answerLog) {
 	open := func() *websocket.Conn {
 		ws, _, err := websocket.Dial(t.Context(), "ws://"+p.callws+"/v1/calls", &websocket.DialOptions{
 			HTTPHeader: http.Header{"Authorization": {"Bearer a token of sixteen"}}})
@@ -237,7 +238,7 @@
 		}
 	}
 	answered := map[string]bool{}
-	// read takes answers until so many calls have theirs.
+	// read records answers until n calls are answered.
 	read := func(ws *websocket.Conn, n int) {
 		for len(answered) < n {
 			_, data, err := ws.Read(t.Context())
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -32,123 +32,124 @@
 	"masthill/internal/store"
 )
 
-// part is one subsystem of an instance, with the life cycle that all share: it is made from the settings, runs in the
-// instance's group until the end, hears that the planned end begins, and tells its status. What it does not do is nil; a
-// part that the settings leave off is empty.
-type part struct {
-	run    func(ctx context.Context) error
-	end    func()                         // the planned end begins; new calls still come for a moment
-	status func(*ctl.Status)              // from any goroutine
-	reload func(*config.OperatorSettings) // new settings: what can change under a running program does
+// subsystem is one part of an instance. Its constructor makes it from the settings; it then runs in the instance's
+// errgroup until the end. A function that it does not have is nil; a subsystem that the settings turn off has none.
+type subsystem struct {
+	run        func(ctx context.Context) error
+	onShutdown func()                         // called when a graceful shutdown begins; new calls still arrive for a moment
+	status     func(*ctl.Status)              // adds to a status; called from any goroutine
+	reload     func(*config.OperatorSettings) // applies those new settings that can change in a running program
 }
 
-// subsystems makes the parts, in this order: what takes part in decisions comes before the core, in the order in which it
-// is asked, and what needs the core comes behind it.
-var subsystems = []func(*instance) (part, error){
-	snapshots, allocating, talking, recovering, levelling, sharing, bounding, recording, deciding, calling, placing, following, controlling,
-	configuring, administering, socket,
+// constructors make the subsystems, in this order. Decision modules come before the core, in the order in which it asks
+// them; what needs the core comes after it.
+var constructors = []func(*instance) (subsystem, error){
+	newSnapshots, newDescriptorAllocation, newPeers, newRecovery, newLevels, newShares, newGoodput, newStore, newCore,
+	newCallerFront, newOfficePool, newJournalFeed, newCallWSFront, newReleaseMember, newAdmin, newControlSocket,
 }
 
-// joins adds a decision module beside control.
-func (in *instance) joins(m join.Module) { in.options.Join = append(in.options.Join, m) }
+// addModule adds a decision module to the core's options.
+func (in *instance) addModule(m join.Module) { in.options.Join = append(in.options.Join, m) }
 
-// snapshots keeps what has been learnt, and takes up what the process before kept.
-func snapshots(in *instance) (p part, err error) {
-	in.known = in.load()
-	if in.keeper != nil {
-		p.run = in.keeper.Run
+// newSnapshots makes the subsystem that writes snapshots of the learned state, and loads the one of the previous
+// process.
+func newSnapshots(in *instance) (p subsystem, err error) {
+	in.previous = in.loadSnapshot()
+	if in.snapshotWriter != nil {
+		p.run = in.snapshotWriter.Run
 	}
 	return p, nil
 }
 
-// load takes up the snapshot of the process before, where the settings name a directory, and finds the reason of this
-// start: what a supervisor says, or else what the snapshot tells.
-func (in *instance) load() *state.Snapshot {
-	in.reason, in.snapshot = "first", "off"
-	var known *state.Snapshot
-	if dir := in.own.State.Dir; dir != "" {
-		in.keeper = &state.SnapshotWriter{Dir: dir, Instance: in.p.Name, Interval: in.own.State.Interval, Log: in.log.With(logs.PartKey, "state"),
+// loadSnapshot loads the snapshot of the previous process if the settings name a directory for it. It also finds the
+// reason of this start: the one that a supervisor gives, or else the one that follows from the snapshot.
+func (in *instance) loadSnapshot() *state.Snapshot {
+	in.startReason, in.snapshotResult = "first", "off"
+	var previous *state.Snapshot
+	if dir := in.settings.State.Dir; dir != "" {
+		in.snapshotWriter = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.settings.State.Interval, Log: in.log.With(logs.PartKey, "state"),
 			Learnt: func() (l control.LearnedState) { return in.core.LearnedState() }}
-		s, err := state.Load(dir, in.p.Name, time.Now(), in.own.State.MaxAge)
+		s, err := state.Load(dir, in.platform.Name, time.Now(), in.settings.State.MaxAge)
 		switch {
 		case errors.Is(err, state.ErrNoSnapshot):
-			in.snapshot = "none"
+			in.snapshotResult = "none"
 		case err != nil:
-			in.reason, in.snapshot = "unknown", err.Error()
+			in.startReason, in.snapshotResult = "unknown", err.Error()
 			in.log.Warn("snapshot left out", "why", err)
 		default:
-			known, in.snapshot = s, fmt.Sprintf("taken up, %v old", time.Since(s.WrittenAt).Round(time.Millisecond))
-			in.reason = "crash"
+			previous, in.snapshotResult = s, fmt.Sprintf("taken up, %v old", time.Since(s.WrittenAt).Round(time.Millisecond))
+			in.startReason = "crash"
 			if s.EndReason != "" {
-				in.reason = "restart"
+				in.startReason = "restart"
 			}
 		}
 	}
-	if told := os.Getenv("MASTHILL_START"); told != "" {
-		in.reason = told
+	if givenReason := os.Getenv("MASTHILL_START"); givenReason != "" {
+		in.startReason = givenReason
 	}
-	return known
+	return previous
 }
 
-// allocating shares the descriptors out, and notices another process at the same address, as in an upgrade.
-func allocating(in *instance) (part, error) {
+// newDescriptorAllocation makes the allocation of file descriptors. Where there is an operators' address, its subsystem
+// watches for another process at the same address, as in an upgrade.
+func newDescriptorAllocation(in *instance) (subsystem, error) {
 	peers := 0
-	if in.own.Peers.Listen != "" {
-		peers = cmp.Or(in.own.Peers.MaxInstances, in.p.Settings.GroupSize)
+	if in.settings.Peers.Listen != "" {
+		peers = cmp.Or(in.settings.Peers.MaxInstances, in.platform.Settings.GroupSize)
 	}
 	log := in.log.With(logs.PartKey, "descriptors")
-	in.descriptors = newAllocation(descriptors.Demand{Limit: in.p.Sockets, Peers: peers, Operators: in.p.Admin != "",
-		WebSocket: in.own.CallWS.Listen != "", Control: in.own.Socket.Path != "", Store: in.own.Store.Driver != "",
-		Releases: len(in.own.Distribution.Servers) > 0},
-		in.p.MemoryMB<<20/connPart/connEach, log)
-	if in.p.Admin == "" {
-		return part{}, nil
+	in.descriptors = newAllocation(descriptors.Demand{Limit: in.platform.Sockets, Peers: peers, Operators: in.platform.Admin != "",
+		WebSocket: in.settings.CallWS.Listen != "", Control: in.settings.Socket.Path != "", Store: in.settings.Store.Driver != "",
+		Releases: len(in.settings.Distribution.Servers) > 0},
+		in.platform.MemoryMB<<20/connMemoryDivisor/connMemoryBytes, log)
+	if in.platform.Admin == "" {
+		return subsystem{}, nil
 	}
-	return part{run: sibling.Open(os.TempDir(), in.p.Listen, log, in.descriptors.upgrade).Run}, nil
+	return subsystem{run: sibling.Open(os.TempDir(), in.platform.Listen, log, in.descriptors.onUpgrade).Run}, nil
 }
 
-// recovering paces what a newly started instance sends.
-func recovering(in *instance) (part, error) {
-	if in.own.Recovery.Enabled {
-		var brought []recovery.Evidence
-		if in.known != nil {
-			brought = in.known.Evidence()
+// newRecovery adds the module that limits the rate of set-ups of a newly started instance.
+func newRecovery(in *instance) (subsystem, error) {
+	if in.settings.Recovery.Enabled {
+		var evidence []recovery.Evidence
+		if in.previous != nil {
+			evidence = in.previous.Evidence()
 		}
-		in.recovery = recovery.New(recovery.Settings{Control: in.p.Settings, Planned: in.p.PlannedRate}, in.p.Seed, in.started.UnixNano(), brought)
-		in.joins(in.recovery)
+		in.recovery = recovery.New(recovery.Settings{Control: in.platform.Settings, Planned: in.platform.PlannedRate}, in.platform.Seed, in.startedAt.UnixNano(), evidence)
+		in.addModule(in.recovery)
 	}
-	return part{}, nil
+	return subsystem{}, nil
 }
 
-// levelling names levels of reduced service.
-func levelling(in *instance) (part, error) {
-	if !in.own.Levels.Enabled {
-		return part{}, nil
+// newLevels adds the module that sets the level of service, and makes the subsystem that reports resource use to it.
+func newLevels(in *instance) (subsystem, error) {
+	if !in.settings.Levels.Enabled {
+		return subsystem{}, nil
 	}
-	var recovers func(int64) bool
+	var isRecovering func(int64) bool
 	if in.recovery != nil {
-		recovers = in.recovery.Recovering
+		isRecovering = in.recovery.Recovering
 	}
 	log := in.log.With(logs.PartKey, "levels")
-	in.levels = levels.New(in.p.Settings, in.p.Seed, in.started.UnixNano(), recovers, func(c levels.Change) {
+	in.levels = levels.New(in.platform.Settings, in.platform.Seed, in.startedAt.UnixNano(), isRecovering, func(c levels.Change) {
 		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.ExitCondition)
 	})
-	if in.known != nil {
-		in.levels.Restore(in.started.UnixNano(), in.known.Levels)
+	if in.previous != nil {
+		in.levels.Restore(in.startedAt.UnixNano(), in.previous.Levels)
 	}
-	if in.keeper != nil {
-		in.keeper.Levels = in.history
+	if in.snapshotWriter != nil {
+		in.snapshotWriter.Levels = in.levelHistory
 	}
-	in.joins(in.levels)
-	return part{run: in.gauge, status: func(s *ctl.Status) { s.Levels = in.history() }}, nil
+	in.addModule(in.levels)
+	return subsystem{run: in.runGauges, status: func(s *ctl.Status) { s.Levels = in.levelHistory() }}, nil
 }
 
-// gaugeEvery is how often the instance's own readings are taken for the levels: a few reads of /proc.
-const gaugeEvery = time.Second
+// gaugeInterval is how often the instance's resource use is read for the levels, which takes a few reads of /proc.
+const gaugeInterval = time.Second
 
-// gauge brings the levels what no event tells.
-func (in *instance) gauge(ctx context.Context) error {
-	tick := time.NewTicker(gaugeEvery)
+// runGauges reports to the core, for the levels, the resource use that no event carries.
+func (in *instance) runGauges(ctx context.Context) error {
+	tick := time.NewTicker(gaugeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -157,165 +158,167 @@
 		case <-tick.C:
 		}
 		memory, descriptors := ctl.Usage()
-		in.core.ReportGauge(levels.Memory, memory/float64(in.p.MemoryMB))
-		in.core.ReportGauge(levels.Descriptors, float64(descriptors)/float64(in.p.Sockets))
+		in.core.ReportGauge(levels.Memory, memory/float64(in.platform.MemoryMB))
+		in.core.ReportGauge(levels.Descriptors, float64(descriptors)/float64(in.platform.Sockets))
 		in.core.ReportGauge(levels.Inbox, in.core.InboxUsed())
-		if _, heard := in.feed.Position(); !heard.IsZero() {
-			in.core.ReportGauge(levels.ListAge, time.Since(heard).Seconds()/10)
+		if _, lastHeard := in.feed.Position(); !lastHeard.IsZero() {
+			in.core.ReportGauge(levels.ListAge, time.Since(lastHeard).Seconds()/10)
 		}
 	}
 }
 
-// history are the last changes of the level of service, also after the core's end.
-func (in *instance) history() (all []levels.Change) {
-	looked := false
-	in.core.Inspect(func() { all, looked = in.levels.History(), true })
-	if !looked {
-		all = in.levels.History() // nothing changes it any more
+// levelHistory returns the last changes of the level of service, also after the core's end.
+func (in *instance) levelHistory() (changes []levels.Change) {
+	coreRuns := false
+	in.core.Inspect(func() { changes, coreRuns = in.levels.History(), true })
+	if !coreRuns {
+		changes = in.levels.History() // the core has ended, so nothing changes it any more
 	}
-	return all
+	return changes
 }
 
-// sharing holds members to their shares, by the whole fleet's counts where instances talk.
-func sharing(in *instance) (part, error) {
-	if in.own.Shares.Enabled {
-		in.shares = shares.New(in.p.Settings, in.p.Shares, in.p.PlannedRate, in.p.Seed, in.started.UnixNano())
+// newShares adds the module that holds tenants to their shares, by the counts of the whole fleet if this instance is a
+// member of one.
+func newShares(in *instance) (subsystem, error) {
+	if in.settings.Shares.Enabled {
+		in.shares = shares.New(in.platform.Settings, in.platform.Shares, in.platform.PlannedRate, in.platform.Seed, in.startedAt.UnixNano())
 		if in.shared != nil {
 			in.shares.UseFleetTotals(in.shared)
 		}
-		in.joins(in.shares)
+		in.addModule(in.shares)
 	}
-	return part{}, nil
+	return subsystem{}, nil
 }
 
-// bounding bounds what is out by what came back in time.
-func bounding(in *instance) (part, error) {
-	if in.own.Goodput.Enabled {
+// newGoodput adds the module that limits the outstanding set-ups by how many are answered in time.
+func newGoodput(in *instance) (subsystem, error) {
+	if in.settings.Goodput.Enabled {
 		log := in.log.With(logs.PartKey, "goodput")
-		in.joins(goodput.New(goodput.Settings{Control: in.p.Settings}, in.p.Seed, in.started.UnixNano(), func(c goodput.Change) {
+		in.addModule(goodput.New(goodput.Settings{Control: in.platform.Settings}, in.platform.Seed, in.startedAt.UnixNano(), func(c goodput.Change) {
 			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
 				"in_vain", math.Round(c.LateShare*100)/100)
 		}))
 	}
-	return part{}, nil
+	return subsystem{}, nil
 }
 
-// recording writes calls to the store of record.
-func recording(in *instance) (part, error) {
-	if in.own.Store.Driver == "" {
-		return part{}, nil
+// newStore makes the subsystem that writes call records to the database.
+func newStore(in *instance) (subsystem, error) {
+	if in.settings.Store.Driver == "" {
+		return subsystem{}, nil
 	}
-	records, err := store.Open(store.Options{Driver: in.own.Store.Driver, DSN: in.own.Store.DSN, Instance: in.p.Name, Log: in.log.With(logs.PartKey, "store")})
+	records, err := store.Open(store.Options{Driver: in.settings.Store.Driver, DSN: in.settings.Store.DSN, Instance: in.platform.Name, Log: in.log.With(logs.PartKey, "store")})
 	if err != nil {
-		return part{}, err
+		return subsystem{}, err
 	}
 	in.options.Record = records.Put
-	return part{run: records.Run}, nil
+	return subsystem{run: records.Run}, nil
 }
 
-// deciding is the core.
-func deciding(in *instance) (p part, err error) {
-	in.options.OnUnknownRelease = func(id string, cut bool) { in.calls.Release(id, cut) }
+// newCore makes the core.
+func newCore(in *instance) (p subsystem, err error) {
+	in.options.OnUnknownRelease = func(id string, cut bool) { in.callerFront.Release(id, cut) }
 	if in.core, err = exchange.New(in.options); err != nil {
 		return p, err
 	}
-	return part{run: in.core.Run}, nil
+	return subsystem{run: in.core.Run}, nil
 }
 
-// calling is the platform's front.
-func calling(in *instance) (p part, err error) {
-	in.calls = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callers"), Names: in.p.Names, Ready: in.state.Ready,
-		MaxConnections: in.descriptors.clientsFront().MaxConnections})
-	l, err := in.opens("callers", in.p.Listen)
+// newCallerFront makes the front that the platform's callers connect to.
+func newCallerFront(in *instance) (p subsystem, err error) {
+	in.callerFront = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callers"), Names: in.platform.Names, Ready: in.state.Ready,
+		MaxConnections: in.descriptors.clientsShare().MaxConnections})
+	l, err := in.openListener("callers", in.platform.Listen)
 	if err != nil {
 		return p, err
 	}
-	in.fronts[in.calls], in.listen = l, l.Addr().String()
-	bounded := in.descriptors.attach(&in.descriptors.clients, in.calls, l)
-	return part{run: func(ctx context.Context) error { return in.calls.Serve(ctx, bounded) }}, nil
+	in.fronts[in.callerFront], in.listenAddr = l, l.Addr().String()
+	bounded := in.descriptors.attach(&in.descriptors.clients, in.callerFront, l)
+	return subsystem{run: func(ctx context.Context) error { return in.callerFront.Serve(ctx, bounded) }}, nil
 }
 
-// opens takes a passed socket over, or opens one.
-func (in *instance) opens(name, addr string) (l *listener.Listener, err error) {
-	if passed, ok := in.passed[name].(*net.TCPListener); ok {
+// openListener takes over the listening socket that was passed under a name, or else opens one.
+func (in *instance) openListener(name, addr string) (l *listener.Listener, err error) {
+	if passed, ok := in.passedListeners[name].(*net.TCPListener); ok {
 		l = listener.New(passed)
-		delete(in.passed, name)
-	} else if l, err = listener.Open(addr, in.p.Admin != ""); err != nil {
+		delete(in.passedListeners, name)
+	} else if l, err = listener.Open(addr, in.platform.Admin != ""); err != nil {
 		return nil, err
 	}
 	in.listeners[name] = l
 	return l, nil
 }
 
-// placing is the offices' side.
-func placing(in *instance) (part, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectTimeout: in.p.ConnectTimeout,
+// newOfficePool makes the connections to the offices, over SIP and WebSocket.
+func newOfficePool(in *instance) (subsystem, error) {
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectTimeout: in.platform.ConnectTimeout,
 		ListLive: func() bool { return in.feed.IsLive() },
-		Dialers: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.ReportFields)),
-			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.ReportFields))}})
+		Dialers: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.platform.Name, in.platform.Settings.ReportFields)),
+			"ws": in.descriptors.dial(callws.Dial(in.platform.Settings.ReportFields))}})
 	in.core.SetOffices(offices)
-	return part{run: offices.Run}, nil
+	return subsystem{run: offices.Run}, nil
 }
 
-// following is the list of offices; what the process before had learnt of them follows what is known at the start.
-func following(in *instance) (part, error) {
-	in.feed = &journal.Client{Addr: in.p.Journal, Log: in.log.With(logs.PartKey, "list"), Dial: descriptors.Dialer(in.descriptors.shortage),
+// newJournalFeed makes the client of the journal service, which keeps the list of offices. The core first gets the list
+// that the configuration holds, then what the previous process had learned of the offices.
+func newJournalFeed(in *instance) (subsystem, error) {
+	in.feed = &journal.Client{Addr: in.platform.Journal, Log: in.log.With(logs.PartKey, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
 		OnChange: func(changed []exchange.Office, full bool) {
-			in.descriptors.list(changed, full)
+			in.descriptors.onServerList(changed, full)
 			in.core.UpdateOffices(changed, full)
 		}}
-	in.feed.LoadInitial(in.p.Known)
-	if in.known != nil {
-		in.core.Restore(in.known.Learnt)
+	in.feed.LoadInitial(in.platform.Known)
+	if in.previous != nil {
+		in.core.Restore(in.previous.Learnt)
 	}
-	return part{run: in.feed.Run}, nil
+	return subsystem{run: in.feed.Run}, nil
 }
 
-// controlling is call control over WebSocket.
-func controlling(in *instance) (part, error) {
-	if in.own.CallWS.Listen == "" {
-		return part{}, nil
+// newCallWSFront makes the front for call control over WebSocket.
+func newCallWSFront(in *instance) (subsystem, error) {
+	if in.settings.CallWS.Listen == "" {
+		return subsystem{}, nil
 	}
-	l, err := in.opens("callws", in.own.CallWS.Listen)
+	l, err := in.openListener("callws", in.settings.CallWS.Listen)
 	if err != nil {
-		return part{}, fmt.Errorf("callws.listen: %w", err)
+		return subsystem{}, fmt.Errorf("callws.listen: %w", err)
 	}
-	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.p.Names, Callers: in.own.CallWS.Callers, Ready: in.state.Ready,
+	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.platform.Names, Callers: in.settings.CallWS.Callers, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
-	in.fronts[f], in.controls = l, f
+	in.fronts[f], in.callWSFront = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
 	in.log.Info("serving call control", "listen", l.Addr().String())
-	return part{run: func(ctx context.Context) error { return f.Serve(ctx, bounded) }}, nil
+	return subsystem{run: func(ctx context.Context) error { return f.Serve(ctx, bounded) }}, nil
 }
 
-// administering is the operators' second address.
-func administering(in *instance) (part, error) {
-	if in.p.Admin == "" {
-		return part{}, nil
+// newAdmin makes the server of the operators' address.
+func newAdmin(in *instance) (subsystem, error) {
+	if in.platform.Admin == "" {
+		return subsystem{}, nil
 	}
-	l, err := listener.Open(in.p.Admin, false)
+	l, err := listener.Open(in.platform.Admin, false)
 	if err != nil {
-		return part{}, fmt.Errorf("admin: %w", err)
+		return subsystem{}, fmt.Errorf("admin: %w", err)
 	}
-	l.OnShortage = in.descriptors.shortage
+	l.OnShortage = in.descriptors.onShortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
 	s := admin.New(&in.state, in.log.With(logs.PartKey, "admin"))
-	s.MaxConnections = in.descriptors.operatorsPlaces()
-	return part{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
+	s.MaxConnections = in.descriptors.adminMaxConnections()
+	return subsystem{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
 
-// socket is the control socket.
-func socket(in *instance) (part, error) {
-	path := in.own.Socket.Path
+// newControlSocket makes the control socket.
+func newControlSocket(in *instance) (subsystem, error) {
+	path := in.settings.Socket.Path
 	if path == "" {
-		return part{}, nil
+		return subsystem{}, nil
 	}
 	l, err := ctl.Listen(path)
 	if err != nil { // calls do not depend on it
 		in.log.Error("control socket not opened", "err", err)
-		return part{}, nil
+		return subsystem{}, nil
 	}
-	return part{run: func(ctx context.Context) error {
+	return subsystem{run: func(ctx context.Context) error {
 		return ctl.Serve(ctx, l, path, in.log.With(logs.PartKey, "socket"), in.status, in.listeners)
 	}}, nil
 }
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -33,14 +33,14 @@
 	os.Exit(m.Run())
 }
 
-const settings = `{"group_size":1,"discovery":"pushed","extra":{"class_cells":[[0,1]],"clear_wait_ns":300000000,` +
+const platformSettings = `{"group_size":1,"discovery":"pushed","extra":{"class_cells":[[0,1]],"clear_wait_ns":300000000,` +
 	`"this_node":-1,"topology":"groups"},"grades":[{"name":"open-log","aim_ns":1200000000,"deadline_ns":9000000000,` +
 	`"effect":"free","late_value":0.25,"worth":1.0}],"limits":{"max_attempts":4,"may_cancel":true,"retry_after":true,` +
 	`"max_retry_after_ns":2000000000,"connect_timeout_ns":500000000},"tenants":[{"name":"acme"}],` +
 	`"feedback":{"fields":["spare","total","cpu","waiting"]},"resolution_ns":5000000,"rules":{"cold_from":0.31,` +
 	`"cold_ns":15000000000,"drain_grace_ns":1000000000,"fall_multiple":2.0,"fall_ns":1000000000}}`
 
-// newJournal is a stand-in that sends a comment now and then and nothing else.
+// newJournal is a fake journal service that sends a comment every 50 ms and no events.
 func newJournal(t *testing.T) string {
 	return netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil && t.Context().Err() == nil {
@@ -55,14 +55,14 @@
 type program struct {
 	*exec.Cmd
 	t            *testing.T
-	sip, callws  string // where it listens
-	config       string // its file
+	sip, callws  string // addresses that it listens at
+	config       string // path of the platform's file
 	mu           sync.Mutex
 	log          strings.Builder
 	ready, ended chan struct{}
 }
 
-// configuration is the platform's file; offices are addresses, cells in their order.
+// configuration is the text of the platform's file. offices are addresses; each gets a cell, in their order.
 func configuration(journal string, offices []string) string {
 	var servers []string
 	for k, addr := range offices {
@@ -70,27 +70,28 @@
 	}
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,`+
 		`"sockets":1024},"journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"version":1,"full":true,"servers":[%s]}}]},`+
-		`"settings":%s}`, journal, strings.Join(servers, ","), settings)
+		`"settings":%s}`, journal, strings.Join(servers, ","), platformSettings)
 }
 
-// start writes the configuration and starts the program; offices are addresses, cells in their order.
+// start starts the program with a configuration for offices, and waits until it is ready or has ended. callws is the
+// text of the operators' settings.
 func start(t *testing.T, journal string, offices []string, callws string) *program {
 	t.Helper()
 	return startWith(t, configuration(journal, offices), callws)
 }
 
-// startWith starts the program with a configuration of the test's own.
-func startWith(t *testing.T, text, callws string) *program {
+// startWith does the same with the text of the platform's file.
+func startWith(t *testing.T, platformText, settingsText string) *program {
 	t.Helper()
 	dir := t.TempDir()
-	file, project := filepath.Join(dir, "config.json"), filepath.Join(dir, "callws.toml")
-	for name, text := range map[string]string{file: text, project: callws} {
+	file, settingsFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "callws.toml")
+	for name, text := range map[string]string{file: platformText, settingsFile: settingsText} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	p := &program{Cmd: exec.Command(os.Args[0]), config: file, t: t, ready: make(chan struct{}), ended: make(chan struct{})}
-	p.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1", "PROXY_CONFIG="+file, "MASTHILL_SETTINGS="+project)
+	p.Env = append(os.Environ(), "MASTHILL_TEST_RUN=1", "PROXY_CONFIG="+file, "MASTHILL_SETTINGS="+settingsFile)
 	p.Stderr = p
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -112,7 +113,7 @@
 	return p
 }
 
-// Write takes the program's log, and from it the addresses where it listens.
+// Write receives the program's log, and reads from it the addresses that the program listens at.
 func (p *program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +131,7 @@
 	return len(b), nil
 }
 
-// reload replaces the configuration and tells the program so.
+// reload changes the platform's file and has the program read it again.
 func (p *program) reload(change func(text string) string) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.config)
@@ -145,7 +146,7 @@
 	}
 }
 
-// stop ends the program as the platform does, and wants exit code 0.
+// stop ends the program as the platform does, and checks that its exit code is 0.
 func (p *program) stop() {
 	p.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
@@ -155,36 +156,36 @@
 	}
 }
 
-// peer is a caller's SIP connection.
-type peer struct {
+// callerConn is a caller's SIP connection.
+type callerConn struct {
 	net.Conn
 	*sip.Reader
 	t *testing.T
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *callerConn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, sip.NewReader(c), t}
+	return &callerConn{c, sip.NewReader(c), t}
 }
 
-func invite(id, more string) string {
+func invite(id, extraHeaders string) string {
 	return "INVITE sip:17@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: " + id + "\r\nCSeq: 1 INVITE\r\n" +
-		"Subject: open-log\r\n" + more + "Content-Length: 5\r\n\r\noffer"
+		"Subject: open-log\r\n" + extraHeaders + "Content-Length: 5\r\n\r\noffer"
 }
 
-func (p *peer) write(text string) {
+func (p *callerConn) write(text string) {
 	if _, err := io.WriteString(p.Conn, text); err != nil {
 		p.t.Error(err)
 	}
 }
 
-// want reads on to a message of that status or method.
-func (p *peer) want(status int, method string) *sip.Message {
+// expect reads the next message and checks its status and method.
+func (p *callerConn) expect(status int, method string) *sip.Message {
 	p.t.Helper()
 	m, err := p.Next()
 	if err != nil || m.Status != status || string(m.Method) != method {
@@ -194,55 +195,55 @@
 	return m
 }
 
-// processor is what a stand-in office works with: one line that takes set-ups in turn, slow for a while, and full
-// beyond some that wait. It notes what no caller's side sees: two attempts of a call out at once.
+// processor handles the set-ups of a fake office, one at a time. It can be made slow, and refuses set-ups when maxQueue
+// of them wait. It records what callers cannot see: two open attempts of the same call.
 type processor struct {
-	*ledger
-	name    string
-	line    sync.Mutex
-	mu      sync.Mutex
-	waiting int
-	slow    bool
-	drop    map[string]bool // given up while they waited
-	over    string          // a call from before, released on the next connection
+	*attemptLog
+	name             string
+	processing       sync.Mutex
+	mu               sync.Mutex
+	waiting          int
+	slow             bool
+	abandoned        map[string]bool // calls canceled while they waited
+	releaseOnConnect string          // a call set up earlier, released on the next connection; empty: none
 }
 
-// ledger is what all stand-in offices of a test note together.
-type ledger struct {
-	mu        sync.Mutex
-	out       map[string]string // call to the office where its attempt is out
-	overlaps  map[string]string // calls sent while an attempt was out, and where that was
-	cancelled map[string]bool   // call at office
-	attempts  int
+// attemptLog records the attempts at all fake offices of a test.
+type attemptLog struct {
+	mu           sync.Mutex
+	openAttempts map[string]string // by call: the office where its attempt is open
+	overlaps     map[string]string // by call that was sent while an attempt was open: the office of that attempt
+	canceled     map[string]bool   // by call and office
+	attempts     int
 }
 
-func newLedger() *ledger {
-	return &ledger{out: map[string]string{}, overlaps: map[string]string{}, cancelled: map[string]bool{}}
+func newAttemptLog() *attemptLog {
+	return &attemptLog{openAttempts: map[string]string{}, overlaps: map[string]string{}, canceled: map[string]bool{}}
 }
 
-const queueMost = 12
+const maxQueue = 12
 
-// setup works on a set-up and answers it by accept or refuse. It returns at once.
+// setup queues a set-up, which is answered by accept or refuse. It returns at once.
 func (p *processor) setup(id string, accept, refuse func()) {
-	p.ledger.mu.Lock()
+	p.attemptLog.mu.Lock()
 	p.attempts++
-	if at, ok := p.out[id]; ok {
+	if at, ok := p.openAttempts[id]; ok {
 		p.overlaps[id] = at
 	}
-	p.out[id] = p.name
-	p.ledger.mu.Unlock()
+	p.openAttempts[id] = p.name
+	p.attemptLog.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.drop, id)
-	if p.waiting >= queueMost {
+	delete(p.abandoned, id)
+	if p.waiting >= maxQueue {
 		p.ended(id)
 		refuse()
 		return
 	}
 	p.waiting++
 	go func() {
-		p.line.Lock()
-		defer p.line.Unlock()
+		p.processing.Lock()
+		defer p.processing.Unlock()
 		p.mu.Lock()
 		work := time.Millisecond
 		if p.slow {
@@ -253,7 +254,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.waiting--
-		if p.drop[id] {
+		if p.abandoned[id] {
 			return
 		}
 		p.ended(id)
@@ -262,19 +263,19 @@
 }
 
 func (p *processor) ended(id string) {
-	p.ledger.mu.Lock()
-	defer p.ledger.mu.Unlock()
-	delete(p.out, id)
+	p.attemptLog.mu.Lock()
+	defer p.attemptLog.mu.Unlock()
+	delete(p.openAttempts, id)
 }
 
 func (p *processor) cancel(id string) {
 	p.mu.Lock()
-	p.drop[id] = true
+	p.abandoned[id] = true
 	p.mu.Unlock()
-	p.ledger.mu.Lock()
-	defer p.ledger.mu.Unlock()
-	delete(p.out, id)
-	p.cancelled[id+" "+p.name] = true
+	p.attemptLog.mu.Lock()
+	defer p.attemptLog.mu.Unlock()
+	delete(p.openAttempts, id)
+	p.canceled[id+" "+p.name] = true
 }
 
 func (p *processor) setSlow(slow bool) {
@@ -283,11 +284,11 @@
 	p.slow = slow
 }
 
-func newProcessor(l *ledger, name string) *processor {
-	return &processor{ledger: l, name: name, drop: map[string]bool{}}
+func newProcessor(l *attemptLog, name string) *processor {
+	return &processor{attemptLog: l, name: name, abandoned: map[string]bool{}}
 }
 
-// sipOffice is a stand-in that speaks the platform's protocol.
+// sipOffice is a fake office that speaks the platform's protocol.
 func sipOffice(t *testing.T, p *processor) string {
 	return netcase.ServeConns(t, func(c net.Conn) {
 		var mu sync.Mutex
@@ -297,8 +298,8 @@
 			io.WriteString(c, text)
 		}
 		write("NOTIFY sip:x@net SIP/2.0\r\nX-State: x0:100;x1:100\r\nContent-Length: 0\r\n\r\n")
-		if p.over != "" {
-			write("BYE sip:x@net SIP/2.0\r\nCall-ID: " + p.over + "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n" +
+		if p.releaseOnConnect != "" {
+			write("BYE sip:x@net SIP/2.0\r\nCall-ID: " + p.releaseOnConnect + "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\n" +
 				"Content-Length: 0\r\n\r\n")
 		}
 		for r := sip.NewReader(c); ; {
@@ -323,7 +324,7 @@
 	})
 }
 
-// wsOffice is a stand-in that speaks call control over WebSocket.
+// wsOffice is a fake office that speaks call control over WebSocket.
 func wsOffice(t *testing.T, p *processor) string {
 	return "ws://" + netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{"callserver.v1"}})
