--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -89,12 +89,12 @@
 		for k, j := range jumps {
 			one := cell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
 			for _, r := range results[k*len(numbers) : (k+1)*len(numbers)] {
-				after := share(r.BySecond, r.OfferedByS, back, end)
-				one.Served += r.Served / float64(len(numbers))
+				after := share(r.ServedBySecond, r.OfferedBySecond, back, end)
+				one.Served += r.ServedShare / float64(len(numbers))
 				one.After += after / float64(len(numbers))
 				one.Worst = min(one.Worst, after)
 				if r.Any() {
-					return fmt.Errorf("%s, seed %d: a rule was broken: %v", one.Size, r.Seed, r.Texts)
+					return fmt.Errorf("%s, seed %d: a rule was broken: %v", one.Size, r.Seed, r.Descriptions)
 				}
 			}
 			if k%len(c.Times) == 0 {
--- a/cmd/masthill-lab/cold.go
+++ b/cmd/masthill-lab/cold.go
@@ -77,7 +77,7 @@
 		var starts []model.ColdStart
 		var served []float64
 		for _, r := range results {
-			starts, served = append(starts, r.ColdStarts...), append(served, r.Served)
+			starts, served = append(starts, r.ColdStarts...), append(served, r.ServedShare)
 		}
 		printCold(s.Name, starts, fmt.Sprintf("%.4f", stat.Mean(served, nil)))
 		all = append(all, starts...)
@@ -90,13 +90,13 @@
 func printCold(name string, starts []model.ColdStart, served string) {
 	falls, broken, worst, told, mean, sends := 0, 0, 0.0, 0.0, 0.0, 0.0
 	for _, s := range starts {
-		if s.Fell {
+		if s.BoundExceeded {
 			falls++
 		}
-		if s.Broken() {
+		if s.BreaksRule() {
 			broken++
 		}
-		worst, told, mean, sends = max(worst, s.Load), max(told, s.ToldLoad), mean+s.Load, sends+float64(s.InTotal)
+		worst, told, mean, sends = max(worst, s.PeakLoad), max(told, s.InformedLoad), mean+s.PeakLoad, sends+float64(s.TotalSent)
 	}
 	n := float64(max(len(starts), 1))
 	low, high := proportion(broken, len(starts))
--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -68,8 +68,8 @@
 }
 
 func (c jamCmd) scenario(seed uint64, with func(control.Settings, float64, uint64, int64) join.Chain) model.Scenario {
-	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, For: jamLength, Redials: c.Redials, Join: with,
-		Line: processor.Lines[c.Line], DropAnswers: c.DropAnswers, Rate: c.jump}
+	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, Duration: jamLength, Redials: c.Redials, Join: with,
+		QueueOrder: processor.QueueOrders[c.Line], DropAnswers: c.DropAnswers, RateFactor: c.jump}
 }
 
 // jump is the rate over time.
@@ -84,8 +84,8 @@
 // vain, and the rest of the callers stand late at best.
 func (c jamCmd) bound(r *model.Result) float64 {
 	total := c.Load * (jamLength.Seconds() + (c.Times-1)*c.For.Seconds())
-	over := max(c.Load*c.Times-1/r.Use, 0) * c.For.Seconds()
-	return 1 - (1-model.Late)*over/total
+	over := max(c.Load*c.Times-1/r.UtilizationAtPlan, 0) * c.For.Seconds()
+	return 1 - (1-model.LateValue)*over/total
 }
 
 // share is the part of the calls first offered from a second on, up to another, that was served.
@@ -131,15 +131,15 @@
 	var served, after []float64
 	broken := 0
 	for _, r := range all {
-		served, after = append(served, r.Served), append(after, share(r.BySecond, r.OfferedByS, back, int(jamLength/time.Second)))
+		served, after = append(served, r.ServedShare), append(after, share(r.ServedBySecond, r.OfferedBySecond, back, int(jamLength/time.Second)))
 		if r.Any() || r.FellOver {
 			broken++
-			fmt.Println(" ", r.Seed, r.Texts)
+			fmt.Println(" ", r.Seed, r.Descriptions)
 		}
 	}
 	fmt.Printf("served %.4f (worst %.4f), 15 s after the jump %.4f (worst %.4f), %d seeds\n", stat.Mean(served, nil), least(served), stat.Mean(after, nil), least(after), len(all))
 	for k, r := range all {
-		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.Served, c.bound(r), after[k], r.Refused,
+		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.ServedShare, c.bound(r), after[k], r.RefusedByServers,
 			float64(r.Tries)/float64(max(r.Calls, 1)))
 	}
 	if c.JSON != "" {
@@ -193,16 +193,16 @@
 			return err
 		}
 		r, err := wave.Run(ctx, wave.Options{Program: program, Settings: settings, Instances: c.Controllers, Servers: c.Servers, Seed: seed, Load: c.Load,
-			Planned: planned, Steady: true, Warm: jamFrom, Wave: c.For, After: jamLength - jamFrom - c.For, Rate: c.jump, Dir: dir})
+			Planned: planned, Steady: true, WarmUp: jamFrom, RestartWindow: c.For, After: jamLength - jamFrom - c.For, RateFactor: c.jump, Dir: dir})
 		os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: served %.3f, 15 s after the jump %.3f, %d calls, %d tries, missing %d, twice %d, overlapping %d, rig late %.0f ms\n", seed, r.Served,
-			share(r.BySecond, r.OfferedByS, back, len(r.BySecond)), r.Calls, r.Tries, r.Missing, r.Twice, r.Overlaps, r.LateMS)
+			share(r.ServedBySecond, r.OfferedBySecond, back, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
 		r.Samples = nil
 		if all = append(all, r); r.Any() || len(r.Errors) > 0 {
-			return fmt.Errorf("a rule was broken, or an instance failed: %v %v", r.Texts, r.Errors)
+			return fmt.Errorf("a rule was broken, or an instance failed: %v %v", r.Descriptions, r.Errors)
 		}
 	}
 	if c.JSON == "" {
@@ -220,14 +220,14 @@
 	for k := range int(jamLength / time.Second) {
 		sum := 0.0
 		for _, r := range all {
-			sum += r.BySecond[k]
+			sum += r.ServedBySecond[k]
 		}
 		mean = append(mean, plotter.XY{X: float64(k), Y: sum / math.Max(float64(len(all)), 1)})
 	}
 	for k, r := range all {
 		var one plotter.XYs
 		for s := range mean {
-			one = append(one, plotter.XY{X: float64(s), Y: r.BySecond[s]})
+			one = append(one, plotter.XY{X: float64(s), Y: r.ServedBySecond[s]})
 		}
 		line, err := plotter.NewLine(one)
 		if err != nil {
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -26,17 +26,17 @@
 const swingEvery = 4 * time.Second
 
 func (c levelsCmd) scenario(seed uint64) model.Scenario {
-	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: 1, For: 80 * time.Second, Redials: 2}
+	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: 1, Duration: 80 * time.Second, Redials: 2}
 	switch c.Scenario {
 	case "swing": // from 90% to 120% of plan and back
-		sc.Rate = func(at time.Duration) float64 {
+		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 10*time.Second && at/swingEvery%2 == 1 {
 				return 1.2
 			}
 			return 0.9
 		}
 	case "jump": // for three seconds
-		sc.Rate = func(at time.Duration) float64 {
+		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 20*time.Second && at < 23*time.Second {
 				return 0.93 * 1.8
 			}
@@ -44,10 +44,10 @@
 		}
 	case "slowdown": // that ends while a restart wave begins
 		sc.Load = 0.93
-		sc.Troubles = []model.Trouble{{Kind: "slow", At: 15 * time.Second, For: 15 * time.Second, Times: 2.5},
-			{Kind: "restarts", At: 29 * time.Second, For: 20 * time.Second, Share: 0.93, Batch: 0.28}}
+		sc.Faults = []model.Fault{{Kind: "slow", At: 15 * time.Second, Duration: 15 * time.Second, Magnitude: 2.5},
+			{Kind: "restarts", At: 29 * time.Second, Duration: 20 * time.Second, Share: 0.93, Batch: 0.28}}
 	case "overload": // for a minute
-		sc.Rate = func(at time.Duration) float64 {
+		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 10*time.Second && at < 70*time.Second {
 				return 1.5
 			}
@@ -99,10 +99,10 @@
 		most, changes, worst, high := 0, 0, 1.0, levels.Normal
 		for _, p := range runs[on] {
 			if p.r.Any() {
-				return fmt.Errorf("seed %d: a rule was broken: %v", p.r.Seed, p.r.Texts)
+				return fmt.Errorf("seed %d: a rule was broken: %v", p.r.Seed, p.r.Descriptions)
 			}
-			served[on] = append(served[on], p.r.Served)
-			most, changes, high, worst = max(most, p.most), changes+p.changes, max(high, p.highest), min(worst, p.r.Served)
+			served[on] = append(served[on], p.r.ServedShare)
+			most, changes, high, worst = max(most, p.most), changes+p.changes, max(high, p.highest), min(worst, p.r.ServedShare)
 		}
 		mean := 0.0
 		for _, x := range served[on] {
--- a/cmd/masthill-lab/main.go
+++ b/cmd/masthill-lab/main.go
@@ -106,8 +106,8 @@
 		}
 	}
 	fmt.Printf("seed %d, load %.3f: cold wait %.0f of %.0f ms, fell over %v, served %.4f, %d calls, %d restarts, missing %d, twice %d, overlapping %d, late %.0f ms\n",
-		r.Seed, r.Load, r.ColdWait, r.Refusal, r.FellOver, r.Served, r.Calls, r.Restarts, r.Missing, r.Twice, r.Overlaps, r.LateMS)
-	for _, text := range append(r.Texts, r.Errors...) {
+		r.Seed, r.Load, r.MaxColdWaitMS, r.RefusalPointMS, r.FellOver, r.Served, r.Calls, r.Restarts, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
+	for _, text := range append(r.Descriptions, r.Errors...) {
 		fmt.Println(" ", text)
 	}
 	if r.Any() || len(r.Errors) > 0 {
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -63,14 +63,14 @@
 			t.Fatal(err)
 		}
 		var all []*model.Result
-		if err := json.Unmarshal(text, &all); err != nil || len(all) != 4 || len(all[0].BySecond) < 80 {
+		if err := json.Unmarshal(text, &all); err != nil || len(all) != 4 || len(all[0].ServedBySecond) < 80 {
 			t.Fatal(all, err)
 		}
 		if info, err := os.Stat(filepath.Join(dir, "jam.svg")); err != nil || info.Size() < 1000 {
 			t.Error("no plot", err)
 		}
 		for _, r := range all {
-			served, after = served+r.Served/4, after+share(r.BySecond, r.OfferedByS, 45, 80)/4
+			served, after = served+r.ServedShare/4, after+share(r.ServedBySecond, r.OfferedBySecond, 45, 80)/4
 		}
 		return served, after
 	}
--- a/cmd/masthill-lab/model.go
+++ b/cmd/masthill-lab/model.go
@@ -30,9 +30,9 @@
 
 func (c modelCmd) scenario(seed uint64, join joining) model.Scenario {
 	late := time.Duration(c.ListLate * float64(time.Second))
-	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, For: 52 * time.Second, Redials: 2,
-		ListLate: [2]time.Duration{late / 6, late}, Troubles: []model.Trouble{
-			{Kind: c.Cold, At: 9700 * time.Millisecond}, {Kind: "restarts", At: 8 * time.Second, For: 28 * time.Second, Share: 0.93, Batch: 0.28}}}
+	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, Duration: 52 * time.Second, Redials: 2,
+		ListDelay: [2]time.Duration{late / 6, late}, Faults: []model.Fault{
+			{Kind: c.Cold, At: 9700 * time.Millisecond}, {Kind: "restarts", At: 8 * time.Second, Duration: 28 * time.Second, Share: 0.93, Batch: 0.28}}}
 	sc.Join = join
 	return sc
 }
@@ -86,15 +86,15 @@
 		var served, wait []float64
 		fell, rate, kb := 0, 0.0, 0.0
 		for _, r := range all {
-			served, wait = append(served, r.Served), append(wait, r.ColdWait/r.Refusal)
+			served, wait = append(served, r.ServedShare), append(wait, r.MaxColdWaitMS/r.RefusalPointMS)
 			if r.FellOver {
 				fell++
 			}
 			if r.Any() {
 				broken++
-				fmt.Println(" ", r.Seed, r.Texts)
+				fmt.Println(" ", r.Seed, r.Descriptions)
 			}
-			rate, kb = rate+r.EventsS, max(kb, r.MemoryKB)
+			rate, kb = rate+r.EventsPerSecond, max(kb, r.MemoryKB)
 		}
 		fmt.Printf("%-9s served %.4f (worst %.4f); cold wait of the refusal point %.3f (worst %.3f); fell over %d of %d; %.0f events/s, %.0f KB a controller\n",
 			name, stat.Mean(served, nil), least(served), stat.Mean(wait, nil), -least(negated(wait)), fell, len(all), rate/float64(len(all)), kb)
@@ -132,8 +132,8 @@
 		g.SetLimit(8)
 		for k := range all {
 			g.Go(func() (err error) {
-				sc := model.Scenario{Seed: uint64(k + 1), Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, For: to * time.Second,
-					Redials: 2, Flood: &model.Flood{Tenant: "barrow-estate", At: from * time.Second, For: (to - from) * time.Second, Load: c.Flood}}
+				sc := model.Scenario{Seed: uint64(k + 1), Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, Duration: to * time.Second,
+					Redials: 2, Flood: &model.Flood{Tenant: "barrow-estate", At: from * time.Second, Duration: (to - from) * time.Second, Load: c.Flood}}
 				sc.Join = joined
 				if err = ctx.Err(); err == nil {
 					all[k], err = model.Run(sc)
@@ -146,17 +146,17 @@
 		}
 		by, worst, good := map[string]float64{}, 1.0, 0.0
 		for _, r := range all {
-			for name, share := range r.InFlood {
+			for name, share := range r.ServedInFlood {
 				by[name] += share / float64(len(all))
 				if name != "barrow-estate" {
 					worst = min(worst, share)
 				}
 			}
 			for s := from; s < to; s++ {
-				good += r.BySecond[s] * float64(r.OfferedByS[s]) / (to - from) / 22 / float64(r.Servers) / float64(len(all))
+				good += r.ServedBySecond[s] * float64(r.OfferedBySecond[s]) / (to - from) / 22 / float64(r.Servers) / float64(len(all))
 			}
 			if r.Any() {
-				return fmt.Errorf("seed %d: a rule was broken: %v", r.Seed, r.Texts)
+				return fmt.Errorf("seed %d: a rule was broken: %v", r.Seed, r.Descriptions)
 			}
 		}
 		fmt.Printf("%-21s slaney-vines %.3f, suir-growers %.3f (worst of either %.3f), barrow-estate (the flood) %.3f; placed %.2f of the plan\n", column,
--- a/cmd/masthill-lab/scenes.go
+++ b/cmd/masthill-lab/scenes.go
@@ -43,7 +43,7 @@
 	if len(c.Scene) != 1 || c.Scene[0] != "all" {
 		list = nil
 		for _, name := range c.Scene {
-			s, err := model.SceneNamed(name)
+			s, err := model.SceneByName(name)
 			if err != nil {
 				return err
 			}
@@ -83,11 +83,11 @@
 		}
 		var a, b, late []float64
 		for k := range numbers {
-			a, b, late = append(a, off[k].Served), append(b, on[k].Served), append(late, on[k].Late)
+			a, b, late = append(a, off[k].ServedShare), append(b, on[k].ServedShare), append(late, on[k].LateShare)
 			for column, r := range map[string]*model.Result{c.Before: off[k], c.With: on[k]} {
 				if r.Any() {
 					broken++
-					fmt.Println(" ", s.Name, column, r.Seed, len(r.Texts), r.Texts[0])
+					fmt.Println(" ", s.Name, column, r.Seed, len(r.Descriptions), r.Descriptions[0])
 				}
 				if lines != nil {
 					if err := lines.Encode(struct {
--- a/cmd/masthill-lab/silent.go
+++ b/cmd/masthill-lab/silent.go
@@ -44,10 +44,10 @@
 				if ctx.Err() != nil {
 					return ctx.Err()
 				}
-				sc := model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Load: c.Load, For: silentLength, Redials: 2, Join: join,
-					Troubles: []model.Trouble{{Kind: "silent", At: silentFrom, For: silentFor, Share: 0.01}}}
+				sc := model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Load: c.Load, Duration: silentLength, Redials: 2, Join: join,
+					Faults: []model.Fault{{Kind: "silent", At: silentFrom, Duration: silentFor, Share: 0.01}}}
 				if c.Liar {
-					sc.Liar = 1
+					sc.FalseReporter = 1
 				}
 				all[k], err = model.Run(sc)
 				return err
@@ -60,12 +60,12 @@
 		var served []float64
 		for _, r := range all {
 			if r.Any() {
-				return fmt.Errorf("seed %d: a rule was broken: %v", r.Seed, r.Texts)
+				return fmt.Errorf("seed %d: a rule was broken: %v", r.Seed, r.Descriptions)
 			}
-			for k, n := range r.SilentSends {
+			for k, n := range r.SendsToSilentServers {
 				by[min(k, len(by)-1)] += float64(n) / float64(len(all))
 			}
-			served = append(served, r.Served)
+			served = append(served, r.ServedShare)
 		}
 		fmt.Printf("%-22s set-ups to the silent server by second: %.1f; served %.4f", names, by, stat.Mean(served, nil))
 		if first == nil {
--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -22,23 +22,23 @@
 	mu    sync.Mutex
 	calls map[string]*entry
 	told  map[string]time.Time // instance and server: when it was told of a drain
-	Broken
+	Violations
 }
 
 // Broken counts what broke a rule; the texts are of the first few.
-type Broken struct {
-	Missing  int      `json:"answers_missing"`
-	Twice    int      `json:"answers_twice"`
-	Overlaps int      `json:"attempts_overlapping"`
-	TooSoon  int      `json:"attempts_too_soon"`
-	Drained  int      `json:"sends_after_drain"`
-	Unasked  int      `json:"attempts_unasked"` // of calls that no caller made, or that are over
-	Texts    []string `json:"broken,omitempty"`
+type Violations struct {
+	MissingAnswers      int      `json:"answers_missing"`
+	DuplicateAnswers    int      `json:"answers_twice"`
+	OverlappingAttempts int      `json:"attempts_overlapping"`
+	TooSoon             int      `json:"attempts_too_soon"`
+	SendsAfterDrain     int      `json:"sends_after_drain"`
+	UnknownCalls        int      `json:"attempts_unasked"` // of calls that no caller made, or that are over
+	Descriptions        []string `json:"broken,omitempty"`
 }
 
 // Any tells whether anything broke.
-func (b Broken) Any() bool {
-	return b.Missing+b.Twice+b.Overlaps+b.TooSoon+b.Drained+b.Unasked > 0
+func (b Violations) Any() bool {
+	return b.MissingAnswers+b.DuplicateAnswers+b.OverlappingAttempts+b.TooSoon+b.SendsAfterDrain+b.UnknownCalls > 0
 }
 
 type entry struct {
@@ -59,8 +59,8 @@
 
 func (l *Ledger) broke(n *int, format string, a ...any) {
 	*n++
-	if len(l.Texts) < textsMost {
-		l.Texts = append(l.Texts, fmt.Sprintf(format, a...))
+	if len(l.Descriptions) < textsMost {
+		l.Descriptions = append(l.Descriptions, fmt.Sprintf(format, a...))
 	}
 }
 
@@ -77,13 +77,13 @@
 	defer l.mu.Unlock()
 	if e := l.calls[call]; e != nil {
 		if e.answers++; e.answers > 1 {
-			l.broke(&l.Twice, "call %s has %d answers", call, e.answers)
+			l.broke(&l.DuplicateAnswers, "call %s has %d answers", call, e.answers)
 		}
 	}
 }
 
 // Left notes that a call is given up by its caller, or that the instance that had it was killed.
-func (l *Ledger) Left(call string) {
+func (l *Ledger) Abandoned(call string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.calls[call]; e != nil {
@@ -92,53 +92,53 @@
 }
 
 // Overdue notes that a caller's time is up without an answer.
-func (l *Ledger) Overdue(call, why string) {
+func (l *Ledger) TimedOut(call, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.calls[call]; e != nil && e.answers == 0 && !e.left {
 		e.left = true
-		l.broke(&l.Missing, "call %s has no answer: %s", call, why)
+		l.broke(&l.MissingAnswers, "call %s has no answer: %s", call, why)
 	}
 }
 
 // Told notes that an instance was told that a server drains or is gone.
-func (l *Ledger) Told(instance, server string, at time.Time) {
+func (l *Ledger) DrainAnnounced(instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.told[instance+" "+server] = at
 }
 
 // Listed notes that an instance was told that a server takes work again.
-func (l *Ledger) Listed(instance, server string) {
+func (l *Ledger) ServingAnnounced(instance, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.told, instance+" "+server)
 }
 
 // Sent notes an attempt that reached a server whole.
-func (l *Ledger) Sent(call, instance, server string, at time.Time) {
+func (l *Ledger) AttemptSent(call, instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[call]
 	if e == nil {
-		l.broke(&l.Unasked, "attempt of the unknown call %s", call)
+		l.broke(&l.UnknownCalls, "attempt of the unknown call %s", call)
 		return
 	}
 	if e.out != "" {
-		l.broke(&l.Overlaps, "call %s goes to %s while out at %s", call, server, e.out)
+		l.broke(&l.OverlappingAttempts, "call %s goes to %s while out at %s", call, server, e.out)
 	}
 	if at.Before(e.clearAt.Add(-l.rules.Slack)) {
 		l.broke(&l.TooSoon, "call %s again %v too soon", call, e.clearAt.Sub(at))
 	}
 	if told, ok := l.told[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
-		l.broke(&l.Drained, "call %s to %s, %v after %s was told", call, server, at.Sub(told), instance)
+		l.broke(&l.SendsAfterDrain, "call %s to %s, %v after %s was told", call, server, at.Sub(told), instance)
 	}
 	e.out = server
 	e.attempts++
 }
 
 // Ended notes that a server wrote an attempt's end, or that it was given up (which makes the release wait due).
-func (l *Ledger) Ended(call, server string, givenUp bool, at time.Time) {
+func (l *Ledger) AttemptEnded(call, server string, givenUp bool, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.calls[call]
@@ -152,11 +152,11 @@
 }
 
 // Result gives what broke so far, and the calls and attempts seen.
-func (l *Ledger) Result() (b Broken, calls, attempts int) {
+func (l *Ledger) Result() (b Violations, calls, attempts int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.calls {
 		attempts += e.attempts
 	}
-	return l.Broken, len(l.calls), attempts
+	return l.Violations, len(l.calls), attempts
 }
--- a/lab/check/check_test.go
+++ b/lab/check/check_test.go
@@ -13,38 +13,38 @@
 	for _, tc := range []struct {
 		name string
 		do   func(l *Ledger)
-		of   func(b Broken) int
+		of   func(b Violations) int
 	}{
 		{"clean", func(l *Ledger) {
-			l.Sent("a", "n0", "s0", at(1))
-			l.Ended("a", "s0", false, at(2))
-			l.Sent("a", "n0", "s1", at(3))
-			l.Ended("a", "s1", true, at(10))
-			l.Sent("a", "n0", "s0", at(311))
-			l.Ended("a", "s0", false, at(320))
+			l.AttemptSent("a", "n0", "s0", at(1))
+			l.AttemptEnded("a", "s0", false, at(2))
+			l.AttemptSent("a", "n0", "s1", at(3))
+			l.AttemptEnded("a", "s1", true, at(10))
+			l.AttemptSent("a", "n0", "s0", at(311))
+			l.AttemptEnded("a", "s0", false, at(320))
 			l.Answered("a")
-			l.Told("n0", "s1", at(0))
+			l.DrainAnnounced("n0", "s1", at(0))
 			l.Offered("b", at(900))
-			l.Sent("b", "n0", "s1", at(1040))
-			l.Left("b")
-			l.Overdue("b", "its caller left")
-			l.Overdue("a", "")
-		}, func(b Broken) int {
+			l.AttemptSent("b", "n0", "s1", at(1040))
+			l.Abandoned("b")
+			l.TimedOut("b", "its caller left")
+			l.TimedOut("a", "")
+		}, func(b Violations) int {
 			if b.Any() {
 				return 0
 			}
 			return 1
 		}},
-		{"missing", func(l *Ledger) { l.Overdue("a", "x") }, func(b Broken) int { return b.Missing }},
-		{"twice", func(l *Ledger) { l.Answered("a"); l.Answered("a") }, func(b Broken) int { return b.Twice }},
-		{"overlap", func(l *Ledger) { l.Sent("a", "n0", "s0", at(1)); l.Sent("a", "n0", "s1", at(2)) }, func(b Broken) int { return b.Overlaps }},
+		{"missing", func(l *Ledger) { l.TimedOut("a", "x") }, func(b Violations) int { return b.MissingAnswers }},
+		{"twice", func(l *Ledger) { l.Answered("a"); l.Answered("a") }, func(b Violations) int { return b.DuplicateAnswers }},
+		{"overlap", func(l *Ledger) { l.AttemptSent("a", "n0", "s0", at(1)); l.AttemptSent("a", "n0", "s1", at(2)) }, func(b Violations) int { return b.OverlappingAttempts }},
 		{"too soon", func(l *Ledger) {
-			l.Sent("a", "n0", "s0", at(1))
-			l.Ended("a", "s0", true, at(2))
-			l.Sent("a", "n0", "s1", at(200))
-		}, func(b Broken) int { return b.TooSoon }},
-		{"drained", func(l *Ledger) { l.Told("n0", "s0", at(0)); l.Sent("a", "n0", "s0", at(1051)) }, func(b Broken) int { return b.Drained }},
-		{"unasked", func(l *Ledger) { l.Sent("z", "n0", "s0", at(1)) }, func(b Broken) int { return b.Unasked }},
+			l.AttemptSent("a", "n0", "s0", at(1))
+			l.AttemptEnded("a", "s0", true, at(2))
+			l.AttemptSent("a", "n0", "s1", at(200))
+		}, func(b Violations) int { return b.TooSoon }},
+		{"drained", func(l *Ledger) { l.DrainAnnounced("n0", "s0", at(0)); l.AttemptSent("a", "n0", "s0", at(1051)) }, func(b Violations) int { return b.SendsAfterDrain }},
+		{"unasked", func(l *Ledger) { l.AttemptSent("z", "n0", "s0", at(1)) }, func(b Violations) int { return b.UnknownCalls }},
 	} {
 		l := New(rules)
 		l.Offered("a", at(0))
@@ -53,7 +53,7 @@
 		if tc.of(b) != 1 {
 			t.Errorf("%s: %+v", tc.name, b)
 		}
-		if tc.name != "clean" && (!b.Any() || len(b.Texts) != 1) {
+		if tc.name != "clean" && (!b.Any() || len(b.Descriptions) != 1) {
 			t.Errorf("%s is not told: %+v", tc.name, b)
 		}
 	}
--- a/lab/host/host.go
+++ b/lab/host/host.go
@@ -69,7 +69,7 @@
 	case addr = <-ready:
 		return addr, nil
 	case <-ended:
-		return "", fmt.Errorf("%s ended at its start: %s", i.Name, i.Tail())
+		return "", fmt.Errorf("%s ended at its start: %s", i.Name, i.LogTail())
 	case <-time.After(10 * time.Second):
 		return "", fmt.Errorf("%s does not serve", i.Name)
 	case <-ctx.Done():
@@ -138,7 +138,7 @@
 }
 
 // Tail is the end of the log.
-func (i *Instance) Tail() string {
+func (i *Instance) LogTail() string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	text := i.log.String()
@@ -166,7 +166,7 @@
 		return fmt.Errorf("%s did not end on SIGTERM", i.Name)
 	}
 	if code := cmd.ProcessState.ExitCode(); code != 0 && !kill {
-		return fmt.Errorf("%s ended with %d: %s", i.Name, code, i.Tail())
+		return fmt.Errorf("%s ended with %d: %s", i.Name, code, i.LogTail())
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 }
 
 // Platform is the platform's part for instance number k, but for its list.
-func Platform(name string, k int, o Site, journal string, seed uint64) map[string]any {
+func PlatformConfig(name string, k int, o Site, journal string, seed uint64) map[string]any {
 	ns := func(d time.Duration) int64 { return int64(d) }
 	cells := make([]int, o.Servers)
 	for c := range cells {
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -69,7 +69,7 @@
 	open[0].drive()
 	m.after(patience+50e6, func() {
 		if c.id == id && c.stoodAt == 0 {
-			m.ledger.Overdue(id, "none in time")
+			m.ledger.TimedOut(id, "none in time")
 		}
 	})
 }
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -8,20 +8,20 @@
 // ColdStart is what one server got from all controllers together while it was cold, held against the platform's rule:
 // a cold server falls when it gets more than N + 2 √N + 2 requests in the window, N being its budget at that time.
 type ColdStart struct {
-	Load     float64 `json:"load"`      // the most sent in a window, over that bound
-	Sent     int     `json:"sent"`      // in that window
-	Budget   float64 `json:"budget"`    // N at its end
-	Fell     bool    `json:"fell"`      // the bound was passed
-	ToldOf   float64 `json:"told"`      // the part sent by controllers that had been told of the start, at the first fall
-	ToldLoad float64 `json:"told_load"` // the same over the windows of which over two thirds came from controllers that had been told
-	InTotal  int     `json:"in_total"`  // all that it got while cold
+	PeakLoad      float64 `json:"load"`      // the most sent in a window, over that bound
+	Sent          int     `json:"sent"`      // in that window
+	Budget        float64 `json:"budget"`    // N at its end
+	BoundExceeded bool    `json:"fell"`      // the bound was passed
+	InformedShare float64 `json:"told"`      // the part sent by controllers that had been told of the start, at the first fall
+	InformedLoad  float64 `json:"told_load"` // the same over the windows of which over two thirds came from controllers that had been told
+	TotalSent     int     `json:"in_total"`  // all that it got while cold
 }
 
 // toldMost is the part of the sends of a fall beyond which controllers that had been told are to blame.
 const toldMost = 2.0 / 3
 
 // Broken tells whether the fall breaks the rule: over two thirds came from controllers that had been told.
-func (c ColdStart) Broken() bool { return c.Fell && c.ToldOf > toldMost }
+func (c ColdStart) BreaksRule() bool { return c.BoundExceeded && c.InformedShare > toldMost }
 
 // coldSend is a set-up that reached a cold server.
 type coldSend struct {
@@ -64,15 +64,15 @@
 		}
 	}
 	toldOf, load := float64(told)/float64(len(w.sends)), float64(len(w.sends))/fallBound(budget)
-	w.InTotal++
-	if load > w.Load {
-		w.Load, w.Sent, w.Budget = load, len(w.sends), budget
+	w.TotalSent++
+	if load > w.PeakLoad {
+		w.PeakLoad, w.Sent, w.Budget = load, len(w.sends), budget
 	}
 	if toldOf > toldMost {
-		w.ToldLoad = max(w.ToldLoad, load)
+		w.InformedLoad = max(w.InformedLoad, load)
 	}
-	if load > 1 && !w.Fell {
-		w.Fell, w.ToldOf = true, toldOf
+	if load > 1 && !w.BoundExceeded {
+		w.BoundExceeded, w.InformedShare = true, toldOf
 	}
 }
 
@@ -80,27 +80,27 @@
 // mean, and processes of the fleet itself start anew. Only cold servers count in them.
 var ColdScenes = []Scene{
 	{"replace", "six servers of ten replaced within 7 s", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "replace", At: sceneFrom, For: 7 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}}
 	}},
 	{"return", "three servers of ten away for 3 s and back cold", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "down", At: sceneFrom, For: 3 * time.Second, Share: 0.3}}
+		sc.Faults = []Fault{{Kind: "down", At: sceneFrom, Duration: 3 * time.Second, Share: 0.3}}
 	}},
 	{"silent", "three servers of ten silent for 6 s and back cold", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "silent", At: sceneFrom, For: 6 * time.Second, Share: 0.3}}
+		sc.Faults = []Fault{{Kind: "silent", At: sceneFrom, Duration: 6 * time.Second, Share: 0.3}}
 	}},
 	{"killed", "six servers of ten replaced within 7 s, seven in ten controllers killed amid it", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "replace", At: sceneFrom, For: 7 * time.Second, Share: 0.6}, {Kind: "kill", At: sceneFrom + 4*time.Second, Share: 0.7}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}, {Kind: "kill", At: sceneFrom + 4*time.Second, Share: 0.7}}
 	}},
 	{"rolled", "half of the servers replaced while all controllers are restarted, a tenth at a time", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "restarts", At: sceneFrom, For: 20 * time.Second, Share: 1, Batch: 0.1},
-			{Kind: "replace", At: sceneFrom, For: 20 * time.Second, Share: 0.5}}
+		sc.Faults = []Fault{{Kind: "restarts", At: sceneFrom, Duration: 20 * time.Second, Share: 1, Batch: 0.1},
+			{Kind: "replace", At: sceneFrom, Duration: 20 * time.Second, Share: 0.5}}
 	}},
 	{"shifted", "six servers of ten replaced within 7 s, traffic shifts between controllers, 1.8 times the calls for 6 s", func(sc *Scenario) {
-		sc.Rate = jump(1.8, 6*time.Second)
-		sc.Troubles = []Trouble{{Kind: "replace", At: sceneFrom, For: 7 * time.Second, Share: 0.6}, {Kind: "shift", At: sceneFrom + 3*time.Second}}
+		sc.RateFactor = jump(1.8, 6*time.Second)
+		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}, {Kind: "shift", At: sceneFrom + 3*time.Second}}
 	}},
 	{"paused", "six servers of ten replaced within 2 s, no calls for 5 s, then 2.5 times as many for 6 s", func(sc *Scenario) {
-		sc.Rate = func(at time.Duration) float64 {
+		sc.RateFactor = func(at time.Duration) float64 {
 			switch since := at - sceneFrom; {
 			case since < 0 || since > 11*time.Second:
 				return 1
@@ -109,7 +109,7 @@
 			}
 			return 2.5
 		}
-		sc.Troubles = []Trouble{{Kind: "replace", At: sceneFrom, For: 2 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 2 * time.Second, Share: 0.6}}
 	}},
 }
 
@@ -120,6 +120,6 @@
 // standard deviation of their logarithms.
 func (s Scene) ColdScenario(seed uint64, controllers, servers int, skew float64) Scenario {
 	sc := s.Scenario(seed, controllers, servers)
-	sc.For, sc.Skew, sc.WatchCold = coldLength, skew, true
+	sc.Duration, sc.Skew, sc.TrackColdStarts = coldLength, skew, true
 	return sc
 }
--- a/lab/model/cold_test.go
+++ b/lab/model/cold_test.go
@@ -27,11 +27,11 @@
 	for range 18 {
 		s.watchCold(c)
 	}
-	if s.watch.Fell || s.watch.Sent != 18 || s.watch.Load < 0.95 || s.watch.Load > 1 {
+	if s.watch.BoundExceeded || s.watch.Sent != 18 || s.watch.PeakLoad < 0.95 || s.watch.PeakLoad > 1 {
 		t.Fatalf("18 sends: %+v", s.watch.ColdStart)
 	}
 	s.watchCold(c)
-	if !s.watch.Broken() || s.watch.ToldOf != 1 || s.watch.InTotal != 19 {
+	if !s.watch.BreaksRule() || s.watch.InformedShare != 1 || s.watch.TotalSent != 19 {
 		t.Errorf("19 sends: %+v", s.watch.ColdStart)
 	}
 	s, c = watched(true)
@@ -39,7 +39,7 @@
 		s.watchCold(c)
 		s.m.now += 60e6
 	}
-	if s.watch.Fell || s.watch.Sent > 17 {
+	if s.watch.BoundExceeded || s.watch.Sent > 17 {
 		t.Errorf("spread: %+v", s.watch.ColdStart)
 	}
 }
@@ -49,13 +49,13 @@
 	for range 30 {
 		s.watchCold(untold)
 	}
-	if !s.watch.Fell || s.watch.Broken() {
+	if !s.watch.BoundExceeded || s.watch.BreaksRule() {
 		t.Errorf("%+v", s.watch.ColdStart)
 	}
 	s.m.now += 20e9 // warm
-	before := s.watch.InTotal
+	before := s.watch.TotalSent
 	s.watchCold(untold)
-	if s.watch.InTotal != before {
+	if s.watch.TotalSent != before {
 		t.Error("a send to a warm server was counted")
 	}
 }
@@ -67,10 +67,10 @@
 		sc.Planned = 112
 		r, err := Run(sc)
 		if err != nil || r.Any() || len(r.ColdStarts) < 2 {
-			t.Fatalf("%s: %d starts, %+v, %v", s.Name, len(r.ColdStarts), r.Broken, err)
+			t.Fatalf("%s: %d starts, %+v, %v", s.Name, len(r.ColdStarts), r.Violations, err)
 		}
 		for _, one := range r.ColdStarts {
-			if one.Fell || one.InTotal == 0 {
+			if one.BoundExceeded || one.TotalSent == 0 {
 				t.Errorf("%s: %+v", s.Name, one)
 			}
 		}
@@ -101,7 +101,7 @@
 	if n := count(Scenario{Controllers: 20}); n > 1200 {
 		t.Errorf("alike: one has %d of 20000", n)
 	}
-	if n := count(Scenario{Controllers: 20, Skew: 0.8, For: time.Second}); n < 2000 {
+	if n := count(Scenario{Controllers: 20, Skew: 0.8, Duration: time.Second}); n < 2000 {
 		t.Errorf("skewed: the most is %d of 20000", n)
 	}
 }
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -97,7 +97,7 @@
 	})
 	for _, id := range byName(c.m.callers) {
 		if one := c.m.callers[id]; one.at == c && one.id == id && one.stoodAt == 0 {
-			c.m.ledger.Left(id)
+			c.m.ledger.Abandoned(id)
 			one.again(0)
 		}
 	}
@@ -116,9 +116,9 @@
 func (c *controller) hear(o exchange.Office) {
 	c.list[o.Server] = o
 	if o.State != control.Serving {
-		c.m.ledger.Told(c.name(), fmt.Sprint(o.Server), c.m.time())
+		c.m.ledger.DrainAnnounced(c.name(), fmt.Sprint(o.Server), c.m.time())
 	} else {
-		c.m.ledger.Listed(c.name(), fmt.Sprint(o.Server))
+		c.m.ledger.ServingAnnounced(c.name(), fmt.Sprint(o.Server))
 	}
 	if c.x != nil {
 		c.x.UpdateOffices([]exchange.Office{o}, false)
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -25,84 +25,84 @@
 	Servers     int
 	Planned     float64 // calls a second that the servers are planned for; 0: 22 for each server
 	Load        float64 // of the planned load
-	For         time.Duration
-	Rate        func(at time.Duration) float64 // times the load; nil: 1
-	Troubles    []Trouble
+	Duration    time.Duration
+	RateFactor  func(at time.Duration) float64 // times the load; nil: 1
+	Faults      []Fault
 	Flood       *Flood
-	ListLate    [2]time.Duration // how late each controller hears of a change
+	ListDelay   [2]time.Duration // how late each controller hears of a change
 	Redials     int
-	Line        processor.Line // the order of work at the servers
-	DropAnswers bool           // a call that is given up takes its pending answer with it
+	QueueOrder  processor.QueueOrder // the order of work at the servers
+	DropAnswers bool                 // a call that is given up takes its pending answer with it
 	// Join makes the decision modules of a controller that starts at a time; nil: none.
 	Join func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
 	// PeerCut tells whether what one controller says to another gets lost; nil: it never does. PeerBytes has what is said
 	// measured, which takes time.
-	PeerCut   func(at time.Duration, from, to int) bool
-	PeerBytes bool
+	PeersPartitioned func(at time.Duration, from, to int) bool
+	PeerBytes        bool
 	// Liar is a controller, counted from 1, that tells the others all the time that every server is dead; 0: none.
-	Liar int
+	FalseReporter int
 	// Skew is the spread of the controllers' shares of the traffic, as the standard deviation of their logarithms; 0: alike.
 	Skew float64
 	// WatchCold counts what servers get while they are cold, and has none of them fall over.
-	WatchCold bool
+	TrackColdStarts bool
 	// Look, if any, is called once a simulated second with what the controllers tell.
-	Look func(at time.Duration, all []exchange.Status)
+	OnStatus func(at time.Duration, all []exchange.Status)
 }
 
 // Trouble is one thing that goes wrong.
-type Trouble struct {
-	Kind  string // replace, crash, down, slow, silent, cut, restarts, kill, late, lossy, shift
-	At    time.Duration
-	For   time.Duration // restarts and replace: until the last of them begins
-	Share float64       // of the servers (one at least); restarts and kill: of the controllers; lossy: of the answers
-	Batch float64       // restarts: of the controllers, at a time
-	Times float64       // slow: so many times slower; late: so many seconds later
+type Fault struct {
+	Kind      string // replace, crash, down, slow, silent, cut, restarts, kill, late, lossy, shift
+	At        time.Duration
+	Duration  time.Duration // restarts and replace: until the last of them begins
+	Share     float64       // of the servers (one at least); restarts and kill: of the controllers; lossy: of the answers
+	Batch     float64       // restarts: of the controllers, at a time
+	Magnitude float64       // slow: so many times slower; late: so many seconds later
 }
 
 // Flood is one member's callers calling far beyond its share, beside the usual calls.
 type Flood struct {
-	Tenant  string
-	At, For time.Duration
-	Load    float64 // of the planned load of all
+	Tenant       string
+	At, Duration time.Duration
+	Load         float64 // of the planned load of all
 }
 
 // Result is what a run showed.
 type Result struct {
-	Seed        uint64      `json:"seed"`
-	Controllers int         `json:"controllers"`
-	Servers     int         `json:"servers"`
-	Calls       int         `json:"calls"`
-	Tries       int         `json:"tries"`
-	Served      float64     `json:"served_share"`
-	Late        float64     `json:"late_share"` // calls that stood after their aim
-	Cut         int         `json:"cut"`
-	FellOver    bool        `json:"fell_over"`
-	ColdWait    float64     `json:"cold_wait_max_ms"` // at a server that started during the run
-	Refusal     float64     `json:"refusal_point_ms"`
-	Use         float64     `json:"use_at_plan"` // part of the processors' time that the planned load takes
-	Refused     int         `json:"refused_by_servers"`
-	Restarts    int         `json:"restarts"`
-	SilentSends []int       `json:"set_ups_to_silent_servers_by_s,omitempty"` // since they went silent
-	PeerSent    int64       `json:"peer_messages,omitempty"`                  // between controllers, counted at each receiver
-	PeerBytes   int64       `json:"peer_bytes,omitempty"`                     // of what was said, each message once
-	ColdStarts  []ColdStart `json:"cold_starts,omitempty"`
-	check.Broken
-	Events     uint64             `json:"events"`
-	EventsS    float64            `json:"events_per_s"`  // of real time
-	MemoryKB   float64            `json:"controller_kb"` // heap at the end, over the controllers
-	RealS      float64            `json:"real_s"`
-	ByTenant   map[string]float64 `json:"served_by_tenant"`
-	InFlood    map[string]float64 `json:"served_in_flood_by_tenant,omitempty"`
-	BySecond   []float64          `json:"served_by_second"`
-	OfferedByS []int              `json:"offered_by_second"`
+	Seed                 uint64      `json:"seed"`
+	Controllers          int         `json:"controllers"`
+	Servers              int         `json:"servers"`
+	Calls                int         `json:"calls"`
+	Tries                int         `json:"tries"`
+	ServedShare          float64     `json:"served_share"`
+	LateShare            float64     `json:"late_share"` // calls that stood after their aim
+	CutCalls             int         `json:"cut"`
+	FellOver             bool        `json:"fell_over"`
+	MaxColdWaitMS        float64     `json:"cold_wait_max_ms"` // at a server that started during the run
+	RefusalPointMS       float64     `json:"refusal_point_ms"`
+	UtilizationAtPlan    float64     `json:"use_at_plan"` // part of the processors' time that the planned load takes
+	RefusedByServers     int         `json:"refused_by_servers"`
+	Restarts             int         `json:"restarts"`
+	SendsToSilentServers []int       `json:"set_ups_to_silent_servers_by_s,omitempty"` // since they went silent
+	PeerSent             int64       `json:"peer_messages,omitempty"`                  // between controllers, counted at each receiver
+	PeerBytes            int64       `json:"peer_bytes,omitempty"`                     // of what was said, each message once
+	ColdStarts           []ColdStart `json:"cold_starts,omitempty"`
+	check.Violations
+	Events          uint64             `json:"events"`
+	EventsPerSecond float64            `json:"events_per_s"`  // of real time
+	MemoryKB        float64            `json:"controller_kb"` // heap at the end, over the controllers
+	RealSeconds     float64            `json:"real_s"`
+	ServedByTenant  map[string]float64 `json:"served_by_tenant"`
+	ServedInFlood   map[string]float64 `json:"served_in_flood_by_tenant,omitempty"`
+	ServedBySecond  []float64          `json:"served_by_second"`
+	OfferedBySecond []int              `json:"offered_by_second"`
 }
 
 // Late is the worth of a call that stands after its aim.
-const Late = 0.25
+const LateValue = 0.25
 
 const (
 	aim, deadline = int64(1200e6), int64(9e9)
-	late          = Late
+	late          = LateValue
 	hold          = int64(9e9)
 	reportEvery   = int64(300e6)
 	circuits      = 1000
@@ -155,8 +155,8 @@
 	if sc.Load == 0 {
 		sc.Load = 0.92
 	}
-	if sc.ListLate[1] == 0 {
-		sc.ListLate = [2]time.Duration{500 * time.Millisecond, 3 * time.Second}
+	if sc.ListDelay[1] == 0 {
+		sc.ListDelay = [2]time.Duration{500 * time.Millisecond, 3 * time.Second}
 	}
 	real := time.Now()
 	site := stream(sc.Seed, streamSite, 0)
@@ -167,12 +167,12 @@
 	refuse := int64(2100+site.IntN(1500)) * 1e6
 	m := &model{clock: clock{now: start}, Scenario: sc, ledger: check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second}),
 		rng: stream(sc.Seed, streamCallers, 0), callers: map[string]*caller{}, discard: slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.Level(100)})),
-		params: processor.Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2), Reject: int64(setup * 0.2), Refuse: refuse,
+		params: processor.Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2), Reject: int64(setup * 0.2), RefusalWait: refuse,
 			ColdFrom: 0.31, ColdSpan: 15e9, FallMultiple: 2, FallWindow: 1e9,
-			Line: sc.Line, DropAnswers: sc.DropAnswers}}
+			QueueOrder: sc.QueueOrder, DropAnswers: sc.DropAnswers}}
 	m.use = use
 	m.fallMultiple, m.fallWindow, m.coldSpan = m.params.FallMultiple, m.params.FallWindow, m.params.ColdSpan
-	if sc.WatchCold {
+	if sc.TrackColdStarts {
 		m.params.FallMultiple = math.MaxFloat64
 	}
 	m.shareTraffic()
@@ -191,17 +191,17 @@
 			return nil, err
 		}
 	}
-	for k, t := range sc.Troubles {
+	for k, t := range sc.Faults {
 		m.trouble(t, stream(sc.Seed, streamTrouble, k))
 	}
 	m.after(1, m.arrivals)
 	if f := sc.Flood; f != nil {
 		m.after(int64(f.At), m.flood)
 	}
-	if sc.Look != nil {
+	if sc.OnStatus != nil {
 		m.after(1e9, m.look)
 	}
-	m.run(start + int64(sc.For))
+	m.run(start + int64(sc.Duration))
 	end := m.now
 	m.run(end + deadline) // what is open still has its answer; nothing new comes
 	return m.result(time.Since(real)), nil
@@ -210,12 +210,12 @@
 // arrivals plans the next caller.
 func (m *model) arrivals() {
 	at := time.Duration(m.now - start)
-	if at >= m.For {
+	if at >= m.Duration {
 		return
 	}
 	rate := m.Load * m.Planned
-	if m.Rate != nil {
-		rate *= m.Rate(at)
+	if m.RateFactor != nil {
+		rate *= m.RateFactor(at)
 	}
 	m.caller()
 	m.after(int64(m.rng.ExpFloat64()/max(rate, 1e-3)*1e9), m.arrivals)
@@ -224,7 +224,7 @@
 // flood plans the next call of a flood.
 func (m *model) flood() {
 	f := m.Flood
-	if at := time.Duration(m.now - start); at >= f.At+f.For || at >= m.For {
+	if at := time.Duration(m.now - start); at >= f.At+f.Duration || at >= m.Duration {
 		return
 	}
 	m.caller().tenant = f.Tenant
@@ -239,8 +239,8 @@
 			all = append(all, c.x.StatusDirect())
 		}
 	}
-	m.Look(at, all)
-	if at < m.For {
+	m.OnStatus(at, all)
+	if at < m.Duration {
 		m.after(1e9, m.look)
 	}
 }
@@ -266,7 +266,7 @@
 func (m *model) tell(s *server, state control.EntryState) {
 	o := s.office(state)
 	for _, c := range m.controllers {
-		wait := int64(m.ListLate[0]) + c.rng.Int64N(int64(m.ListLate[1]-m.ListLate[0])+1)
+		wait := int64(m.ListDelay[0]) + c.rng.Int64N(int64(m.ListDelay[1]-m.ListDelay[0])+1)
 		at := max(m.now+wait, c.heardAt) // in order
 		c.heardAt = at
 		m.at(at, func() { c.hear(o) })
@@ -280,20 +280,20 @@
 )
 
 // noticed has the list tell that a server is away, unless it is back before that shows.
-func (m *model) noticed(s *server, t Trouble, within [2]time.Duration, rng *rand.Rand) {
-	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < t.For {
+func (m *model) noticed(s *server, t Fault, within [2]time.Duration, rng *rand.Rand) {
+	if wait := within[0] + time.Duration(rng.Int64N(int64(within[1]-within[0]))); wait < t.Duration {
 		m.after(int64(wait), func() { m.tell(s, control.Removed) })
 	}
 }
 
 // trouble plans one trouble.
-func (m *model) trouble(t Trouble, rng *rand.Rand) {
+func (m *model) trouble(t Fault, rng *rand.Rand) {
 	struck := max(int(t.Share*float64(m.Servers)+0.5), 1)
 	m.at(start+int64(t.At), func() {
 		switch t.Kind {
 		case "replace":
 			for k, cell := range rng.Perm(m.Servers)[:struck] {
-				m.after(int64(t.For)*int64(k)/int64(struck), func() {
+				m.after(int64(t.Duration)*int64(k)/int64(struck), func() {
 					old, s := m.listed[cell], m.newServer(cell, m.now)
 					m.listed[cell] = s
 					old.drains = true
@@ -307,7 +307,7 @@
 				s := m.listed[cell]
 				s.stop()
 				m.noticed(s, t, downNoticed, rng)
-				m.after(int64(t.For), func() {
+				m.after(int64(t.Duration), func() {
 					s.gone = false
 					s.crash()
 					m.tell(s, control.Serving)
@@ -315,21 +315,21 @@
 			}
 		case "cut": // what is on its way to them and from them comes when it is over
 			for _, cell := range rng.Perm(m.Servers)[:struck] {
-				m.cutUntil[cell] = m.now + int64(t.For)
+				m.cutUntil[cell] = m.now + int64(t.Duration)
 			}
 		case "kill":
 			for _, n := range rng.Perm(m.Controllers)[:int(t.Share*float64(m.Controllers)+0.5)] {
 				m.controllers[n].kill(int64(200e6 + rng.Float64()*1.3e9))
 			}
 		case "late":
-			usual, more := m.ListLate, time.Duration(t.Times*1e9)
-			m.ListLate = [2]time.Duration{usual[0] + more, usual[1] + more}
-			m.after(int64(t.For), func() { m.ListLate = usual })
+			usual, more := m.ListDelay, time.Duration(t.Magnitude*1e9)
+			m.ListDelay = [2]time.Duration{usual[0] + more, usual[1] + more}
+			m.after(int64(t.Duration), func() { m.ListDelay = usual })
 		case "shift":
 			m.shareTraffic()
 		case "lossy":
 			m.lossy = t.Share
-			m.after(int64(t.For), func() { m.lossy = 0 })
+			m.after(int64(t.Duration), func() { m.lossy = 0 })
 		case "crash":
 			for _, cell := range rng.Perm(m.Servers)[:struck] {
 				s := m.listed[cell]
@@ -341,7 +341,7 @@
 				s := m.listed[cell]
 				set := func(on bool) {
 					if t.Kind == "silent" {
-						s.done(s.proc.Silence(m.now, on))
+						s.done(s.proc.SetSilent(m.now, on))
 						if s.silentAt = 0; on {
 							s.silentAt = m.now
 						}
@@ -352,14 +352,14 @@
 							m.tell(s, control.Serving)
 						}
 					} else if on {
-						s.done(s.proc.SetSlow(m.now, t.Times))
+						s.done(s.proc.SetSlowdown(m.now, t.Magnitude))
 					} else {
-						s.done(s.proc.SetSlow(m.now, 1))
+						s.done(s.proc.SetSlowdown(m.now, 1))
 					}
 					s.wake()
 				}
 				set(true)
-				m.after(int64(t.For), func() { set(false) })
+				m.after(int64(t.Duration), func() { set(false) })
 			}
 		case "restarts":
 			order := rng.Perm(m.Controllers)[:int(t.Share*float64(m.Controllers)+0.5)]
@@ -367,63 +367,63 @@
 			batches := max((len(order)+batch-1)/batch, 1)
 			for k, n := range order {
 				down := int64(200e6 + rng.Float64()*1.3e9)
-				m.after(int64(t.For)*int64(k/batch)/int64(batches), func() { m.controllers[n].restart(down) })
+				m.after(int64(t.Duration)*int64(k/batch)/int64(batches), func() { m.controllers[n].restart(down) })
 			}
 		}
 	})
 }
 
 func (m *model) result(real time.Duration) *Result {
-	r := &Result{Seed: m.Seed, Controllers: m.Controllers, Servers: m.Servers, Calls: len(m.all), Events: m.events, RealS: real.Seconds(),
-		EventsS: float64(m.events) / real.Seconds(), Refusal: float64(m.params.Refuse) / 1e6, Use: m.use, Restarts: m.restarts, SilentSends: m.silentSends, PeerSent: m.peerSent, PeerBytes: m.peerBytes, ByTenant: map[string]float64{}}
-	r.Broken, _, _ = m.ledger.Result()
-	seconds := int(m.For/time.Second) + 1
-	r.BySecond, r.OfferedByS = make([]float64, seconds), make([]int, seconds)
+	r := &Result{Seed: m.Seed, Controllers: m.Controllers, Servers: m.Servers, Calls: len(m.all), Events: m.events, RealSeconds: real.Seconds(),
+		EventsPerSecond: float64(m.events) / real.Seconds(), RefusalPointMS: float64(m.params.RefusalWait) / 1e6, UtilizationAtPlan: m.use, Restarts: m.restarts, SendsToSilentServers: m.silentSends, PeerSent: m.peerSent, PeerBytes: m.peerBytes, ServedByTenant: map[string]float64{}}
+	r.Violations, _, _ = m.ledger.Result()
+	seconds := int(m.Duration/time.Second) + 1
+	r.ServedBySecond, r.OfferedBySecond = make([]float64, seconds), make([]int, seconds)
 	of := map[string]float64{}
 	lateCalls := 0
 	for _, c := range m.all {
 		w := c.worth()
-		r.Served += w
+		r.ServedShare += w
 		r.Tries += c.tries
 		if c.cut {
-			r.Cut++
+			r.CutCalls++
 		}
 		if c.stoodAt > 0 && c.stoodAt-c.first > aim {
 			lateCalls++
 		}
 		of[c.tenant]++
-		r.ByTenant[c.tenant] += w
+		r.ServedByTenant[c.tenant] += w
 		k := int((c.first - start) / 1e9)
-		r.BySecond[k] += w
-		r.OfferedByS[k]++
+		r.ServedBySecond[k] += w
+		r.OfferedBySecond[k]++
 	}
 	n := float64(max(len(m.all), 1))
-	r.Served, r.Late = r.Served/n, float64(lateCalls)/n
-	for name := range r.ByTenant {
-		r.ByTenant[name] /= of[name]
+	r.ServedShare, r.LateShare = r.ServedShare/n, float64(lateCalls)/n
+	for name := range r.ServedByTenant {
+		r.ServedByTenant[name] /= of[name]
 	}
 	if f := m.Flood; f != nil {
-		r.InFlood = map[string]float64{}
+		r.ServedInFlood = map[string]float64{}
 		n := map[string]float64{}
 		for _, c := range m.all {
-			if at := time.Duration(c.first - start); at >= f.At && at < f.At+f.For {
-				r.InFlood[c.tenant] += c.worth()
+			if at := time.Duration(c.first - start); at >= f.At && at < f.At+f.Duration {
+				r.ServedInFlood[c.tenant] += c.worth()
 				n[c.tenant]++
 			}
 		}
-		for name := range r.InFlood {
-			r.InFlood[name] /= n[name]
+		for name := range r.ServedInFlood {
+			r.ServedInFlood[name] /= n[name]
 		}
 	}
-	for k := range r.BySecond {
-		r.BySecond[k] /= float64(max(r.OfferedByS[k], 1))
+	for k := range r.ServedBySecond {
+		r.ServedBySecond[k] /= float64(max(r.OfferedBySecond[k], 1))
 	}
 	for _, s := range m.servers {
-		r.FellOver = r.FellOver || s.proc.Fallen()
+		r.FellOver = r.FellOver || s.proc.FellOver()
 		_, refused := s.proc.Counts()
-		r.Refused += refused
+		r.RefusedByServers += refused
 		if s.cold {
-			r.ColdWait = max(r.ColdWait, float64(s.proc.WorstWait())/1e6)
+			r.MaxColdWaitMS = max(r.MaxColdWaitMS, float64(s.proc.MaxWait())/1e6)
 		}
 	}
 	for _, w := range m.coldWatches {
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -18,14 +18,14 @@
 
 // timeless clears what hangs on the machine.
 func timeless(r *Result) *Result {
-	r.EventsS, r.RealS, r.MemoryKB = 0, 0, 0
+	r.EventsPerSecond, r.RealSeconds, r.MemoryKB = 0, 0, 0
 	return r
 }
 
 func TestSameSeedSameRun(t *testing.T) {
-	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 0.95, For: 30 * time.Second, Redials: 2, Join: withRecovery, Troubles: []Trouble{
-		{Kind: "crash", At: 8 * time.Second}, {Kind: "slow", At: 15 * time.Second, For: 8 * time.Second, Times: 2.5},
-		{Kind: "restarts", At: 9 * time.Second, For: 10 * time.Second, Share: 0.9, Batch: 0.28}}}
+	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 0.95, Duration: 30 * time.Second, Redials: 2, Join: withRecovery, Faults: []Fault{
+		{Kind: "crash", At: 8 * time.Second}, {Kind: "slow", At: 15 * time.Second, Duration: 8 * time.Second, Magnitude: 2.5},
+		{Kind: "restarts", At: 9 * time.Second, Duration: 10 * time.Second, Share: 0.9, Batch: 0.28}}}
 	a, err := Run(sc)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	if !reflect.DeepEqual(timeless(a), timeless(b)) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
-	if a.Any() || a.Restarts != 6 || a.Calls < 1500 || a.Served < 0.7 {
+	if a.Any() || a.Restarts != 6 || a.Calls < 1500 || a.ServedShare < 0.7 {
 		t.Errorf("%+v", a)
 	}
 	sc.Seed = 4
@@ -49,12 +49,12 @@
 // A flood by one member leaves the other two's service nearly as it was, where shares are on; without them all suffer.
 func TestAFloodByOneMember(t *testing.T) {
 	played := func(join func(control.Settings, float64, uint64, int64) join.Chain) map[string]float64 {
-		r, err := Run(Scenario{Seed: 2, Controllers: 7, Servers: 3, Load: 0.8, For: 60 * time.Second, Redials: 2, Join: join,
-			Flood: &Flood{Tenant: "barrow-estate", At: 20 * time.Second, For: 40 * time.Second, Load: 1.5}})
+		r, err := Run(Scenario{Seed: 2, Controllers: 7, Servers: 3, Load: 0.8, Duration: 60 * time.Second, Redials: 2, Join: join,
+			Flood: &Flood{Tenant: "barrow-estate", At: 20 * time.Second, Duration: 40 * time.Second, Load: 1.5}})
 		if err != nil || r.Any() {
 			t.Fatalf("%+v, %v", r, err)
 		}
-		return r.InFlood
+		return r.ServedInFlood
 	}
 	plain := played(nil)
 	fair := played(func(s control.Settings, planned float64, seed uint64, now int64) join.Chain {
@@ -70,7 +70,7 @@
 
 // Under a swing of the load the level changes once a swing at most, and service is no worse.
 func TestLevelsUnderASwing(t *testing.T) {
-	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 1, For: 60 * time.Second, Redials: 2, Rate: func(at time.Duration) float64 {
+	sc := Scenario{Seed: 3, Controllers: 7, Servers: 3, Load: 1, Duration: 60 * time.Second, Redials: 2, RateFactor: func(at time.Duration) float64 {
 		if at/(4*time.Second)%2 == 1 {
 			return 1.3
 		}
@@ -85,8 +85,8 @@
 		return join.Chain{levels.New(s, seed, now, nil, func(levels.Change) { changes[s.Ordinal]++ })}
 	}
 	on, err := Run(sc)
-	if err != nil || on.Any() || on.Served < off.Served-0.02 {
-		t.Errorf("%.4f with levels, %.4f without, %v", on.Served, off.Served, err)
+	if err != nil || on.Any() || on.ServedShare < off.ServedShare-0.02 {
+		t.Errorf("%.4f with levels, %.4f without, %v", on.ServedShare, off.ServedShare, err)
 	}
 	if len(changes) == 0 {
 		t.Error("no level ever changed")
@@ -100,12 +100,12 @@
 
 // A calm day serves all; far beyond the servers' capacity it can't.
 func TestLoadTells(t *testing.T) {
-	calm, err := Run(Scenario{Seed: 1, Controllers: 5, Servers: 2, Load: 0.6, For: 20 * time.Second, Redials: 2})
-	if err != nil || calm.Served < 0.995 || calm.Any() || calm.Cut > 0 {
+	calm, err := Run(Scenario{Seed: 1, Controllers: 5, Servers: 2, Load: 0.6, Duration: 20 * time.Second, Redials: 2})
+	if err != nil || calm.ServedShare < 0.995 || calm.Any() || calm.CutCalls > 0 {
 		t.Errorf("%+v, %v", calm, err)
 	}
-	over, err := Run(Scenario{Seed: 1, Controllers: 5, Servers: 2, Load: 1.8, For: 20 * time.Second, Redials: 2})
-	if err != nil || over.Served > 0.9 || over.Any() {
+	over, err := Run(Scenario{Seed: 1, Controllers: 5, Servers: 2, Load: 1.8, Duration: 20 * time.Second, Redials: 2})
+	if err != nil || over.ServedShare > 0.9 || over.Any() {
 		t.Errorf("%+v, %v", over, err)
 	}
 }
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -14,7 +14,7 @@
 
 // peerCut tells whether what one controller says does not reach another now.
 func (m *model) peerCut(from, to int) bool {
-	return m.PeerCut != nil && m.PeerCut(time.Duration(m.now-start), from, to)
+	return m.PeersPartitioned != nil && m.PeersPartitioned(time.Duration(m.now-start), from, to)
 }
 
 // talk finds the module that talks with the others, and has it tick.
@@ -51,7 +51,7 @@
 
 // say sends messages on their way.
 func (c *controller) say(out []shared.Outgoing) {
-	if c.n+1 == c.m.Liar {
+	if c.n+1 == c.m.FalseReporter {
 		out = append(out, shared.Outgoing{Message: shared.Message{Health: c.lie()}})
 	}
 	for _, o := range out {
--- a/lab/model/scenes.go
+++ b/lab/model/scenes.go
@@ -8,8 +8,8 @@
 
 // Scene is a scenario by name, for any size of a fleet.
 type Scene struct {
-	Name, Text string
-	set        func(sc *Scenario)
+	Name, Description string
+	set               func(sc *Scenario)
 }
 
 const (
@@ -33,40 +33,40 @@
 	{"busy", "no trouble, at 0.93 of plan", func(*Scenario) {}},
 	{"swing", "between 0.9 and 1.2 of plan every 4 s", func(sc *Scenario) {
 		sc.Load = 1
-		sc.Rate = func(at time.Duration) float64 {
+		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 10*time.Second && at/swingEvery%2 == 1 {
 				return 1.2
 			}
 			return 0.9
 		}
 	}},
-	{"jump-small", "1.4 times the calls for 9.3 s", func(sc *Scenario) { sc.Rate = jump(1.4, 9300*time.Millisecond) }},
-	{"jump-short", "1.8 times the calls for 3 s", func(sc *Scenario) { sc.Rate = jump(1.8, 3*time.Second) }},
-	{"jump-long", "1.8 times the calls for 9.3 s", func(sc *Scenario) { sc.Rate = jump(1.8, 9300*time.Millisecond) }},
+	{"jump-small", "1.4 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = jump(1.4, 9300*time.Millisecond) }},
+	{"jump-short", "1.8 times the calls for 3 s", func(sc *Scenario) { sc.RateFactor = jump(1.8, 3*time.Second) }},
+	{"jump-long", "1.8 times the calls for 9.3 s", func(sc *Scenario) { sc.RateFactor = jump(1.8, 9300*time.Millisecond) }},
 	{"slow", "a third of the servers 2.5 times slower for 20 s", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "slow", At: sceneFrom, For: 20 * time.Second, Share: 0.34, Times: 2.5}}
+		sc.Faults = []Fault{{Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.34, Magnitude: 2.5}}
 	}},
 	{"silent", "a seventh of the servers silent for 15 s, and back cold", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "silent", At: sceneFrom, For: 15 * time.Second, Share: 0.14}}
+		sc.Faults = []Fault{{Kind: "silent", At: sceneFrom, Duration: 15 * time.Second, Share: 0.14}}
 	}},
-	{"overload", "1.15 of plan for 40 s", func(sc *Scenario) { sc.Rate = jump(1.15/0.93, 40*time.Second) }},
+	{"overload", "1.15 of plan for 40 s", func(sc *Scenario) { sc.RateFactor = jump(1.15/0.93, 40*time.Second) }},
 	{"herd", "seven in ten controllers killed at once, one server of eight slow", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "kill", At: sceneFrom, Share: 0.7}, {Kind: "slow", At: sceneFrom, For: 20 * time.Second, Share: 0.125, Times: 3}}
+		sc.Faults = []Fault{{Kind: "kill", At: sceneFrom, Share: 0.7}, {Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.125, Magnitude: 3}}
 	}},
 	{"zone", "three servers of ten away for 5 s and back cold, one of eight of all slow", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "down", At: sceneFrom, For: 5 * time.Second, Share: 0.3},
-			{Kind: "slow", At: sceneFrom, For: 20 * time.Second, Share: 0.125, Times: 2.5}}
+		sc.Faults = []Fault{{Kind: "down", At: sceneFrom, Duration: 5 * time.Second, Share: 0.3},
+			{Kind: "slow", At: sceneFrom, Duration: 20 * time.Second, Share: 0.125, Magnitude: 2.5}}
 	}},
 	{"split", "a fifth of the servers cut off for 6 s, lists 4 s later, one answer in fifty lost", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "cut", At: sceneFrom, For: 6 * time.Second, Share: 0.2}, {Kind: "late", At: sceneFrom - time.Second, For: 20 * time.Second, Times: 4},
-			{Kind: "lossy", At: sceneFrom, For: 20 * time.Second, Share: 0.02}}
+		sc.Faults = []Fault{{Kind: "cut", At: sceneFrom, Duration: 6 * time.Second, Share: 0.2}, {Kind: "late", At: sceneFrom - time.Second, Duration: 20 * time.Second, Magnitude: 4},
+			{Kind: "lossy", At: sceneFrom, Duration: 20 * time.Second, Share: 0.02}}
 	}},
 	{"join", "six servers of ten replaced within 7 s", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "replace", At: sceneFrom, For: 7 * time.Second, Share: 0.6}}
+		sc.Faults = []Fault{{Kind: "replace", At: sceneFrom, Duration: 7 * time.Second, Share: 0.6}}
 	}},
 	{"roll", "all controllers restarted within 25 s, half of the servers replaced", func(sc *Scenario) {
-		sc.Troubles = []Trouble{{Kind: "restarts", At: sceneFrom, For: 25 * time.Second, Share: 1, Batch: 0.1},
-			{Kind: "replace", At: sceneFrom, For: 25 * time.Second, Share: 0.5}}
+		sc.Faults = []Fault{{Kind: "restarts", At: sceneFrom, Duration: 25 * time.Second, Share: 1, Batch: 0.1},
+			{Kind: "replace", At: sceneFrom, Duration: 25 * time.Second, Share: 0.5}}
 	}},
 }
 
@@ -74,7 +74,7 @@
 func Scenes() []Scene { return append([]Scene{}, scenes...) }
 
 // SceneNamed gives the scene of a name.
-func SceneNamed(name string) (Scene, error) {
+func SceneByName(name string) (Scene, error) {
 	var names []string
 	for _, s := range scenes {
 		if s.Name == name {
@@ -88,7 +88,7 @@
 
 // Scenario is the scene for a fleet of a size, with the brief's figures.
 func (s Scene) Scenario(seed uint64, controllers, servers int) Scenario {
-	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, For: sceneLength, Redials: 2}
+	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, Duration: sceneLength, Redials: 2}
 	s.set(&sc)
 	return sc
 }
--- a/lab/model/scenes_test.go
+++ b/lab/model/scenes_test.go
@@ -14,11 +14,11 @@
 			t.Fatal(err)
 		}
 		if r.Any() || r.Calls < 3000 {
-			t.Errorf("%s: %d calls, %+v", s.Name, r.Calls, r.Broken)
+			t.Errorf("%s: %d calls, %+v", s.Name, r.Calls, r.Violations)
 		}
 		before, in := 0.0, 0.0
 		for k := range 5 {
-			before, in = before+r.BySecond[2+k]/5, in+r.BySecond[20+k]/5
+			before, in = before+r.ServedBySecond[2+k]/5, in+r.ServedBySecond[20+k]/5
 		}
 		if before < 0.9 { // some of these calls stand long enough to be cut in the scene
 			t.Errorf("%s: %.3f served before it begins", s.Name, before)
@@ -30,19 +30,19 @@
 			t.Errorf("%s: %d restarts", s.Name, r.Restarts)
 		}
 	}
-	if _, err := SceneNamed("none"); err == nil {
+	if _, err := SceneByName("none"); err == nil {
 		t.Error("a scene of no name")
 	}
 }
 
 // What is on its way to a cut-off server and from it comes when the cut is over: no call is lost with it for good.
 func TestACutHeals(t *testing.T) {
-	sc := Scenario{Seed: 2, Controllers: 5, Servers: 2, Load: 0.5, For: 40 * time.Second, Redials: 2, Troubles: []Trouble{{Kind: "cut", At: 10 * time.Second, For: 5 * time.Second, Share: 0.5}}}
+	sc := Scenario{Seed: 2, Controllers: 5, Servers: 2, Load: 0.5, Duration: 40 * time.Second, Redials: 2, Faults: []Fault{{Kind: "cut", At: 10 * time.Second, Duration: 5 * time.Second, Share: 0.5}}}
 	r, err := Run(sc)
-	if err != nil || r.Any() || r.Cut > 0 {
+	if err != nil || r.Any() || r.CutCalls > 0 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if r.BySecond[11] > 0.95 || r.BySecond[30] < 0.99 {
-		t.Errorf("%.3f served in the cut, %.3f after", r.BySecond[11], r.BySecond[30])
+	if r.ServedBySecond[11] > 0.95 || r.ServedBySecond[30] < 0.99 {
+		t.Errorf("%.3f served in the cut, %.3f after", r.ServedBySecond[11], r.ServedBySecond[30])
 	}
 }
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -50,14 +50,14 @@
 func (s *server) state() []float64 {
 	if s.report == nil || s.m.now-s.reportA > reportEvery {
 		s.reportA = s.m.now
-		s.report = []float64{float64(circuits - len(s.calls)), circuits, s.proc.Util(), float64(s.proc.Queue())}
+		s.report = []float64{float64(circuits - len(s.calls)), circuits, s.proc.Utilization(), float64(s.proc.QueueLength())}
 	}
 	return s.report
 }
 
 // wake plans the next look at the processor.
 func (s *server) wake() {
-	due := s.proc.Due()
+	due := s.proc.NextDue()
 	if due == 0 || s.due > s.m.now && s.due <= due {
 		return
 	}
@@ -78,8 +78,8 @@
 		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.ConnectionRefused}) })
 		return
 	}
-	s.m.ledger.Sent(a.ID, c.name(), s.name(), s.m.time())
-	if s.m.WatchCold {
+	s.m.ledger.AttemptSent(a.ID, c.name(), s.name(), s.m.time())
+	if s.m.TrackColdStarts {
 		s.watchCold(c)
 	}
 	if s.silentAt > 0 {
@@ -90,7 +90,7 @@
 		s.m.silentSends[k]++
 	}
 	if s.drains {
-		s.m.ledger.Ended(a.ID, s.name(), false, s.m.time())
+		s.m.ledger.AttemptEnded(a.ID, s.name(), false, s.m.time())
 		c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, exchange.Result{Outcome: control.Unavailable}) })
 		return
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	s.wake()
-	s.m.ledger.Ended(a.ID, s.name(), false, s.m.time())
+	s.m.ledger.AttemptEnded(a.ID, s.name(), false, s.m.time())
 	e := exchange.Result{Outcome: control.Saturated, Note: 3, WaitMS: min(wait, 10e9) / 1e6, Report: s.state()}
 	c.later(gen, s.cell, func() { c.x.Ended(s.id, a.ID, a.Index, e) })
 }
@@ -111,7 +111,7 @@
 	if a := s.calls[id]; a != nil && !a.stands {
 		delete(s.calls, id)
 		s.done(s.proc.Drop(s.m.now, id))
-		s.m.ledger.Ended(id, s.name(), true, s.m.time())
+		s.m.ledger.AttemptEnded(id, s.name(), true, s.m.time())
 		s.wake()
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 // done takes finished work.
-func (s *server) done(finished []processor.Done) {
+func (s *server) done(finished []processor.Completed) {
 	for _, d := range finished {
 		a := s.calls[d.Call]
 		if a == nil {
@@ -136,7 +136,7 @@
 			s.done(s.proc.Add(d.At, processor.Answer, d.Call))
 		case processor.Answer:
 			a.stands = true
-			s.m.ledger.Ended(a.id, s.name(), false, s.m.time())
+			s.m.ledger.AttemptEnded(a.id, s.name(), false, s.m.time())
 			if s.m.lossy == 0 || s.rng.Float64() >= s.m.lossy {
 				a.from.later(a.gen, s.cell, func() { a.from.x.Accepted(s.id, a.id, a.n, nil) })
 			}
@@ -180,7 +180,7 @@
 	for _, id := range byName(s.calls) {
 		a := s.calls[id]
 		if !a.stands {
-			s.m.ledger.Ended(id, s.name(), true, s.m.time())
+			s.m.ledger.AttemptEnded(id, s.name(), true, s.m.time())
 			a.from.later(a.gen, s.cell, func() { a.from.x.Ended(s.id, a.id, a.n, exchange.Result{Outcome: control.ConnectionLost}) })
 		}
 		if !told[a.from] {
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -15,27 +15,27 @@
 type Params struct {
 	SetUp, Answer, Release int64   // work of each step of a call that stands
 	Reject                 int64   // work of turning a set-up away
-	Refuse                 int64   // the wait beyond which set-ups are turned away
+	RefusalWait            int64   // the wait beyond which set-ups are turned away
 	ColdFrom               float64 // part of its capacity at the start
 	ColdSpan               int64   // until it is warm; linear in between
 	FallMultiple           float64 // of the present capacity, over FallWindow: a cold one falls over and stays down
 	FallWindow             int64
-	Line                   Line // in which order the work is done; the zero Line is the operators' description
-	DropAnswers            bool // a call that is given up takes its pending answer with it, not its set-up alone
+	QueueOrder             QueueOrder // in which order the work is done; the zero Line is the operators' description
+	DropAnswers            bool       // a call that is given up takes its pending answer with it, not its set-up alone
 }
 
 // Line is the order in which a processor does its work.
-type Line int
+type QueueOrder int
 
 // The orders.
 const (
-	SetUpsFirst  Line = iota // answers and releases wait behind all set-ups, also later ones
-	InTurn                   // one line for all: answers and releases wait behind the set-ups that came before
-	AnswersFirst             // set-ups wait behind answers and releases
+	SetUpsFirst  QueueOrder = iota // answers and releases wait behind all set-ups, also later ones
+	FIFO                           // one line for all: answers and releases wait behind the set-ups that came before
+	AnswersFirst                   // set-ups wait behind answers and releases
 )
 
 // Lines are the names of the orders, as experiments take them.
-var Lines = map[string]Line{"setups-first": SetUpsFirst, "in-turn": InTurn, "answers-first": AnswersFirst}
+var QueueOrders = map[string]QueueOrder{"setups-first": SetUpsFirst, "in-turn": FIFO, "answers-first": AnswersFirst}
 
 // Capacity is the calls a second that a warm processor can take from set-up to release.
 func (p Params) Capacity() float64 { return 1e9 / float64(p.SetUp+p.Answer+p.Release) }
@@ -52,7 +52,7 @@
 )
 
 // Done is a piece of work that is finished.
-type Done struct {
+type Completed struct {
 	Step Step
 	Call string
 	At   int64
@@ -103,14 +103,14 @@
 }
 
 // SetSlow makes it so many times slower from now on; 1: as usual.
-func (p *Processor) SetSlow(now int64, times float64) []Done {
+func (p *Processor) SetSlowdown(now int64, times float64) []Completed {
 	done := p.Advance(now)
 	p.slow = max(times, 1e-3)
 	return done
 }
 
 // Silence makes it do nothing from now on, or work on where it stopped, cold.
-func (p *Processor) Silence(now int64, silent bool) []Done {
+func (p *Processor) SetSilent(now int64, silent bool) []Completed {
 	done := p.Advance(now)
 	if p.silent && !silent {
 		p.started, p.arrivals = now, nil // what came before has met no cold processor
@@ -120,7 +120,7 @@
 }
 
 // Fallen tells whether it has fallen over.
-func (p *Processor) Fallen() bool { return p.fallen }
+func (p *Processor) FellOver() bool { return p.fallen }
 
 // backlog is the work in front of a new set-up.
 func (p *Processor) backlog() (work float64) {
@@ -130,7 +130,7 @@
 	for _, j := range p.setups {
 		work += j.left
 	}
-	if p.p.Line != SetUpsFirst {
+	if p.p.QueueOrder != SetUpsFirst {
 		for _, j := range p.rest {
 			work += j.left
 		}
@@ -139,7 +139,7 @@
 }
 
 // Wait is how long a new set-up would wait now. A processor that stands still has no end of it.
-func (p *Processor) Wait(now int64) int64 {
+func (p *Processor) ExpectedWait(now int64) int64 {
 	speed := p.Speed(now)
 	if speed <= 0 {
 		return math.MaxInt64
@@ -148,30 +148,30 @@
 }
 
 // WorstWait is the longest wait that a set-up found when it came.
-func (p *Processor) WorstWait() int64 { return p.worst }
+func (p *Processor) MaxWait() int64 { return p.worst }
 
 // Counts tells the set-ups that came and those turned away.
 func (p *Processor) Counts() (came, refused int) { return p.setupsIn, p.refused }
 
 // Queue is the number of set-ups that wait.
-func (p *Processor) Queue() int { return len(p.setups) }
+func (p *Processor) QueueLength() int { return len(p.setups) }
 
 // Util is the part of the last second or so that it was busy.
-func (p *Processor) Util() float64 { return min(p.busyFor/utilSpan, 1) }
+func (p *Processor) Utilization() float64 { return min(p.busyFor/utilSpan, 1) }
 
 const utilSpan = 1e9
 
 // Offer brings a set-up. Where it is turned away, wait is how long the caller is told to stay away.
-func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Done) {
+func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Completed) {
 	done = p.Advance(now)
 	p.setupsIn++
 	p.fall(now)
 	if p.silent || p.fallen {
 		return true, 0, done // it says nothing, ever
 	}
-	wait = p.Wait(now)
+	wait = p.ExpectedWait(now)
 	p.worst = max(p.worst, wait)
-	if wait > p.p.Refuse {
+	if wait > p.p.RefusalWait {
 		p.refused++
 		p.wait(&p.rest, reject, call, p.p.Reject)
 		return false, wait, done
@@ -205,7 +205,7 @@
 }
 
 // Add brings work that belongs to a call that stands.
-func (p *Processor) Add(now int64, s Step, call string) []Done {
+func (p *Processor) Add(now int64, s Step, call string) []Completed {
 	done := p.Advance(now)
 	work := p.p.Answer
 	if s == Release {
@@ -218,7 +218,7 @@
 }
 
 // Drop takes a set-up that was given up out of the line.
-func (p *Processor) Drop(now int64, call string) []Done {
+func (p *Processor) Drop(now int64, call string) []Completed {
 	done := p.Advance(now)
 	drop := func(line []*job, s Step) []*job {
 		return slices.DeleteFunc(line, func(j *job) bool { return j.call == call && j.step == s })
@@ -237,7 +237,7 @@
 	}
 	setup := len(p.setups) > 0
 	if setup && len(p.rest) > 0 {
-		setup = p.p.Line == SetUpsFirst || p.p.Line == InTurn && p.setups[0].seq < p.rest[0].seq
+		setup = p.p.QueueOrder == SetUpsFirst || p.p.QueueOrder == FIFO && p.setups[0].seq < p.rest[0].seq
 	}
 	if setup {
 		p.cur, p.setups = p.setups[0], p.setups[1:]
@@ -250,7 +250,7 @@
 const step = int64(50e6)
 
 // Advance works up to a time and gives what was finished, in order.
-func (p *Processor) Advance(now int64) (done []Done) {
+func (p *Processor) Advance(now int64) (done []Completed) {
 	if p.now == 0 {
 		p.now = now
 	}
@@ -264,7 +264,7 @@
 				j := p.cur
 				p.cur = nil
 				if j.step != reject {
-					done = append(done, Done{j.step, j.call, p.now})
+					done = append(done, Completed{j.step, j.call, p.now})
 				}
 				p.next()
 				continue
@@ -285,7 +285,7 @@
 }
 
 // Due is when the next piece of work will be finished, if nothing else comes; 0: there is none.
-func (p *Processor) Due() int64 {
+func (p *Processor) NextDue() int64 {
 	speed := p.Speed(p.now)
 	if p.cur == nil || speed <= 0 {
 		return 0
@@ -295,13 +295,13 @@
 
 // Draw draws a processor's figures as the brief gives their ranges, for one of so many that are planned for so many calls a
 // second together.
-func Draw(planned float64, servers int, rng *rand.Rand) Params {
+func DrawParams(planned float64, servers int, rng *rand.Rand) Params {
 	use := 0.72 + rng.Float64()*0.15
 	work := use * float64(servers) / planned * 1e9 // of a whole call, so that the planned load uses so much
 	follow := 0.25 + rng.Float64()*0.25
 	setup := work / (1 + follow)
 	refuse := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
 	return Params{SetUp: int64(setup), Answer: int64(setup * follow / 2), Release: int64(setup * follow / 2),
-		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), Refuse: int64(refuse), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
+		Reject: int64(setup * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refuse), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
 		FallMultiple: 2, FallWindow: int64(time.Second)}
 }
--- a/lab/rig/fault.go
+++ b/lab/rig/fault.go
@@ -49,14 +49,14 @@
 func (w *run) strike(f Fault, k int) {
 	switch f.Kind {
 	case "silent":
-		w.servers[k].Silence(true)
+		w.servers[k].SetSilent(true)
 		w.sleepUntil(f.At + f.For)
-		w.servers[k].Silence(false)
+		w.servers[k].SetSilent(false)
 		w.announceStart(k, time.Now())
 	case "slow":
-		w.servers[k].Slow(f.Slowdown)
+		w.servers[k].SetSlowdown(f.Slowdown)
 		w.sleepUntil(f.At + f.For)
-		w.servers[k].Slow(1)
+		w.servers[k].SetSlowdown(1)
 	case "freeze":
 		w.interrupt(k, func() { w.pause(f, k) })
 	case "kill", "wipe", "oldcopy", "restart":
@@ -84,12 +84,12 @@
 // pause stops a process for a while.
 func (w *run) pause(f Fault, k int) {
 	i := w.instances[k]
-	w.callers.Frozen(i.Name)
+	w.callers.InstanceFrozen(i.Name)
 	i.Signal(syscall.SIGSTOP)
 	w.sleepUntil(f.At + f.For)
 	i.Signal(syscall.SIGCONT)
 	if w.sleepUntil(f.At + f.For + thawTime) {
-		w.callers.Thawed(i.Name)
+		w.callers.InstanceResumed(i.Name)
 	}
 }
 
@@ -105,9 +105,9 @@
 		w.sleepUntil(f.At + f.For/2)
 	}
 	if graceful {
-		time.AfterFunc(leaveNotice, func() { w.callers.Leave(i.Name) })
+		time.AfterFunc(leaveNotice, func() { w.callers.RemoveInstance(i.Name) })
 	} else {
-		w.callers.Killed(i.Name)
+		w.callers.InstanceKilled(i.Name)
 	}
 	err := i.Stop(!graceful)
 	w.recordEnd(k, time.Now())
@@ -158,7 +158,7 @@
 	defer w.mu.Unlock()
 	for n, name := range w.names {
 		delay := minListDelay + time.Duration(w.rng.Int64N(int64(listJitter)))
-		w.lists[n].Change(standin.EntryOf(w.servers[k], name, "SERVING", startedAt), delay)
+		w.lists[n].AnnounceChange(standin.NewEntry(w.servers[k], name, "SERVING", startedAt), delay)
 	}
 	w.coldServers = append(w.coldServers, w.servers[k].ID)
 }
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -22,7 +22,7 @@
 	Plain     bool    `json:"plain,omitempty"`
 	Calls     int     `json:"calls"`
 	Served    float64 `json:"served_share"`
-	check.Broken
+	check.Violations
 	Findings
 	CPUCall  float64       `json:"cpu_us_per_call"` // processor time of all instances
 	ColdWait float64       `json:"cold_wait_max_ms"`
@@ -35,7 +35,7 @@
 }
 
 // Bad tells whether the run showed any fault of the program.
-func (r *Result) Bad() bool { return r.Broken.Any() || r.Findings.Any() || len(r.Errors) > 0 }
+func (r *Result) Bad() bool { return r.Violations.Any() || r.Findings.Any() || len(r.Errors) > 0 }
 
 // FaultRecord is a fault and when it happened.
 type FaultRecord struct {
@@ -47,13 +47,13 @@
 // summarize completes the result after all processes have ended.
 func (w *run) summarize(end time.Time) error {
 	r := w.result
-	r.Broken, _, _ = w.ledger.Result()
+	r.Violations, _, _ = w.ledger.Result()
 	w.sumCalls()
 	for _, i := range w.instances {
 		r.CPUCall += float64(i.CPU().Microseconds()) / float64(max(r.Calls, 1))
 	}
 	for _, s := range w.servers {
-		longestWait, fallen, _, _ := s.Look()
+		longestWait, fallen, _, _ := s.Stats()
 		r.FellOver = r.FellOver || fallen
 		if slices.Contains(w.coldServers, s.ID) {
 			r.ColdWait = max(r.ColdWait, float64(longestWait.Microseconds())/1000)
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -44,9 +44,9 @@
 	names     []string
 	instances []*host.Instance
 	machines  map[string]string // by instance
-	lists     []*standin.List
+	lists     []*standin.ListService
 	servers   []*standin.Server
-	callers   *standin.Crowd
+	callers   *standin.CallerPool
 	links     map[[2]int]*link // by the numbers of the two instances
 	faults    []Fault
 
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -104,7 +104,7 @@
 	t.Parallel()
 	r := play(t, short+faults, Options{})
 	if r.Bad() {
-		t.Errorf("%v %v %v", r.Broken, r.Findings, r.Errors)
+		t.Errorf("%v %v %v", r.Violations, r.Findings, r.Errors)
 	}
 	if r.Calls < 300 || r.Processes != 7 || r.MaxInUse < 0.5 || r.Counts < 500 || len(r.Faults) != 6 || r.Converged < 0 {
 		t.Errorf("too little was seen to say so: %d calls, %+v, %d faults", r.Calls, r.Findings, len(r.Faults))
--- a/lab/rig/setup.go
+++ b/lab/rig/setup.go
@@ -35,8 +35,8 @@
 		return err
 	}
 	context.AfterFunc(w.ctx, func() { held.Close() })
-	w.params = processor.Draw(p.Planned, p.Servers, w.rng)
-	w.result.Refusal = float64(w.params.Refuse) / 1e6
+	w.params = processor.DrawParams(p.Planned, p.Servers, w.rng)
+	w.result.Refusal = float64(w.params.RefusalWait) / 1e6
 	for k := range p.Instances {
 		w.names = append(w.names, fmt.Sprintf("n%d", k))
 	}
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	w.callers = standin.NewCrowd(demand(p), w.ledger, w.rng.Uint64())
+	w.callers = standin.NewCallerPool(demand(p), w.ledger, w.rng.Uint64())
 	for k, name := range w.names {
 		if err := w.prepareInstance(k, name, addr); err != nil {
 			w.callers.Close()
@@ -117,7 +117,7 @@
 		Deadline:  deadline,
 		Patience:  [2]float64{0.3, 0.4},
 		Redials:   2,
-		Late:      0.25,
+		LateValue: 0.25,
 		Cells:     p.Servers,
 		RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second},
 	}
@@ -128,9 +128,9 @@
 	p := w.Plan
 	var entries []standin.Entry
 	for _, s := range w.servers {
-		entries = append(entries, standin.EntryOf(s, name, "SERVING", time.Time{}))
+		entries = append(entries, standin.NewEntry(s, name, "SERVING", time.Time{}))
 	}
-	list, err := standin.NewList(entries, nil)
+	list, err := standin.NewListService(entries, nil)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 		Program:  w.Program,
 		Env:      w.Env,
 		Settings: w.settings(k, dir, addr),
-		Config:   host.Platform(name, k, site, list.Addr(), w.rng.Uint64()),
+		Config:   host.PlatformConfig(name, k, site, list.Addr(), w.rng.Uint64()),
 	})
 	return nil
 }
@@ -165,9 +165,9 @@
 // startInstance starts the process of an instance, and sends it calls once it is ready.
 func (w *run) startInstance(k int) error {
 	i := w.instances[k]
-	addr, err := i.Start(w.ctx, w.lists[k].Known())
+	addr, err := i.Start(w.ctx, w.lists[k].KnownList())
 	if err != nil {
 		return err
 	}
-	return w.callers.Enter(w.ctx, i.Name, addr)
+	return w.callers.AddInstance(w.ctx, i.Name, addr)
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -38,7 +38,7 @@
 	work   *errgroup.Group
 	stop   context.CancelFunc
 	held   net.Listener
-	list   *standin.List
+	list   *standin.ListService
 	mu     sync.Mutex
 	groups []runner
 	dead   map[int]bool // groups that were killed
@@ -80,12 +80,12 @@
 	for k := range l.Servers {
 		entries = append(entries, entry(k, time.Time{}))
 	}
-	list, err := standin.NewList(entries, nil)
+	list, err := standin.NewListService(entries, nil)
 	if err != nil {
 		held.Close()
 		return nil, err
 	}
-	l.List, l.Known = list.Addr(), list.Known()
+	l.List, l.Known = list.Addr(), list.KnownList()
 	ctx, stop := context.WithCancel(ctx)
 	work, ctx := errgroup.WithContext(ctx)
 	f := &Fleet{Layout: l, ctx: ctx, work: work, stop: stop, held: held, list: list, dead: map[int]bool{}, ended: map[string]int64{}}
--- a/lab/scale/kinds.go
+++ b/lab/scale/kinds.go
@@ -95,7 +95,7 @@
 // coldStart has the list tell that some servers have just started.
 func (p *strike) coldStart() {
 	for k := range min(coldServers, p.Servers) {
-		p.f.list.Change(entry(k, p.f.at(time.Now())), 0)
+		p.f.list.AnnounceChange(entry(k, p.f.at(time.Now())), 0)
 	}
 }
 
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -118,7 +118,7 @@
 
 // Platform is the platform's file of a member.
 func (s *Spec) Platform(k int) map[string]any {
-	p := host.Platform(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedEach * float64(s.Size)}, s.List,
+	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedEach * float64(s.Size)}, s.List,
 		s.Seed+uint64(k)*0x9e3779b97f4a7c15)
 	p["known"] = json.RawMessage(s.Known)
 	return p
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -65,9 +65,9 @@
 		}
 		f.reals = append(f.reals, one)
 		starts.Go(func() error {
-			addr, err := one.Start(f.ctx, list.Known())
+			addr, err := one.Start(f.ctx, list.KnownList())
 			if err == nil && load != nil {
-				err = load.crowd.Enter(f.ctx, one.Name, addr)
+				err = load.crowd.AddInstance(f.ctx, one.Name, addr)
 			}
 			return err
 		})
@@ -90,8 +90,8 @@
 
 // load is the stand-ins that real members' calls need.
 type load struct {
-	crowd *standin.Crowd
-	lists map[int]*standin.List
+	crowd *standin.CallerPool
+	lists map[int]*standin.ListService
 }
 
 // loadPart is the part of the stand-ins' planned load that callers bring.
@@ -104,13 +104,13 @@
 	}
 	rate := r.Calls * float64(len(r.Numbers))
 	rng := rand.New(rand.NewPCG(f.Seed, 0x7363616c65))
-	params := processor.Draw(rate/loadPart, r.Servers, rng)
+	params := processor.DrawParams(rate/loadPart, r.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	var names []string
 	for _, k := range r.Numbers {
 		names = append(names, f.Name(k))
 	}
-	l := &load{lists: map[int]*standin.List{}}
+	l := &load{lists: map[int]*standin.ListService{}}
 	var servers []*standin.Server
 	for k := range r.Servers {
 		s, err := standin.NewServer(entry(k, time.Time{}).ID, k, params, time.Time{}, 9*time.Second, names, rng.Uint64(), ledger)
@@ -120,15 +120,15 @@
 		f.work.Go(func() error { return s.Run(f.ctx) })
 		servers = append(servers, s)
 	}
-	l.crowd = standin.NewCrowd(standin.Demand{Rate: rate, Class: "open-log", Tenants: map[string]float64{tenants[0]: 0.55, tenants[1]: 0.33, tenants[2]: 0.12},
-		Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, Late: 0.25, Cells: r.Servers,
+	l.crowd = standin.NewCallerPool(standin.Demand{Rate: rate, Class: "open-log", Tenants: map[string]float64{tenants[0]: 0.55, tenants[1]: 0.33, tenants[2]: 0.12},
+		Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: r.Servers,
 		RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, ledger, rng.Uint64())
 	for _, k := range r.Numbers {
 		var entries []standin.Entry
 		for _, s := range servers {
-			entries = append(entries, standin.EntryOf(s, f.Name(k), "SERVING", time.Time{}))
+			entries = append(entries, standin.NewEntry(s, f.Name(k), "SERVING", time.Time{}))
 		}
-		list, err := standin.NewList(entries, nil)
+		list, err := standin.NewListService(entries, nil)
 		if err != nil {
 			return nil, err
 		}
--- a/lab/standin/callers.go
+++ b/lab/standin/callers.go
@@ -18,31 +18,31 @@
 
 // Demand is what callers want and how they behave.
 type Demand struct {
-	Rate      float64                                // first tries a second
-	RateAt    func(since time.Duration) float64      // times Rate; nil: 1
-	Class     string                                 // of every call
-	Tenants   map[string]float64                     // share of each
-	Aim       time.Duration                          // wanted to stand within, from the first try
-	Deadline  time.Duration                          // given up after
-	Patience  [2]float64                             // of a try, parts of the deadline
-	Redials   int                                    // at most, beside the first try
-	RedialGap [2]time.Duration                       // wait before a redial, where the refusal tells none
-	Late      float64                                // worth of a call that stands after its aim
-	Cells     int                                    // of first choice, drawn evenly
-	Kept      func(told time.Duration) time.Duration // how long a told wait is kept; nil: as long as told
+	Rate       float64                                // first tries a second
+	RateFactor func(since time.Duration) float64      // times Rate; nil: 1
+	Class      string                                 // of every call
+	Tenants    map[string]float64                     // share of each
+	Aim        time.Duration                          // wanted to stand within, from the first try
+	Deadline   time.Duration                          // given up after
+	Patience   [2]float64                             // of a try, parts of the deadline
+	Redials    int                                    // at most, beside the first try
+	RedialGap  [2]time.Duration                       // wait before a redial, where the refusal tells none
+	LateValue  float64                                // worth of a call that stands after its aim
+	Cells      int                                    // of first choice, drawn evenly
+	ObeyedWait func(told time.Duration) time.Duration // how long a told wait is kept; nil: as long as told
 }
 
 // Outcome is what became of one caller's call, with all its tries.
 type Outcome struct {
-	At    time.Duration `json:"at"` // since the start
-	Worth float64       `json:"worth"`
-	Tries int           `json:"tries"`
-	After time.Duration `json:"after"` // until it stood; 0: it never did
-	Cut   bool          `json:"cut"`
+	At               time.Duration `json:"at"` // since the start
+	Worth            float64       `json:"worth"`
+	Tries            int           `json:"tries"`
+	EstablishedAfter time.Duration `json:"after"` // until it stood; 0: it never did
+	Cut              bool          `json:"cut"`
 }
 
 // Crowd is all callers, behind a front that spreads their calls over the instances in its rotation.
-type Crowd struct {
+type CallerPool struct {
 	Demand
 	Ledger *check.Ledger
 	seed   uint64
@@ -77,13 +77,13 @@
 }
 
 // NewCrowd makes the callers.
-func NewCrowd(d Demand, l *check.Ledger, seed uint64) *Crowd {
-	return &Crowd{Demand: d, Ledger: l, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), gates: map[string]*gate{},
+func NewCallerPool(d Demand, l *check.Ledger, seed uint64) *CallerPool {
+	return &CallerPool{Demand: d, Ledger: l, seed: seed, rng: rand.New(rand.NewPCG(seed, 0x63726f7764)), gates: map[string]*gate{},
 		waiting: map[string]wait{}, standing: map[string]*Outcome{}}
 }
 
 // Enter takes an instance into the rotation, once it passes the test; ctx bounds the wait for that.
-func (c *Crowd) Enter(ctx context.Context, name, addr string) error {
+func (c *CallerPool) AddInstance(ctx context.Context, name, addr string) error {
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 }
 
 // In tells whether an instance is in the rotation.
-func (c *Crowd) In(name string) bool {
+func (c *CallerPool) HasInstance(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.gates[name]
@@ -112,7 +112,7 @@
 }
 
 // Leave takes an instance out of the rotation. What it has taken goes on.
-func (c *Crowd) Leave(name string) {
+func (c *CallerPool) RemoveInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if g := c.gates[name]; g != nil {
@@ -121,7 +121,7 @@
 }
 
 // Killed tells that an instance's process was killed: nothing is owed for what it had.
-func (c *Crowd) Killed(name string) {
+func (c *CallerPool) InstanceKilled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.gates[name]
@@ -132,27 +132,27 @@
 	g.conn.Close()
 	for id, w := range c.waiting {
 		if w.gate == g {
-			c.Ledger.Left(id)
+			c.Ledger.Abandoned(id)
 		}
 	}
 }
 
 // Frozen tells that an instance's process stands still: the front sends it nothing, and nothing is owed by it until Thawed.
-func (c *Crowd) Frozen(name string) {
+func (c *CallerPool) InstanceFrozen(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if g := c.gates[name]; g != nil {
 		g.open = false
 		for id, w := range c.waiting {
 			if w.gate == g {
-				c.Ledger.Left(id)
+				c.Ledger.Abandoned(id)
 			}
 		}
 	}
 }
 
 // Thawed takes it into the rotation again, over the connection that it has.
-func (c *Crowd) Thawed(name string) {
+func (c *CallerPool) InstanceResumed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if g := c.gates[name]; g != nil && !g.gone {
@@ -161,7 +161,7 @@
 }
 
 // read takes what one instance says.
-func (c *Crowd) read(g *gate, r *sip.Reader) {
+func (c *CallerPool) read(g *gate, r *sip.Reader) {
 	defer g.conn.Close()
 	for {
 		m, err := r.Next()
@@ -192,7 +192,7 @@
 	c.mu.Unlock()
 }
 
-func (c *Crowd) tell(id string, r reply) {
+func (c *CallerPool) tell(id string, r reply) {
 	c.mu.Lock()
 	w := c.waiting[id]
 	delete(c.waiting, id)
@@ -203,14 +203,14 @@
 }
 
 // Run offers calls for so long, then waits until the last caller has its answer or has given up.
-func (c *Crowd) Run(ctx context.Context, d time.Duration) error {
+func (c *CallerPool) Run(ctx context.Context, d time.Duration) error {
 	began := time.Now()
 	g, ctx := errgroup.WithContext(ctx)
 	next := began
 	for ctx.Err() == nil {
 		rate := c.Rate
-		if c.RateAt != nil {
-			rate *= c.RateAt(time.Since(began))
+		if c.RateFactor != nil {
+			rate *= c.RateFactor(time.Since(began))
 		}
 		c.mu.Lock()
 		next = next.Add(time.Duration(c.rng.ExpFloat64() / max(rate, 1e-3) * 1e9))
@@ -229,7 +229,7 @@
 }
 
 // Close ends all connections.
-func (c *Crowd) Close() {
+func (c *CallerPool) Close() {
 	c.mu.Lock()
 	for _, g := range c.gates {
 		g.conn.Close()
@@ -239,7 +239,7 @@
 }
 
 // Results are the outcomes of all callers, by the time of their first try.
-func (c *Crowd) Results() (all []Outcome) {
+func (c *CallerPool) Results() (all []Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.results {
@@ -256,7 +256,7 @@
 func between(rng *rand.Rand, lo, hi float64) float64 { return lo + rng.Float64()*(hi-lo) }
 
 // tenant draws one by the shares, in a fixed order.
-func (c *Crowd) tenant(rng *rand.Rand) string {
+func (c *CallerPool) tenant(rng *rand.Rand) string {
 	names := make([]string, 0, len(c.Tenants))
 	for name := range c.Tenants {
 		names = append(names, name)
@@ -275,7 +275,7 @@
 }
 
 // caller makes one call, and dials again as it likes to.
-func (c *Crowd) caller(ctx context.Context, began time.Time, rng *rand.Rand) {
+func (c *CallerPool) caller(ctx context.Context, began time.Time, rng *rand.Rand) {
 	first := time.Now()
 	o := &Outcome{At: first.Sub(began)}
 	c.mu.Lock()
@@ -295,16 +295,16 @@
 		if r.status == 200 {
 			after := time.Since(first)
 			c.mu.Lock()
-			if o.After, o.Worth = after, 1; after > c.Aim {
-				o.Worth = c.Late
+			if o.EstablishedAfter, o.Worth = after, 1; after > c.Aim {
+				o.Worth = c.LateValue
 			}
 			c.mu.Unlock()
 			return
 		}
 		gap := time.Duration(between(rng, float64(c.RedialGap[0]), float64(c.RedialGap[1])))
 		if told := r.later; told > 0 {
-			if c.Kept != nil {
-				told = c.Kept(told)
+			if c.ObeyedWait != nil {
+				told = c.ObeyedWait(told)
 			}
 			gap = max(gap, told)
 		}
@@ -317,7 +317,7 @@
 }
 
 // try sends one set-up to an instance in the rotation and waits for its answer.
-func (c *Crowd) try(ctx context.Context, o *Outcome, tenant, number string, dest int, again bool, patience time.Duration, rng *rand.Rand) reply {
+func (c *CallerPool) try(ctx context.Context, o *Outcome, tenant, number string, dest int, again bool, patience time.Duration, rng *rand.Rand) reply {
 	c.mu.Lock()
 	names := make([]string, 0, len(c.gates))
 	for name, g := range c.gates {
@@ -363,13 +363,13 @@
 		gone := g.gone
 		c.mu.Unlock()
 		if gone { // lost with its connection, unless its instance was killed
-			c.Ledger.Overdue(id, "the connection to "+g.name+" ended")
+			c.Ledger.TimedOut(id, "the connection to "+g.name+" ended")
 		} else {
-			c.Ledger.Overdue(id, "none from "+g.name+" in time")
+			c.Ledger.TimedOut(id, "none from "+g.name+" in time")
 			g.conn.write([]byte("CANCEL sip:x@net SIP/2.0\r\nCall-ID: " + id + "\r\nCSeq: 1 CANCEL\r\nContent-Length: 0\r\n\r\n"))
 		}
 	case <-ctx.Done():
-		c.Ledger.Left(id)
+		c.Ledger.Abandoned(id)
 	}
 	if r.status != 200 {
 		c.mu.Lock()
--- a/lab/standin/list.go
+++ b/lab/standin/list.go
@@ -36,7 +36,7 @@
 }
 
 // List is the service that tells one instance the list of servers. Changes are told late.
-type List struct {
+type ListService struct {
 	mu     sync.Mutex
 	events []event
 	due    []time.Time // when each event is told
@@ -46,22 +46,22 @@
 }
 
 // NewList makes the service with the list of the start. onTold, if any, hears of each entry as it becomes known.
-func NewList(first []Entry, onTold func(e Entry, at time.Time)) (*List, error) {
+func NewListService(first []Entry, onTold func(e Entry, at time.Time)) (*ListService, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &List{l: l, change: make(chan struct{}), onTold: onTold}
+	s := &ListService{l: l, change: make(chan struct{}), onTold: onTold}
 	s.events = []event{{1, hosts{1, true, first}}}
 	s.due = []time.Time{time.Now()}
 	return s, nil
 }
 
 // Addr is the service's address.
-func (s *List) Addr() string { return s.l.Addr().String() }
+func (s *ListService) Addr() string { return s.l.Addr().String() }
 
 // Change tells a changed entry after a delay.
-func (s *List) Change(e Entry, late time.Duration) {
+func (s *ListService) AnnounceChange(e Entry, late time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	due := time.Now().Add(late)
@@ -79,7 +79,7 @@
 }
 
 // Known is the list as told up to now, in the form of the configuration. The numbers go on from there.
-func (s *List) Known() json.RawMessage {
+func (s *ListService) KnownList() json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -94,7 +94,7 @@
 }
 
 // Run serves until ctx ends.
-func (s *List) Run(ctx context.Context) error {
+func (s *ListService) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /journal", s.stream)
 	server := &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
@@ -109,7 +109,7 @@
 	return g.Wait()
 }
 
-func (s *List) stream(w http.ResponseWriter, r *http.Request) {
+func (s *ListService) stream(w http.ResponseWriter, r *http.Request) {
 	pos, _ := strconv.Atoi(r.Header.Get("Last-Event-ID"))
 	flush := http.NewResponseController(w)
 	comment := time.NewTicker(time.Second)
@@ -147,7 +147,7 @@
 }
 
 // EntryOf is a server's entry in an instance's list.
-func EntryOf(s *Server, instance, state string, started time.Time) Entry {
+func NewEntry(s *Server, instance, state string, started time.Time) Entry {
 	e := Entry{ID: s.ID, Addr: s.Addr(instance), Cell: s.Cell, State: state, Weight: 1}
 	if !started.IsZero() {
 		e.Started = started.UnixMilli()
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -30,10 +30,10 @@
 
 // Server is one session server. It listens once for each instance, as its connections are told apart by that.
 type Server struct {
-	ID     string
-	Cell   int
-	Ledger *check.Ledger
-	Hold   time.Duration // mean of a call's length
+	ID             string
+	Cell           int
+	Ledger         *check.Ledger
+	MeanCallLength time.Duration // mean of a call's length
 
 	params  processor.Params
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 	if !started.IsZero() {
 		at = started.UnixNano()
 	}
-	s := &Server{ID: id, Cell: cell, Ledger: l, Hold: hold, params: p, proc: processor.New(p, at), rng: rand.New(rand.NewPCG(seed, 0x736572)),
+	s := &Server{ID: id, Cell: cell, Ledger: l, MeanCallLength: hold, params: p, proc: processor.New(p, at), rng: rand.New(rand.NewPCG(seed, 0x736572)),
 		wake: make(chan struct{}, 1), addrs: map[string]string{}, conns: map[string][]*conn{}, calls: map[string]*call{}}
 	for _, name := range instances {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -169,7 +169,7 @@
 			c.timer.Stop()
 		}
 		if !c.stands {
-			s.Ledger.Ended(c.id, s.ID, true, started)
+			s.Ledger.AttemptEnded(c.id, s.ID, true, started)
 		}
 	}
 	s.calls = map[string]*call{}
@@ -194,34 +194,34 @@
 }
 
 // Slow makes the processor so many times slower; Silence has it say nothing.
-func (s *Server) Slow(times float64) {
+func (s *Server) SetSlowdown(times float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done(s.proc.SetSlow(time.Now().UnixNano(), times))
+	s.done(s.proc.SetSlowdown(time.Now().UnixNano(), times))
 	s.kick()
 }
 
 // Silence has the processor stop, or come back cold.
-func (s *Server) Silence(on bool) {
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done(s.proc.Silence(time.Now().UnixNano(), on))
+	s.done(s.proc.SetSilent(time.Now().UnixNano(), on))
 	s.kick()
 }
 
 // Look gives the processor's figures: the longest wait that a set-up found, whether it fell over, and what came.
-func (s *Server) Look() (worst time.Duration, fallen bool, came, refused int) {
+func (s *Server) Stats() (worst time.Duration, fallen bool, came, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	came, refused = s.proc.Counts()
-	return time.Duration(s.proc.WorstWait()), s.proc.Fallen(), came, refused
+	return time.Duration(s.proc.MaxWait()), s.proc.FellOver(), came, refused
 }
 
 // Wait is what a new set-up would wait now.
-func (s *Server) Wait() time.Duration {
+func (s *Server) ExpectedWait() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.proc.Wait(time.Now().UnixNano()))
+	return time.Duration(s.proc.ExpectedWait(time.Now().UnixNano()))
 }
 
 func (s *Server) kick() {
@@ -240,7 +240,7 @@
 		now := time.Now().UnixNano()
 		s.done(s.proc.Advance(now))
 		rest := time.Hour
-		if due := s.proc.Due(); due > 0 {
+		if due := s.proc.NextDue(); due > 0 {
 			rest = max(time.Duration(due-time.Now().UnixNano()), 0)
 		}
 		s.mu.Unlock()
@@ -258,13 +258,13 @@
 func (s *Server) state() string {
 	if time.Since(s.reportA) > reportEvery {
 		s.reportA = time.Now()
-		s.report = fmt.Sprintf("x0:%d;x1:%d;util:%.2f;queue:%d", circuits-len(s.calls), circuits, s.proc.Util(), s.proc.Queue())
+		s.report = fmt.Sprintf("x0:%d;x1:%d;util:%.2f;queue:%d", circuits-len(s.calls), circuits, s.proc.Utilization(), s.proc.QueueLength())
 	}
 	return s.report
 }
 
 // done takes finished work: a set-up goes on to its answer, an answer is written, a release is told.
-func (s *Server) done(finished []processor.Done) {
+func (s *Server) done(finished []processor.Completed) {
 	for _, d := range finished {
 		c := s.calls[d.Call]
 		if c == nil {
@@ -275,12 +275,12 @@
 			s.done(s.proc.Add(d.At, processor.Answer, d.Call))
 		case processor.Answer:
 			c.stands = true
-			s.Ledger.Ended(c.id, s.ID, false, time.Now())
+			s.Ledger.AttemptEnded(c.id, s.ID, false, time.Now())
 			desc := "log of " + c.id + " at " + s.ID
 			b := append(sip.AppendStatus(nil, 200), c.echo...)
 			b = sip.AppendHeader(b, "X-State", s.state())
 			c.conn.write(sip.AppendBody(b, []byte(desc)))
-			length := time.Duration(s.rng.ExpFloat64() * float64(s.Hold))
+			length := time.Duration(s.rng.ExpFloat64() * float64(s.MeanCallLength))
 			c.timer = time.AfterFunc(length, func() { s.hangUp(c) })
 		case processor.Release:
 			delete(s.calls, c.id)
@@ -360,7 +360,7 @@
 
 func (s *Server) drop(c *call) {
 	delete(s.calls, c.id)
-	s.Ledger.Ended(c.id, s.ID, true, time.Now())
+	s.Ledger.AttemptEnded(c.id, s.ID, true, time.Now())
 	s.done(s.proc.Drop(time.Now().UnixNano(), c.id))
 }
 
@@ -369,9 +369,9 @@
 	now := time.Now()
 	switch string(m.Method) {
 	case "INVITE":
-		s.Ledger.Sent(id, instance, s.ID, now)
+		s.Ledger.AttemptSent(id, instance, s.ID, now)
 		if s.drains {
-			s.Ledger.Ended(id, s.ID, false, now)
+			s.Ledger.AttemptEnded(id, s.ID, false, now)
 			c.write(sip.Response(m, 480))
 			return
 		}
@@ -383,7 +383,7 @@
 			return
 		}
 		delete(s.calls, id)
-		s.Ledger.Ended(id, s.ID, false, now)
+		s.Ledger.AttemptEnded(id, s.ID, false, now)
 		b := append(sip.AppendStatus(nil, 503), one.echo...)
 		b = sip.AppendHeader(b, "X-Note", "cpu_full")
 		b = sip.AppendHeader(b, "X-Delay", fmt.Sprint(min(wait, int64(10*time.Second))/1e6))
--- a/lab/wave/demo.go
+++ b/lab/wave/demo.go
@@ -29,7 +29,7 @@
 	o := Options{Instances: instances, Servers: servers, Planned: 30}
 	o.defaults()
 	rng := rand.New(rand.NewPCG(1, 2))
-	p := processor.Draw(o.Planned, o.Servers, rng)
+	p := processor.DrawParams(o.Planned, o.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -41,15 +41,15 @@
 			return err
 		}
 		g.Go(func() error { return s.Run(ctx) })
-		first = append(first, standin.EntryOf(s, everyone, "SERVING", time.Time{}))
+		first = append(first, standin.NewEntry(s, everyone, "SERVING", time.Time{}))
 	}
-	list, err := standin.NewList(first, nil)
+	list, err := standin.NewListService(first, nil)
 	if err != nil {
 		return err
 	}
 	g.Go(func() error { return list.Run(ctx) })
-	platform := host.Platform("%NAME%", 0, host.Site{Instances: instances, Servers: servers, Planned: o.Planned}, list.Addr(), rng.Uint64())
-	platform["listen"], platform["seed"], platform["known"] = "%LISTEN%", "%SEED%", list.Known()
+	platform := host.PlatformConfig("%NAME%", 0, host.Site{Instances: instances, Servers: servers, Planned: o.Planned}, list.Addr(), rng.Uint64())
+	platform["listen"], platform["seed"], platform["known"] = "%LISTEN%", "%SEED%", list.KnownList()
 	text, err := json.Marshal(platform)
 	if err != nil {
 		return err
@@ -76,8 +76,8 @@
 		up.Process.Signal(syscall.SIGTERM) // ends the fleet in order
 		up.Wait()
 	}()
-	crowd := standin.NewCrowd(standin.Demand{Rate: 25, Class: "open-log", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
-		Patience: [2]float64{0.3, 0.4}, Redials: 2, Late: 0.25, Cells: servers, RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, ledger, 1)
+	crowd := standin.NewCallerPool(standin.Demand{Rate: 25, Class: "open-log", Aim: 1200 * time.Millisecond, Deadline: 9 * time.Second,
+		Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: servers, RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, ledger, 1)
 	defer crowd.Close()
 	client := fleet.Dial(spec)
 	if err := rotation(ctx, client, crowd, instances); err != nil {
@@ -107,11 +107,11 @@
 		worth += o.Worth
 	}
 	fmt.Fprintf(out, "%d calls, %d tries, %d attempts; served %.3f; answers missing %d, twice %d; attempts overlapping %d\n", len(all), tries, attempts,
-		worth/float64(max(len(all), 1)), b.Missing, b.Twice, b.Overlaps)
+		worth/float64(max(len(all), 1)), b.MissingAnswers, b.DuplicateAnswers, b.OverlappingAttempts)
 	cancel()
 	g.Wait()
 	if b.Any() {
-		return fmt.Errorf("a rule was broken: %v", b.Texts)
+		return fmt.Errorf("a rule was broken: %v", b.Descriptions)
 	}
 	return nil
 }
@@ -123,7 +123,7 @@
 `
 
 // rotation waits until all instances are in it.
-func rotation(ctx context.Context, c *fleet.Client, crowd *standin.Crowd, instances int) error {
+func rotation(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool, instances int) error {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if turn(ctx, c, crowd) == instances {
 			return nil
@@ -133,7 +133,7 @@
 }
 
 // follow is the front: it takes instances in and out as they come and go.
-func follow(ctx context.Context, c *fleet.Client, crowd *standin.Crowd) {
+func follow(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool) {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -146,18 +146,18 @@
 	}
 }
 
-func turn(ctx context.Context, c *fleet.Client, crowd *standin.Crowd) (in int) {
+func turn(ctx context.Context, c *fleet.Client, crowd *standin.CallerPool) (in int) {
 	s, err := c.Status(ctx)
 	if err != nil {
 		return 0
 	}
 	for _, m := range s.Instances {
 		if m.Phase != "serving" && m.Phase != "recovering" {
-			crowd.Leave(m.Name)
+			crowd.RemoveInstance(m.Name)
 			continue
 		}
-		if !crowd.In(m.Name) {
-			if crowd.Enter(ctx, m.Name, m.Listen) != nil {
+		if !crowd.HasInstance(m.Name) {
+			if crowd.AddInstance(ctx, m.Name, m.Listen) != nil {
 				continue
 			}
 		}
--- a/lab/wave/plot.go
+++ b/lab/wave/plot.go
@@ -22,7 +22,7 @@
 	last := 0.0
 	for _, s := range r.Samples {
 		for k, ms := range s.WaitMS {
-			lines[k] = append(lines[k], plotter.XY{X: s.AtS, Y: math.Min(ms, 1.5*r.Refusal)})
+			lines[k] = append(lines[k], plotter.XY{X: s.AtS, Y: math.Min(ms, 1.5*r.RefusalPointMS)})
 		}
 		served = append(served, plotter.XY{X: s.AtS, Y: 100 * s.Served})
 		last = s.AtS
@@ -35,12 +35,12 @@
 		}
 		all = append(all, name, lines[k])
 	}
-	all = append(all, "served, %", served, "refusal point", plotter.XYs{{X: 0, Y: r.Refusal}, {X: last, Y: r.Refusal}})
+	all = append(all, "served, %", served, "refusal point", plotter.XYs{{X: 0, Y: r.RefusalPointMS}, {X: last, Y: r.RefusalPointMS}})
 	if err := plotutil.AddLines(p, all...); err != nil {
 		return err
 	}
-	for _, at := range r.Restarted { // a tick for each restart
-		tick, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: r.Refusal / 20}})
+	for _, at := range r.RestartTimes { // a tick for each restart
+		tick, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: r.RefusalPointMS / 20}})
 		if err != nil {
 			return err
 		}
--- a/lab/wave/wave.go
+++ b/lab/wave/wave.go
@@ -23,23 +23,23 @@
 
 // Options is what a wave is made from. Times that are 0 have the defaults of the brief.
 type Options struct {
-	Program   string // of the instances
-	Settings  string // the operators' settings of each, %DIR% standing for its folder
-	Instances int
-	Servers   int
-	Seed      uint64
-	Load      float64                        // of the planned load: 0.88 to 0.97 on most days; 0: drawn from that
-	Planned   float64                        // calls a second, all instances together
-	Share     float64                        // of the instances that restart
-	Batch     float64                        // of the instances, at a time
-	Warm      time.Duration                  // before the wave
-	Wave      time.Duration                  // within which all restarts begin
-	After     time.Duration                  // after the wave
-	Kill      bool                           // SIGKILL in place of SIGTERM
-	Crash     bool                           // the cold server is one whose process crashed and started again unseen; else a new one
-	Steady    bool                           // no restarts and no cold server: only what Rate brings, for Warm, Wave and After together
-	Rate      func(at time.Duration) float64 // times the load; nil: 1
-	Dir       string                         // for the instances' folders
+	Program       string // of the instances
+	Settings      string // the operators' settings of each, %DIR% standing for its folder
+	Instances     int
+	Servers       int
+	Seed          uint64
+	Load          float64                        // of the planned load: 0.88 to 0.97 on most days; 0: drawn from that
+	Planned       float64                        // calls a second, all instances together
+	RestartShare  float64                        // of the instances that restart
+	BatchShare    float64                        // of the instances, at a time
+	WarmUp        time.Duration                  // before the wave
+	RestartWindow time.Duration                  // within which all restarts begin
+	After         time.Duration                  // after the wave
+	Kill          bool                           // SIGKILL in place of SIGTERM
+	Crash         bool                           // the cold server is one whose process crashed and started again unseen; else a new one
+	Steady        bool                           // no restarts and no cold server: only what Rate brings, for Warm, Wave and After together
+	RateFactor    func(at time.Duration) float64 // times the load; nil: 1
+	Dir           string                         // for the instances' folders
 }
 
 func (o *Options) defaults() {
@@ -54,39 +54,39 @@
 		}
 	}
 	set(&o.Planned, 66)
-	set(&o.Share, 0.93)
-	set(&o.Batch, 0.28)
-	span(&o.Warm, 10*time.Second)
-	span(&o.Wave, 28*time.Second)
+	set(&o.RestartShare, 0.93)
+	set(&o.BatchShare, 0.28)
+	span(&o.WarmUp, 10*time.Second)
+	span(&o.RestartWindow, 28*time.Second)
 	span(&o.After, 12*time.Second)
 }
 
 // Result is what a wave showed.
 type Result struct {
-	Seed        uint64  `json:"seed"`
-	Instances   int     `json:"instances"`
-	Servers     int     `json:"servers"`
-	Load        float64 `json:"load"`
-	ColdWait    float64 `json:"cold_wait_max_ms"` // the longest that a set-up found at the cold server
-	Refusal     float64 `json:"refusal_point_ms"` // the wait beyond which it turns set-ups away
-	FellOver    bool    `json:"fell_over"`
-	ColdRefused int     `json:"cold_refused"`
-	Calls       int     `json:"calls"` // callers' calls; with redials, tries
-	Tries       int     `json:"tries"`
-	Attempts    int     `json:"attempts"`
-	check.Broken
-	Served     float64            `json:"served_share"`
-	BySecond   []float64          `json:"served_by_second"`
-	OfferedByS []int              `json:"offered_by_second"`
-	Cut        int                `json:"cut"`
-	Restarts   int                `json:"restarts"`
-	Errors     []string           `json:"errors,omitempty"`
-	LateMS     float64            `json:"ran_late_ms"` // how late this rig itself ran at worst
-	Samples    []Sample           `json:"samples"`
-	Restarted  []float64          `json:"restart_at_s"`
-	Outcomes   []standin.Outcome  `json:"-"`
-	Refused    map[string]float64 `json:"wait_by_server_ms"` // worst of each
-	WallClockS float64            `json:"wall_s"`
+	Seed           uint64  `json:"seed"`
+	Instances      int     `json:"instances"`
+	Servers        int     `json:"servers"`
+	Load           float64 `json:"load"`
+	MaxColdWaitMS  float64 `json:"cold_wait_max_ms"` // the longest that a set-up found at the cold server
+	RefusalPointMS float64 `json:"refusal_point_ms"` // the wait beyond which it turns set-ups away
+	FellOver       bool    `json:"fell_over"`
+	ColdRefused    int     `json:"cold_refused"`
+	Calls          int     `json:"calls"` // callers' calls; with redials, tries
+	Tries          int     `json:"tries"`
+	Attempts       int     `json:"attempts"`
+	check.Violations
+	Served          float64            `json:"served_share"`
+	ServedBySecond  []float64          `json:"served_by_second"`
+	OfferedBySecond []int              `json:"offered_by_second"`
+	CutCalls        int                `json:"cut"`
+	Restarts        int                `json:"restarts"`
+	Errors          []string           `json:"errors,omitempty"`
+	MaxDelayMS      float64            `json:"ran_late_ms"` // how late this rig itself ran at worst
+	Samples         []Sample           `json:"samples"`
+	RestartTimes    []float64          `json:"restart_at_s"`
+	Outcomes        []standin.Outcome  `json:"-"`
+	MaxWaitMS       map[string]float64 `json:"wait_by_server_ms"` // worst of each
+	WallSeconds     float64            `json:"wall_s"`
 }
 
 // Sample is one look at the servers.
@@ -105,11 +105,11 @@
 	if o.Load == 0 {
 		o.Load = 0.88 + rng.Float64()*0.09
 	}
-	p := processor.Draw(o.Planned, o.Servers, rng)
+	p := processor.DrawParams(o.Planned, o.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	began := time.Now()
-	r := &Result{Seed: o.Seed, Instances: o.Instances, Servers: o.Servers, Load: o.Load, Refusal: float64(p.Refuse / 1e6)}
-	w := &run{Options: o, ctx: ctx, r: r, ledger: ledger, rng: rng, params: p, began: began, lists: map[string]*standin.List{}}
+	r := &Result{Seed: o.Seed, Instances: o.Instances, Servers: o.Servers, Load: o.Load, RefusalPointMS: float64(p.RefusalWait / 1e6)}
+	w := &run{Options: o, ctx: ctx, r: r, ledger: ledger, rng: rng, params: p, began: began, lists: map[string]*standin.ListService{}}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	w.sum()
-	r.WallClockS = time.Since(began).Seconds()
+	r.WallSeconds = time.Since(began).Seconds()
 	return r, nil
 }
 
@@ -142,9 +142,9 @@
 	began     time.Time
 	names     []string
 	instances []*host.Instance
-	lists     map[string]*standin.List
+	lists     map[string]*standin.ListService
 	servers   []*standin.Server // the cold one last, once it is there
-	crowd     *standin.Crowd
+	crowd     *standin.CallerPool
 
 	mu      sync.Mutex
 	serving int
@@ -173,19 +173,19 @@
 		}
 		w.servers = append(w.servers, s)
 	}
-	w.crowd = standin.NewCrowd(standin.Demand{Rate: w.Load * w.Planned, RateAt: w.Rate, Class: "open-log",
+	w.crowd = standin.NewCallerPool(standin.Demand{Rate: w.Load * w.Planned, RateFactor: w.RateFactor, Class: "open-log",
 		Tenants: map[string]float64{"slaney-vines": 0.55, "barrow-estate": 0.33, "suir-growers": 0.12}, Aim: 1200 * time.Millisecond,
-		Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, Late: 0.25, Cells: w.Servers,
+		Deadline: 9 * time.Second, Patience: [2]float64{0.3, 0.4}, Redials: 2, LateValue: 0.25, Cells: w.Servers,
 		RedialGap: [2]time.Duration{300 * time.Millisecond, time.Second}}, w.ledger, w.rng.Uint64())
 	defer w.crowd.Close()
 	for k, name := range w.names {
 		var first []standin.Entry
 		for _, s := range w.servers {
-			first = append(first, standin.EntryOf(s, name, "SERVING", time.Time{}))
+			first = append(first, standin.NewEntry(s, name, "SERVING", time.Time{}))
 		}
-		list, err := standin.NewList(first, func(e standin.Entry, at time.Time) {
+		list, err := standin.NewListService(first, func(e standin.Entry, at time.Time) {
 			if e.State != "SERVING" {
-				w.ledger.Told(name, e.ID, at)
+				w.ledger.DrainAnnounced(name, e.ID, at)
 			}
 		})
 		if err != nil {
@@ -198,7 +198,7 @@
 			return err
 		}
 		i := &host.Instance{Name: name, Dir: dir, Program: w.Program, Settings: strings.ReplaceAll(w.Settings, "%DIR%", dir),
-			Config: host.Platform(name, k, host.Site{Instances: w.Instances, Servers: w.Servers, Planned: w.Planned}, list.Addr(), w.rng.Uint64())}
+			Config: host.PlatformConfig(name, k, host.Site{Instances: w.Instances, Servers: w.Servers, Planned: w.Planned}, list.Addr(), w.rng.Uint64())}
 		w.instances = append(w.instances, i)
 		if err := w.up(i); err != nil {
 			return err
@@ -206,7 +206,7 @@
 	}
 	calm := time.Now()
 	w.began = calm
-	total := w.Warm + w.Wave + w.After
+	total := w.WarmUp + w.RestartWindow + w.After
 	if !w.Steady {
 		w.group.Go(func() error { return w.trouble(calm) })
 	}
@@ -215,11 +215,11 @@
 }
 
 func (w *run) up(i *host.Instance) error {
-	addr, err := i.Start(w.ctx, w.lists[i.Name].Known())
+	addr, err := i.Start(w.ctx, w.lists[i.Name].KnownList())
 	if err != nil {
 		return err
 	}
-	if err := w.crowd.Enter(w.ctx, i.Name, addr); err != nil {
+	if err := w.crowd.AddInstance(w.ctx, i.Name, addr); err != nil {
 		return err
 	}
 	w.mu.Lock()
@@ -231,15 +231,15 @@
 // trouble replaces one server by a cold one just before the wave, and restarts instances batch by batch.
 func (w *run) trouble(calm time.Time) error {
 	rng := rand.New(rand.NewPCG(w.Seed, 0x74726f75))
-	if !w.until(calm.Add(w.Warm - 2*time.Second)) {
+	if !w.until(calm.Add(w.WarmUp - 2*time.Second)) {
 		return nil
 	}
 	old := w.servers[w.Servers-1]
 	if w.Crash {
-		w.until(calm.Add(w.Warm - 300*time.Millisecond)) // while the first batch is being restarted
+		w.until(calm.Add(w.WarmUp - 300*time.Millisecond)) // while the first batch is being restarted
 		started := old.Crash()
 		for _, name := range w.names { // the list tells of it late: who starts meanwhile takes it for warm
-			w.lists[name].Change(standin.EntryOf(old, name, "SERVING", started), 4*time.Second+time.Duration(rng.Int64N(int64(3*time.Second))))
+			w.lists[name].AnnounceChange(standin.NewEntry(old, name, "SERVING", started), 4*time.Second+time.Duration(rng.Int64N(int64(3*time.Second))))
 		}
 		w.wave(calm, rng)
 		return nil
@@ -255,9 +255,9 @@
 	w.mu.Unlock()
 	for _, name := range w.names { // the list is seconds late, for each instance in its own way
 		late := 500*time.Millisecond + time.Duration(rng.Int64N(int64(2500*time.Millisecond)))
-		w.lists[name].Change(standin.EntryOf(old, name, "DRAINING", time.Time{}), late)
-		w.lists[name].Change(standin.EntryOf(cold, name, "SERVING", started), late)
-		w.lists[name].Change(standin.EntryOf(old, name, "DELETED", time.Time{}), 12*time.Second)
+		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DRAINING", time.Time{}), late)
+		w.lists[name].AnnounceChange(standin.NewEntry(cold, name, "SERVING", started), late)
+		w.lists[name].AnnounceChange(standin.NewEntry(old, name, "DELETED", time.Time{}), 12*time.Second)
 	}
 	w.group.Go(func() error {
 		if w.until(started.Add(11 * time.Second)) {
@@ -271,11 +271,11 @@
 
 // wave restarts instances batch by batch.
 func (w *run) wave(calm time.Time, rng *rand.Rand) {
-	order := rng.Perm(w.Instances)[:int(w.Share*float64(w.Instances)+0.5)]
-	batch := max(int(w.Batch*float64(w.Instances)), 1)
+	order := rng.Perm(w.Instances)[:int(w.RestartShare*float64(w.Instances)+0.5)]
+	batch := max(int(w.BatchShare*float64(w.Instances)), 1)
 	batches := (len(order) + batch - 1) / batch
 	for b := range batches {
-		if !w.until(calm.Add(w.Warm + w.Wave*time.Duration(b)/time.Duration(batches))) {
+		if !w.until(calm.Add(w.WarmUp + w.RestartWindow*time.Duration(b)/time.Duration(batches))) {
 			return
 		}
 		for _, k := range order[b*batch : min((b+1)*batch, len(order))] {
@@ -298,12 +298,12 @@
 	w.mu.Lock()
 	w.r.Restarts++
 	w.serving--
-	w.r.Restarted = append(w.r.Restarted, time.Since(w.began).Seconds())
+	w.r.RestartTimes = append(w.r.RestartTimes, time.Since(w.began).Seconds())
 	w.mu.Unlock()
 	if w.Kill {
-		w.crowd.Killed(i.Name)
+		w.crowd.InstanceKilled(i.Name)
 	} else { // the front notices that the test fails
-		time.AfterFunc(200*time.Millisecond, func() { w.crowd.Leave(i.Name) })
+		time.AfterFunc(200*time.Millisecond, func() { w.crowd.RemoveInstance(i.Name) })
 	}
 	err := i.Stop(w.Kill)
 	if err == nil {
@@ -326,10 +326,10 @@
 			return
 		}
 		w.mu.Lock()
-		w.r.LateMS = max(w.r.LateMS, float64(time.Since(due).Microseconds())/1000)
+		w.r.MaxDelayMS = max(w.r.MaxDelayMS, float64(time.Since(due).Microseconds())/1000)
 		s := Sample{AtS: (time.Duration(n) * every).Seconds(), Serving: w.serving}
 		for _, one := range w.servers {
-			s.WaitMS = append(s.WaitMS, float64(min(one.Wait(), time.Minute).Microseconds())/1000)
+			s.WaitMS = append(s.WaitMS, float64(min(one.ExpectedWait(), time.Minute).Microseconds())/1000)
 		}
 		w.r.Samples = append(w.r.Samples, s)
 		w.mu.Unlock()
@@ -339,7 +339,7 @@
 // sum makes the figures of the result.
 func (w *run) sum() {
 	r := w.r
-	r.Broken, r.Tries, r.Attempts = w.ledger.Result()
+	r.Violations, r.Tries, r.Attempts = w.ledger.Result()
 	r.Outcomes = w.crowd.Results()
 	r.Calls = len(r.Outcomes)
 	worth := 0.0
@@ -349,24 +349,24 @@
 		bySecond[int(o.At/time.Second)] += o.Worth
 		of[int(o.At/time.Second)]++
 		if o.Cut {
-			r.Cut++
+			r.CutCalls++
 		}
 	}
 	r.Served = worth / float64(max(r.Calls, 1))
-	for at := range int((w.Warm+w.Wave+w.After)/time.Second) + 1 {
-		r.BySecond, r.OfferedByS = append(r.BySecond, bySecond[at]/float64(max(of[at], 1))), append(r.OfferedByS, of[at])
+	for at := range int((w.WarmUp+w.RestartWindow+w.After)/time.Second) + 1 {
+		r.ServedBySecond, r.OfferedBySecond = append(r.ServedBySecond, bySecond[at]/float64(max(of[at], 1))), append(r.OfferedBySecond, of[at])
 	}
 	for k := range r.Samples {
 		if at := int(r.Samples[k].AtS); of[at] > 0 {
 			r.Samples[k].Served = bySecond[at] / float64(of[at])
 		}
 	}
-	r.Refused = map[string]float64{}
+	r.MaxWaitMS = map[string]float64{}
 	for k, s := range w.servers {
-		worst, fallen, _, refused := s.Look()
-		r.Refused[s.ID] = float64(worst.Microseconds()) / 1000
+		worst, fallen, _, refused := s.Stats()
+		r.MaxWaitMS[s.ID] = float64(worst.Microseconds()) / 1000
 		if r.FellOver = r.FellOver || fallen; k == w.Servers || w.Crash && k == w.Servers-1 {
-			r.ColdWait, r.ColdRefused = float64(worst.Microseconds())/1000, refused
+			r.MaxColdWaitMS, r.ColdRefused = float64(worst.Microseconds())/1000, refused
 		}
 	}
 }
--- a/lab/wave/wave_test.go
+++ b/lab/wave/wave_test.go
@@ -32,11 +32,11 @@
 // A small wave: six instances, three servers, one of them cold; every promise is kept and the cold one stands.
 func TestASmallWave(t *testing.T) {
 	r, err := Run(t.Context(), Options{Program: program, Settings: "[recovery]\nenabled = true\n[state]\ndir = \"%DIR%\"\nevery = \"200ms\"\n", Instances: 6,
-		Servers: 3, Seed: 1, Warm: 4 * time.Second, Wave: 4 * time.Second, After: 3 * time.Second, Dir: t.TempDir()})
+		Servers: 3, Seed: 1, WarmUp: 4 * time.Second, RestartWindow: 4 * time.Second, After: 3 * time.Second, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Any() || len(r.Errors) > 0 || r.FellOver || r.ColdWait >= r.Refusal || r.Restarts != 6 || r.Calls < 300 {
+	if r.Any() || len(r.Errors) > 0 || r.FellOver || r.MaxColdWaitMS >= r.RefusalPointMS || r.Restarts != 6 || r.Calls < 300 {
 		r.Samples = nil
 		t.Errorf("%+v", r)
 	}
@@ -85,8 +85,8 @@
 
 // A steady run has no restart and no cold server; the jump of its rate shows in what is offered.
 func TestASteadyRun(t *testing.T) {
-	r, err := Run(t.Context(), Options{Program: program, Instances: 3, Servers: 2, Seed: 1, Steady: true, Warm: 2 * time.Second, Wave: 2 * time.Second, After: time.Second,
-		Rate: func(at time.Duration) float64 {
+	r, err := Run(t.Context(), Options{Program: program, Instances: 3, Servers: 2, Seed: 1, Steady: true, WarmUp: 2 * time.Second, RestartWindow: 2 * time.Second, After: time.Second,
+		RateFactor: func(at time.Duration) float64 {
 			if at >= 2*time.Second {
 				return 2
 			}
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Any() || len(r.Errors) > 0 || r.Restarts != 0 || len(r.BySecond) != 6 || r.OfferedByS[3] < 2*r.OfferedByS[1] || r.Served < 0.5 {
+	if r.Any() || len(r.Errors) > 0 || r.Restarts != 0 || len(r.ServedBySecond) != 6 || r.OfferedBySecond[3] < 2*r.OfferedBySecond[1] || r.Served < 0.5 {
 		r.Samples = nil
 		t.Errorf("%+v", r)
 	}
