--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -10,10 +10,10 @@
 	"masthill/internal/sip"
 )
 
-// abandon gives up the set-ups that are open on a connection. Called under the lock.
-func (s *Server) abandon(c *conn) (all []*txn) {
-	for id, t := range s.txns {
-		if t.conn == c && !t.stood {
+// giveUpOpen gives up the unanswered set-ups of a connection and returns them. Called with the lock held.
+func (s *Server) giveUpOpen(c *conn) (all []*transaction) {
+	for id, t := range s.transactions {
+		if t.conn == c && !t.established {
 			all = append(all, t)
 			s.remove(t)
 			s.Core.GiveUp(id, owner, s)
@@ -22,26 +22,26 @@
 	return all
 }
 
-// txn is one set-up of a caller, until it has its refusal or its call is over.
-type txn struct {
+// transaction is one set-up of a caller, until it is refused or its call has ended.
+type transaction struct {
 	*conn
-	id, number string
-	sum        uint64 // of the set-up
-	echo       []byte // headers for the answer
-	seq        uint64
-	stood      bool
+	id, number    string
+	fingerprint   uint64 // of its set-up
+	echoedHeaders []byte // that the answer repeats
+	seq           uint64
+	established   bool
 }
 
-// take handles one message of a caller.
-func (c *conn) take(m *sip.Message) error {
+// handle handles one message of a caller.
+func (c *conn) handle(m *sip.Message) error {
 	if m.Status != 0 {
-		return nil // 'release heard', which is free
+		return nil // the response to a release
 	}
 	id := string(m.Get("Call-ID"))
 	switch string(m.Method) {
 	case "INVITE":
-		if status, why := c.setup(m, id); status != 0 {
-			if c.turned++; c.turned <= maxRejectionsLogged {
+		if status, why := c.handleInvite(m, id); status != 0 {
+			if c.rejected++; c.rejected <= maxRejectionsLogged {
 				c.server.Log.Warn("set-up turned down", "status", status, "why", why, "peer", c.Remote())
 			}
 			c.Send(sip.Response(m, status))
@@ -58,7 +58,7 @@
 		c.Send(sip.Response(m, status))
 		c.server.Core.HangUp(id, owner)
 	case "OPTIONS":
-		c.use()
+		c.noteRequest()
 		status := 200
 		if !c.server.Ready() {
 			status = 503
@@ -71,13 +71,13 @@
 	return nil
 }
 
-// cancel gives a set-up up, or releases the call where its answer crossed the CANCEL. Only the connection of the
-// set-up may: a stranger who knows an id must not end another's call.
+// cancel gives up a set-up, or releases its call if the answer crossed the CANCEL. Only the connection of the set-up
+// may cancel it: another caller that knows the id must not end the call.
 func (c *conn) cancel(id string) bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
+	t := s.transactions[id]
 	if t == nil || t.conn != c {
 		return false
 	}
@@ -86,46 +86,46 @@
 	return true
 }
 
-// forget drops a transaction that its caller ended.
-func (s *Server) forget(id string, stood bool) bool {
+// forget removes the transaction of a call that its caller ended.
+func (s *Server) forget(id string, establishedOnly bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.txns[id]
-	if t == nil || stood && !t.stood {
+	t := s.transactions[id]
+	if t == nil || establishedOnly && !t.established {
 		return false
 	}
 	s.remove(t)
 	return true
 }
 
-// remove ends a transaction. Called under the lock.
-func (s *Server) remove(t *txn) {
-	delete(s.txns, t.id)
+// remove removes a transaction. Called with the lock held.
+func (s *Server) remove(t *transaction) {
+	delete(s.transactions, t.id)
 	if t.conn == nil {
 		return
 	}
-	if t.stood {
-		t.standing--
+	if t.established {
+		t.establishedCalls--
 	} else {
-		t.open--
+		t.openCalls--
 	}
-	t.used = time.Now()
-	t.conn.answered()
+	t.lastUsed = time.Now()
+	t.conn.wakeIfDrained()
 }
 
-// setup takes a set-up, or tells the status that turns it down. What the call keeps is copied out of the read
-// buffer here.
-func (c *conn) setup(m *sip.Message, id string) (status int, why string) {
+// handleInvite accepts a set-up, or returns the status that rejects it and why. What the call keeps is copied out of
+// the read buffer here.
+func (c *conn) handleInvite(m *sip.Message, id string) (status int, why string) {
 	seq, method, ok := m.CSeq()
 	switch {
-	case !callID(id):
+	case !isCallID(id):
 		return 400, "Call-ID is not 16 hex digits"
 	case !ok || string(method) != "INVITE":
 		return 400, "CSeq does not name INVITE"
 	case len(m.User()) == 0:
-		return 400, "no number in the first line"
-	case len(m.Body) > sip.MaxMessage-headerRoom-len(m.User()):
-		return 413, "description leaves no room for the headers to an office"
+		return 400, "no number in the request line"
+	case len(m.Body) > sip.MaxMessage-headerReserve-len(m.User()):
+		return 413, "description leaves no space for the headers to an office"
 	}
 	number := string(m.User())
 	call := exchange.Setup{ID: id, Owner: owner, Number: number, Description: bytes.Clone(m.Body), Dest: -1,
@@ -134,7 +134,7 @@
 	if p := m.Get("X-Patience"); p != nil {
 		ms, err := strconv.ParseInt(string(p), 10, 64)
 		if err != nil {
-			return 400, "X-Patience is no number"
+			return 400, "X-Patience is not a number"
 		}
 		patience = &ms
 	}
@@ -144,11 +144,11 @@
 			n, err := strconv.ParseInt(value, 10, 32)
 			switch {
 			case name == "dest" && err != nil:
-				return 400, "dest in X-Facts is no number"
+				return 400, "dest in X-Facts is not a number"
 			case name == "dest":
 				call.Dest = int(n)
 			case name == "width" && (err != nil || n < 1):
-				return 400, "width in X-Facts is no number of circuits"
+				return 400, "width in X-Facts is not a positive number of circuits"
 			case name == "again":
 				call.Again = n == 1
 			}
@@ -158,39 +158,40 @@
 	if err != nil {
 		return 400, err.Error()
 	}
-	echo := sip.EchoHeaders(m)
-	if len(echo) > maxEchoBytes {
-		return 400, "headers that an answer repeats are over 1 KiB"
+	echoedHeaders := sip.EchoHeaders(m)
+	if len(echoedHeaders) > maxEchoBytes {
+		return 400, "the headers that an answer repeats exceed 1 KiB"
 	}
 	s := c.server
-	t := &txn{conn: c, id: id, number: number, sum: call.Fingerprint(), echo: echo, seq: seq}
+	t := &transaction{conn: c, id: id, number: number, fingerprint: call.Fingerprint(), echoedHeaders: echoedHeaders, seq: seq}
 	s.mu.Lock()
-	c.stays()
-	old := s.txns[id]
-	twice := old != nil && old.conn == c && old.sum == t.sum && bytes.Equal(old.echo, t.echo)
-	gone, full := c.gone || s.refusing || c.outstays(), c.open >= maxOpenCalls
-	take := old == nil && !gone && !full
-	if take {
-		s.txns[id] = t
-		c.ask()
-		c.open++
+	c.cancelIdleEnding()
+	existing := s.transactions[id]
+	repeated := existing != nil && existing.conn == c && existing.fingerprint == t.fingerprint && bytes.Equal(existing.echoedHeaders, t.echoedHeaders)
+	refused, full := c.ending || s.refusing || c.exceedsDrain(), c.openCalls >= maxOpenCalls
+	accepted := existing == nil && !refused && !full
+	if accepted {
+		s.transactions[id] = t
+		c.noteRequestLocked()
+		c.openCalls++
 	}
 	s.mu.Unlock()
 	switch {
-	case old == nil && gone: // it had come before its caller could see the end; trying again is harmless
-		return 503, "the connection ends"
-	case old == nil && full:
-		return 503, "too many set-ups open on the connection"
-	case take:
-		c.MarkHandled() // the core may ask for the client before the reader asks for more
+	case existing == nil && refused: // sent before the caller could see the end; trying again is harmless
+		return 503, "the connection is ending"
+	case existing == nil && full:
+		return 503, "too many open set-ups on the connection"
+	case accepted:
+		c.MarkHandled() // the core may ask for the client's presence before the reader reads on
 		s.Core.Submit(call, s)
-	case !twice: // joined, the answer to the first would go to whoever names its id
+	case !repeated: // if it joined, anyone who names the id would get the first set-up's answer
 		return 482, "Call-ID of another set-up"
 	}
 	return 0, ""
 }
 
-func callID(id string) bool {
+// isCallID tells whether an id is 16 hex digits.
+func isCallID(id string) bool {
 	if len(id) != 16 {
 		return false
 	}
