--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -25,7 +25,7 @@
 // second process at the same address, and with a limit that is lowered from outside.
 type allocation struct {
 	log     *slog.Logger
-	servers *descriptors.Gate // connections to them
+	servers *descriptors.Limiter // connections to them
 
 	mu        sync.Mutex
 	demand    descriptors.Demand
@@ -44,7 +44,7 @@
 
 // newAllocation plans for a demand.
 func newAllocation(d descriptors.Demand, maxPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewGate(0), demand: d, listed: map[uint64]bool{}, maxPlaces: maxPlaces}
+	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listed: map[uint64]bool{}, maxPlaces: maxPlaces}
 	a.demand.Limit = processLimit(d.Limit)
 	a.plan()
 	return a
@@ -68,28 +68,28 @@
 }
 
 // clientsFront is the platform's front's share, within what the memory allows.
-func (a *allocation) clientsFront() descriptors.Front {
+func (a *allocation) clientsFront() descriptors.FrontShare {
 	f := a.budget.Clients
-	f.Places = min(f.Places, a.maxPlaces)
+	f.MaxConnections = min(f.MaxConnections, a.maxPlaces)
 	return f
 }
 
 // operatorsPlaces is how many connections the operators' address holds at once, beside the one that waits for a place.
 func (a *allocation) operatorsPlaces() int { return max(a.budget.Operators-1, 1) }
 
-func (f sharedFront) apply(share descriptors.Front) {
+func (f sharedFront) apply(share descriptors.FrontShare) {
 	if f.resizable != nil {
-		f.SetMaxOpen(share.Places)
+		f.SetMaxOpen(share.MaxConnections)
 		f.listener.SetLimit(share.Descriptors)
 	}
 }
 
 // attach hands a front and its listener over to the allocation.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
-	l.Shortage = a.shortage
+	l.OnShortage = a.shortage
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	*to = sharedFront{f, listener.Bound(l, descriptors.NewGate(0))}
+	*to = sharedFront{f, listener.NewBounded(l, descriptors.NewLimiter(0))}
 	a.plan()
 	return to.listener
 }
@@ -148,7 +148,7 @@
 	return a.clients.exceeds(a.budget.Clients) || a.webSocket.exceeds(a.budget.WebSocket)
 }
 
-func (f sharedFront) exceeds(share descriptors.Front) bool { return f.held() > share.Descriptors }
+func (f sharedFront) exceeds(share descriptors.FrontShare) bool { return f.held() > share.Descriptors }
 
 func (f sharedFront) held() int {
 	if f.listener == nil {
@@ -171,10 +171,10 @@
 // dial bounds the connections that one way to servers makes.
 func (a *allocation) dial(dial office.Dial) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
-		if !a.servers.Take() {
-			return nil, descriptors.ErrShareTaken
+		if !a.servers.TryAcquire() {
+			return nil, descriptors.ErrShareExhausted
 		}
-		peer, err := descriptors.Persist(ctx, a.shortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
+		peer, err := descriptors.OpenWithRetry(ctx, a.shortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
 		if err != nil {
 			a.servers.Release()
 			return nil, err
@@ -186,7 +186,7 @@
 // heldPeer gives its descriptor back when it ends.
 type heldPeer struct {
 	office.Peer
-	gate *descriptors.Gate
+	gate *descriptors.Limiter
 }
 
 // Run implements office.Peer.
--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -202,7 +202,7 @@
 
 func newServer(t *testing.T) *connectsTo {
 	s := &connectsTo{came: make(chan time.Time, 1000)}
-	s.addr = netcase.Accept(t, func(c net.Conn) {
+	s.addr = netcase.ServeConns(t, func(c net.Conn) {
 		s.mu.Lock()
 		s.conns = append(s.conns, c)
 		s.mu.Unlock()
@@ -357,7 +357,7 @@
 // More servers than there are descriptors: connects beyond the share fail at once with a reason of their own, the clients keep
 // a third, and a connection that ends lets the next one come up.
 func TestMoreServersThanDescriptors(t *testing.T) {
-	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.Quiet())
+	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.DiscardLogger())
 	var servers []exchange.Office
 	for k := range 200 {
 		servers = append(servers, exchange.Office{Entry: control.Entry{Server: uint64(k), State: control.Serving}})
@@ -372,7 +372,7 @@
 	up := 0
 	for range servers {
 		peer, err := dial(t.Context(), "server:1")
-		if errors.Is(err, descriptors.ErrShareTaken) {
+		if errors.Is(err, descriptors.ErrShareExhausted) {
 			continue
 		}
 		if err != nil {
--- a/cmd/masthill/main_test.go
+++ b/cmd/masthill/main_test.go
@@ -86,7 +86,7 @@
 // a call under way and its connection go on, and a bad file changes nothing.
 func TestNewConfiguration(t *testing.T) {
 	asked := make(chan string, 10)
-	second := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	second := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.Header.Get("Last-Event-ID")
 		<-r.Context().Done()
 	})
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -225,7 +225,7 @@
 // calling is the platform's front.
 func calling(in *instance) (p part, err error) {
 	in.calls = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.p.Names, Ready: in.state.Ready,
-		MaxConnections: in.descriptors.clientsFront().Places})
+		MaxConnections: in.descriptors.clientsFront().MaxConnections})
 	l, err := in.opens("callers", in.p.Listen)
 	if err != nil {
 		return p, err
@@ -281,7 +281,7 @@
 		return part{}, fmt.Errorf("callws.listen: %w", err)
 	}
 	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.p.Names, Callers: in.own.CallWS.Callers, Ready: in.state.Ready,
-		MaxOpen: in.descriptors.budget.WebSocket.Places})
+		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
 	in.fronts[f], in.controls = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
 	in.log.Info("serving call control", "listen", l.Addr().String())
@@ -297,10 +297,10 @@
 	if err != nil {
 		return part{}, fmt.Errorf("admin: %w", err)
 	}
-	l.Shortage = in.descriptors.shortage
+	l.OnShortage = in.descriptors.shortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
 	s := admin.New(&in.state, in.log.With(logs.Part, "admin"))
-	s.MaxOpen = in.descriptors.operatorsPlaces()
+	s.MaxConnections = in.descriptors.operatorsPlaces()
 	return part{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
 
--- a/cmd/masthill/ready_test.go
+++ b/cmd/masthill/ready_test.go
@@ -21,7 +21,7 @@
 // settling runs settle against a service that answers after a while, on the test's clock, and tells how long it took.
 func settling(t *testing.T, answers time.Duration) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.Quiet(), OnChange: func([]exchange.Office, bool) {},
+		in := &instance{feed: &journal.Client{Addr: "list:1", Log: netcase.DiscardLogger(), OnChange: func([]exchange.Office, bool) {},
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				ours, theirs := net.Pipe()
 				go func() {
@@ -60,7 +60,7 @@
 // never come up, and a snapshot of the process before is there. The instance is ready all the same: it waits for the list
 // alone, by settleFor at the most.
 func TestReadyWhereEverythingOutsideHangs(t *testing.T) {
-	silent := netcase.Accept(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	silent := netcase.ServeConns(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	hanging := hangingDiscovery(t) // as a server: connects hang
 	admin, state := free(t), t.TempDir()
 	project := fmt.Sprintf("[store]\ndriver = \"postgres\"\ndsn = \"postgres://u:p@%s/db\"\n[state]\ndir = %q\n", silent, state)
--- a/cmd/masthill/standin_test.go
+++ b/cmd/masthill/standin_test.go
@@ -42,7 +42,7 @@
 
 // newJournal is a stand-in that sends a comment now and then and nothing else.
 func newJournal(t *testing.T) string {
-	return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	return netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil && t.Context().Err() == nil {
 			fmt.Fprint(w, ":\n\n")
 			w.(http.Flusher).Flush()
@@ -289,7 +289,7 @@
 
 // sipOffice is a stand-in that speaks the platform's protocol.
 func sipOffice(t *testing.T, p *processor) string {
-	return netcase.Accept(t, func(c net.Conn) {
+	return netcase.ServeConns(t, func(c net.Conn) {
 		var mu sync.Mutex
 		write := func(text string) {
 			mu.Lock()
@@ -325,7 +325,7 @@
 
 // wsOffice is a stand-in that speaks call control over WebSocket.
 func wsOffice(t *testing.T, p *processor) string {
-	return "ws://" + netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	return "ws://" + netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{"callserver.v1"}})
 		if err != nil {
 			return
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,19 +21,19 @@
 const (
 	// DefaultMaxOpen bounds the connections where nothing else is set. Where all places are taken, the oldest makes room
 	// as soon as it has had youngFor: an honest call is over in a moment.
-	DefaultMaxOpen, youngFor = 16, 100 * time.Millisecond
+	DefaultMaxConnections, youngFor = 16, 100 * time.Millisecond
 	// callFor is the time for a whole call, headerMost its size.
 	callFor, headerMost = 2 * time.Second, 4 << 10
 )
 
 // Server answers the operators' calls.
 type Server struct {
-	State   *readiness.State
-	Log     *slog.Logger
-	MaxOpen int // connections held at once, but for one that waits for a place
-	mu      sync.Mutex
-	open    []held        // the oldest first
-	freed   chan struct{} // a place is free, or may be
+	State          *readiness.State
+	Log            *slog.Logger
+	MaxConnections int // connections held at once, but for one that waits for a place
+	mu             sync.Mutex
+	open           []held        // the oldest first
+	freed          chan struct{} // a place is free, or may be
 }
 
 type held struct {
@@ -43,7 +43,7 @@
 
 // New makes a server.
 func New(state *readiness.State, log *slog.Logger) *Server {
-	return &Server{State: state, Log: log, MaxOpen: DefaultMaxOpen, freed: make(chan struct{}, 1)}
+	return &Server{State: state, Log: log, MaxConnections: DefaultMaxConnections, freed: make(chan struct{}, 1)}
 }
 
 // Serve answers until ctx ends.
@@ -95,7 +95,7 @@
 func (s *Server) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.open) >= s.MaxOpen {
+	if len(s.open) >= s.MaxConnections {
 		oldest := s.open[0]
 		if time.Since(oldest.since) < youngFor {
 			return false
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	s := New(&readiness.State{}, netcase.Quiet())
+	s := New(&readiness.State{}, netcase.DiscardLogger())
 	addr := netcase.Serve(t, s.Serve)
 	for k, step := range []struct {
 		method, path string
@@ -78,11 +78,11 @@
 
 // Callers that say nothing, or half a call, keep no answer waiting, and are gone after callFor.
 func TestHalfCallsKeepNobodyOut(t *testing.T) {
-	s := New(&readiness.State{}, netcase.Quiet())
+	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var half []net.Conn
-	for k := range 4 * DefaultMaxOpen {
+	for k := range 4 * DefaultMaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -97,7 +97,7 @@
 		}
 	}
 	s.mu.Lock()
-	if n := len(s.open); n > DefaultMaxOpen {
+	if n := len(s.open); n > DefaultMaxConnections {
 		t.Errorf("%d connections held", n)
 	}
 	s.mu.Unlock()
@@ -111,11 +111,11 @@
 
 // Honest calls at once, more than there are places: each has its answer, as none is old enough to make room.
 func TestManyCallsAtOnce(t *testing.T) {
-	s := New(&readiness.State{}, netcase.Quiet())
+	s := New(&readiness.State{}, netcase.DiscardLogger())
 	s.State.MarkStarted()
 	addr := netcase.Serve(t, s.Serve)
 	var wg sync.WaitGroup
-	for range 8 * DefaultMaxOpen {
+	for range 8 * DefaultMaxConnections {
 		wg.Go(func() {
 			if status, _ := call(t, addr, "GET", "/healthcheck"); status != http.StatusOK {
 				t.Errorf("status %d", status)
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -39,7 +39,7 @@
 
 func newServer(maxConnections int) (*Server, *coreStub) {
 	c := &coreStub{events: make(chan string, 1000)}
-	return New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return !c.notReady.Load() }, MaxConnections: maxConnections, Names: exchange.Names{
+	return New(Options{Core: c, Log: netcase.DiscardLogger(), Ready: func() bool { return !c.notReady.Load() }, MaxConnections: maxConnections, Names: exchange.Names{
 		Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}, Pools: []int{0, 1, 2}}}), c
 }
 
@@ -315,7 +315,7 @@
 		defer theirs.Close()
 		go io.Copy(io.Discard, theirs)
 		c := newConn(ours, s)
-		r := sip.NewReader(netcase.Cut(t, netcase.Garbage(t, []byte(message("INVITE", id, headers)+message("BYE", id, "")))))
+		r := sip.NewReader(netcase.RandomReader(t, netcase.Garbage(t, []byte(message("INVITE", id, headers)+message("BYE", id, "")))))
 		for {
 			m, err := r.Next()
 			if err != nil {
--- a/internal/caller/gone_test.go
+++ b/internal/caller/gone_test.go
@@ -29,7 +29,7 @@
 // newCoreHarness returns a server with real connections in front of a real core, which the test can keep busy.
 func newCoreHarness(t *testing.T) (*harness, *corecase.Core) {
 	c := corecase.New(t)
-	b := &harness{t: t, Server: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxConnections: 10,
+	b := &harness{t: t, Server: New(Options{Core: c, Log: netcase.DiscardLogger(), Ready: func() bool { return true }, MaxConnections: 10,
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}}})}
 	b.addr = netcase.Serve(t, b.Serve)
 	return b, c
@@ -40,7 +40,7 @@
 // waits. The attempt was sent all the same, however long ago the client had left.
 func TestNoAttemptAfterClientHasGone(t *testing.T) {
 	const patient = "Subject: open-log\r\nX-Patience: 8000\r\n"
-	for _, state := range corecase.States {
+	for _, state := range corecase.AllStates {
 		for name, leave := range departures {
 			for _, unread := range []bool{false, true} {
 				t.Run(strings.Join([]string{string(state), name, map[bool]string{false: "read", true: "unread"}[unread]}, ", "), func(t *testing.T) {
@@ -49,34 +49,34 @@
 					p := b.dial()
 					setUp := func() { p.write(message("INVITE", id, patient)) }
 					core.Enter(state, setUp)
-					free := core.Busy()
-					if state == corecase.First {
+					free := core.Block()
+					if state == corecase.FirstAttempt {
 						setUp()
-						corecase.Until(t, func() bool { return core.InboxUsed() > 0 })
+						corecase.WaitUntil(t, func() bool { return core.InboxUsed() > 0 })
 					}
 					if unread { // the first fills the inbox, the second makes the reader wait for space
 						for _, other := range []string{"0000000000000001", "0000000000000002"} {
 							p.write(message("INVITE", other, patient))
 						}
-						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(id) == exchange.InputPending })
+						corecase.WaitUntil(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(id) == exchange.InputPending })
 					}
 					leave(p)
 					if name == staysConnected {
 						free()
-						corecase.Until(t, func() bool { return core.Invited(id) == 1 })
+						corecase.WaitUntil(t, func() bool { return core.AttemptCount(id) == 1 })
 						return
 					}
 					want := exchange.Gone
 					if unread && name == "cancel" {
 						want = exchange.InputPending
 					}
-					corecase.Until(t, func() bool { return b.Presence(id) == want && netcase.Arrived(t, p.Conn) })
+					corecase.WaitUntil(t, func() bool { return b.Presence(id) == want && netcase.AllAcknowledged(t, p.Conn) })
 					left := time.Now()
-					corecase.Until(t, func() bool { return time.Since(left) > gracePeriod })
+					corecase.WaitUntil(t, func() bool { return time.Since(left) > gracePeriod })
 					free()
-					corecase.Until(t, func() bool { return b.Presence(id) == exchange.Gone })
+					corecase.WaitUntil(t, func() bool { return b.Presence(id) == exchange.Gone })
 					core.Settle()
-					if n := core.Invited(id); n > 0 {
+					if n := core.AttemptCount(id); n > 0 {
 						t.Errorf("%d attempts after the client left", n)
 					}
 				})
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -49,7 +49,7 @@
 
 func newBed(t *testing.T, mostOpen int, resume ...time.Duration) *bed {
 	b := &bed{core: &core{told: make(chan string, 1000), calls: map[string]exchange.Setup{}}, t: t}
-	b.Front = New(Options{Core: b.core, Log: netcase.Quiet(), Ready: func() bool { return !b.away.Load() }, MaxOpen: mostOpen, Callers: map[string]string{"station-7": token},
+	b.Front = New(Options{Core: b.core, Log: netcase.DiscardLogger(), Ready: func() bool { return !b.away.Load() }, MaxConnections: mostOpen, Callers: map[string]string{"station-7": token},
 		Names: exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}, Tenants: []string{"acme"}}})
 	b.resume = time.Hour // no machine is too slow to come back in that
 	for _, r := range resume {
@@ -326,7 +326,7 @@
 
 func TestServersThatSpeakIt(t *testing.T) {
 	got := make(chan *websocket.Conn, 1)
-	addr := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{Subprotocols: []string{serverProtocol}})
 		if err != nil {
 			t.Error(err)
@@ -373,7 +373,7 @@
 // Garbage makes an error or a reply, and never a panic.
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
-		f := New(Options{Core: &core{told: make(chan string, 1), calls: map[string]exchange.Setup{}}, Log: netcase.Quiet()})
+		f := New(Options{Core: &core{told: make(chan string, 1), calls: map[string]exchange.Setup{}}, Log: netcase.DiscardLogger()})
 		s := &socket{conn: &conn{out: sip.NewQueue(), closing: make(chan struct{})}, front: f}
 		if err := s.take(netcase.Garbage(t, []byte(setup))); err != nil && err != errUnreadable {
 			t.Fatal(err)
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -46,12 +46,12 @@
 
 // Options is what a Front is made from.
 type Options struct {
-	Core    exchange.CallHandler
-	Log     *slog.Logger
-	Names   exchange.Names
-	Callers map[string]string // tokens by identity
-	Ready   func() bool       // whether the readiness test passes
-	MaxOpen int               // connections held at once
+	Core           exchange.CallHandler
+	Log            *slog.Logger
+	Names          exchange.Names
+	Callers        map[string]string // tokens by identity
+	Ready          func() bool       // whether the readiness test passes
+	MaxConnections int               // connections held at once
 }
 
 // Front takes calls over WebSocket.
@@ -82,7 +82,7 @@
 // New makes a front.
 func New(o Options) *Front {
 	return &Front{Options: o, sockets: map[*socket]bool{}, calls: map[string]*call{}, resume: resumeTimeout,
-		accepts: &boundedListener{log: o.Log, most: o.MaxOpen, open: map[*trackedConn]bool{}}}
+		accepts: &boundedListener{log: o.Log, most: o.MaxConnections, open: map[*trackedConn]bool{}}}
 }
 
 // Key is the id that offices know a call by: 16 hex digits of the caller's identity and its own id, so that
--- a/internal/callws/gone_test.go
+++ b/internal/callws/gone_test.go
@@ -40,7 +40,7 @@
 // withCore is a front over real connections before a real core that the test keeps busy.
 func withCore(t *testing.T) (*bed, *corecase.Core) {
 	c := corecase.New(t)
-	b := &bed{t: t, Front: New(Options{Core: c, Log: netcase.Quiet(), Ready: func() bool { return true }, MaxOpen: 10,
+	b := &bed{t: t, Front: New(Options{Core: c, Log: netcase.DiscardLogger(), Ready: func() bool { return true }, MaxConnections: 10,
 		Callers: map[string]string{"station-7": token},
 		Names:   exchange.Names{Classes: []exchange.Class{{Name: "open-log", Deadline: 9 * time.Second}}}})}
 	b.resume = time.Hour // the client may come back for as long as a test takes
@@ -68,7 +68,7 @@
 // core's inbox, behind the alarm; or in the kernel, as the reader waits itself. The attempt began all the same, however
 // long ago the client had left.
 func TestNoAttemptAfterTheClientHasGone(t *testing.T) {
-	for _, state := range corecase.States {
+	for _, state := range corecase.AllStates {
 		for name, leave := range departures {
 			for _, unread := range []bool{false, true} {
 				t.Run(strings.Join([]string{string(state), name, map[bool]string{false: "read", true: "unread"}[unread]}, ", "), func(t *testing.T) {
@@ -76,34 +76,34 @@
 					b, core := withCore(t)
 					ws, raw := b.dialRaw()
 					core.Enter(state, func() { b.write(ws, patient) })
-					free := core.Busy()
-					if state == corecase.First {
+					free := core.Block()
+					if state == corecase.FirstAttempt {
 						b.write(ws, patient)
-						corecase.Until(t, func() bool { return core.InboxUsed() > 0 })
+						corecase.WaitUntil(t, func() bool { return core.InboxUsed() > 0 })
 					}
 					if unread { // one fills the inbox, the next has the reader wait for room there
 						for _, other := range []string{"c2", "c3"} {
 							b.write(ws, strings.Replace(patient, "c1", other, 1))
 						}
-						corecase.Until(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(key) == exchange.InputPending })
+						corecase.WaitUntil(t, func() bool { return core.InboxUsed() >= 1 && b.Presence(key) == exchange.InputPending })
 					}
 					leave(b, ws, raw)
 					if name == stays {
 						free()
-						corecase.Until(t, func() bool { return core.Invited(key) == 1 })
+						corecase.WaitUntil(t, func() bool { return core.AttemptCount(key) == 1 })
 						return
 					}
 					want := exchange.Gone
 					if unread && (name == cancel || name == closeFrame) {
 						want = exchange.InputPending
 					}
-					corecase.Until(t, func() bool { return b.Presence(key) == want && netcase.Arrived(t, raw) })
+					corecase.WaitUntil(t, func() bool { return b.Presence(key) == want && netcase.AllAcknowledged(t, raw) })
 					left := time.Now()
-					corecase.Until(t, func() bool { return time.Since(left) > gracePeriod })
+					corecase.WaitUntil(t, func() bool { return time.Since(left) > gracePeriod })
 					free()
-					corecase.Until(t, func() bool { return b.Presence(key) == exchange.Gone })
+					corecase.WaitUntil(t, func() bool { return b.Presence(key) == exchange.Gone })
 					core.Settle()
-					if n := core.Invited(key); n > 0 {
+					if n := core.AttemptCount(key); n > 0 {
 						t.Errorf("%d attempts", n)
 					}
 				})
@@ -126,26 +126,26 @@
 			core.Enter(corecase.ReleaseWait, func() { b.write(first, patient) })
 			owner := func() *socket { _, s := b.waiting(key); return s }
 			old := owner()
-			free := core.Busy()
+			free := core.Block()
 			b.write(second, patient)
-			corecase.Until(t, func() bool { return owner() != old })
+			corecase.WaitUntil(t, func() bool { return owner() != old })
 			joined := owner()
 			if tc.want == 0 {
 				secondRaw.Close()
-				corecase.Until(t, func() bool { return b.Presence(key) == exchange.Gone })
+				corecase.WaitUntil(t, func() bool { return b.Presence(key) == exchange.Gone })
 			} else {
 				firstRaw.Close()
-				corecase.Until(t, func() bool { return b.openSockets() == 1 })
+				corecase.WaitUntil(t, func() bool { return b.openSockets() == 1 })
 				if owner() != joined {
 					t.Error("the call does not belong to the socket that joined it")
 				}
 			}
 			free()
 			if tc.want > 0 {
-				corecase.Until(t, func() bool { return core.Invited(key) > 0 })
+				corecase.WaitUntil(t, func() bool { return core.AttemptCount(key) > 0 })
 			}
 			core.Settle()
-			if n := core.Invited(key); n != tc.want {
+			if n := core.AttemptCount(key); n != tc.want {
 				t.Errorf("%d attempts, want %d", n, tc.want)
 			}
 		})
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -39,7 +39,7 @@
 	want := Status{Name: "n3", Phase: Recovering, ListAgeMS: -1, Core: exchange.Status{Open: 3,
 		Offices: []exchange.OfficeState{{ID: "a", Listed: "serving", Cold: true, Marked: true, Warmth: 0.5}}}}
 	go func() {
-		done <- Serve(ctx, l, path, netcase.Quiet(), func() Status { return want }, map[string]net.Listener{"callers": tcp})
+		done <- Serve(ctx, l, path, netcase.DiscardLogger(), func() Status { return want }, map[string]net.Listener{"callers": tcp})
 	}()
 	if _, err := Listen(path); err == nil {
 		t.Error("a second process took the socket over")
--- a/internal/descriptors/budget.go
+++ b/internal/descriptors/budget.go
@@ -55,14 +55,14 @@
 	Operators int // with the one that waits for a place
 	Peers     int
 	Servers   int
-	Clients   Front
-	WebSocket Front
+	Clients   FrontShare
+	WebSocket FrontShare
 }
 
 // Front is the share of one front for clients.
-type Front struct {
-	Descriptors int // held at once, whatever state their connections are in
-	Places      int // connections in use; the rest is for those that end, and the one just accepted
+type FrontShare struct {
+	Descriptors    int // held at once, whatever state their connections are in
+	MaxConnections int // connections in use; the rest is for those that end, and the one just accepted
 }
 
 // Plan makes the budget. What the servers need beyond their floor comes from the clients, down to a third of all; servers
@@ -109,12 +109,12 @@
 }
 
 // clientsFront keeps room for connections that end in order.
-func clientsFront(descriptors int) Front {
+func clientsFront(descriptors int) FrontShare {
 	places := (descriptors - acceptedSpare) * partingDivisor / (partingDivisor + 1)
-	return Front{Descriptors: descriptors, Places: max(places, 1)}
+	return FrontShare{Descriptors: descriptors, MaxConnections: max(places, 1)}
 }
 
 // webSocketFront closes at once what makes room.
-func webSocketFront(descriptors int) Front {
-	return Front{Descriptors: descriptors, Places: max(descriptors-acceptedSpare, 1)}
+func webSocketFront(descriptors int) FrontShare {
+	return FrontShare{Descriptors: descriptors, MaxConnections: max(descriptors-acceptedSpare, 1)}
 }
--- a/internal/descriptors/budget_test.go
+++ b/internal/descriptors/budget_test.go
@@ -30,10 +30,10 @@
 				if b.sum() != b.Total || b.Total > limit || d.Upgrade && 2*b.Total > limit {
 					t.Errorf("%+v: %+v, in all %d", d, b, b.sum())
 				}
-				if b.Discovery < 2 || b.Servers < 1 || b.Clients.Places < 1 || d.Operators && b.Operators < minOperators || d.WebSocket && b.WebSocket.Places < 1 {
+				if b.Discovery < 2 || b.Servers < 1 || b.Clients.MaxConnections < 1 || d.Operators && b.Operators < minOperators || d.WebSocket && b.WebSocket.MaxConnections < 1 {
 					t.Errorf("%+v: somebody has none: %+v", d, b)
 				}
-				if f := b.Clients; f.Places > 1 && f.Places+f.Places/partingDivisor+acceptedSpare > f.Descriptors {
+				if f := b.Clients; f.MaxConnections > 1 && f.MaxConnections+f.MaxConnections/partingDivisor+acceptedSpare > f.Descriptors {
 					t.Errorf("%+v: clients have more places than descriptors: %+v", d, f)
 				}
 			}
@@ -57,19 +57,19 @@
 }
 
 func TestGate(t *testing.T) {
-	g := NewGate(2)
+	g := NewLimiter(2)
 	for k := range 3 {
-		if g.Take() != (k < 2) {
+		if g.TryAcquire() != (k < 2) {
 			t.Fatalf("take %d", k)
 		}
 	}
 	g.SetLimit(1)
 	g.Release()
-	if g.Take() {
+	if g.TryAcquire() {
 		t.Error("beyond a limit that was lowered")
 	}
 	g.Release()
-	if !g.Take() || g.Held() != 1 {
+	if !g.TryAcquire() || g.Held() != 1 {
 		t.Errorf("%d held", g.Held())
 	}
 }
@@ -84,7 +84,7 @@
 			}
 			return 7, nil
 		}
-		if got, err := Persist(t.Context(), func() { shortages++ }, open); got != 7 || err != nil || shortages == 0 {
+		if got, err := OpenWithRetry(t.Context(), func() { shortages++ }, open); got != 7 || err != nil || shortages == 0 {
 			t.Errorf("%d, %v, %d shortages", got, err, shortages)
 		}
 		if took := time.Since(began); took > time.Second+retryEvery {
@@ -93,11 +93,11 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		began = time.Now().Add(time.Hour)
-		if _, err := Persist(ctx, nil, open); !Exhausted(err) {
+		if _, err := OpenWithRetry(ctx, nil, open); !Exhausted(err) {
 			t.Errorf("at the end: %v", err)
 		}
 		refused := errors.New("refused")
-		if _, err := Persist(t.Context(), nil, func(context.Context) (int, error) { return 0, refused }); err != refused {
+		if _, err := OpenWithRetry(t.Context(), nil, func(context.Context) (int, error) { return 0, refused }); err != refused {
 			t.Errorf("%v", err)
 		}
 	})
--- a/internal/descriptors/gate.go
+++ b/internal/descriptors/gate.go
@@ -13,34 +13,34 @@
 const retryEvery = 10 * time.Millisecond
 
 // ErrShareTaken tells that a share is taken: nothing was sent.
-var ErrShareTaken = errors.New("the share of descriptors is taken")
+var ErrShareExhausted = errors.New("the share of descriptors is taken")
 
 // Gate bounds the descriptors of one user.
-type Gate struct {
+type Limiter struct {
 	mu    sync.Mutex
 	limit int
 	held  int
 }
 
 // NewGate makes a gate.
-func NewGate(limit int) *Gate { return &Gate{limit: limit} }
+func NewLimiter(limit int) *Limiter { return &Limiter{limit: limit} }
 
 // SetLimit changes the bound; what is held beyond it stays.
-func (g *Gate) SetLimit(limit int) {
+func (g *Limiter) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = limit
 }
 
 // Held tells how many are held.
-func (g *Gate) Held() int {
+func (g *Limiter) Held() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.held
 }
 
 // Take takes one, if there is one.
-func (g *Gate) Take() bool {
+func (g *Limiter) TryAcquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.held >= g.limit {
@@ -51,7 +51,7 @@
 }
 
 // Release gives one back.
-func (g *Gate) Release() {
+func (g *Limiter) Release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.held--
@@ -64,7 +64,7 @@
 
 // Persist calls open until it has a descriptor or ctx ends, so that a connect goes on as soon as one is free. Shortage, if
 // not nil, is called each time that there was none.
-func Persist[T any](ctx context.Context, shortage func(), open func(context.Context) (T, error)) (T, error) {
+func OpenWithRetry[T any](ctx context.Context, shortage func(), open func(context.Context) (T, error)) (T, error) {
 	for {
 		opened, err := open(ctx)
 		if err == nil || !Exhausted(err) {
@@ -84,7 +84,7 @@
 // Dialer gives a dial function over TCP that waits for a descriptor where there is none.
 func Dialer(shortage func()) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return Persist(ctx, shortage, func(ctx context.Context) (net.Conn, error) {
+		return OpenWithRetry(ctx, shortage, func(ctx context.Context) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, network, addr)
 		})
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -38,7 +38,7 @@
 
 func newHarness(t *testing.T) *harness {
 	b := &harness{t: t, testTime: time.Unix(1_000_000, 0)}
-	x, err := New(Options{Settings: settings(), Seed: 3, Now: func() time.Time { return b.testTime }, Log: netcase.Quiet(),
+	x, err := New(Options{Settings: settings(), Seed: 3, Now: func() time.Time { return b.testTime }, Log: netcase.DiscardLogger(),
 		Record:           func(r Record) { b.records = append(b.records, r) },
 		OnUnknownRelease: func(id string, cut bool) { b.unknownReleases = append(b.unknownReleases, id) }})
 	if err != nil {
@@ -300,7 +300,7 @@
 func TestRunHandlesEventsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &harness{t: t}
-		x, err := New(Options{Settings: settings(), Seed: 3, Now: time.Now, Log: netcase.Quiet()})
+		x, err := New(Options{Settings: settings(), Seed: 3, Now: time.Now, Log: netcase.DiscardLogger()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestDuplicateModuleNames(t *testing.T) {
-	_, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), Join: join.Chain{&moduleStub{name: "a"}, &moduleStub{name: "a"}}})
+	_, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.DiscardLogger(), Join: join.Chain{&moduleStub{name: "a"}, &moduleStub{name: "a"}}})
 	if err == nil {
 		t.Error("two modules with the same name were accepted")
 	}
@@ -117,7 +117,7 @@
 
 // TryRun takes nothing while the inbox is half full, and never waits: callers and offices come first.
 func TestTryRunLeavesInboxSpace(t *testing.T) {
-	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.Quiet(), MemoryBytes: 64 << 20})
+	x, err := New(Options{Settings: settings(), Now: time.Now, Log: netcase.DiscardLogger(), MemoryBytes: 64 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,11 +33,11 @@
 // A process that has its folder's lock and ends before it has noted its pid is no running instance for good.
 func TestAnInstanceThatEndsBeforeItsPid(t *testing.T) {
 	spec := newSpec(t)
-	s, err := New(spec, "/nowhere", netcase.Quiet())
+	s, err := New(spec, "/nowhere", netcase.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(spec, "/nowhere", netcase.Quiet()); !errors.Is(err, ErrRunning) {
+	if _, err := New(spec, "/nowhere", netcase.DiscardLogger()); !errors.Is(err, ErrRunning) {
 		t.Error("a second supervisor", err)
 	}
 	m := s.members[0]
@@ -89,7 +89,7 @@
 // Without its control socket a supervisor starts nothing, and says so.
 func TestNoControlSocket(t *testing.T) {
 	spec := newSpec(t)
-	s, err := New(spec, "/nowhere", netcase.Quiet())
+	s, err := New(spec, "/nowhere", netcase.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -36,7 +36,7 @@
 }
 
 func newClient(tell func(update)) *Client {
-	return &Client{Log: netcase.Quiet(), Backoff: func(int) time.Duration { return time.Millisecond },
+	return &Client{Log: netcase.DiscardLogger(), Backoff: func(int) time.Duration { return time.Millisecond },
 		OnChange: func(changed []exchange.Office, full bool) { tell(update{changed, full}) }}
 }
 
@@ -76,7 +76,7 @@
 	netcase.Check(t, func(t *rapid.T) {
 		n := 0
 		c := newClient(func(update) { n++ })
-		if heard, err := c.readEvents(netcase.Cut(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
+		if heard, err := c.readEvents(netcase.RandomReader(t, []byte(text)), func() {}); !heard || err == nil || n != 2 || c.Pos != 43 {
 			t.Fatalf("%d events, at %d, %v", n, c.Pos, err)
 		}
 	})
@@ -86,7 +86,7 @@
 	netcase.Check(t, func(t *rapid.T) {
 		c := newClient(func(update) {})
 		data := netcase.Garbage(t, []byte("id: 41\ndata: "+full+"\n\n"))
-		if _, err := c.readEvents(netcase.Cut(t, data), func() {}); err == nil {
+		if _, err := c.readEvents(netcase.RandomReader(t, data), func() {}); err == nil {
 			t.Fatal("no end")
 		}
 	})
@@ -95,7 +95,7 @@
 // A broken stream is opened again with the number of the last event received.
 func TestReconnectContinues(t *testing.T) {
 	asked := make(chan string, 100)
-	addr := netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Last-Event-ID")
 		asked <- r.URL.Path + " " + id
 		switch id {
@@ -131,7 +131,7 @@
 func TestSetAddrKeepsPosition(t *testing.T) {
 	asked := make(chan string, 10)
 	serve := func(name string) string {
-		return netcase.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+		return netcase.ServeHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 			asked <- name + r.Header.Get("Last-Event-ID")
 			fmt.Fprintf(w, "id: 7\ndata: %s\n\n", full)
 			w.(http.Flusher).Flush()
--- a/internal/listener/bounded.go
+++ b/internal/listener/bounded.go
@@ -13,14 +13,14 @@
 // room, is lower; this one holds also while connections that make room still end.
 type Bounded struct {
 	*Listener
-	gate   *descriptors.Gate
+	gate   *descriptors.Limiter
 	freed  chan struct{} // a connection was closed, or the gate's limit has changed
 	closed chan struct{}
 	once   sync.Once
 }
 
 // Bound bounds a listener's connections.
-func Bound(l *Listener, gate *descriptors.Gate) *Bounded {
+func NewBounded(l *Listener, gate *descriptors.Limiter) *Bounded {
 	return &Bounded{Listener: l, gate: gate, freed: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
@@ -50,7 +50,7 @@
 // core a crowd that connects without end would have clients make room whose requests are there and unread.
 func (b *Bounded) Accept() (net.Conn, error) {
 	runtime.Gosched()
-	for !b.gate.Take() {
+	for !b.gate.TryAcquire() {
 		select {
 		case <-b.freed:
 		case <-b.closed:
--- a/internal/listener/bounded_test.go
+++ b/internal/listener/bounded_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := Bound(l, descriptors.NewGate(limit))
+	b := NewBounded(l, descriptors.NewLimiter(limit))
 	t.Cleanup(func() { b.Close() })
 	return b
 }
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	shortages := 0
-	l.Shortage = func() {
+	l.OnShortage = func() {
 		if shortages++; shortages == 3 {
 			spare.Close()
 		}
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -28,9 +28,9 @@
 type Listener struct {
 	*net.TCPListener
 	// Shortage, if not nil, is called each time that no descriptor was left for a connection.
-	Shortage func()
-	draining atomic.Bool
-	until    atomic.Int64 // the end of the drain, in Unix nanoseconds
+	OnShortage func()
+	draining   atomic.Bool
+	until      atomic.Int64 // the end of the drain, in Unix nanoseconds
 }
 
 // Open listens at an address. Shared, another process may listen there too, such as the next one in an upgrade.
@@ -72,8 +72,8 @@
 		if !descriptors.Exhausted(err) {
 			return c, err
 		}
-		if l.Shortage != nil {
-			l.Shortage()
+		if l.OnShortage != nil {
+			l.OnShortage()
 		}
 		time.Sleep(retryEvery)
 	}
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -37,20 +37,20 @@
 
 // The states in which a call waits for an attempt.
 const (
-	First       State = "first attempt"
-	ReleaseWait State = "release wait"
-	ByPolicy    State = "held by the policy"
-	ByModule    State = "held by a joined module"
+	FirstAttempt State = "first attempt"
+	ReleaseWait  State = "release wait"
+	HeldByPolicy State = "held by the policy"
+	HeldByModule State = "held by a joined module"
 )
 
 // States are all of them.
-var States = []State{First, ReleaseWait, ByPolicy, ByModule}
+var AllStates = []State{FirstAttempt, ReleaseWait, HeldByPolicy, HeldByModule}
 
 // New runs an Exchange with two servers until the test ends.
 func New(t *testing.T) *Core {
 	t.Helper()
 	c := &Core{t: t, invited: map[string]int{}, fresh: make(chan exchange.Attempt, 100)}
-	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.Quiet(), MemoryBytes: smallMemory,
+	x, err := exchange.New(exchange.Options{Settings: settings(), Seed: 3, Log: netcase.DiscardLogger(), MemoryBytes: smallMemory,
 		Now: func() time.Time { return time.Now().Add(time.Duration(c.ahead.Load())) }, Join: join.Chain{&c.gate}})
 	if err != nil {
 		t.Fatal(err)
@@ -85,15 +85,15 @@
 // Enter brings a call into a state; send has its client send the set-up. For First nothing is sent yet.
 func (c *Core) Enter(state State, send func()) {
 	c.t.Helper()
-	c.gate.shut.Store(state == ByModule)
+	c.gate.shut.Store(state == HeldByModule)
 	switch state {
-	case First:
-	case ByModule:
+	case FirstAttempt:
+	case HeldByModule:
 		send()
 		c.until(func() bool { return c.Status().HeldByModules == 1 })
 	default:
 		send()
-		outcome := map[State]control.Outcome{ReleaseWait: control.ConnectionLost, ByPolicy: control.Saturated}[state]
+		outcome := map[State]control.Outcome{ReleaseWait: control.ConnectionLost, HeldByPolicy: control.Saturated}[state]
 		c.until(func() bool {
 			select {
 			case a := <-c.fresh:
@@ -110,7 +110,7 @@
 
 // Busy keeps the core's goroutine busy until the function that it gives is called; by then all that a call waits for is
 // over.
-func (c *Core) Busy() (free func()) {
+func (c *Core) Block() (free func()) {
 	busy, goOn := make(chan bool), make(chan bool)
 	go c.Look(func() { close(busy); <-goOn })
 	<-busy
@@ -131,7 +131,7 @@
 }
 
 // Invited tells how many attempts of a call have begun since it entered its state.
-func (c *Core) Invited(id string) int {
+func (c *Core) AttemptCount(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.invited[id]
@@ -140,11 +140,11 @@
 // until waits for a condition, for which the machine may take its time.
 func (c *Core) until(met func() bool) {
 	c.t.Helper()
-	Until(c.t, met)
+	WaitUntil(c.t, met)
 }
 
 // Until waits for a condition, for which the machine may take its time.
-func Until(t *testing.T, met func() bool) {
+func WaitUntil(t *testing.T, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/netcase/netcase.go
+++ b/internal/netcase/netcase.go
@@ -30,7 +30,7 @@
 }
 
 // Cut gives the data in pieces of random sizes, as a network does.
-func Cut(t *rapid.T, data []byte) io.Reader { return &cut{t, data} }
+func RandomReader(t *rapid.T, data []byte) io.Reader { return &cut{t, data} }
 
 type cut struct {
 	t    *rapid.T
@@ -72,7 +72,7 @@
 
 // Arrived tells whether all that was written to a connection has come to the other side's machine. A closed connection
 // does not tell, and counts as arrived.
-func Arrived(t *testing.T, c net.Conn) bool {
+func AllAcknowledged(t *testing.T, c net.Conn) bool {
 	t.Helper()
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 // Quiet is a logger for tests that do not look at the log.
-func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func DiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // Listen opens a loopback port of the machine's choice, closed with the test.
 func Listen(t *testing.T) net.Listener {
@@ -103,7 +103,7 @@
 }
 
 // Accept serves a stand-in's connections until the test ends, and gives its address.
-func Accept(t *testing.T, handle func(c net.Conn)) string {
+func ServeConns(t *testing.T, handle func(c net.Conn)) string {
 	t.Helper()
 	l := Listen(t)
 	var wg sync.WaitGroup
@@ -125,7 +125,7 @@
 }
 
 // HTTP serves a stand-in's requests until the test ends, and gives its address.
-func HTTP(t *testing.T, handle http.HandlerFunc) string {
+func ServeHTTP(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	l := Listen(t)
 	server := &http.Server{Handler: handle}
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -181,7 +181,7 @@
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	if descriptors.Exhausted(err) || errors.Is(err, descriptors.ErrShareTaken) {
+	if descriptors.Exhausted(err) || errors.Is(err, descriptors.ErrShareExhausted) {
 		l.onNoDescriptor(err)
 		return
 	}
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -70,7 +70,7 @@
 		b.connections <- theirs
 		return &sipPeer{Conn: sip.NewConn(resettable{ours, &b.reset}, limits), name: "n0", fields: fields}, nil
 	}
-	b.Pool = NewPool(Options{Core: b.core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
+	b.Pool = NewPool(Options{Core: b.core, Log: netcase.DiscardLogger(), ConnectWait: 500 * time.Millisecond,
 		Dials: map[string]Dial{"": dial}, ListLive: func() bool { return !b.listStale.Load() }})
 	go b.Run(t.Context())
 	synctest.Wait()
@@ -236,7 +236,7 @@
 // A connect that fails because this process has no file descriptor proves nothing about the server: the calls there go
 // on.
 func TestDescriptorShortageProvesNothing(t *testing.T) {
-	for _, failure := range []error{descriptors.ErrShareTaken, fmt.Errorf("socket: %w", syscall.EMFILE)} {
+	for _, failure := range []error{descriptors.ErrShareExhausted, fmt.Errorf("socket: %w", syscall.EMFILE)} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestPool(t)
 			server := <-b.connections
@@ -369,7 +369,7 @@
 		t.Fatal(err)
 	}
 	core := core{make(chan string, 100)}
-	pool := NewPool(Options{Core: core, Log: netcase.Quiet(), ConnectWait: 500 * time.Millisecond,
+	pool := NewPool(Options{Core: core, Log: netcase.DiscardLogger(), ConnectWait: 500 * time.Millisecond,
 		Dials: map[string]Dial{"": DialSIP("n0", fields)}})
 	go pool.Run(t.Context())
 	pool.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: listener.Addr().String()}}, true)
@@ -660,7 +660,7 @@
 		ours, theirs := net.Pipe()
 		defer theirs.Close()
 		p := &sipPeer{Conn: sip.NewConn(ours, limits), name: "n0", fields: fields}
-		for r := sip.NewReader(netcase.Cut(t, netcase.Garbage(t, valid))); ; {
+		for r := sip.NewReader(netcase.RandomReader(t, netcase.Garbage(t, valid))); ; {
 			m, err := r.Next()
 			if err != nil {
 				return
--- a/internal/releases/releases_test.go
+++ b/internal/releases/releases_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerOptions{Name: l.Addr().String(), Fleet: testFleet, Keys: publicKeys(), HaltAfter: 1, Dir: dir, Log: netcase.Quiet()})
+	s := NewServer(ServerOptions{Name: l.Addr().String(), Fleet: testFleet, Keys: publicKeys(), HaltAfter: 1, Dir: dir, Log: netcase.DiscardLogger()})
 	run(t, func(ctx context.Context) error { return s.Serve(ctx, l) })
 	return l.Addr().String()
 }
@@ -87,7 +87,7 @@
 	t.Helper()
 	a := &applied{came: make(chan distribution.Version, 16)}
 	m := NewMember(MemberOptions{Name: "m", Zone: "z", Fleet: testFleet, Servers: servers, Keys: publicKeys(), MaxAge: 3 * time.Second,
-		Dir: t.TempDir(), Seed: 1, Log: netcase.Quiet(), Apply: a.apply})
+		Dir: t.TempDir(), Seed: 1, Log: netcase.DiscardLogger(), Apply: a.apply})
 	run(t, m.Run)
 	return m, a
 }
@@ -205,7 +205,7 @@
 
 // A disk that hangs holds nobody up: only the newest value waits for it.
 func TestADiskThatHangs(t *testing.T) {
-	s := newSaver(filepath.Join(t.TempDir(), "kept.json"), netcase.Quiet())
+	s := newSaver(filepath.Join(t.TempDir(), "kept.json"), netcase.DiscardLogger())
 	for n := range 1000 { // nobody writes
 		s.put(n)
 	}
@@ -213,13 +213,13 @@
 	close(done)
 	s.run(done)
 	var kept int
-	if load(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if load(s.path, &kept, netcase.DiscardLogger()); kept != 999 {
 		t.Error(kept)
 	}
 	if err := os.WriteFile(s.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if load(s.path, &kept, netcase.Quiet()); kept != 999 {
+	if load(s.path, &kept, netcase.DiscardLogger()); kept != 999 {
 		t.Error("a damaged file changes the value", kept)
 	}
 }
--- a/internal/sibling/sibling.go
+++ b/internal/sibling/sibling.go
@@ -15,7 +15,7 @@
 
 const (
 	// Files is how many descriptors a watch holds.
-	Files = 3
+	LockFiles = 3
 	// pollEvery is how often the locks are looked at.
 	pollEvery = 50 * time.Millisecond
 	// roomFor is how long the leader may take to make room for a new process.
@@ -26,7 +26,7 @@
 
 // Watch follows whether there is another process. The leader holds the lock of its place, the follower that of the second
 // place; the leader holds the lock of the room once it has made room for the follower.
-type Watch struct {
+type Watcher struct {
 	log     *slog.Logger
 	changed func(present bool) // returns once room is made
 	leader  *flock.Flock
@@ -37,10 +37,10 @@
 
 // Open looks whether another process serves an address, and calls changed with the answer, now and from Run whenever it
 // changes. Where that can't be found out, there may be one. The directory is one that both processes see.
-func Open(dir, addr string, log *slog.Logger, changed func(present bool)) *Watch {
+func Open(dir, addr string, log *slog.Logger, changed func(present bool)) *Watcher {
 	name := filepath.Join(dir, "masthill-"+strings.NewReplacer(":", "-", "/", "-").Replace(addr))
 	lock := func(suffix string) *flock.Flock { return flock.New(name+suffix, flock.SetPermissions(fileMode)) }
-	w := &Watch{log: log, changed: changed, leader: lock(".leader"), second: lock(".second"), room: lock(".room")}
+	w := &Watcher{log: log, changed: changed, leader: lock(".leader"), second: lock(".second"), room: lock(".room")}
 	w.present = !w.take(w.leader)
 	if w.present {
 		w.awaitRoom()
@@ -50,7 +50,7 @@
 }
 
 // take tries to get a lock, and tells whether this process holds it.
-func (w *Watch) take(lock *flock.Flock) bool {
+func (w *Watcher) take(lock *flock.Flock) bool {
 	held, err := lock.TryLock()
 	if err != nil {
 		w.log.Warn("other processes not noticed", "reason", "no_lock", "path", lock.Path(), "err", err)
@@ -59,7 +59,7 @@
 }
 
 // taken tells whether another process holds a lock.
-func (w *Watch) taken(lock *flock.Flock) bool {
+func (w *Watcher) taken(lock *flock.Flock) bool {
 	if !w.take(lock) {
 		return true
 	}
@@ -68,7 +68,7 @@
 }
 
 // awaitRoom takes the second place and waits until the leader has made room, for a bounded time.
-func (w *Watch) awaitRoom() {
+func (w *Watcher) awaitRoom() {
 	for until := time.Now().Add(roomFor); time.Now().Before(until); time.Sleep(pollEvery) {
 		if w.take(w.second) && w.taken(w.room) {
 			return
@@ -77,14 +77,14 @@
 }
 
 // Close ends the watch before its process ends. It is not to be called while Run runs.
-func (w *Watch) Close() {
+func (w *Watcher) Close() {
 	w.leader.Close()
 	w.second.Close()
 	w.room.Close()
 }
 
 // Run follows changes until ctx ends. The locks are held then: what this process holds is free only when it has ended.
-func (w *Watch) Run(ctx context.Context) error {
+func (w *Watcher) Run(ctx context.Context) error {
 	tick := time.NewTicker(pollEvery)
 	defer tick.Stop()
 	for {
@@ -98,7 +98,7 @@
 }
 
 // look takes the leader's place where it is free, and tells the leader whether there is a follower.
-func (w *Watch) look() {
+func (w *Watcher) look() {
 	if !w.leader.Locked() && !w.take(w.leader) {
 		w.take(w.second)
 		return
--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -19,7 +19,7 @@
 func begin(t *testing.T, dir, addr string) *process {
 	t.Helper()
 	p := &process{present: make(chan bool, 100)}
-	w := Open(dir, addr, netcase.Quiet(), func(present bool) { p.present <- present })
+	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) { p.present <- present })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
@@ -81,9 +81,9 @@
 func TestNoSocketIsOpened(t *testing.T) {
 	before := descriptors(t)
 	dir := t.TempDir()
-	first := Open(dir, "127.0.0.1:1", netcase.Quiet(), func(bool) {})
+	first := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {})
 	defer first.Close()
-	second := Open(dir, "127.0.0.1:1", netcase.Quiet(), func(bool) {}) // waits in vain for room, as nothing runs
+	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits in vain for room, as nothing runs
 	defer second.Close()
 	first.look()
 	second.look()
@@ -97,7 +97,7 @@
 			t.Errorf("descriptor %s is a socket", name)
 		}
 	}
-	if opened < 2 || opened > 2*Files {
+	if opened < 2 || opened > 2*LockFiles {
 		t.Errorf("%d descriptors for two watches", opened)
 	}
 }
@@ -122,7 +122,7 @@
 func TestTheSecondWaitsForRoom(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
 	room := make(chan bool)
-	w := Open(dir, addr, netcase.Quiet(), func(present bool) {
+	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) {
 		if present {
 			<-room
 		}
@@ -137,7 +137,7 @@
 	}()
 	opened := make(chan bool)
 	go func() {
-		second := Open(dir, addr, netcase.Quiet(), func(bool) {})
+		second := Open(dir, addr, netcase.DiscardLogger(), func(bool) {})
 		defer second.Close()
 		close(opened)
 	}()
--- a/internal/sip/message_test.go
+++ b/internal/sip/message_test.go
@@ -58,7 +58,7 @@
 func TestValidMessagesInAnySplit(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "n")
-		got, err := readAll(netcase.Cut(t, []byte(strings.Repeat(invite+"\r\n"+answer, n))))
+		got, err := readAll(netcase.RandomReader(t, []byte(strings.Repeat(invite+"\r\n"+answer, n))))
 		if err != io.EOF || len(got) != 2*n {
 			t.Fatalf("%d messages of %d, then %v", len(got), 2*n, err)
 		}
@@ -74,7 +74,7 @@
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		data := netcase.Garbage(t, []byte(invite+answer))
-		if got, err := readAll(netcase.Cut(t, data)); err == nil || len(got) > len(data)/20 {
+		if got, err := readAll(netcase.RandomReader(t, data)); err == nil || len(got) > len(data)/20 {
 			t.Fatalf("%d messages from %d bytes, error %v", len(got), len(data), err)
 		}
 	})
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -114,7 +114,7 @@
 		var writes, asked atomic.Int32
 		frozen := make(chan struct{})
 		var freeze atomic.Bool
-		k := &Keeper{Dir: "d", Instance: "n3", Every: time.Second, Log: netcase.Quiet(),
+		k := &Keeper{Dir: "d", Instance: "n3", Every: time.Second, Log: netcase.DiscardLogger(),
 			Learnt: func() control.Learnt { asked.Add(1); return control.Learnt{At: 1} },
 			Write: func(string, []byte) error {
 				writes.Add(1)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -28,7 +28,7 @@
 
 // run starts a store and gives the function that ends it.
 func run(t *testing.T, driver, dsn string, final time.Duration) (*Store, func()) {
-	s, err := Open(Options{Driver: driver, DSN: dsn, Instance: "n3", Log: netcase.Quiet()})
+	s, err := Open(Options{Driver: driver, DSN: dsn, Instance: "n3", Log: netcase.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 
 func newPostgres(t *testing.T, fail int, silent bool) *postgres {
 	p := &postgres{fail: fail, silent: silent, rows: map[string]string{}, seen: make(chan struct{}, 1000)}
-	p.addr = netcase.Accept(t, func(c net.Conn) {
+	p.addr = netcase.ServeConns(t, func(c net.Conn) {
 		if err := p.serve(c); err != nil && !errors.Is(err, net.ErrClosed) {
 			t.Log("stand-in:", err)
 		}
