--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -175,7 +175,7 @@
 	}
 	settings := ""
 	if !c.Plain {
-		text, err := os.ReadFile(config.ProjectFile)
+		text, err := os.ReadFile(config.OperatorSettingsFile)
 		if err != nil {
 			return fmt.Errorf("the settings that run has: %w", err)
 		}
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := config.ParseProject("masthill.toml", string(text), func(string) string { return "" })
+	p, err := config.ParseOperatorSettings("masthill.toml", string(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/masthill/configuring.go
+++ b/cmd/masthill/configuring.go
@@ -18,8 +18,8 @@
 	if len(s.Servers) == 0 {
 		return part{}, nil
 	}
-	member := releases.NewMember(releases.MemberOptions{Name: in.p.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.Public,
-		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.p.Seed, Log: in.log.With(logs.Part, "releases"), Apply: in.applyRelease,
+	member := releases.NewMember(releases.MemberOptions{Name: in.p.Name, Zone: s.Zone, Fleet: s.Fleet, Servers: s.Servers, Keys: s.PublicKeys,
+		MaxAge: s.MaxAge, Dir: s.Dir, Seed: in.p.Seed, Log: in.log.With(logs.PartKey, "releases"), Apply: in.applyRelease,
 		Dial: descriptors.Dialer(in.descriptors.shortage)})
 	return part{run: member.Run, status: func(st *ctl.Status) {
 		status := member.Status()
@@ -30,10 +30,10 @@
 // applyRelease puts a release in force, or without one what the instance's own files say. A release with a fault in it
 // changes nothing.
 func (in *instance) applyRelease(release *distribution.Release) error {
-	live := &config.Live{}
+	live := &config.LiveSettings{}
 	if release != nil {
 		var err error
-		live, err = config.ParseLive(fmt.Sprintf("release %d", release.Version), string(release.Content), os.Getenv)
+		live, err = config.ParseLiveSettings(fmt.Sprintf("release %d", release.Version), string(release.Content), os.Getenv)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 }
 
 // checkUsed finds what a release wants to change and this instance does not use.
-func (in *instance) checkUsed(live *config.Live) error {
+func (in *instance) checkUsed(live *config.LiveSettings) error {
 	if live.Shares.Fractions != nil && in.shares == nil {
 		return config.Fault{Key: "shares.fractions", Text: "shares are off at this instance"}
 	}
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -52,7 +52,7 @@
 
 // nobody gives an error that tells of no supervisor its exit code.
 func nobody(err error) error {
-	if errors.Is(err, ctl.ErrNobody) {
+	if errors.Is(err, ctl.ErrNotRunning) {
 		return coded{exitNobody, err}
 	}
 	return err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	own, err := config.ParseProject("", "", os.Getenv)
+	own, err := config.ParseOperatorSettings("", "", os.Getenv)
 	if err != nil {
 		return coded{exitUsage, err}
 	}
@@ -126,13 +126,13 @@
 		fmt.Fprintf(t, "rollout\t%s %s %s, %d left\n", r.State, r.Reason, r.Detail, r.Remaining)
 	}
 	if o := st.Outcome; o != nil {
-		fmt.Fprintf(t, "last rollout\t%s %s %s, to generation %s in %.1f s\n", o.State, o.Reason, o.Detail, o.To, o.Took)
+		fmt.Fprintf(t, "last rollout\t%s %s %s, to generation %s in %.1f s\n", o.State, o.Reason, o.Detail, o.To, o.DurationSeconds)
 	}
 	t.Flush()
 	fmt.Fprintln(t, "instance\tphase\tfor\tgeneration\tpid\tlisten\topen\tstanding\tMB\tends")
 	for _, m := range st.Instances {
-		fmt.Fprintf(t, "%s\t%s\t%.0fs\t%s\t%d\t%s\t%d\t%d\t%.1f\t%d\t%s\n", m.Name, m.Phase, m.ForS, m.Generation, m.PID, m.Listen, m.Open, m.Standing,
-			m.MemoryMB, m.Ends, m.Failed)
+		fmt.Fprintf(t, "%s\t%s\t%.0fs\t%s\t%d\t%s\t%d\t%d\t%.1f\t%d\t%s\n", m.Name, m.Phase, m.PhaseSeconds, m.Generation, m.PID, m.Listen, m.OpenCalls, m.EstablishedCalls,
+			m.MemoryMB, m.UnexpectedExits, m.Failed)
 	}
 	return t.Flush()
 }
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	return nobody(client.Order(context.Background(), "reload", ""))
+	return nobody(client.SendCommand(context.Background(), "reload", ""))
 }
 
 type fleetDown struct{ fleetFile }
@@ -155,11 +155,11 @@
 		return err
 	}
 	ctx := context.Background()
-	if err := client.Order(ctx, "down", ""); err != nil {
+	if err := client.SendCommand(ctx, "down", ""); err != nil {
 		return nobody(err)
 	}
 	for { // until nobody answers any more
-		if _, err := client.Status(ctx); errors.Is(err, ctl.ErrNobody) {
+		if _, err := client.Status(ctx); errors.Is(err, ctl.ErrNotRunning) {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -197,7 +197,7 @@
 			return err
 		}
 	}
-	if err := client.Order(ctx, "rollout", program); err != nil {
+	if err := client.SendCommand(ctx, "rollout", program); err != nil {
 		return nobody(err)
 	}
 	said := ""
@@ -207,7 +207,7 @@
 			return nobody(err)
 		}
 		if o := st.Outcome; st.Rollout == nil && o != nil {
-			fmt.Fprintf(out, "%s %s %s, %.1f s\n", o.State, o.Reason, o.Detail, o.Took)
+			fmt.Fprintf(out, "%s %s %s, %.1f s\n", o.State, o.Reason, o.Detail, o.DurationSeconds)
 			if o.State != rollout.Done {
 				return coded{exitHalted, fmt.Errorf("rollout %s: %s", o.State, o.Detail)}
 			}
--- a/cmd/masthill/fleet_test.go
+++ b/cmd/masthill/fleet_test.go
@@ -50,7 +50,7 @@
 	b.Client = fleet.Dial(b.spec)
 	b.start()
 	t.Cleanup(func() {
-		if b.Order(t.Context(), "down", ""); b.up != nil {
+		if b.SendCommand(t.Context(), "down", ""); b.up != nil {
 			b.up.Process.Signal(syscall.SIGTERM)
 			b.up.Wait()
 		}
@@ -144,7 +144,7 @@
 	if out, err := b.masthill("fleet", "up", b.file).CombinedOutput(); err == nil || !strings.Contains(string(out), "supervisor already") {
 		t.Errorf("a second supervisor: %s", out)
 	}
-	if err := b.Order(t.Context(), "rollout", ""); err != nil {
+	if err := b.SendCommand(t.Context(), "rollout", ""); err != nil {
 		t.Fatal(err)
 	}
 	b.until("half done", func(s *fleet.Status) bool { return s.Rollout != nil && s.Rollout.Remaining <= 2 })
@@ -153,7 +153,7 @@
 	if n := b.processes(); n < 2 {
 		t.Errorf("%d instances outlived their supervisor", n)
 	}
-	if _, err := b.Status(t.Context()); !errors.Is(err, ctl.ErrNobody) {
+	if _, err := b.Status(t.Context()); !errors.Is(err, ctl.ErrNotRunning) {
 		t.Error(err)
 	}
 	b.start()
@@ -197,7 +197,7 @@
 	s := b.until("back", serving)
 	ends := 0
 	for _, m := range s.Instances {
-		ends += m.Ends
+		ends += m.UnexpectedExits
 		if m.Generation != "1" {
 			t.Errorf("%+v", m)
 		}
@@ -207,7 +207,7 @@
 	}
 	blind := filepath.Join(b.spec.Dir, "blind")
 	os.WriteFile(blind, []byte("#!/bin/sh\necho no such key\nexit 2\n"), 0o700)
-	if err := b.Order(t.Context(), "rollout", blind); err == nil || !strings.Contains(err.Error(), "no such key") {
+	if err := b.SendCommand(t.Context(), "rollout", blind); err == nil || !strings.Contains(err.Error(), "no such key") {
 		t.Error(err)
 	}
 	if s, _ := b.Status(t.Context()); s.Rollout != nil || s.Generation != "1" {
@@ -224,14 +224,14 @@
 	p.write("OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: x\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n")
 	p.want(200, "")
 	s := b.until("back", func(s *fleet.Status) bool { return serving(s) && s.Instances[0].PID != m.PID })
-	if s.Instances[0].Ends != 1 || s.Instances[0].Listen != m.Listen {
+	if s.Instances[0].UnexpectedExits != 1 || s.Instances[0].Listen != m.Listen {
 		t.Errorf("%+v", s.Instances[0])
 	}
 	out, err := b.masthill("levels", "--fleet", b.file).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "h-0") || !strings.Contains(string(out), "no change") {
 		t.Errorf("%v: %s", err, out)
 	}
-	st, err := ctl.Ask(t.Context(), s.Instances[0].Socket)
+	st, err := ctl.FetchStatus(t.Context(), s.Instances[0].Socket)
 	if err != nil || len(st.Core.Modules) != 3 || st.StartReason != "crash" || !strings.HasPrefix(st.Snapshot, "taken up") {
 		t.Errorf("%+v, %v", st, err)
 	}
@@ -244,7 +244,7 @@
 	settings := filepath.Join(filepath.Dir(b.file), "masthill.toml")
 	good, _ := os.ReadFile(settings)
 	os.WriteFile(settings, []byte("[store]\ndriver = \"oracle\"\n"), 0o600)
-	if err := b.Order(t.Context(), "reload", ""); err == nil || !strings.Contains(err.Error(), "masthill.toml:2: store.driver") {
+	if err := b.SendCommand(t.Context(), "reload", ""); err == nil || !strings.Contains(err.Error(), "masthill.toml:2: store.driver") {
 		t.Error(err)
 	}
 	if s, err := b.Status(t.Context()); err != nil || !serving(s) || s.Instances[0].PID != m.PID {
@@ -252,11 +252,11 @@
 	}
 	syscall.Kill(m.PID, syscall.SIGKILL)
 	s := b.until("given up", func(s *fleet.Status) bool { return s.Instances[0].Phase == "failed" })
-	if !strings.Contains(s.Instances[0].Failed, "bad configuration") || s.Instances[0].Ends != 2 {
+	if !strings.Contains(s.Instances[0].Failed, "bad configuration") || s.Instances[0].UnexpectedExits != 2 {
 		t.Errorf("%+v", s.Instances[0])
 	}
 	os.WriteFile(settings, good, 0o600)
-	if err := b.Order(t.Context(), "reload", ""); err != nil {
+	if err := b.SendCommand(t.Context(), "reload", ""); err != nil {
 		t.Fatal(err)
 	}
 	b.until("back", serving)
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -22,12 +22,12 @@
 
 func (c checkCmd) Run(out stdout) error {
 	if c.Schema {
-		_, err := out.Write(config.Schema)
+		_, err := out.Write(config.OperatorSettingsSchema)
 		return err
 	}
 	_, err := config.Load(os.Getenv)
-	own, ownErr := config.LoadProject(os.Getenv)
-	faults := append(config.All(err), config.All(ownErr)...)
+	own, ownErr := config.LoadOperatorSettings(os.Getenv)
+	faults := append(config.AllFaults(err), config.AllFaults(ownErr)...)
 	for _, f := range faults {
 		if c.JSON {
 			json.NewEncoder(out).Encode(f)
@@ -38,7 +38,7 @@
 	if len(faults) > 0 {
 		return coded{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
-	if own.Old {
+	if own.DeprecatedName {
 		fmt.Fprintln(out, oldName)
 	}
 	if !c.JSON {
@@ -63,7 +63,7 @@
 	if c.JSON {
 		return indented(out, s)
 	}
-	s.Text(out)
+	s.WriteText(out)
 	return nil
 }
 
@@ -71,7 +71,7 @@
 func (c statusCmd) ask() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
-		own, err := config.LoadProject(os.Getenv)
+		own, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return nil, coded{exitUsage, err}
 		}
@@ -79,8 +79,8 @@
 			return nil, coded{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
-	s, err := ctl.Ask(context.Background(), path)
-	if errors.Is(err, ctl.ErrNobody) {
+	s, err := ctl.FetchStatus(context.Background(), path)
+	if errors.Is(err, ctl.ErrNotRunning) {
 		return nil, coded{exitNobody, err}
 	}
 	return s, err
@@ -108,7 +108,7 @@
 	if c.JSON {
 		return indented(out, s.Peers)
 	}
-	s.Peers.Text(out)
+	s.Peers.WriteText(out)
 	return nil
 }
 
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -47,7 +47,7 @@
 			sockets = append(sockets, m.Socket)
 		}
 	case c.Socket == "":
-		own, err := config.LoadProject(os.Getenv)
+		own, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
 			return coded{exitUsage, err}
 		}
@@ -58,7 +58,7 @@
 	var names []string
 	var all []entry
 	for _, path := range sockets {
-		st, err := ctl.Ask(ctx, path)
+		st, err := ctl.FetchStatus(ctx, path)
 		if err != nil && c.Fleet != "" { // the others still tell
 			fmt.Fprintf(os.Stderr, "masthill: %s: %v\n", path, err)
 			continue
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -37,9 +37,9 @@
 // part that the settings leave off is empty.
 type part struct {
 	run    func(ctx context.Context) error
-	end    func()                // the planned end begins; new calls still come for a moment
-	status func(*ctl.Status)     // from any goroutine
-	reload func(*config.Project) // new settings: what can change under a running program does
+	end    func()                         // the planned end begins; new calls still come for a moment
+	status func(*ctl.Status)              // from any goroutine
+	reload func(*config.OperatorSettings) // new settings: what can change under a running program does
 }
 
 // subsystems makes the parts, in this order: what takes part in decisions comes before the core, in the order in which it
@@ -67,19 +67,19 @@
 	in.reason, in.snapshot = "first", "off"
 	var known *state.Snapshot
 	if dir := in.own.State.Dir; dir != "" {
-		in.keeper = &state.Keeper{Dir: dir, Instance: in.p.Name, Every: in.own.State.Every, Log: in.log.With(logs.Part, "state"),
+		in.keeper = &state.SnapshotWriter{Dir: dir, Instance: in.p.Name, Interval: in.own.State.Interval, Log: in.log.With(logs.PartKey, "state"),
 			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
-		s, err := state.Load(dir, in.p.Name, time.Now(), in.own.State.MostAge)
+		s, err := state.Load(dir, in.p.Name, time.Now(), in.own.State.MaxAge)
 		switch {
-		case errors.Is(err, state.ErrNone):
+		case errors.Is(err, state.ErrNoSnapshot):
 			in.snapshot = "none"
 		case err != nil:
 			in.reason, in.snapshot = "unknown", err.Error()
 			in.log.Warn("snapshot left out", "why", err)
 		default:
-			known, in.snapshot = s, fmt.Sprintf("taken up, %v old", time.Since(s.At).Round(time.Millisecond))
+			known, in.snapshot = s, fmt.Sprintf("taken up, %v old", time.Since(s.WrittenAt).Round(time.Millisecond))
 			in.reason = "crash"
-			if s.Ended != "" {
+			if s.EndReason != "" {
 				in.reason = "restart"
 			}
 		}
@@ -94,9 +94,9 @@
 func allocating(in *instance) (part, error) {
 	peers := 0
 	if in.own.Peers.Listen != "" {
-		peers = cmp.Or(in.own.Peers.Most, in.p.Settings.GroupSize)
+		peers = cmp.Or(in.own.Peers.MaxInstances, in.p.Settings.GroupSize)
 	}
-	log := in.log.With(logs.Part, "descriptors")
+	log := in.log.With(logs.PartKey, "descriptors")
 	in.descriptors = newAllocation(descriptors.Demand{Limit: in.p.Sockets, Peers: peers, Operators: in.p.Admin != "",
 		WebSocket: in.own.CallWS.Listen != "", Control: in.own.Socket.Path != "", Store: in.own.Store.Driver != "",
 		Releases: len(in.own.Distribution.Servers) > 0},
@@ -114,7 +114,7 @@
 		if in.known != nil {
 			brought = in.known.Evidence()
 		}
-		in.recovery = recovery.New(recovery.Settings{Control: in.p.Settings, Planned: in.p.Planned}, in.p.Seed, in.started.UnixNano(), brought)
+		in.recovery = recovery.New(recovery.Settings{Control: in.p.Settings, Planned: in.p.PlannedRate}, in.p.Seed, in.started.UnixNano(), brought)
 		in.joins(in.recovery)
 	}
 	return part{}, nil
@@ -129,7 +129,7 @@
 	if in.recovery != nil {
 		recovers = in.recovery.Recovering
 	}
-	log := in.log.With(logs.Part, "levels")
+	log := in.log.With(logs.PartKey, "levels")
 	in.levels = levels.New(in.p.Settings, in.p.Seed, in.started.UnixNano(), recovers, func(c levels.Change) {
 		log.Warn("level of service", "from", c.From, "to", c.To, "reason", c.Reason, "score", math.Round(c.Score*100)/100, "until", c.ExitCondition)
 	})
@@ -179,7 +179,7 @@
 // sharing holds members to their shares, by the whole fleet's counts where instances talk.
 func sharing(in *instance) (part, error) {
 	if in.own.Shares.Enabled {
-		in.shares = shares.New(in.p.Settings, in.p.Shares, in.p.Planned, in.p.Seed, in.started.UnixNano())
+		in.shares = shares.New(in.p.Settings, in.p.Shares, in.p.PlannedRate, in.p.Seed, in.started.UnixNano())
 		if in.shared != nil {
 			in.shares.UseFleetTotals(in.shared)
 		}
@@ -191,7 +191,7 @@
 // bounding bounds what is out by what came back in time.
 func bounding(in *instance) (part, error) {
 	if in.own.Goodput.Enabled {
-		log := in.log.With(logs.Part, "goodput")
+		log := in.log.With(logs.PartKey, "goodput")
 		in.joins(goodput.New(goodput.Settings{Control: in.p.Settings}, in.p.Seed, in.started.UnixNano(), func(c goodput.Change) {
 			log.Warn("set-ups out", "state", c.State, "reason", c.Reason, "limit", math.Round(c.Limit*10)/10, "out", math.Round(c.Outstanding*10)/10,
 				"in_vain", math.Round(c.LateShare*100)/100)
@@ -205,7 +205,7 @@
 	if in.own.Store.Driver == "" {
 		return part{}, nil
 	}
-	records, err := store.Open(store.Options{Driver: in.own.Store.Driver, DSN: in.own.Store.DSN, Instance: in.p.Name, Log: in.log.With(logs.Part, "store")})
+	records, err := store.Open(store.Options{Driver: in.own.Store.Driver, DSN: in.own.Store.DSN, Instance: in.p.Name, Log: in.log.With(logs.PartKey, "store")})
 	if err != nil {
 		return part{}, err
 	}
@@ -224,7 +224,7 @@
 
 // calling is the platform's front.
 func calling(in *instance) (p part, err error) {
-	in.calls = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.Part, "callers"), Names: in.p.Names, Ready: in.state.Ready,
+	in.calls = caller.New(caller.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callers"), Names: in.p.Names, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.clientsFront().MaxConnections})
 	l, err := in.opens("callers", in.p.Listen)
 	if err != nil {
@@ -249,7 +249,7 @@
 
 // placing is the offices' side.
 func placing(in *instance) (part, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.Part, "offices"), ConnectWait: in.p.ConnectWait,
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectWait: in.p.ConnectTimeout,
 		ListLive: func() bool { return in.feed.IsLive() },
 		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.Fields)),
 			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.Fields))}})
@@ -259,7 +259,7 @@
 
 // following is the list of offices; what the process before had learnt of them follows what is known at the start.
 func following(in *instance) (part, error) {
-	in.feed = &journal.Client{Addr: in.p.Journal, Log: in.log.With(logs.Part, "list"), Dial: descriptors.Dialer(in.descriptors.shortage),
+	in.feed = &journal.Client{Addr: in.p.Journal, Log: in.log.With(logs.PartKey, "list"), Dial: descriptors.Dialer(in.descriptors.shortage),
 		OnChange: func(changed []exchange.Office, full bool) {
 			in.descriptors.list(changed, full)
 			in.core.UpdateOffices(changed, full)
@@ -280,7 +280,7 @@
 	if err != nil {
 		return part{}, fmt.Errorf("callws.listen: %w", err)
 	}
-	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.Part, "callws"), Names: in.p.Names, Callers: in.own.CallWS.Callers, Ready: in.state.Ready,
+	f := callws.New(callws.Options{Core: in.core, Log: in.log.With(logs.PartKey, "callws"), Names: in.p.Names, Callers: in.own.CallWS.Callers, Ready: in.state.Ready,
 		MaxConnections: in.descriptors.budget.WebSocket.MaxConnections})
 	in.fronts[f], in.controls = l, f
 	bounded := in.descriptors.attach(&in.descriptors.webSocket, f, l)
@@ -299,7 +299,7 @@
 	}
 	l.OnShortage = in.descriptors.shortage
 	in.log.Info("serving second address", "admin", l.Addr().String())
-	s := admin.New(&in.state, in.log.With(logs.Part, "admin"))
+	s := admin.New(&in.state, in.log.With(logs.PartKey, "admin"))
 	s.MaxConnections = in.descriptors.operatorsPlaces()
 	return part{run: func(ctx context.Context) error { return s.Serve(ctx, l) }}, nil
 }
@@ -316,6 +316,6 @@
 		return part{}, nil
 	}
 	return part{run: func(ctx context.Context) error {
-		return ctl.Serve(ctx, l, path, in.log.With(logs.Part, "socket"), in.status, in.listeners)
+		return ctl.Serve(ctx, l, path, in.log.With(logs.PartKey, "socket"), in.status, in.listeners)
 	}}, nil
 }
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -77,7 +77,7 @@
 
 func (c configCheck) Run(out stdout) error {
 	if c.Schema {
-		_, err := out.Write(config.LiveSchema)
+		_, err := out.Write(config.LiveSettingsSchema)
 		return err
 	}
 	if _, err := readContent(c.File); err != nil {
@@ -95,7 +95,7 @@
 		return nil, coded{exitUsage, err}
 	}
 	unresolved := func(name string) string { return "a value in the environment: " + name }
-	if _, err := config.ParseLive(file, string(text), unresolved); err != nil {
+	if _, err := config.ParseLiveSettings(file, string(text), unresolved); err != nil {
 		return nil, coded{exitUsage, err}
 	}
 	return text, nil
@@ -132,7 +132,7 @@
 		return err
 	}
 	others := slices.DeleteFunc(slices.Clone(c.Servers), func(server string) bool { return server == c.Listen })
-	log := logs.New(logs.Options{Out: os.Stderr}).With("server", c.Listen, logs.Part, "releases")
+	log := logs.New(logs.Options{Output: os.Stderr}).With("server", c.Listen, logs.PartKey, "releases")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -74,8 +74,8 @@
 
 func (serveCmd) Run(s signals) error {
 	p, err := config.Load(os.Getenv)
-	own, ownErr := config.LoadProject(os.Getenv)
-	if faults := append(config.All(err), config.All(ownErr)...); len(faults) > 0 {
+	own, ownErr := config.LoadOperatorSettings(os.Getenv)
+	if faults := append(config.AllFaults(err), config.AllFaults(ownErr)...); len(faults) > 0 {
 		return coded{exitUsage, fmt.Errorf("configuration: %w", faults)}
 	}
 	debug.FreeOSMemory() // the schema and its compiler are needed no more
@@ -87,13 +87,13 @@
 }
 
 // logger makes the log that the settings ask for. MASTHILL_LOG=debug comes before their level, for all parts.
-func logger(own *config.Project) (*slog.Logger, *logs.Levels, error) {
+func logger(own *config.OperatorSettings) (*slog.Logger, *logs.Levels, error) {
 	general, parts, err := logLevels(own.Log.Level, own.Log.Levels)
 	if err != nil {
 		return nil, nil, err
 	}
 	levels := logs.NewLevels(general, parts)
-	return logs.New(logs.Options{Out: os.Stderr, JSON: own.Log.Format == "json", Repeats: own.Log.Repeats, Levels: levels}), levels, nil
+	return logs.New(logs.Options{Output: os.Stderr, JSON: own.Log.Format == "json", MaxRepeats: own.Log.MaxRepeats, Levels: levels}), levels, nil
 }
 
 // logLevels reads the names of a general level and of the levels by part.
@@ -101,13 +101,13 @@
 	if name := os.Getenv("MASTHILL_LOG"); name != "" {
 		general = name
 	}
-	level, err := logs.Level(general)
+	level, err := logs.ParseLevel(general)
 	if err != nil {
 		return 0, nil, fmt.Errorf("MASTHILL_LOG: %w", err)
 	}
 	parts := map[string]slog.Level{}
 	for part, name := range byPart {
-		if parts[part], err = logs.Level(name); err != nil {
+		if parts[part], err = logs.ParseLevel(name); err != nil {
 			return 0, nil, fmt.Errorf("log.levels.%s: %w", part, err)
 		}
 	}
@@ -117,7 +117,7 @@
 // instance is one running session controller, put together from its parts.
 type instance struct {
 	p           *config.Platform
-	own         *config.Project
+	own         *config.OperatorSettings
 	log         *slog.Logger
 	logLevels   *logs.Levels
 	options     exchange.Options // of the core, until it is made
@@ -129,7 +129,7 @@
 	calls       *caller.Server
 	fronts      map[front]*listener.Listener
 	listeners   map[string]net.Listener // the same by name, for a supervisor that takes them over
-	keeper      *state.Keeper           // nil: nothing is kept
+	keeper      *state.SnapshotWriter   // nil: nothing is kept
 	recovery    *recovery.Recovery      // nil: off
 	levels      *levels.Levels          // nil: off
 	shared      *shared.Shared          // nil: off
@@ -146,10 +146,10 @@
 	atWarning   atomic.Value // string
 }
 
-func serve(p *config.Platform, own *config.Project, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
+func serve(p *config.Platform, own *config.OperatorSettings, signals signals, log *slog.Logger, logLevels *logs.Levels) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	debug.SetMemoryLimit(int64(float64(p.MemoryMB<<20) * memoryPart))
-	if own.Old {
+	if own.DeprecatedName {
 		log.Warn("settings under an old name", "file", own.File, "why", oldName)
 	}
 	in := &instance{p: p, own: own, log: log, logLevels: logLevels, started: time.Now(), fronts: map[front]*listener.Listener{}, listeners: map[string]net.Listener{}}
@@ -160,7 +160,7 @@
 	if in.manager, err = notify.Open(os.Getenv); err != nil {
 		log.Warn("service manager not told", "err", err)
 	}
-	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.Part, "core"), MemoryBytes: p.MemoryMB << 20}
+	in.options = exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: time.Now, Log: log.With(logs.PartKey, "core"), MemoryBytes: p.MemoryMB << 20}
 	for _, make := range subsystems {
 		one, err := make(in)
 		if err != nil {
@@ -214,7 +214,7 @@
 			}
 		}
 	})
-	g.Go(func() error { return in.manager.Watch(ctx, func() { in.core.UnansweredCalls() }) })
+	g.Go(func() error { return in.manager.RunWatchdog(ctx, func() { in.core.UnansweredCalls() }) })
 	g.Go(func() error { in.follow(ctx); return nil })
 	if in.p.Admin != "" {
 		in.settle(ctx)
@@ -266,8 +266,8 @@
 func (in *instance) status() ctl.Status {
 	core := in.core.Status()
 	pos, heard := in.feed.Position()
-	s := ctl.Status{Name: in.p.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, Started: in.started, StartReason: in.reason,
-		Snapshot: in.snapshot, Listen: in.listen, ListPos: pos, ListAgeMS: -1, MemoryMostMB: in.p.MemoryMB, SocketsMost: in.p.Sockets, Core: core}
+	s := ctl.Status{Name: in.p.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, StartedAt: in.started, StartReason: in.reason,
+		Snapshot: in.snapshot, Listen: in.listen, ListPos: pos, ListAgeMS: -1, MemoryLimitMB: in.p.MemoryMB, DescriptorLimit: in.p.Sockets, Core: core}
 	if !heard.IsZero() {
 		s.ListAgeMS = time.Since(heard).Milliseconds()
 	}
@@ -316,7 +316,7 @@
 	if !slices.ContainsFunc(in.parts, func(one part) bool { return one.reload != nil }) {
 		return // the settings' schema costs memory, and nobody would use them
 	}
-	own, err := config.LoadProject(os.Getenv)
+	own, err := config.LoadOperatorSettings(os.Getenv)
 	if err != nil {
 		log.Error("settings kept", "err", err)
 		in.atWarning.Store("the last reload found faults: " + err.Error())
--- a/cmd/masthill/takeover_test.go
+++ b/cmd/masthill/takeover_test.go
@@ -80,7 +80,7 @@
 	waitForFile(filepath.Join(b.spec.Dir, "0", "run.json"))
 	open(second)
 	s := b.until("taken over", func(s *fleet.Status) bool { return serving(s) && len(launched(second)) == 0 })
-	if m := s.Instances[0]; m.Ends != 0 {
+	if m := s.Instances[0]; m.UnexpectedExits != 0 {
 		t.Errorf("a launch beside a running instance counts as a crash: %+v", m)
 	}
 	if n := b.processes(); n != 1 {
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	s := b.until("taken over", serving)
-	if m := s.Instances[0]; m.Ends != 0 || m.Generation != "1" {
+	if m := s.Instances[0]; m.UnexpectedExits != 0 || m.Generation != "1" {
 		t.Errorf("%+v", m)
 	}
 	if n := b.processes(); n != 1 {
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/talking.go
@@ -43,12 +43,12 @@
 	rand.Read(draw[:])
 	epoch := binary.BigEndian.Uint64(draw[:]) | 1
 	name := cmp.Or(s.Name, in.p.Name)
-	log := in.log.With(logs.Part, "peers")
-	record := &audit{path: s.Audit, lines: make(chan any, auditMost)}
+	log := in.log.With(logs.PartKey, "peers")
+	record := &audit{path: s.AuditFile, lines: make(chan any, auditMost)}
 	record.put("start", began, map[string]any{"name": name, "epoch": epoch, "pid": os.Getpid()})
-	settings := shared.Config{Control: in.p.Settings, Planned: in.p.Planned, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.Numbers,
-		Budgets: s.Budgets, DetectOutliers: s.Judgements, Count: count.Config{OmitCheck: without}, Outlier: outlier.Config{OmitCheck: without},
-		Lease: lease.Config{Voters: s.Keepers, MaxInstances: cmp.Or(s.Most, in.p.Settings.GroupSize), Floor: s.Floor, Term: int64(s.Term), OmitCheck: without}}
+	settings := shared.Config{Control: in.p.Settings, Planned: in.p.PlannedRate, Name: name, Machine: s.Machine, Epoch: epoch, Numbers: s.CountedNumbers,
+		Budgets: s.Budgets, DetectOutliers: s.DetectOutliers, Count: count.Config{OmitCheck: without}, Outlier: outlier.Config{OmitCheck: without},
+		Lease: lease.Config{Voters: s.Voters, MaxInstances: cmp.Or(s.MaxInstances, in.p.Settings.GroupSize), Floor: s.FloorFraction, Term: int64(s.Term), OmitCheck: without}}
 	for _, t := range in.p.Shares {
 		settings.Tenants = append(settings.Tenants, t.Name)
 	}
@@ -81,7 +81,7 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.Via, Keys: s.Secrets, Remember: remember(in.own), Log: log, Module: in.shared,
+		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: remember(in.own), Log: log, Module: in.shared,
 		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return part{}, err
@@ -99,9 +99,9 @@
 			return g.Wait()
 		},
 		status: func(st *ctl.Status) { st.Peers = in.talks() },
-		reload: func(p *config.Project) {
-			if len(p.Peers.Secrets) > 0 && !slices.EqualFunc(p.Peers.Secrets, s.Secrets, slices.Equal) {
-				if err := in.peers.Keys(p.Peers.Secrets); err != nil {
+		reload: func(p *config.OperatorSettings) {
+			if len(p.Peers.DecodedKeys) > 0 && !slices.EqualFunc(p.Peers.DecodedKeys, s.DecodedKeys, slices.Equal) {
+				if err := in.peers.Keys(p.Peers.DecodedKeys); err != nil {
 					log.Error("keys kept", "reason", "unfit", "err", err)
 				}
 			}
@@ -113,7 +113,7 @@
 const lookFor = 2 * time.Second
 
 // remember names the file of the members' addresses; empty without a folder of its own.
-func remember(own *config.Project) string {
+func remember(own *config.OperatorSettings) string {
 	if own.State.Dir == "" {
 		return ""
 	}
@@ -166,7 +166,7 @@
 	}
 	f, err := os.OpenFile(a.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		in.log.Error("claims not written", logs.Part, "peers", "reason", "disk", "err", err)
+		in.log.Error("claims not written", logs.PartKey, "peers", "reason", "disk", "err", err)
 		return nil
 	}
 	defer f.Close()
@@ -199,7 +199,7 @@
 			l = one
 		}
 		if err := e.Encode(l); err != nil {
-			in.log.Error("claims not written", logs.Part, "peers", "reason", "disk", "err", err)
+			in.log.Error("claims not written", logs.PartKey, "peers", "reason", "disk", "err", err)
 			return nil
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,9 +31,9 @@
 	Known                 journal.Known
 	Settings              control.Settings
 	Names                 exchange.Names
-	ConnectWait           time.Duration
+	ConnectTimeout        time.Duration
 	Shares                []shares.Tenant
-	Planned               float64 // load planned for all instances together, in calls a second; 0: not known
+	PlannedRate           float64 // load planned for all instances together, in calls a second; 0: not known
 }
 
 type file struct {
@@ -152,7 +152,7 @@
 			fault("settings."+key, "%s", text)
 		}
 	}
-	if p.ConnectWait = time.Duration(n.Limits.ConnectTimeout); p.ConnectWait <= 0 {
+	if p.ConnectTimeout = time.Duration(n.Limits.ConnectTimeout); p.ConnectTimeout <= 0 {
 		fault("settings.limits.connect_timeout_ns", "missing or not positive")
 	}
 	for k, g := range n.Grades {
@@ -167,7 +167,7 @@
 	}
 	for _, t := range n.Tenants {
 		p.Names.Tenants = append(p.Names.Tenants, t.Name)
-		p.Planned += t.Quota
+		p.PlannedRate += t.Quota
 		p.Shares = append(p.Shares, shares.Tenant{Name: t.Name, Fraction: t.Part})
 	}
 	if len(faults) > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Sockets != 1024 || p.Known.Pos != 3 || p.Seed != 0x8c1f30d27a5be964 || p.ConnectWait != 500*time.Millisecond ||
+	if p.Sockets != 1024 || p.Known.Pos != 3 || p.Seed != 0x8c1f30d27a5be964 || p.ConnectTimeout != 500*time.Millisecond ||
 		p.Names.Classes[0].Name != "open-log" || p.Names.Tenants[0] != "acme" || p.Settings.Fields[1] != "total" {
 		t.Errorf("%+v", p)
 	}
@@ -59,7 +59,7 @@
 func TestGarbage(t *testing.T) {
 	netcase.Check(t, func(t *rapid.T) {
 		Parse(netcase.Garbage(t, []byte(good)))
-		ParseProject("f", string(netcase.Garbage(t, []byte(project))), func(string) string { return "" })
+		ParseOperatorSettings("f", string(netcase.Garbage(t, []byte(project))), func(string) string { return "" })
 	})
 }
 
@@ -75,7 +75,7 @@
 
 func TestProjectFile(t *testing.T) {
 	env := func(name string) string { return map[string]string{"TOKEN": "a token of sixteen"}[name] }
-	p, err := ParseProject("f", project, env)
+	p, err := ParseOperatorSettings("f", project, env)
 	if err != nil || p.CallWS.Callers["station-7"] != "a token of sixteen" || p.Store.DSN != "/tmp/calls.db" {
 		t.Fatalf("%+v, %v", p, err)
 	}
@@ -90,18 +90,20 @@
 		{`dsn = "/tmp/calls.db"`, "", "store.dsn"},
 		{"[store]", "[", "f:7"},
 	} {
-		if _, err := ParseProject("f", strings.Replace(project, tc.old, tc.new, 1), env); err == nil || !strings.Contains(err.Error(), tc.want) {
+		if _, err := ParseOperatorSettings("f", strings.Replace(project, tc.old, tc.new, 1), env); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: got %v, want it to name %s", tc.new, err, tc.want)
 		}
 	}
-	if p, err := ParseProject("", "", env); err != nil || p.CallWS.Listen != "" || p.Store.Driver != "" {
+	if p, err := ParseOperatorSettings("", "", env); err != nil || p.CallWS.Listen != "" || p.Store.Driver != "" {
 		t.Errorf("an empty file: %+v, %v", p, err)
 	}
 }
 
 // The file that the platform runs with keeps both parts off.
 func TestDeployedFileIsOff(t *testing.T) {
-	p, err := LoadProject(func(name string) string { return map[string]string{"MASTHILL_SETTINGS": "../../" + ProjectFile}[name] })
+	p, err := LoadOperatorSettings(func(name string) string {
+		return map[string]string{"MASTHILL_SETTINGS": "../../" + OperatorSettingsFile}[name]
+	})
 	if err != nil || p.CallWS.Listen != "" || p.Store.Driver != "" {
 		t.Errorf("%+v, %v", p, err)
 	}
@@ -110,19 +112,19 @@
 // All faults come in one go, each with its file, line and key.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := "[callws]\nlisten = \"here\"\n[store]\ndriver = \"oracle\"\n[state]\nevery = \"2 seconds\"\nfresh = 1\n"
-	_, err := ParseProject("m.toml", text, func(string) string { return "" })
-	got := All(err)
+	_, err := ParseOperatorSettings("m.toml", text, func(string) string { return "" })
+	got := AllFaults(err)
 	if len(got) != 3 || got[0].Line != 4 || got[0].Key != "store.driver" || got[1].Line != 6 || got[1].Key != "state.every" ||
 		got[2].Line != 7 || got[2].Key != "state.fresh" || got[2].File != "m.toml" {
 		t.Errorf("%v", err)
 	}
-	_, err = ParseProject("m.toml", "[state]\ndir = \"x\"\nevery = \"1ms\"\n[socket]\npath = \"s\"\n", func(string) string { return "" })
-	if got := All(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 5 {
+	_, err = ParseOperatorSettings("m.toml", "[state]\ndir = \"x\"\nevery = \"1ms\"\n[socket]\npath = \"s\"\n", func(string) string { return "" })
+	if got := AllFaults(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 5 {
 		t.Errorf("%v", err)
 	}
 	spread := strings.NewReplacer(`"seed"`, "\n\"seed\"", `"sockets":1024`, "\n\"sockets\":3", `"fall_multiple":3.0`, "\n\"fall_multiple\":0").Replace(good)
 	_, err = Parse([]byte(strings.Replace(spread, "8c1f", "xyz", 1)))
-	if got := All(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 4 || got[2].Key != "settings.rules.fall_multiple" {
+	if got := AllFaults(err); len(got) != 3 || got[0].Line != 2 || got[1].Line != 3 || got[2].Line != 4 || got[2].Key != "settings.rules.fall_multiple" {
 		t.Errorf("%v", err)
 	}
 }
@@ -133,8 +135,8 @@
 	if err := os.WriteFile(file, []byte("[recovery]\nenabled = true\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p, err := LoadProject(func(name string) string { return map[string]string{"MASTHILL_CALLWS": file}[name] })
-	if err != nil || !p.Old || !p.Recovery.Enabled || p.State.Every != 2*time.Second {
+	p, err := LoadOperatorSettings(func(name string) string { return map[string]string{"MASTHILL_CALLWS": file}[name] })
+	if err != nil || !p.DeprecatedName || !p.Recovery.Enabled || p.State.Interval != 2*time.Second {
 		t.Errorf("%+v, %v", p, err)
 	}
 }
@@ -142,8 +144,8 @@
 func TestPeers(t *testing.T) {
 	none := func(string) string { return "" }
 	good := "[peers]\nlisten = \"127.0.0.1:0\"\nkeys = [\"MDEyMzQ1Njc4OWFiY2RlZg==\"]\nkeepers = [\"a\", \"b\", \"c\"]\nbudgets = true\nseeds = [\"127.0.0.1:1\", \"a/127.0.0.1:2\"]\n"
-	p, err := ParseProject("x", good, none)
-	if err != nil || len(p.Peers.Secrets) != 1 || p.Peers.Machine == "" || p.Peers.Term != 2*time.Second {
+	p, err := ParseOperatorSettings("x", good, none)
+	if err != nil || len(p.Peers.DecodedKeys) != 1 || p.Peers.Machine == "" || p.Peers.Term != 2*time.Second {
 		t.Fatalf("%+v: %v", p, err)
 	}
 	for change, want := range map[[2]string]string{
@@ -158,7 +160,7 @@
 		{`127.0.0.1:0`, `:2908`}:                 "x:2: peers.listen: others could not reach",
 		{`budgets = true`, `advertise = "h:1"`}:  "x:2: peers.listen: others could not reach",
 	} {
-		_, err := ParseProject("x", strings.Replace(good, change[0], change[1], 1), none)
+		_, err := ParseOperatorSettings("x", strings.Replace(good, change[0], change[1], 1), none)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: wanted %q, got %v", change, want, err)
 		}
@@ -169,8 +171,8 @@
 	none := func(string) string { return "" }
 	good := "[distribution]\nservers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nfleet = \"harvest\"\n" +
 		"keys = [\"MDEyMzQ1Njc4OWFiY2RlZjAxMjM0NTY3ODlhYmNkZWY=\"]\nmax_age = \"5s\"\n"
-	p, err := ParseProject("x", good, none)
-	if err != nil || len(p.Distribution.Public) != 1 || p.Distribution.MaxAge != 5*time.Second {
+	p, err := ParseOperatorSettings("x", good, none)
+	if err != nil || len(p.Distribution.PublicKeys) != 1 || p.Distribution.MaxAge != 5*time.Second {
 		t.Fatalf("%+v: %v", p, err)
 	}
 	for change, want := range map[[2]string]string{
@@ -182,7 +184,7 @@
 		{`"5s"`, `"1s"`}:                                       "x:5: distribution.max_age",
 		{`max_age`, `dir = "d"#`}:                              "x:5: distribution.dir",
 	} {
-		_, err := ParseProject("x", strings.Replace(good, change[0], change[1], 1), none)
+		_, err := ParseOperatorSettings("x", strings.Replace(good, change[0], change[1], 1), none)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: wanted %q, got %v", change, want, err)
 		}
@@ -191,7 +193,7 @@
 
 func TestLive(t *testing.T) {
 	env := func(name string) string { return strings.Repeat(name, 8) }
-	live, err := ParseLive("release 1", "[shares.fractions]\na = 0.5\n[callws.callers]\nx = \"env:ABC\"\n[log]\nlevel = \"debug\"\n", env)
+	live, err := ParseLiveSettings("release 1", "[shares.fractions]\na = 0.5\n[callws.callers]\nx = \"env:ABC\"\n[log]\nlevel = \"debug\"\n", env)
 	if err != nil || live.CallWS.Callers["x"] != env("ABC") {
 		t.Fatalf("%+v: %v", live, err)
 	}
@@ -212,7 +214,7 @@
 		"[log\n":                                               "release 1:2:",
 		"[callws.callers]\nx = \"env:ABC\"\ny = \"env:ABC\"\n": "release 1:3: callws.callers.y: the same token",
 	} {
-		if _, err := ParseLive("release 1", text, env); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseLiveSettings("release 1", text, env); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: wanted %q, got %v", text, want, err)
 		}
 	}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -11,19 +11,19 @@
 
 // Distribution are the settings of an instance that takes configuration releases.
 type Distribution struct {
-	Servers []string            `toml:"servers"` // empty: off
-	Fleet   string              `toml:"fleet"`
-	Zone    string              `toml:"zone"`
-	Keys    []string            `toml:"keys"`
-	Public  []ed25519.PublicKey `toml:"-"` // what the keys say
-	MaxAge  time.Duration       `toml:"max_age"`
-	Dir     string              `toml:"dir"` // empty: nothing is kept over the instance's end
+	Servers    []string            `toml:"servers"` // empty: off
+	Fleet      string              `toml:"fleet"`
+	Zone       string              `toml:"zone"`
+	Keys       []string            `toml:"keys"`
+	PublicKeys []ed25519.PublicKey `toml:"-"` // what the keys say
+	MaxAge     time.Duration       `toml:"max_age"`
+	Dir        string              `toml:"dir"` // empty: nothing is kept over the instance's end
 }
 
 // minMaxAge is a few questions to a server; defaultMaxAge leaves room for a change of servers.
 const minMaxAge, defaultMaxAge = 3 * time.Second, 10 * time.Second
 
-func (p *Project) checkDistribution(getenv func(string) string, fault func(key, format string, a ...any)) {
+func (p *OperatorSettings) checkDistribution(getenv func(string) string, fault func(key, format string, a ...any)) {
 	s := &p.Distribution
 	if s.MaxAge == 0 {
 		s.MaxAge = defaultMaxAge
@@ -55,7 +55,7 @@
 			fault("distribution.keys", "key %d: %v", k+1, err)
 			continue
 		}
-		s.Public = append(s.Public, key)
+		s.PublicKeys = append(s.PublicKeys, key)
 	}
 	if s.MaxAge < minMaxAge {
 		fault("distribution.max_age", "%v is under %v: one lost question would count", s.MaxAge, minMaxAge)
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -42,7 +42,7 @@
 }
 
 // All gives every fault of an error from Load, LoadProject or their like.
-func All(err error) Faults {
+func AllFaults(err error) Faults {
 	var many Faults
 	if errors.As(err, &many) {
 		return many
--- a/internal/config/live.go
+++ b/internal/config/live.go
@@ -13,11 +13,11 @@
 // LiveSchema is the published JSON Schema of what a configuration release may hold.
 //
 //go:embed live.schema.json
-var LiveSchema []byte
+var LiveSettingsSchema []byte
 
 // Live is what a configuration release changes while the program runs. What it leaves out is as the instance's own files
 // say.
-type Live struct {
+type LiveSettings struct {
 	Shares struct {
 		Fractions map[string]float64 `toml:"fractions"` // by tenant
 	} `toml:"shares"`
@@ -32,9 +32,9 @@
 
 // ParseLive reads the content of a release; file is its name for faults. Tokens may be "env:NAME". The error is a Faults
 // with all that is wrong.
-func ParseLive(file, text string, getenv func(string) string) (*Live, error) {
-	live := &Live{}
-	line, faults := DecodeTOML(file, text, LiveSchema, live)
+func ParseLiveSettings(file, text string, getenv func(string) string) (*LiveSettings, error) {
+	live := &LiveSettings{}
+	line, faults := DecodeTOML(file, text, LiveSettingsSchema, live)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -79,7 +79,7 @@
 
 // TenantFractions are the tenants' fractions with those that the release changes. An unknown tenant is a fault: it would be
 // a slip of the pen that nobody notices.
-func (l *Live) TenantFractions(own []shares.Tenant) ([]shares.Tenant, error) {
+func (l *LiveSettings) TenantFractions(own []shares.Tenant) ([]shares.Tenant, error) {
 	tenants := slices.Clone(own)
 	var faults Faults
 	for name, fraction := range l.Shares.Fractions {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -11,29 +11,29 @@
 
 // Peers are the settings of an instance that knows of others.
 type Peers struct {
-	Listen     string            `toml:"listen"` // empty: off
-	Advertise  string            `toml:"advertise"`
-	Name       string            `toml:"name"` // empty: the instance's
-	Site       string            `toml:"site"`
-	Machine    string            `toml:"machine"`
-	Seeds      []string          `toml:"seeds"`
-	Keys       []string          `toml:"keys"`
-	Secrets    [][]byte          `toml:"-"` // what the keys say
-	Keepers    []string          `toml:"keepers"`
-	Most       int               `toml:"most"`
-	Floor      float64           `toml:"floor"`
-	Term       time.Duration     `toml:"term"`
-	Budgets    bool              `toml:"budgets"`
-	Judgements bool              `toml:"judgements"`
-	Numbers    []string          `toml:"numbers"`
-	Audit      string            `toml:"audit"`
-	Via        map[string]string `toml:"via"`
+	Listen         string            `toml:"listen"` // empty: off
+	Advertise      string            `toml:"advertise"`
+	Name           string            `toml:"name"` // empty: the instance's
+	Site           string            `toml:"site"`
+	Machine        string            `toml:"machine"`
+	Seeds          []string          `toml:"seeds"`
+	Keys           []string          `toml:"keys"`
+	DecodedKeys    [][]byte          `toml:"-"` // what the keys say
+	Voters         []string          `toml:"keepers"`
+	MaxInstances   int               `toml:"most"`
+	FloorFraction  float64           `toml:"floor"`
+	Term           time.Duration     `toml:"term"`
+	Budgets        bool              `toml:"budgets"`
+	DetectOutliers bool              `toml:"judgements"`
+	CountedNumbers []string          `toml:"numbers"`
+	AuditFile      string            `toml:"audit"`
+	AddrOverrides  map[string]string `toml:"via"`
 }
 
 // termLeast is several round trips between districts; termMost a time in which a cold server is warm without its budget.
 const termLeast, termMost = 500 * time.Millisecond, 10 * time.Second
 
-func (p *Project) checkPeers(getenv func(string) string, fault func(key, format string, a ...any)) {
+func (p *OperatorSettings) checkPeers(getenv func(string) string, fault func(key, format string, a ...any)) {
 	s := &p.Peers
 	if s.Term == 0 {
 		s.Term = 2 * time.Second
@@ -80,12 +80,12 @@
 			fault("peers.keys", "key %d: %v", k+1, err)
 			continue
 		}
-		s.Secrets = append(s.Secrets, key)
+		s.DecodedKeys = append(s.DecodedKeys, key)
 	}
-	if len(s.Keepers)%2 == 0 && len(s.Keepers) > 0 {
-		fault("peers.keepers", "%d keepers: an odd number, so that every cut leaves a majority on one side at most and one may be away", len(s.Keepers))
+	if len(s.Voters)%2 == 0 && len(s.Voters) > 0 {
+		fault("peers.keepers", "%d keepers: an odd number, so that every cut leaves a majority on one side at most and one may be away", len(s.Voters))
 	}
-	if s.Budgets && len(s.Keepers) == 0 {
+	if s.Budgets && len(s.Voters) == 0 {
 		fault("peers.budgets", "nobody would hand them out: name keepers")
 	}
 	if s.Term < termLeast || s.Term > termMost {
--- a/internal/config/project.go
+++ b/internal/config/project.go
@@ -18,8 +18,8 @@
 // ProjectFile is where the operators' settings lie, unless MASTHILL_SETTINGS names another file: several instances on
 // one machine need one each. OldFile and MASTHILL_CALLWS are the names before; they still work, with a warning.
 const (
-	ProjectFile = "deploy/masthill.toml"
-	OldFile     = "deploy/callws.toml"
+	OperatorSettingsFile   = "deploy/masthill.toml"
+	DeprecatedSettingsFile = "deploy/callws.toml"
 )
 
 // tokenLeast is the length under which a caller's token is a guess.
@@ -28,13 +28,13 @@
 // Schema is the published JSON Schema of the operators' settings; masthill check --schema prints it.
 //
 //go:embed masthill.schema.json
-var Schema []byte
+var OperatorSettingsSchema []byte
 
 // Project is what the operators' settings say. Without the file everything is off.
-type Project struct {
-	File   string `toml:"-"` // empty: there is none
-	Old    bool   `toml:"-"` // found under a name of before
-	CallWS struct {
+type OperatorSettings struct {
+	File           string `toml:"-"` // empty: there is none
+	DeprecatedName bool   `toml:"-"` // found under a name of before
+	CallWS         struct {
 		Listen  string            `toml:"listen"`  // empty: off
 		Callers map[string]string `toml:"callers"` // tokens by identity
 	} `toml:"callws"`
@@ -57,18 +57,18 @@
 	Peers        Peers        `toml:"peers"`
 	Distribution Distribution `toml:"distribution"`
 	State        struct {
-		Dir     string        `toml:"dir"` // empty: off
-		Every   time.Duration `toml:"every"`
-		MostAge time.Duration `toml:"most_age"`
+		Dir      string        `toml:"dir"` // empty: off
+		Interval time.Duration `toml:"every"`
+		MaxAge   time.Duration `toml:"most_age"`
 	} `toml:"state"`
 	Socket struct {
 		Path string `toml:"path"` // empty: off
 	} `toml:"socket"`
 	Log struct {
-		Format  string            `toml:"format"`
-		Level   string            `toml:"level"`
-		Levels  map[string]string `toml:"levels"` // by part
-		Repeats int               `toml:"repeats"`
+		Format     string            `toml:"format"`
+		Level      string            `toml:"level"`
+		Levels     map[string]string `toml:"levels"` // by part
+		MaxRepeats int               `toml:"repeats"`
 	} `toml:"log"`
 }
 
@@ -80,38 +80,38 @@
 	if path = getenv("MASTHILL_CALLWS"); path != "" {
 		return path, true
 	}
-	if _, err := os.Stat(ProjectFile); errors.Is(err, fs.ErrNotExist) {
-		if _, err := os.Stat(OldFile); err == nil {
-			return OldFile, true
+	if _, err := os.Stat(OperatorSettingsFile); errors.Is(err, fs.ErrNotExist) {
+		if _, err := os.Stat(DeprecatedSettingsFile); err == nil {
+			return DeprecatedSettingsFile, true
 		}
 		return "", false
 	}
-	return ProjectFile, false
+	return OperatorSettingsFile, false
 }
 
 // LoadProject reads the operators' settings. Values of tokens and of the store's dsn may be "env:NAME". The error is a
 // Faults with all that is wrong.
-func LoadProject(getenv func(string) string) (*Project, error) {
+func LoadOperatorSettings(getenv func(string) string) (*OperatorSettings, error) {
 	path, old := projectPath(getenv)
 	if path == "" {
-		return ParseProject("", "", getenv)
+		return ParseOperatorSettings("", "", getenv)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, Faults{{File: path, Text: err.Error()}}
 	}
-	p, err := ParseProject(path, string(data), getenv)
+	p, err := ParseOperatorSettings(path, string(data), getenv)
 	if err != nil {
 		return nil, err
 	}
-	p.Old = old
+	p.DeprecatedName = old
 	return p, nil
 }
 
 // ParseProject reads the text of the settings; file is its name for faults.
-func ParseProject(file, text string, getenv func(string) string) (*Project, error) {
-	p := &Project{File: file}
-	line, faults := DecodeTOML(file, text, Schema, p)
+func ParseOperatorSettings(file, text string, getenv func(string) string) (*OperatorSettings, error) {
+	p := &OperatorSettings{File: file}
+	line, faults := DecodeTOML(file, text, OperatorSettingsSchema, p)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -126,13 +126,13 @@
 	p.checkCallWS(getenv, fault)
 	p.checkPeers(getenv, fault)
 	p.checkDistribution(getenv, fault)
-	if p.State.Every < 100*time.Millisecond {
-		fault("state.every", "%v is under 100ms: a snapshot is written that often", p.State.Every)
+	if p.State.Interval < 100*time.Millisecond {
+		fault("state.every", "%v is under 100ms: a snapshot is written that often", p.State.Interval)
 	}
-	if p.State.MostAge < p.State.Every {
-		fault("state.most_age", "%v is under state.every: every snapshot would be too old", p.State.MostAge)
+	if p.State.MaxAge < p.State.Interval {
+		fault("state.most_age", "%v is under state.every: every snapshot would be too old", p.State.MaxAge)
 	}
-	for key, path := range map[string]string{"state.dir": p.State.Dir, "socket.path": p.Socket.Path, "peers.audit": p.Peers.Audit,
+	for key, path := range map[string]string{"state.dir": p.State.Dir, "socket.path": p.Socket.Path, "peers.audit": p.Peers.AuditFile,
 		"distribution.dir": p.Distribution.Dir} {
 		if path != "" && !filepath.IsAbs(path) {
 			fault(key, "%q is no absolute path", path)
@@ -169,12 +169,12 @@
 }
 
 // defaults are the figures for keys that are left out.
-func (p *Project) defaults() {
-	if p.State.Every == 0 {
-		p.State.Every = 2 * time.Second
+func (p *OperatorSettings) defaults() {
+	if p.State.Interval == 0 {
+		p.State.Interval = 2 * time.Second
 	}
-	if p.State.MostAge == 0 {
-		p.State.MostAge = 2 * time.Minute
+	if p.State.MaxAge == 0 {
+		p.State.MaxAge = 2 * time.Minute
 	}
 	if p.Log.Format == "" {
 		p.Log.Format = "text"
@@ -182,12 +182,12 @@
 	if p.Log.Level == "" {
 		p.Log.Level = "info"
 	}
-	if p.Log.Repeats == 0 {
-		p.Log.Repeats = 200
+	if p.Log.MaxRepeats == 0 {
+		p.Log.MaxRepeats = 200
 	}
 }
 
-func (p *Project) checkStore(getenv func(string) string, fault func(key, format string, a ...any)) {
+func (p *OperatorSettings) checkStore(getenv func(string) string, fault func(key, format string, a ...any)) {
 	dsn, err := secret(p.Store.DSN, getenv)
 	if err != nil {
 		fault("store.dsn", "%v", err)
@@ -197,7 +197,7 @@
 	p.Store.DSN = dsn
 }
 
-func (p *Project) checkCallWS(getenv func(string) string, fault func(key, format string, a ...any)) {
+func (p *OperatorSettings) checkCallWS(getenv func(string) string, fault func(key, format string, a ...any)) {
 	if p.CallWS.Listen == "" {
 		return
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -43,24 +43,24 @@
 
 // Status is what the socket tells.
 type Status struct {
-	Name          string          `json:"name"`
-	Version       string          `json:"version"`
-	PID           int             `json:"pid"`
-	Phase         Phase           `json:"phase"`
-	Started       time.Time       `json:"started"`
-	StartReason   string          `json:"start_reason"` // of this start: first, restart, crash, upgrade ...
-	Snapshot      string          `json:"snapshot"`     // taken up, or why not
-	Listen        string          `json:"listen"`
-	ListPos       int64           `json:"list_pos"`
-	ListAgeMS     int64           `json:"list_age_ms"` // since the list's service last said anything; -1: it never has
-	MemoryMB      float64         `json:"memory_mb"`   // resident
-	MemoryMostMB  int             `json:"memory_most_mb"`
-	Descriptors   int             `json:"descriptors"`
-	SocketsMost   int             `json:"sockets_most"`
-	Core          exchange.Status `json:"core"`
-	ConfigWarning string          `json:"config_warning,omitempty"`
-	Levels        []levels.Change `json:"levels,omitempty"` // the last changes, the oldest first
-	Peers         *Peers          `json:"peers,omitempty"`  // nil: it knows of no others
+	Name            string          `json:"name"`
+	Version         string          `json:"version"`
+	PID             int             `json:"pid"`
+	Phase           Phase           `json:"phase"`
+	StartedAt       time.Time       `json:"started"`
+	StartReason     string          `json:"start_reason"` // of this start: first, restart, crash, upgrade ...
+	Snapshot        string          `json:"snapshot"`     // taken up, or why not
+	Listen          string          `json:"listen"`
+	ListPos         int64           `json:"list_pos"`
+	ListAgeMS       int64           `json:"list_age_ms"` // since the list's service last said anything; -1: it never has
+	MemoryMB        float64         `json:"memory_mb"`   // resident
+	MemoryLimitMB   int             `json:"memory_most_mb"`
+	Descriptors     int             `json:"descriptors"`
+	DescriptorLimit int             `json:"sockets_most"`
+	Core            exchange.Status `json:"core"`
+	ConfigWarning   string          `json:"config_warning,omitempty"`
+	Levels          []levels.Change `json:"levels,omitempty"` // the last changes, the oldest first
+	Peers           *Peers          `json:"peers,omitempty"`  // nil: it knows of no others
 	// Release is the configuration release that is in force; nil: it takes none.
 	Release *releases.MemberStatus `json:"release,omitempty"`
 }
@@ -143,7 +143,7 @@
 }
 
 // Ask asks an instance's socket. ErrNobody tells that no process serves it.
-func Ask(ctx context.Context, path string) (*Status, error) {
+func FetchStatus(ctx context.Context, path string) (*Status, error) {
 	client := http.Client{Timeout: 3 * answerFor, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "unix", path)
@@ -154,7 +154,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNobody, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRunning, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -168,4 +168,4 @@
 }
 
 // ErrNobody tells that no process serves a control socket.
-var ErrNobody = errors.New("no instance answers")
+var ErrNotRunning = errors.New("no instance answers")
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -17,7 +17,7 @@
 
 func TestTheSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ctl")
-	if _, err := Ask(t.Context(), path); !errors.Is(err, ErrNobody) {
+	if _, err := FetchStatus(t.Context(), path); !errors.Is(err, ErrNotRunning) {
 		t.Error(err)
 	}
 	if l, err := net.Listen("unix", path); err != nil { // left by a process that died
@@ -54,16 +54,16 @@
 	}
 	ctx2, cancel2 := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel2()
-	got, err := Ask(ctx2, path)
+	got, err := FetchStatus(ctx2, path)
 	if err != nil || got.Name != "n3" || got.Core.Open != 3 || got.Phase != Recovering {
 		t.Fatal(got, err)
 	}
 	var out bytes.Buffer
-	got.Text(&out)
+	got.WriteText(&out)
 	if !strings.Contains(out.String(), "cold marked") || !strings.Contains(out.String(), "never heard") {
 		t.Error(out.String())
 	}
-	files, err := TakeListeners(t.Context(), path)
+	files, err := FetchListeners(t.Context(), path)
 	if err != nil || files["callers"] == nil {
 		t.Fatal(files, err)
 	}
--- a/internal/ctl/listeners.go
+++ b/internal/ctl/listeners.go
@@ -49,10 +49,10 @@
 }
 
 // TakeListeners asks an instance for copies of its listening sockets, by name. The caller closes them.
-func TakeListeners(ctx context.Context, path string) (map[string]*os.File, error) {
+func FetchListeners(ctx context.Context, path string) (map[string]*os.File, error) {
 	raw, err := new(net.Dialer).DialContext(ctx, "unix", path)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNobody, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotRunning, err)
 	}
 	defer raw.Close()
 	raw.SetDeadline(time.Now().Add(answerFor))
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -20,7 +20,7 @@
 }
 
 // Text writes it for people.
-func (p *Peers) Text(w io.Writer) {
+func (p *Peers) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	fmt.Fprintf(t, "%s\t%s, epoch %s, health %d, %s for %s\n", p.Name, p.Addr, p.Epoch, p.Health, p.Shared.State,
--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -11,7 +11,7 @@
 )
 
 // Text writes a status for people.
-func (s *Status) Text(w io.Writer) {
+func (s *Status) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
 	age := "never heard"
@@ -19,13 +19,13 @@
 		age = (time.Duration(s.ListAgeMS) * time.Millisecond).String() + " ago"
 	}
 	fmt.Fprintf(t, "%s\t%s, pid %d, version %s\n", s.Name, s.Phase, s.PID, s.Version)
-	fmt.Fprintf(t, "started\t%s ago, %s; snapshot: %s\n", time.Since(s.Started).Round(time.Second), s.StartReason, s.Snapshot)
+	fmt.Fprintf(t, "started\t%s ago, %s; snapshot: %s\n", time.Since(s.StartedAt).Round(time.Second), s.StartReason, s.Snapshot)
 	fmt.Fprintf(t, "listen\t%s\n", s.Listen)
 	fmt.Fprintf(t, "list\tposition %d, heard of %s\n", s.ListPos, age)
 	fmt.Fprintf(t, "calls\t%d open (%d held, %d waiting), %d standing; %d stood, %d refused, %d failed\n", s.Core.Open, s.Core.Held,
 		s.Core.HeldByModules, s.Core.Standing, s.Core.Stands, s.Core.Refused, s.Core.Failed)
-	fmt.Fprintf(t, "held\t%.1f of %d MB, %d of %d descriptors, %d events waiting\n", s.MemoryMB, s.MemoryMostMB, s.Descriptors,
-		s.SocketsMost, s.Core.InboxLength)
+	fmt.Fprintf(t, "held\t%.1f of %d MB, %d of %d descriptors, %d events waiting\n", s.MemoryMB, s.MemoryLimitMB, s.Descriptors,
+		s.DescriptorLimit, s.Core.InboxLength)
 	for _, m := range s.Core.Modules {
 		fmt.Fprintf(t, "%s\t%s (%s); held %d, refused %d, %d offices capped", m.Module, m.State, m.Reason, m.Held, m.RefusedTotal, m.Capped)
 		if m.Out != "" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -108,11 +108,11 @@
 	file := filepath.Join(t.TempDir(), "f.toml")
 	os.WriteFile(file, []byte("name = \"h\"\ndir = \"run\"\ninstances = 3\nlisten = \"127.0.0.1:65534\"\nplatform = \"none.json\"\n"), 0o600)
 	_, err := Load(file)
-	if got := config.All(err); len(got) != 2 || !strings.Contains(err.Error(), "f.toml:4: listen") || !strings.Contains(err.Error(), "f.toml:5: platform") {
+	if got := config.AllFaults(err); len(got) != 2 || !strings.Contains(err.Error(), "f.toml:4: listen") || !strings.Contains(err.Error(), "f.toml:5: platform") {
 		t.Error(err)
 	}
 	os.WriteFile(file, []byte("instances = 0\n"), 0o600)
-	if _, err := Load(file); len(config.All(err)) != 5 { // the count, and four keys that are missing
+	if _, err := Load(file); len(config.AllFaults(err)) != 5 { // the count, and four keys that are missing
 		t.Error(err)
 	}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -83,7 +83,7 @@
 	m.enter(rollout.Starting)
 	m.noted(c)
 	m.closeListeners() // opened for a process that lost the folder to this one
-	files, err := ctl.TakeListeners(ctx, m.socket())
+	files, err := ctl.FetchListeners(ctx, m.socket())
 	if err != nil { // its sockets end with it; the next process opens new ones, at the same addresses
 		m.s.log.Warn("listening sockets not taken over", "instance", m.name, "err", err)
 	}
@@ -229,7 +229,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(m.s.Self, "launch", "--dir", m.dir, "--generation", m.gen, program)
+	cmd := exec.Command(m.s.LauncherProgram, "launch", "--dir", m.dir, "--generation", m.gen, program)
 	cmd.Dir, cmd.Stderr, cmd.Stdout = m.dir, log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a terminal's interrupt is the supervisor's alone
 	var names []string
@@ -359,10 +359,10 @@
 	m.asking = true
 	pid, bare := m.pid, len(m.listeners) == 0
 	m.s.group.Go(func() error {
-		st, err := ctl.Ask(m.s.ctx, m.socket())
+		st, err := ctl.FetchStatus(m.s.ctx, m.socket())
 		var files map[string]*os.File
 		if err == nil && bare { // taken over before it answered on its socket
-			files, _ = ctl.TakeListeners(m.s.ctx, m.socket())
+			files, _ = ctl.FetchListeners(m.s.ctx, m.socket())
 		}
 		m.s.post(func() {
 			m.asking = false
--- a/internal/fleet/rollout.go
+++ b/internal/fleet/rollout.go
@@ -37,7 +37,7 @@
 	switch s.step.State {
 	case rollout.Done, rollout.RolledBack, rollout.Halted:
 		s.state.Outcome = &Outcome{State: s.step.State, Reason: s.step.Reason, Detail: s.step.Detail, To: r.To,
-			Took: float64(time.Now().UnixNano()-r.StartedAt) / 1e9}
+			DurationSeconds: float64(time.Now().UnixNano()-r.StartedAt) / 1e9}
 		if s.step.State == rollout.RolledBack {
 			s.state.Generation = r.From
 		}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -92,7 +92,7 @@
 }
 
 // Order has the supervisor do something: rollout, reload or down.
-func (c *Client) Order(ctx context.Context, what, program string) error {
+func (c *Client) SendCommand(ctx context.Context, what, program string) error {
 	body, err := json.Marshal(order{program})
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ctl.ErrNobody, err)
+		return nil, fmt.Errorf("%w: %w", ctl.ErrNotRunning, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 8<<20))
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -11,11 +11,11 @@
 
 // Outcome is how a rollout ended.
 type Outcome struct {
-	State  rollout.State `json:"state"`
-	Reason string        `json:"reason,omitempty"`
-	Detail string        `json:"detail,omitempty"`
-	To     string        `json:"to"`
-	Took   float64       `json:"took_s"`
+	State           rollout.State `json:"state"`
+	Reason          string        `json:"reason,omitempty"`
+	Detail          string        `json:"detail,omitempty"`
+	To              string        `json:"to"`
+	DurationSeconds float64       `json:"took_s"`
 }
 
 // Status is what a fleet tells operators.
@@ -31,18 +31,18 @@
 
 // MemberStatus is one instance.
 type MemberStatus struct {
-	Name       string        `json:"name"`
-	PID        int           `json:"pid"`
-	Phase      rollout.Phase `json:"phase"`
-	ForS       float64       `json:"for_s"`
-	Generation string        `json:"generation"`
-	Listen     string        `json:"listen"`
-	Socket     string        `json:"socket"`
-	Ends       int           `json:"ends_unasked"`
-	Failed     string        `json:"failed,omitempty"`
-	Open       int           `json:"open"`
-	Standing   int           `json:"standing"`
-	MemoryMB   float64       `json:"memory_mb"`
+	Name             string        `json:"name"`
+	PID              int           `json:"pid"`
+	Phase            rollout.Phase `json:"phase"`
+	PhaseSeconds     float64       `json:"for_s"`
+	Generation       string        `json:"generation"`
+	Listen           string        `json:"listen"`
+	Socket           string        `json:"socket"`
+	UnexpectedExits  int           `json:"ends_unasked"`
+	Failed           string        `json:"failed,omitempty"`
+	OpenCalls        int           `json:"open"`
+	EstablishedCalls int           `json:"standing"`
+	MemoryMB         float64       `json:"memory_mb"`
 }
 
 // Status looks at everything.
@@ -54,10 +54,10 @@
 			st.Rollout = &step
 		}
 		for _, m := range s.members {
-			one := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, ForS: time.Since(m.since).Seconds(), Generation: m.gen,
-				Listen: m.addrs["callers"], Socket: m.socket(), Ends: m.ends, Failed: m.failed}
+			one := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, PhaseSeconds: time.Since(m.since).Seconds(), Generation: m.gen,
+				Listen: m.addrs["callers"], Socket: m.socket(), UnexpectedExits: m.ends, Failed: m.failed}
 			if m.status != nil {
-				one.Open, one.Standing, one.MemoryMB = m.status.Core.Open, m.status.Core.Standing, m.status.MemoryMB
+				one.OpenCalls, one.EstablishedCalls, one.MemoryMB = m.status.Core.Open, m.status.Core.Standing, m.status.MemoryMB
 			}
 			st.Instances = append(st.Instances, one)
 		}
--- a/internal/fleet/supervisor.go
+++ b/internal/fleet/supervisor.go
@@ -41,11 +41,11 @@
 
 // Supervisor runs a fleet. One goroutine, the loop, owns its state; everything else posts to it.
 type Supervisor struct {
-	spec  *Spec
-	log   *slog.Logger
-	Self  string // the program that launches instances: this one
-	state state
-	step  rollout.Step
+	spec            *Spec
+	log             *slog.Logger
+	LauncherProgram string // the program that launches instances: this one
+	state           state
+	step            rollout.Step
 
 	ctx     context.Context
 	group   *errgroup.Group
@@ -74,7 +74,7 @@
 		lock.Close()
 		return nil, ErrRunning
 	}
-	s := &Supervisor{lock: lock, spec: spec, log: log, Self: self, events: make(chan func(), 256), over: make(chan struct{})}
+	s := &Supervisor{lock: lock, spec: spec, log: log, LauncherProgram: self, events: make(chan func(), 256), over: make(chan struct{})}
 	text, err := os.ReadFile(filepath.Join(spec.Dir, stateFile))
 	if err == nil {
 		err = json.Unmarshal(text, &s.state)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -15,7 +15,7 @@
 
 const (
 	// Part is the attribute that names a part of the program.
-	Part = "part"
+	PartKey = "part"
 	// keysMost bounds the messages that are counted at once; messages are constants of the program, well under this.
 	keysMost = 512
 	// window is the time over which repeated lines are counted.
@@ -24,11 +24,11 @@
 
 // Options is what a logger is made from.
 type Options struct {
-	Out     io.Writer
-	JSON    bool
-	Levels  *Levels          // nil: info for all
-	Repeats int              // lines of one message and part in a second; 0: no bound
-	Now     func() time.Time // nil: the system's
+	Output     io.Writer
+	JSON       bool
+	Levels     *Levels          // nil: info for all
+	MaxRepeats int              // lines of one message and part in a second; 0: no bound
+	Now        func() time.Time // nil: the system's
 }
 
 // Levels are the least levels that are written. They may change while loggers use them.
@@ -69,7 +69,7 @@
 const everything = slog.Level(math.MinInt)
 
 // Level reads a level's name.
-func Level(name string) (l slog.Level, err error) {
+func ParseLevel(name string) (l slog.Level, err error) {
 	if err = l.UnmarshalText([]byte(name)); err != nil {
 		err = fmt.Errorf("unknown level %q", name)
 	}
@@ -84,9 +84,9 @@
 	if o.Levels == nil {
 		o.Levels = NewLevels(slog.LevelInfo, nil)
 	}
-	var h slog.Handler = slog.NewTextHandler(o.Out, &slog.HandlerOptions{Level: everything})
+	var h slog.Handler = slog.NewTextHandler(o.Output, &slog.HandlerOptions{Level: everything})
 	if o.JSON {
-		h = slog.NewJSONHandler(o.Out, &slog.HandlerOptions{Level: everything})
+		h = slog.NewJSONHandler(o.Output, &slog.HandlerOptions{Level: everything})
 	}
 	return slog.New(&handler{Handler: h, o: &o, shared: &counts{seen: map[key]*count{}}})
 }
@@ -118,7 +118,7 @@
 	next := *h
 	next.Handler = h.Handler.WithAttrs(attrs)
 	for _, a := range attrs {
-		if a.Key == Part {
+		if a.Key == PartKey {
 			next.part = a.Value.String()
 		}
 	}
@@ -134,7 +134,7 @@
 // Handle writes a line, or counts it. The next line of that message after the window tells how many were left out.
 // Debug lines are not bounded: whoever asks for them wants them all.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	if h.o.Repeats == 0 || r.Level < slog.LevelInfo {
+	if h.o.MaxRepeats == 0 || r.Level < slog.LevelInfo {
 		return h.Handler.Handle(ctx, r)
 	}
 	now, left := h.o.Now(), 0
@@ -152,7 +152,7 @@
 		*c = count{began: now}
 	}
 	c.n++
-	over := c.n > h.o.Repeats
+	over := c.n > h.o.MaxRepeats
 	if over {
 		c.left++
 	}
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -12,8 +12,8 @@
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	levels := NewLevels(slog.LevelInfo, map[string]slog.Level{"core": slog.LevelDebug, "list": slog.LevelError})
-	log := New(Options{Out: &out, Levels: levels, Repeats: 3, Now: func() time.Time { return now }})
-	core, list := log.With(Part, "core"), log.With(Part, "list")
+	log := New(Options{Output: &out, Levels: levels, MaxRepeats: 3, Now: func() time.Time { return now }})
+	core, list := log.With(PartKey, "core"), log.With(PartKey, "list")
 	core.Debug("seen")
 	log.Debug("unseen")
 	list.Warn("unseen")
@@ -43,11 +43,11 @@
 
 func TestJSON(t *testing.T) {
 	var out bytes.Buffer
-	New(Options{Out: &out, JSON: true}).With(Part, "core").Info("a line", "call", "x")
+	New(Options{Output: &out, JSON: true}).With(PartKey, "core").Info("a line", "call", "x")
 	if !strings.Contains(out.String(), `"msg":"a line","part":"core","call":"x"`) {
 		t.Error(out.String())
 	}
-	if _, err := Level("loud"); err == nil {
+	if _, err := ParseLevel("loud"); err == nil {
 		t.Error("an unknown level")
 	}
 }
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -77,7 +77,7 @@
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", " ") }
 
 // Watch gives signs of life until ctx ends, as long as alive comes back: it is to go through what must not hang.
-func (m *Manager) Watch(ctx context.Context, alive func()) error {
+func (m *Manager) RunWatchdog(ctx context.Context, alive func()) error {
 	if m == nil || m.every == 0 {
 		return nil
 	}
--- a/internal/notify/notify_test.go
+++ b/internal/notify/notify_test.go
@@ -58,7 +58,7 @@
 	hang, ended := make(chan struct{}), make(chan struct{})
 	alive := 0
 	go func() {
-		m.Watch(ctx, func() {
+		m.RunWatchdog(ctx, func() {
 			if alive++; alive > 2 {
 				<-hang
 			}
@@ -85,7 +85,7 @@
 		t.Fatal(m, err)
 	}
 	m.Ready("x")
-	m.Watch(t.Context(), nil)
+	m.RunWatchdog(t.Context(), nil)
 	if _, err := Open(env("NOTIFY_SOCKET", "/nowhere/at/all")); err == nil {
 		t.Error("a manager that is not there")
 	}
--- a/internal/peers/ordered.go
+++ b/internal/peers/ordered.go
@@ -115,7 +115,7 @@
 	}
 	p.group.Go(func() error {
 		err := o.run(p.ctx, func() (net.Conn, error) { return p.Open(p.ctx, name, kind) })
-		p.log.Info("ordered stream ended", logs.Part, "peers", "reason", endReason(err), "member", name, "kind", kind, "err", err)
+		p.log.Info("ordered stream ended", logs.PartKey, "peers", "reason", endReason(err), "member", name, "kind", kind, "err", err)
 		return nil
 	})
 	return o
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -40,22 +40,22 @@
 
 // The reasons for which a snapshot is refused.
 var (
-	ErrNone     = errors.New("none")
-	ErrDamaged  = errors.New("damaged")
-	ErrNewer    = errors.New("of a newer version")
-	ErrForeign  = errors.New("another instance's")
-	ErrTooOld   = errors.New("too old")
-	ErrFuture   = errors.New("from the future: the clock went back")
-	ErrNonsense = errors.New("makes no sense")
+	ErrNoSnapshot    = errors.New("none")
+	ErrDamaged       = errors.New("damaged")
+	ErrNewerVersion  = errors.New("of a newer version")
+	ErrOtherInstance = errors.New("another instance's")
+	ErrTooOld        = errors.New("too old")
+	ErrFutureTime    = errors.New("from the future: the clock went back")
+	ErrInvalid       = errors.New("makes no sense")
 )
 
 // Snapshot is what the file holds.
 type Snapshot struct {
-	Instance string         `json:"instance"`
-	At       time.Time      `json:"at"`
-	Started  time.Time      `json:"started"` // of the process that wrote it
-	Ended    string         `json:"ended"`   // why that process ended, in its last snapshot; empty before
-	Learnt   control.Learnt `json:"learnt"`
+	Instance  string         `json:"instance"`
+	WrittenAt time.Time      `json:"at"`
+	StartedAt time.Time      `json:"started"` // of the process that wrote it
+	EndReason string         `json:"ended"`   // why that process ended, in its last snapshot; empty before
+	Learnt    control.Learnt `json:"learnt"`
 	// Levels are the last changes of the level of service.
 	Levels []levels.Change `json:"levels,omitempty"`
 }
@@ -80,25 +80,25 @@
 		return nil, ErrDamaged
 	}
 	if v > version {
-		return nil, fmt.Errorf("%w: %d", ErrNewer, v)
+		return nil, fmt.Errorf("%w: %d", ErrNewerVersion, v)
 	}
 	if is := sha256.Sum256(body); v < 1 || hex.EncodeToString(is[:]) != sum || len(head) != len(fmt.Sprintf("%s %d %s", magic, v, sum)) {
 		return nil, ErrDamaged
 	}
 	var s Snapshot
 	if err := json.Unmarshal(body, &s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrNonsense, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalid, err)
 	}
-	switch age := now.Sub(s.At); {
+	switch age := now.Sub(s.WrittenAt); {
 	case s.Instance != instance:
-		return nil, fmt.Errorf("%w: %q", ErrForeign, s.Instance)
+		return nil, fmt.Errorf("%w: %q", ErrOtherInstance, s.Instance)
 	case age < 0:
-		return nil, fmt.Errorf("%w by %v", ErrFuture, -age)
+		return nil, fmt.Errorf("%w by %v", ErrFutureTime, -age)
 	case age > mostAge:
 		return nil, fmt.Errorf("%w: %v", ErrTooOld, age.Round(time.Millisecond))
 	}
 	if err := s.Learnt.Check(now.UnixNano()); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrNonsense, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalid, err)
 	}
 	return &s, nil
 }
@@ -107,7 +107,7 @@
 func Load(dir, instance string, now time.Time, mostAge time.Duration) (*Snapshot, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, ErrNone
+		return nil, ErrNoSnapshot
 	}
 	if err != nil {
 		return nil, err
@@ -134,13 +134,13 @@
 }
 
 // Keeper writes snapshots while an instance runs.
-type Keeper struct {
+type SnapshotWriter struct {
 	Dir, Instance string
-	Every         time.Duration
+	Interval      time.Duration
 	Log           *slog.Logger
 	Learnt        func() control.Learnt  // asks the core; may take as long as the core does
 	Levels        func() []levels.Change // the same; nil: there are none
-	Write         func(path string, text []byte) error
+	WriteFile     func(path string, text []byte) error
 
 	started time.Time
 	failing atomic.Bool
@@ -161,12 +161,12 @@
 
 // Run writes a snapshot every so often until ctx ends, and a last one then. No fault of the disk ends it: it says once
 // that snapshots fail and once that they work again, and calls go on.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *SnapshotWriter) Run(ctx context.Context) error {
 	k.started = time.Now()
-	if k.Write == nil {
-		k.Write = write
+	if k.WriteFile == nil {
+		k.WriteFile = write
 	}
-	tick := time.NewTicker(k.Every)
+	tick := time.NewTicker(k.Interval)
 	defer tick.Stop()
 	busy := make(chan struct{}, 1) // a write under way; a disk that hangs holds one, never more
 	save := func(ended string) <-chan struct{} {
@@ -176,7 +176,7 @@
 			return nil
 		}
 		done := make(chan struct{})
-		s := Snapshot{Learnt: k.Learnt(), Ended: ended}
+		s := Snapshot{Learnt: k.Learnt(), EndReason: ended}
 		if k.Levels != nil {
 			s.Levels = k.Levels()
 		}
@@ -211,14 +211,14 @@
 	}
 }
 
-func (k *Keeper) save(s Snapshot) {
+func (k *SnapshotWriter) save(s Snapshot) {
 	if s.Learnt.At == 0 { // the core has ended, or has had no event yet
 		return
 	}
-	s.Instance, s.At, s.Started = k.Instance, time.Now(), k.started
+	s.Instance, s.WrittenAt, s.StartedAt = k.Instance, time.Now(), k.started
 	text, err := Encode(s)
 	if err == nil {
-		err = k.Write(filepath.Join(k.Dir, fileName), text)
+		err = k.WriteFile(filepath.Join(k.Dir, fileName), text)
 	}
 	switch {
 	case err != nil && !k.failing.Load():
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,7 +22,7 @@
 
 func snapshot() Snapshot {
 	at := now.Add(-time.Second).UnixNano()
-	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", At: now.Add(-time.Second), Learnt: control.Learnt{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
+	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", WrittenAt: now.Add(-time.Second), Learnt: control.Learnt{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
 		Servers: []control.LearnedServer{{ID: 7, ReadyAt: 5, EstablishedSentAt: at, Delay: 4e7, Weight: 1}, {ID: 9, EstablishedSentAt: at, Down: true}}}}
 }
 
@@ -51,13 +51,13 @@
 		want error
 	}{
 		{"empty", nil, ErrDamaged},
-		{"newer", append([]byte("masthill-state 2"), good[len("masthill-state 1"):]...), ErrNewer},
-		{"another's", changed(func(s *Snapshot) { s.Instance = "n4" }), ErrForeign},
-		{"old", changed(func(s *Snapshot) { s.At = now.Add(-2 * time.Minute) }), ErrTooOld},
-		{"the clock went back", changed(func(s *Snapshot) { s.At = now.Add(time.Hour) }), ErrFuture},
-		{"negative", changed(func(s *Snapshot) { s.Learnt.Servers[0].Delay = -1 }), ErrNonsense},
-		{"a time to come", changed(func(s *Snapshot) { s.Learnt.Servers[0].DelayAt = now.UnixNano() + 1 }), ErrNonsense},
-		{"out of order", changed(func(s *Snapshot) { s.Learnt.Servers[1].ID = 7 }), ErrNonsense},
+		{"newer", append([]byte("masthill-state 2"), good[len("masthill-state 1"):]...), ErrNewerVersion},
+		{"another's", changed(func(s *Snapshot) { s.Instance = "n4" }), ErrOtherInstance},
+		{"old", changed(func(s *Snapshot) { s.WrittenAt = now.Add(-2 * time.Minute) }), ErrTooOld},
+		{"the clock went back", changed(func(s *Snapshot) { s.WrittenAt = now.Add(time.Hour) }), ErrFutureTime},
+		{"negative", changed(func(s *Snapshot) { s.Learnt.Servers[0].Delay = -1 }), ErrInvalid},
+		{"a time to come", changed(func(s *Snapshot) { s.Learnt.Servers[0].DelayAt = now.UnixNano() + 1 }), ErrInvalid},
+		{"out of order", changed(func(s *Snapshot) { s.Learnt.Servers[1].ID = 7 }), ErrInvalid},
 	} {
 		if _, err := Decode(tc.text, "n3", now, time.Minute); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", tc.name, err)
@@ -99,7 +99,7 @@
 			t.Fatal(n, err)
 		}
 	}
-	if _, err := Load(t.TempDir(), "n3", now, time.Minute); !errors.Is(err, ErrNone) {
+	if _, err := Load(t.TempDir(), "n3", now, time.Minute); !errors.Is(err, ErrNoSnapshot) {
 		t.Error(err)
 	}
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
@@ -114,9 +114,9 @@
 		var writes, asked atomic.Int32
 		frozen := make(chan struct{})
 		var freeze atomic.Bool
-		k := &Keeper{Dir: "d", Instance: "n3", Every: time.Second, Log: netcase.DiscardLogger(),
+		k := &SnapshotWriter{Dir: "d", Instance: "n3", Interval: time.Second, Log: netcase.DiscardLogger(),
 			Learnt: func() control.Learnt { asked.Add(1); return control.Learnt{At: 1} },
-			Write: func(string, []byte) error {
+			WriteFile: func(string, []byte) error {
 				writes.Add(1)
 				if freeze.Load() {
 					<-frozen
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -116,7 +116,7 @@
 }
 
 // Lost counts the records that never reached the database.
-func (s *Store) Lost() int64 { return s.lost.Load() }
+func (s *Store) LostRecords() int64 { return s.lost.Load() }
 
 // Run writes batches until ctx ends, and then once more what is left.
 func (s *Store) Run(ctx context.Context) error {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,8 +57,8 @@
 		s.Put(record(fmt.Sprint(k)))
 	}
 	end()
-	if s.Lost() != 0 {
-		t.Errorf("%d lost", s.Lost())
+	if s.LostRecords() != 0 {
+		t.Errorf("%d lost", s.LostRecords())
 	}
 	db, err := sql.Open("sqlite", file)
 	if err != nil {
@@ -98,12 +98,12 @@
 	for range n {
 		s.Put(record("a"))
 	}
-	if s.Lost() == 0 {
+	if s.LostRecords() == 0 {
 		t.Error("a queue without bounds")
 	}
 	end()
-	if s.Lost() != int64(n) {
-		t.Errorf("%d of %d counted as lost", s.Lost(), n)
+	if s.LostRecords() != int64(n) {
+		t.Errorf("%d of %d counted as lost", s.LostRecords(), n)
 	}
 }
 
@@ -249,9 +249,9 @@
 		<-p.seen
 	}
 	end()
-	if s.Lost() != 0 || len(p.rows) != 2 ||
+	if s.LostRecords() != 0 || len(p.rows) != 2 ||
 		p.rows["a"] != "n3 a 1700000000000 sip open-log acme 17? stands 2 c41f7a 1700000000050 0 0 0" {
-		t.Errorf("%d lost, rows %q", s.Lost(), p.rows)
+		t.Errorf("%d lost, rows %q", s.LostRecords(), p.rows)
 	}
 }
 
@@ -263,7 +263,7 @@
 		s.Put(record("a"))
 	}
 	end()
-	if s.Lost() != queueMost+batchMost+1 {
-		t.Errorf("%d lost", s.Lost())
+	if s.LostRecords() != queueMost+batchMost+1 {
+		t.Errorf("%d lost", s.LostRecords())
 	}
 }
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -125,7 +125,7 @@
 }
 
 // configured reads a member's files as the program does.
-func (s *Spec) configured(k int) (*config.Platform, *config.Project, error) {
+func (s *Spec) configured(k int) (*config.Platform, *config.OperatorSettings, error) {
 	text, err := json.Marshal(s.Platform(k))
 	if err != nil {
 		return nil, nil, err
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	own, err := config.ParseProject(s.Name(k), s.Settings(k), func(string) string { return "" })
+	own, err := config.ParseOperatorSettings(s.Name(k), s.Settings(k), func(string) string { return "" })
 	return p, own, err
 }
 
@@ -176,9 +176,9 @@
 	m.now = now
 	epoch := rand.Uint64() | 1
 	m.claims.of(s.Name(k), epoch)
-	c := shared.Config{Control: p.Settings, Planned: p.Planned, Name: s.Name(k), Machine: own.Peers.Machine, Epoch: epoch, Numbers: own.Peers.Numbers,
-		Budgets: own.Peers.Budgets, DetectOutliers: own.Peers.Judgements, Count: count.Config{OmitCheck: s.Without}, Outlier: outlier.Config{OmitCheck: s.Without},
-		Lease: lease.Config{Voters: own.Peers.Keepers, MaxInstances: own.Peers.Most, Floor: own.Peers.Floor, Term: int64(own.Peers.Term), OmitCheck: s.Without}}
+	c := shared.Config{Control: p.Settings, Planned: p.PlannedRate, Name: s.Name(k), Machine: own.Peers.Machine, Epoch: epoch, Numbers: own.Peers.CountedNumbers,
+		Budgets: own.Peers.Budgets, DetectOutliers: own.Peers.DetectOutliers, Count: count.Config{OmitCheck: s.Without}, Outlier: outlier.Config{OmitCheck: s.Without},
+		Lease: lease.Config{Voters: own.Peers.Voters, MaxInstances: own.Peers.MaxInstances, Floor: own.Peers.FloorFraction, Term: int64(own.Peers.Term), OmitCheck: s.Without}}
 	for _, t := range p.Shares {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
@@ -200,7 +200,7 @@
 	m.list.LoadInitial(p.Known)
 	m.ear = &ear{Shared: m.shared, without: s.Without, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
-		Seeds: own.Peers.Seeds, Keys: own.Peers.Secrets, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.Slow})
+		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.Slow})
 	return m, err
 }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -154,7 +154,7 @@
 	for _, r := range f.reals {
 		pid := r.PID()
 		l := realLook{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
-		s, err := ctl.Ask(ctx, r.socket)
+		s, err := ctl.FetchStatus(ctx, r.socket)
 		if err != nil {
 			return nil, fmt.Errorf("%s tells no status: %w", r.Name, err)
 		}
--- a/lab/wave/demo.go
+++ b/lab/wave/demo.go
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 		case <-time.After(d / 4):
-			if err := client.Order(ctx, "rollout", ""); err != nil && ctx.Err() == nil {
+			if err := client.SendCommand(ctx, "rollout", ""); err != nil && ctx.Err() == nil {
 				return err
 			}
 		}
