--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -33,7 +33,7 @@
 }
 
 // cell is one size and one jump.
-type cell struct {
+type borderCell struct {
 	Modules string  `json:"modules"`
 	Size    string  `json:"size"`
 	Times   float64 `json:"times"`
@@ -58,19 +58,19 @@
 			jumps = append(jumps, j)
 		}
 	}
-	if c.For < 0 || jamFrom+c.For+jamBack > jamLength {
-		return fmt.Errorf("wanted a jump of %v at most", jamLength-jamFrom-jamBack)
+	if c.For < 0 || jumpStart+c.For+jamRecovery > jamRunLength {
+		return fmt.Errorf("wanted a jump of %v at most", jamRunLength-jumpStart-jamRecovery)
 	}
-	back, end := int((jamFrom+c.For+jamBack)/time.Second), int(jamLength/time.Second)
-	var cells []cell
+	back, end := int((jumpStart+c.For+jamRecovery)/time.Second), int(jamRunLength/time.Second)
+	var cells []borderCell
 	for _, names := range []string{c.Before, c.With} {
-		with, err := modules(names)
+		with, err := parseModules(names)
 		if err != nil {
 			return err
 		}
 		results := make([]*model.Result, len(jumps)*len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
-		g.SetLimit(parallel)
+		g.SetLimit(maxParallelRuns)
 		for k := range results {
 			g.Go(func() (err error) {
 				if err = ctx.Err(); err == nil {
@@ -87,9 +87,9 @@
 			fmt.Printf(" %15s", fmt.Sprintf("x %.1f", times))
 		}
 		for k, j := range jumps {
-			one := cell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
+			one := borderCell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
 			for _, r := range results[k*len(numbers) : (k+1)*len(numbers)] {
-				after := share(r.ServedBySecond, r.OfferedBySecond, back, end)
+				after := servedShare(r.ServedBySecond, r.OfferedBySecond, back, end)
 				one.Served += r.ServedShare / float64(len(numbers))
 				one.After += after / float64(len(numbers))
 				one.Worst = min(one.Worst, after)
@@ -119,7 +119,7 @@
 // grid is one picture's cells for the plotter: columns are jumps, rows sizes.
 type grid struct {
 	c     borderCmd
-	cells []cell
+	cells []borderCell
 }
 
 func (g grid) Dims() (cols, rows int) { return len(g.c.Times), len(g.c.Sizes) }
@@ -140,7 +140,7 @@
 	return all
 }
 
-func (c borderCmd) plot(cells []cell) error {
+func (c borderCmd) plot(cells []borderCell) error {
 	if !strings.HasSuffix(c.Plot, ".png") {
 		return fmt.Errorf("plot %q: wanted a PNG", c.Plot)
 	}
--- a/cmd/masthill-lab/cold.go
+++ b/cmd/masthill-lab/cold.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	join, err := modules(c.With)
+	join, err := parseModules(c.With)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	for _, s := range scenes {
 		results := make([]*model.Result, len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
-		g.SetLimit(parallel)
+		g.SetLimit(maxParallelRuns)
 		for k, seed := range numbers {
 			g.Go(func() (err error) {
 				if err = ctx.Err(); err != nil {
@@ -99,12 +99,12 @@
 		worst, told, mean, sends = max(worst, s.PeakLoad), max(told, s.InformedLoad), mean+s.PeakLoad, sends+float64(s.TotalSent)
 	}
 	n := float64(max(len(starts), 1))
-	low, high := proportion(broken, len(starts))
+	low, high := proportionInterval(broken, len(starts))
 	fmt.Printf("%-9s %7d %6d %7d %6.4f (%.4f to %.4f) %10.3f %10.3f %10.3f %8.1f %8s\n", name, len(starts), falls, broken, float64(broken)/n, low, high, mean/n, worst, told, sends/n, served)
 }
 
 // proportion is the exact 95% interval (Clopper and Pearson) of a proportion of which k in n were seen.
-func proportion(k, n int) (low, high float64) {
+func proportionInterval(k, n int) (low, high float64) {
 	if n == 0 {
 		return 0, 1
 	}
--- a/cmd/masthill-lab/coldchance.go
+++ b/cmd/masthill-lab/coldchance.go
@@ -41,7 +41,7 @@
 
 // tail is the chance that n controllers, each of which sends mean on average and no more than one from it, send over
 // what is borne when N is allowed.
-func tail(n int, mean, allowed float64) float64 {
+func exceedProbability(n int, mean, allowed float64) float64 {
 	whole := math.Floor(mean)
 	over := math.Floor(allowed+2*math.Sqrt(allowed)+2) - whole*float64(n)
 	switch {
@@ -54,7 +54,7 @@
 }
 
 // start bounds the chance that any window in the three after the start is too full: each send may end one.
-func (c ramp) start() float64 {
+func (c ramp) startProbability() float64 {
 	p := c.pace(0)
 	whole := math.Floor(p)
 	over := math.Floor(c.budget+2*math.Sqrt(c.budget)+2) - 1 - whole*float64(c.n)
@@ -66,14 +66,14 @@
 
 // pause is the chance after a pause: saved is the credit beyond its phase that a controller holds then. The calls come at
 // once, so that the window may end at any time after; the worst of its beginning and its end counts.
-func (c ramp) pause(at, saved float64, lost bool) float64 {
+func (c ramp) pauseProbability(at, saved float64, lost bool) float64 {
 	worst := 0.0
 	for _, into := range []float64{0, 0.5, 1} {
 		mean := saved + c.earned(at+into) - c.earned(at)
 		if lost && c.pace(at) < 1 { // a saved credit is cut to one: its phase is lost, and the next takes a whole 1/pace
 			mean = min(mean, 1)
 		}
-		worst = max(worst, tail(c.n, mean, c.allowed(at+into)))
+		worst = max(worst, exceedProbability(c.n, mean, c.allowed(at+into)))
 	}
 	return worst
 }
@@ -87,13 +87,13 @@
 	for _, budget := range c.Budget {
 		for _, n := range c.Controllers {
 			r := ramp{c, n, budget}
-			fmt.Printf("%11d %4.0f %7.1f %22.2g", n, budget, budget+2*math.Sqrt(budget)+2, r.start())
+			fmt.Printf("%11d %4.0f %7.1f %22.2g", n, budget, budget+2*math.Sqrt(budget)+2, r.startProbability())
 			for _, at := range c.Pauses {
 				kept := min(r.earned(at), c.Kept*(r.warmth(at)+r.pace(at)))
 				if c.Kept*(r.warmth(at)+r.pace(at)) >= 1 {
 					kept = 1
 				}
-				fmt.Printf(" %22.2g %22.2g", r.pause(at, min(r.earned(at), 1), true), r.pause(at, kept, kept == 1))
+				fmt.Printf(" %22.2g %22.2g", r.pauseProbability(at, min(r.earned(at), 1), true), r.pauseProbability(at, kept, kept == 1))
 			}
 			fmt.Println()
 		}
--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -45,9 +45,9 @@
 }
 
 const (
-	jamFrom, jamLength = 20 * time.Second, 80 * time.Second
+	jumpStart, jamRunLength = 20 * time.Second, 80 * time.Second
 	// jamBack is how long after the jump's end service has to be back, and over what.
-	jamBack, jamServed = 15 * time.Second, 0.98
+	jamRecovery, jamServed = 15 * time.Second, 0.98
 )
 
 // seeds reads FIRST-LAST or one number.
@@ -68,13 +68,13 @@
 }
 
 func (c jamCmd) scenario(seed uint64, with func(control.Settings, float64, uint64, int64) join.Chain) model.Scenario {
-	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, Duration: jamLength, Redials: c.Redials, Join: with,
+	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, Duration: jamRunLength, Redials: c.Redials, Join: with,
 		QueueOrder: processor.QueueOrders[c.Line], DropAnswers: c.DropAnswers, RateFactor: c.jump}
 }
 
 // jump is the rate over time.
 func (c jamCmd) jump(at time.Duration) float64 {
-	if at >= jamFrom && at < jamFrom+c.For {
+	if at >= jumpStart && at < jumpStart+c.For {
 		return c.Times
 	}
 	return 1
@@ -82,14 +82,14 @@
 
 // bound is what can be served at most: in the jump no more stand in time than the processors can do, if they do nothing in
 // vain, and the rest of the callers stand late at best.
-func (c jamCmd) bound(r *model.Result) float64 {
-	total := c.Load * (jamLength.Seconds() + (c.Times-1)*c.For.Seconds())
+func (c jamCmd) maxServed(r *model.Result) float64 {
+	total := c.Load * (jamRunLength.Seconds() + (c.Times-1)*c.For.Seconds())
 	over := max(c.Load*c.Times-1/r.UtilizationAtPlan, 0) * c.For.Seconds()
 	return 1 - (1-model.LateValue)*over/total
 }
 
 // share is the part of the calls first offered from a second on, up to another, that was served.
-func share(bySecond []float64, offeredByS []int, from, to int) float64 {
+func servedShare(bySecond []float64, offeredByS []int, from, to int) float64 {
 	var served, offered float64
 	for k := from; k < min(to, len(bySecond)); k++ {
 		served += bySecond[k] * float64(offeredByS[k])
@@ -99,8 +99,8 @@
 }
 
 func (c jamCmd) Run(ctx context.Context) error {
-	if c.Controllers < 1 || c.Controllers > 1000 || c.Servers < 1 || c.Servers > 100 || c.For < 0 || jamFrom+c.For+jamBack > jamLength {
-		return fmt.Errorf("wanted 1 to 1,000 controllers, 1 to 100 servers and a jump of %v at most", jamLength-jamFrom-jamBack)
+	if c.Controllers < 1 || c.Controllers > 1000 || c.Servers < 1 || c.Servers > 100 || c.For < 0 || jumpStart+c.For+jamRecovery > jamRunLength {
+		return fmt.Errorf("wanted 1 to 1,000 controllers, 1 to 100 servers and a jump of %v at most", jamRunLength-jumpStart-jamRecovery)
 	}
 	numbers, err := seeds(c.Seeds)
 	if err != nil {
@@ -109,13 +109,13 @@
 	if c.Sockets {
 		return c.sockets(ctx, numbers)
 	}
-	with := asRun
+	with := deployedModules
 	if c.Plain {
 		with = nil
 	}
 	all := make([]*model.Result, len(numbers))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallel)
+	g.SetLimit(maxParallelRuns)
 	for k, seed := range numbers {
 		g.Go(func() (err error) {
 			if err = ctx.Err(); err == nil {
@@ -127,19 +127,19 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	back := int((jamFrom + c.For + jamBack) / time.Second)
+	back := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var served, after []float64
 	broken := 0
 	for _, r := range all {
-		served, after = append(served, r.ServedShare), append(after, share(r.ServedBySecond, r.OfferedBySecond, back, int(jamLength/time.Second)))
+		served, after = append(served, r.ServedShare), append(after, servedShare(r.ServedBySecond, r.OfferedBySecond, back, int(jamRunLength/time.Second)))
 		if r.Any() || r.FellOver {
 			broken++
 			fmt.Println(" ", r.Seed, r.Descriptions)
 		}
 	}
-	fmt.Printf("served %.4f (worst %.4f), 15 s after the jump %.4f (worst %.4f), %d seeds\n", stat.Mean(served, nil), least(served), stat.Mean(after, nil), least(after), len(all))
+	fmt.Printf("served %.4f (worst %.4f), 15 s after the jump %.4f (worst %.4f), %d seeds\n", stat.Mean(served, nil), minimum(served), stat.Mean(after, nil), minimum(after), len(all))
 	for k, r := range all {
-		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.ServedShare, c.bound(r), after[k], r.RefusedByServers,
+		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.ServedShare, c.maxServed(r), after[k], r.RefusedByServers,
 			float64(r.Tries)/float64(max(r.Calls, 1)))
 	}
 	if c.JSON != "" {
@@ -185,7 +185,7 @@
 	if planned == 0 {
 		planned = 22 * float64(c.Servers)
 	}
-	back := int((jamFrom + c.For + jamBack) / time.Second)
+	back := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var all []*wave.Result
 	for _, seed := range numbers {
 		dir, err := os.MkdirTemp("", "masthill-lab-")
@@ -193,13 +193,13 @@
 			return err
 		}
 		r, err := wave.Run(ctx, wave.Options{Program: program, Settings: settings, Instances: c.Controllers, Servers: c.Servers, Seed: seed, Load: c.Load,
-			Planned: planned, Steady: true, WarmUp: jamFrom, RestartWindow: c.For, After: jamLength - jamFrom - c.For, RateFactor: c.jump, Dir: dir})
+			Planned: planned, Steady: true, WarmUp: jumpStart, RestartWindow: c.For, After: jamRunLength - jumpStart - c.For, RateFactor: c.jump, Dir: dir})
 		os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: served %.3f, 15 s after the jump %.3f, %d calls, %d tries, missing %d, twice %d, overlapping %d, rig late %.0f ms\n", seed, r.Served,
-			share(r.ServedBySecond, r.OfferedBySecond, back, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
+			servedShare(r.ServedBySecond, r.OfferedBySecond, back, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
 		r.Samples = nil
 		if all = append(all, r); r.Any() || len(r.Errors) > 0 {
 			return fmt.Errorf("a rule was broken, or an instance failed: %v %v", r.Descriptions, r.Errors)
@@ -217,7 +217,7 @@
 	p.Title.Text = fmt.Sprintf("%d controllers, %d servers, load %.2f, %.1f times that for %v", c.Controllers, c.Servers, c.Load, c.Times, c.For)
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "time of the first try (s)", "served share", 0, 1.02
 	var mean plotter.XYs
-	for k := range int(jamLength / time.Second) {
+	for k := range int(jamRunLength / time.Second) {
 		sum := 0.0
 		for _, r := range all {
 			sum += r.ServedBySecond[k]
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -23,14 +23,14 @@
 }
 
 // swingEvery is half of a swing.
-const swingEvery = 4 * time.Second
+const halfSwing = 4 * time.Second
 
 func (c levelsCmd) scenario(seed uint64) model.Scenario {
 	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: 1, Duration: 80 * time.Second, Redials: 2}
 	switch c.Scenario {
 	case "swing": // from 90% to 120% of plan and back
 		sc.RateFactor = func(at time.Duration) float64 {
-			if at > 10*time.Second && at/swingEvery%2 == 1 {
+			if at > 10*time.Second && at/halfSwing%2 == 1 {
 				return 1.2
 			}
 			return 0.9
@@ -111,7 +111,7 @@
 		fmt.Printf("levels %-3s served %.4f (worst %.4f); changes of level: %.1f a controller, %d at most; highest %s\n", [...]string{"off", "on"}[on], mean, worst,
 			float64(changes)/float64(c.Seeds*c.Controllers), most, high)
 	}
-	mean, half := paired(served[0], served[1])
+	mean, half := pairedDifference(served[0], served[1])
 	fmt.Printf("on - off: %+.4f, 95%% interval %+.4f to %+.4f\n", mean, mean-half, mean+half)
 	return nil
 }
--- a/cmd/masthill-lab/main.go
+++ b/cmd/masthill-lab/main.go
@@ -66,7 +66,7 @@
 }
 
 // columns are the settings that are compared.
-var columns = map[string]string{
+var columnSettings = map[string]string{
 	"plain":     "",
 	"recovery":  "[recovery]\nenabled = true\n",
 	"snapshots": "[recovery]\nenabled = true\n[state]\ndir = \"%DIR%\"\nevery = \"1s\"\n",
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	settings := columns[c.Column]
+	settings := columnSettings[c.Column]
 	if c.Settings != "" {
 		text, err := os.ReadFile(c.Settings)
 		if err != nil {
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	slices.Sort(want)
-	got, twice := asRun(control.Settings{Classes: []control.Class{{Aim: 1e9, Deadline: 9e9}}}, 66, 1, 0).Names()
+	got, twice := deployedModules(control.Settings{Classes: []control.Class{{Aim: 1e9, Deadline: 9e9}}}, 66, 1, 0).Names()
 	if slices.Sort(got); twice || !slices.Equal(got, want) {
 		t.Errorf("the settings turn on %v, experiments play %v", want, got)
 	}
@@ -70,7 +70,7 @@
 			t.Error("no plot", err)
 		}
 		for _, r := range all {
-			served, after = served+r.ServedShare/4, after+share(r.ServedBySecond, r.OfferedBySecond, 45, 80)/4
+			served, after = served+r.ServedShare/4, after+servedShare(r.ServedBySecond, r.OfferedBySecond, 45, 80)/4
 		}
 		return served, after
 	}
--- a/cmd/masthill-lab/model.go
+++ b/cmd/masthill-lab/model.go
@@ -28,7 +28,7 @@
 	JSON        string  `name:"json" help:"Write a line for each run there." placeholder:"FILE"`
 }
 
-func (c modelCmd) scenario(seed uint64, join joining) model.Scenario {
+func (c modelCmd) scenario(seed uint64, join moduleFactory) model.Scenario {
 	late := time.Duration(c.ListLate * float64(time.Second))
 	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, Duration: 52 * time.Second, Redials: 2,
 		ListDelay: [2]time.Duration{late / 6, late}, Faults: []model.Fault{
@@ -38,10 +38,10 @@
 }
 
 func (c modelCmd) Run(ctx context.Context) error {
-	var columns [2]joining
+	var columns [2]moduleFactory
 	for k, names := range []string{c.Before, c.With} {
 		var err error
-		if columns[k], err = modules(names); err != nil {
+		if columns[k], err = parseModules(names); err != nil {
 			return err
 		}
 	}
@@ -51,7 +51,7 @@
 	for k := range c.Seeds {
 		for _, to := range []struct {
 			into []*model.Result
-			join joining
+			join moduleFactory
 		}{{plain, columns[0]}, {paced, columns[1]}} {
 			g.Go(func() (err error) {
 				if ctx.Err() != nil {
@@ -97,11 +97,11 @@
 			rate, kb = rate+r.EventsPerSecond, max(kb, r.MemoryKB)
 		}
 		fmt.Printf("%-9s served %.4f (worst %.4f); cold wait of the refusal point %.3f (worst %.3f); fell over %d of %d; %.0f events/s, %.0f KB a controller\n",
-			name, stat.Mean(served, nil), least(served), stat.Mean(wait, nil), -least(negated(wait)), fell, len(all), rate/float64(len(all)), kb)
+			name, stat.Mean(served, nil), minimum(served), stat.Mean(wait, nil), -minimum(negated(wait)), fell, len(all), rate/float64(len(all)), kb)
 		return served
 	}
 	a, b := column(c.Before, plain), column(c.With, paced)
-	mean, half := paired(a, b)
+	mean, half := pairedDifference(a, b)
 	fmt.Printf("with - before: %+.5f, 95%% interval %+.5f to %+.5f\n", mean, mean-half, mean+half)
 	if broken > 0 {
 		return fmt.Errorf("a rule was broken in %d runs", broken)
@@ -123,7 +123,7 @@
 func (c floodCmd) Run(ctx context.Context) error {
 	const from, to = 20, 60 // seconds of the flood
 	for _, column := range c.Columns {
-		joined, err := modules(column)
+		joined, err := parseModules(column)
 		if err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 }
 
 // paired gives the mean of b - a and half the width of its 95% interval, by Student's distribution.
-func paired(a, b []float64) (mean, half float64) {
+func pairedDifference(a, b []float64) (mean, half float64) {
 	d := make([]float64, len(a))
 	for k := range a {
 		d[k] = b[k] - a[k]
@@ -179,7 +179,7 @@
 	return mean, t.Quantile(0.975) * dev / math.Sqrt(float64(len(d)))
 }
 
-func least(x []float64) float64 {
+func minimum(x []float64) float64 {
 	m := math.Inf(1)
 	for _, v := range x {
 		m = min(m, v)
--- a/cmd/masthill-lab/asrun.go
+++ b/cmd/masthill-lab/modules.go
@@ -16,23 +16,23 @@
 )
 
 // parallel is how many runs of the model go side by side: each holds some hundred megabytes at the largest sizes.
-const parallel = 4
+const maxParallelRuns = 4
 
 // joining makes the modules beside control of a controller that starts.
-type joining func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
+type moduleFactory func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
 
 // asRun makes the modules beside control that the deploy file's run has: TestAsRun holds it against the settings.
-func asRun(s control.Settings, _ float64, seed uint64, now int64) join.Chain {
+func deployedModules(s control.Settings, _ float64, seed uint64, now int64) join.Chain {
 	return join.Chain{goodput.New(goodput.Settings{Control: s}, seed, now, nil)}
 }
 
 // modules makes the modules of a list of names, such as "recovery,goodput"; "plain" is none, "run" what run has.
-func modules(list string) (joining, error) {
+func parseModules(list string) (moduleFactory, error) {
 	switch list {
 	case "plain":
 		return nil, nil
 	case "run":
-		return asRun, nil
+		return deployedModules, nil
 	}
 	names := strings.Split(list, ",")
 	for _, name := range names {
@@ -57,7 +57,7 @@
 				}
 				chain = append(chain, own)
 			case "shared":
-				fleet = shared.New(talking(s, planned, seed), seed, now, shared.Callbacks{})
+				fleet = shared.New(peerConfig(s, planned, seed), seed, now, shared.Callbacks{})
 				chain = append(chain, fleet)
 			case "goodput":
 				chain = append(chain, goodput.New(goodput.Settings{Control: s}, seed, now, nil))
@@ -68,7 +68,7 @@
 }
 
 // talking is a controller's part in a fleet whose instances know of each other: three of them are keepers.
-func talking(s control.Settings, planned float64, seed uint64) shared.Config {
+func peerConfig(s control.Settings, planned float64, seed uint64) shared.Config {
 	c := shared.Config{Epoch: seed, Control: s, Planned: planned, Name: fmt.Sprint("n", s.Ordinal), Machine: fmt.Sprint("m", s.Ordinal), Budgets: true, DetectOutliers: true,
 		Lease: lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: s.GroupSize}}
 	for _, t := range model.Tenants() {
--- a/cmd/masthill-lab/scale.go
+++ b/cmd/masthill-lab/scale.go
@@ -36,10 +36,10 @@
 
 const (
 	// scaleMost and scaleRealMost bound a fleet and its processes, scaleForMost the time at one size.
-	scaleMost, scaleRealMost = 1000, 100
-	scaleForMost             = 2 * time.Minute
+	maxMembers, maxRealMembers = 1000, 100
+	maxMeasureTime             = 2 * time.Minute
 	// zones is how many zones members are spread over.
-	zones = 11
+	zoneCount = 11
 )
 
 // results opens the results of a run.
@@ -65,8 +65,8 @@
 
 // steady is a fleet of which so many are real.
 func (o scaleOptions) steady(size, real int) (s scale.SteadyRun, clean func(), err error) {
-	if size < 3 || size > scaleMost || real > scaleRealMost || real > size {
-		return s, nil, fmt.Errorf("%d members, %d of them real: up to %d, and %d real ones", size, real, scaleMost, scaleRealMost)
+	if size < 3 || size > maxMembers || real > maxRealMembers || real > size {
+		return s, nil, fmt.Errorf("%d members, %d of them real: up to %d, and %d real ones", size, real, maxMembers, maxRealMembers)
 	}
 	if o.Slow > 8 || o.Slow > 1 && real > 0 {
 		return s, nil, fmt.Errorf("a clock %v times slower: 8 at most, and real members have no other clock", o.Slow)
@@ -87,13 +87,13 @@
 	if err != nil {
 		return s, nil, err
 	}
-	s.Layout = scale.Layout{Spec: scale.Spec{Size: size, Servers: servers, Zones: zones, SyntheticCalls: o.Calls, ClockSlowdown: o.Slow, Seed: o.Seed},
+	s.Layout = scale.Layout{Spec: scale.Spec{Size: size, Servers: servers, Zones: zoneCount, SyntheticCalls: o.Calls, ClockSlowdown: o.Slow, Seed: o.Seed},
 		Groups: scale.SplitEvenly(0, size-real, o.Each), Command: []string{self, "scale", "group"}}
 	s.RealMembers = scale.RealMembers{Program: program, Dir: dir}
 	for k := size - real; k < size; k++ {
 		s.Numbers = append(s.Numbers, k)
 	}
-	s.WarmUp, s.MeasureFor, s.Progress = min(o.Warm, scaleForMost), min(o.For, scaleForMost), os.Stdout
+	s.WarmUp, s.MeasureFor, s.Progress = min(o.Warm, maxMeasureTime), min(o.For, maxMeasureTime), os.Stdout
 	return s, func() { os.RemoveAll(dir) }, nil
 }
 
@@ -216,8 +216,8 @@
 		}
 		return c.write(r)
 	}
-	return scale.FaultRun{Layout: s.Layout, Kinds: c.Kind, GroupSize: c.Each, WarmUp: s.WarmUp, MeasureIdle: min(c.Quiet, scaleForMost), MeasureBusy: s.MeasureFor,
-		PartitionFor: min(c.Cut, scaleForMost), MeasureBaseline: min(c.Rest, scaleForMost), Progress: os.Stdout, OnResult: told}.Run(ctx)
+	return scale.FaultRun{Layout: s.Layout, Kinds: c.Kind, GroupSize: c.Each, WarmUp: s.WarmUp, MeasureIdle: min(c.Quiet, maxMeasureTime), MeasureBusy: s.MeasureFor,
+		PartitionFor: min(c.Cut, maxMeasureTime), MeasureBaseline: min(c.Rest, maxMeasureTime), Progress: os.Stdout, OnResult: told}.Run(ctx)
 }
 
 // scaleGroupCmd serves a group of hollow members until its input ends.
--- a/cmd/masthill-lab/scaleconfig.go
+++ b/cmd/masthill-lab/scaleconfig.go
@@ -39,8 +39,8 @@
 	}
 	r := &scale.Results{}
 	for _, size := range c.Sizes {
-		if size < 3 || size > scaleMost {
-			return fmt.Errorf("%d members: 3 to %d", size, scaleMost)
+		if size < 3 || size > maxMembers {
+			return fmt.Errorf("%d members: 3 to %d", size, maxMembers)
 		}
 		cost, err := c.measure(ctx, program, size)
 		if err != nil {
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return scale.ReleaseRun{Size: size, Zones: zones, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, SecondStageAfter: c.Rest, ContentSize: c.Content,
-		WarmUp: min(c.Warm, scaleForMost), MeasureFor: min(c.For, scaleForMost), OutageFor: min(c.Cut, scaleForMost), WithFaults: c.Faults, Seed: c.Seed,
+	return scale.ReleaseRun{Size: size, Zones: zoneCount, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, SecondStageAfter: c.Rest, ContentSize: c.Content,
+		WarmUp: min(c.Warm, maxMeasureTime), MeasureFor: min(c.For, maxMeasureTime), OutageFor: min(c.Cut, maxMeasureTime), WithFaults: c.Faults, Seed: c.Seed,
 		Progress: os.Stdout}.Run(ctx)
 }
--- a/cmd/masthill-lab/scenes.go
+++ b/cmd/masthill-lab/scenes.go
@@ -33,9 +33,9 @@
 	if err != nil {
 		return err
 	}
-	var columns [2]joining
+	var columns [2]moduleFactory
 	for k, names := range []string{c.Before, c.With} {
-		if columns[k], err = modules(names); err != nil {
+		if columns[k], err = parseModules(names); err != nil {
 			return err
 		}
 	}
@@ -64,7 +64,7 @@
 	for _, s := range list {
 		off, on := make([]*model.Result, len(numbers)), make([]*model.Result, len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
-		g.SetLimit(parallel)
+		g.SetLimit(maxParallelRuns)
 		for k, seed := range numbers {
 			for column, into := range [][]*model.Result{off, on} {
 				g.Go(func() (err error) {
@@ -100,8 +100,8 @@
 				}
 			}
 		}
-		mean, half := paired(a, b)
-		fmt.Printf("%-11s %8.4f %8.4f %+10.4f  %+9.4f to %+.4f %8.4f %8.4f %8.4f\n", s.Name, stat.Mean(a, nil), stat.Mean(b, nil), mean, mean-half, mean+half, least(a), least(b),
+		mean, half := pairedDifference(a, b)
+		fmt.Printf("%-11s %8.4f %8.4f %+10.4f  %+9.4f to %+.4f %8.4f %8.4f %8.4f\n", s.Name, stat.Mean(a, nil), stat.Mean(b, nil), mean, mean-half, mean+half, minimum(a), minimum(b),
 			stat.Mean(late, nil))
 	}
 	if broken > 0 {
--- a/cmd/masthill-lab/silent.go
+++ b/cmd/masthill-lab/silent.go
@@ -32,13 +32,13 @@
 	}
 	var first []float64
 	for _, names := range c.Columns {
-		join, err := modules(names)
+		join, err := parseModules(names)
 		if err != nil {
 			return err
 		}
 		all := make([]*model.Result, len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
-		g.SetLimit(parallel)
+		g.SetLimit(maxParallelRuns)
 		for k, seed := range numbers {
 			g.Go(func() (err error) {
 				if ctx.Err() != nil {
@@ -73,7 +73,7 @@
 			fmt.Println()
 			continue
 		}
-		mean, half := paired(first, served)
+		mean, half := pairedDifference(first, served)
 		fmt.Printf(", %+.4f, 95%% interval %+.4f to %+.4f\n", mean, mean-half, mean+half)
 	}
 	return nil
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -14,24 +14,24 @@
 )
 
 // placed is the servers' side and the caller of a core that is driven: it notes where a call was sent.
-type placed struct {
+type fakeServers struct {
 	server uint64
 	sent   int
 }
 
-func (p *placed) UpdateList([]exchange.Office, bool)    {}
-func (p *placed) Invite(a exchange.Attempt)             { p.server, p.sent = a.Server, p.sent+1 }
-func (p *placed) Cancel(uint64, string, int)            {}
-func (p *placed) Bye(uint64, string, int, bool)         {}
-func (p *placed) ReportSilence(uint64, time.Time, bool) {}
-func (p *placed) Answer(string, exchange.FinalAnswer)   {}
-func (p *placed) Release(string, bool)                  {}
+func (p *fakeServers) UpdateList([]exchange.Office, bool)    {}
+func (p *fakeServers) Invite(a exchange.Attempt)             { p.server, p.sent = a.Server, p.sent+1 }
+func (p *fakeServers) Cancel(uint64, string, int)            {}
+func (p *fakeServers) Bye(uint64, string, int, bool)         {}
+func (p *fakeServers) ReportSilence(uint64, time.Time, bool) {}
+func (p *fakeServers) Answer(string, exchange.FinalAnswer)   {}
+func (p *fakeServers) Release(string, bool)                  {}
 
 // BenchmarkCallByServers is what the core and its decisions cost for a call from its arrival to its release, by the number
 // of servers on the list, at 234 calls a second that last half a second each. Sockets come on top.
 func BenchmarkCallByServers(b *testing.B) {
 	for _, servers := range []int{7, 30, 60, 120, 240, 470, 940} {
-		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { callsAt(b, servers, false) })
+		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchmarkCalls(b, servers, false) })
 	}
 }
 
@@ -39,16 +39,16 @@
 // of 64 reports comes for every second call, as at 470 members.
 func BenchmarkCallAmongPeers(b *testing.B) {
 	for _, servers := range []int{7, 60, 470} {
-		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { callsAt(b, servers, true) })
+		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchmarkCalls(b, servers, true) })
 	}
 }
 
 // told is what another member tells of the servers.
-func told(from, servers int) shared.Message {
+func peerMessage(from, servers int) shared.Message {
 	name := fmt.Sprintf("n%d", from)
 	j := &outlier.Message{From: name, Machine: "machine-" + name}
 	for k := range min(servers, outlier.MaxReports) {
-		j.Reports = append(j.Reports, outlier.Report{Server: uint64(listedFirst + (from*7+k)%servers), AgeMS: int64(20 * k), Streak: 3})
+		j.Reports = append(j.Reports, outlier.Report{Server: uint64(firstServer + (from*7+k)%servers), AgeMS: int64(20 * k), Streak: 3})
 	}
 	c := &count.Message{From: count.Source{Name: name, Epoch: 1}, UptimeMS: 100_000, Counts: map[string]int64{}}
 	for _, t := range tenants {
@@ -57,9 +57,9 @@
 	return shared.Message{Count: c, Health: j}
 }
 
-func callsAt(b *testing.B, servers int, among bool) {
+func benchmarkCalls(b *testing.B, servers int, among bool) {
 	s := Spec{Size: 470, Servers: servers, Seed: 1, Network: "127.1", DiscoveryAddr: "127.0.0.1:9", InitialList: []byte(`{"pos":0,"entries":[]}`)}
-	p, _, err := s.configured(3)
+	p, _, err := s.parseConfig(3)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -67,17 +67,17 @@
 	o := exchange.Options{Settings: p.Settings, Seed: 1, Now: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), MemoryBytes: 192 << 20}
 	peer := shared.New(shared.Config{Control: p.Settings, Name: "n3", Machine: "machine-n3", Epoch: 1, Tenants: tenants, DetectOutliers: true}, 1, now.UnixNano(), shared.Callbacks{})
 	if among {
-		o.Join = []joined{peer}
+		o.Join = []joinModule{peer}
 	}
 	x, err := exchange.New(o)
 	if err != nil {
 		b.Fatal(err)
 	}
-	side := &placed{}
+	side := &fakeServers{}
 	x.SetOffices(side)
 	var list []exchange.Office
 	for k := range servers {
-		list = append(list, exchange.Office{Addr: "127.0.0.1:9", Entry: control.Entry{Server: uint64(listedFirst + k), Cell: k, Share: 1, State: control.Serving}})
+		list = append(list, exchange.Office{Addr: "127.0.0.1:9", Entry: control.Entry{Server: uint64(firstServer + k), Cell: k, Share: 1, State: control.Serving}})
 	}
 	x.UpdateOffices(list, true)
 	x.RunDue()
@@ -89,11 +89,11 @@
 	var open []standing
 	var messages []shared.Message
 	for k := range 467 {
-		messages = append(messages, told(4+k, servers))
+		messages = append(messages, peerMessage(4+k, servers))
 	}
-	before, _ := usage()
+	before, _ := processUsage()
 	for n := 0; b.Loop(); n++ {
-		now = now.Add(time.Second / plannedEach)
+		now = now.Add(time.Second / plannedPerMember)
 		if among && n%2 == 0 {
 			x.TryRun(func(at int64) { peer.Receive(at, messages[n/2%len(messages)]) })
 		}
@@ -109,7 +109,7 @@
 			open = open[1:]
 		}
 	}
-	after, _ := usage()
+	after, _ := processUsage()
 	b.ReportMetric(float64((after-before).Microseconds())/float64(b.N), "cpu-us/op") // says something on a busy machine, too
 	if side.sent < b.N {
 		b.Fatalf("%d of %d calls were sent", side.sent, b.N)
--- a/lab/scale/claims.go
+++ b/lab/scale/claims.go
@@ -13,7 +13,7 @@
 )
 
 // claimsMost bounds what is kept of one member's claims.
-const claimsMost = 1 << 15
+const maxClaims = 1 << 15
 
 // Claim is one thing that a member claimed, with the time of the machine's clock.
 type Claim struct {
@@ -33,20 +33,22 @@
 	all   []Claim
 	lost  int
 	// What holds now, beside the record.
-	avoided map[uint64]bool
-	reigns  int64 // until when this member allocates budgets
+	avoided     map[uint64]bool
+	leaderUntil int64 // until when this member allocates budgets
 }
 
-func (c *claims) claim(now time.Time, one lease.Claim) { c.put(Claim{At: now.UnixNano(), Claim: one}) }
+func (c *claims) onClaim(now time.Time, one lease.Claim) {
+	c.add(Claim{At: now.UnixNano(), Claim: one})
+}
 
-func (c *claims) reign(now time.Time, until int64) {
+func (c *claims) onLeader(now time.Time, until int64) {
 	c.mu.Lock()
-	c.reigns = until
+	c.leaderUntil = until
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), LeaderUntil: until})
+	c.add(Claim{At: now.UnixNano(), LeaderUntil: until})
 }
 
-func (c *claims) judged(now time.Time, v outlier.Decision) {
+func (c *claims) onDecision(now time.Time, v outlier.Decision) {
 	c.mu.Lock()
 	if c.avoided == nil {
 		c.avoided = map[uint64]bool{}
@@ -55,22 +57,22 @@
 		c.avoided[v.Server] = true
 	}
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), Decision: &v})
+	c.add(Claim{At: now.UnixNano(), Decision: &v})
 }
 
 // now tells which servers the member avoids, and whether it allocates budgets.
-func (c *claims) now(at int64) (avoided []uint64, allocates bool) {
+func (c *claims) current(at int64) (avoided []uint64, allocates bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Sorted(maps.Keys(c.avoided)), at < c.reigns
+	return slices.Sorted(maps.Keys(c.avoided)), at < c.leaderUntil
 }
 
-func (c *claims) of(name string, epoch uint64) { c.name, c.epoch = name, epoch }
+func (c *claims) setProcess(name string, epoch uint64) { c.name, c.epoch = name, epoch }
 
-func (c *claims) put(one Claim) {
+func (c *claims) add(one Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.all) >= claimsMost {
+	if len(c.all) >= maxClaims {
 		c.lost++
 		return
 	}
@@ -79,7 +81,7 @@
 }
 
 // take gives the claims since it was called last.
-func (c *claims) take() (all []Claim, lost int) {
+func (c *claims) drain() (all []Claim, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all, lost = c.all, c.lost
@@ -104,11 +106,11 @@
 }
 
 // textsMost bounds what is told of a check.
-const textsMost = 10
+const maxFindings = 10
 
-func (b *BudgetCheck) found(n *int, format string, a ...any) {
+func (b *BudgetCheck) addFinding(n *int, format string, a ...any) {
 	*n++
-	if len(b.Findings) < textsMost {
+	if len(b.Findings) < maxFindings {
 		b.Findings = append(b.Findings, fmt.Sprintf(format, a...))
 	}
 }
@@ -126,8 +128,8 @@
 		case c.Decision != nil:
 		case c.LeaderUntil > 0:
 			for other, until := range reigns {
-				if other != who && alive(other, c.At, ended) && until > c.At {
-					b.found(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
+				if other != who && isAlive(other, c.At, ended) && until > c.At {
+					b.addFinding(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
 				}
 			}
 			reigns[who] = max(reigns[who], c.LeaderUntil)
@@ -137,7 +139,7 @@
 				using[c.Claim.Budget] = map[process]Claim{}
 			}
 			using[c.Claim.Budget][who] = c
-			b.sum(c, using[c.Claim.Budget], members, ended)
+			b.checkSum(c, using[c.Claim.Budget], members, ended)
 		}
 	}
 	b.Budgets = len(using)
@@ -145,17 +147,17 @@
 }
 
 // alive tells whether a process had not been killed by a time.
-func alive(p process, at int64, ended map[string]int64) bool {
+func isAlive(p process, at int64, ended map[string]int64) bool {
 	end, killed := ended[p.name]
 	return !killed || at < end
 }
 
 // sum adds up what may be used of one budget at the moment of a claim. Parts grow by claims alone, so that the greatest
 // sums are at claims.
-func (b *BudgetCheck) sum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
+func (b *BudgetCheck) checkSum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
 	sum, size, floor := int64(0), int64(0), int64(0)
 	for who, c := range using {
-		if c.Claim.Until <= now.At || !alive(who, now.At, ended) {
+		if c.Claim.Until <= now.At || !isAlive(who, now.At, ended) {
 			delete(using, who)
 			continue
 		}
@@ -170,6 +172,6 @@
 	}
 	b.MaxInUse = max(b.MaxInUse, float64(sum)/float64(pool))
 	if sum > pool {
-		b.found(&b.Overspent, "%s: %d of %d in use at %d by %d", now.Claim.Budget, sum, pool, now.At, len(using))
+		b.addFinding(&b.Overspent, "%s: %d of %d in use at %d by %d", now.Claim.Budget, sum, pool, now.At, len(using))
 	}
 }
--- a/lab/scale/strike.go
+++ b/lab/scale/fault_run.go
@@ -8,30 +8,30 @@
 )
 
 // strike is a fault under way.
-type strike struct {
+type faultTest struct {
 	FaultRun
-	kind       string
-	size       int // members that were there before
-	f          *Fleet
-	r          *Fault
-	rack, zone int
-	deaths     map[int]int64 // told before, by member
-	dropped    int64
-	samples    [][]Snapshot
-	stop       chan struct{}
-	done       chan error
+	kind          string
+	size          int // members that were there before
+	fleet         *Fleet
+	result        *Fault
+	rack, zone    int
+	deathsBefore  map[int]int64 // told before, by member
+	droppedBefore int64
+	samples       [][]Snapshot
+	stop          chan struct{}
+	done          chan error
 }
 
 // run has the fault happen and waits until all know.
-func (p *strike) run() error {
-	if err := p.rest(); err != nil {
+func (p *faultTest) run() error {
+	if err := p.measureBefore(); err != nil {
 		return err
 	}
 	machine := ReadMachineLoad()
-	p.watch()
-	err := p.play()
+	p.startSampling()
+	err := p.inject()
 	if err == nil {
-		err = p.f.pass(p.real(5 * time.Second))
+		err = p.fleet.sleep(p.machineTime(5 * time.Second))
 	}
 	close(p.stop)
 	if watched := <-p.done; err == nil {
@@ -40,47 +40,49 @@
 	if err != nil {
 		return err
 	}
-	p.r.OthersCores = cores(machine, ReadMachineLoad()) - p.ownCores()
-	return p.sum()
+	p.result.OthersCores = cores(machine, ReadMachineLoad()) - p.ownCores()
+	return p.summarize()
 }
 
 // real is a time of the members' clock by the machine's.
-func (p *strike) real(d time.Duration) time.Duration { return time.Duration(float64(d) * p.slow()) }
+func (p *faultTest) machineTime(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * p.slowdown())
+}
 
 // since is a time of the machine's clock by the members'.
-func (p *strike) since(d time.Duration) float64 { return d.Seconds() / p.slow() }
+func (p *faultTest) memberSeconds(d time.Duration) float64 { return d.Seconds() / p.slowdown() }
 
 // rest measures the fleet before the fault.
-func (p *strike) rest() error {
-	if err := p.f.pass(p.real(3 * time.Second)); err != nil {
+func (p *faultTest) measureBefore() error {
+	if err := p.fleet.sleep(p.machineTime(3 * time.Second)); err != nil {
 		return err
 	}
-	before, err := p.f.Snapshot(SnapshotOptions{})
+	before, err := p.fleet.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return err
 	}
-	if err := p.f.pass(p.real(p.MeasureBaseline)); err != nil {
+	if err := p.fleet.sleep(p.machineTime(p.MeasureBaseline)); err != nil {
 		return err
 	}
-	after, err := p.f.Snapshot(SnapshotOptions{Claims: true})
+	after, err := p.fleet.Snapshot(SnapshotOptions{Claims: true})
 	if err != nil {
 		return err
 	}
-	c := hollowCost(before, after, p.slow())
-	p.r.BaselineBytes, p.r.BaselineCPU = c.SentWire, c.CPU
-	heaps, err := p.f.Snapshot(SnapshotOptions{Heap: true})
-	p.r.HeapBefore = heapEach(heaps)
-	p.deaths = map[int]int64{}
+	c := hollowCost(before, after, p.slowdown())
+	p.result.BaselineBytes, p.result.BaselineCPU = c.SentWire, c.CPU
+	heaps, err := p.fleet.Snapshot(SnapshotOptions{Heap: true})
+	p.result.HeapBefore = heapPerMember(heaps)
+	p.deathsBefore = map[int]int64{}
 	for _, l := range heaps {
 		for _, m := range l.Members {
-			p.deaths[m.Number] = m.Deaths
-			p.dropped += m.Dropped
+			p.deathsBefore[m.Number] = m.Deaths
+			p.droppedBefore += m.Dropped
 		}
 	}
 	return err
 }
 
-func heapEach(all []Snapshot) float64 {
+func heapPerMember(all []Snapshot) float64 {
 	heap, members := int64(0), 0
 	for _, l := range all {
 		heap, members = heap+l.Heap, members+len(l.Members)
@@ -89,14 +91,14 @@
 }
 
 // sampleEvery is the pause between two samples during a fault, by the members' clock.
-const sampleEvery = time.Second
+const sampleInterval = time.Second
 
 // watch samples the fleet until the fault is over.
-func (p *strike) watch() {
+func (p *faultTest) startSampling() {
 	p.stop, p.done = make(chan struct{}), make(chan error, 1)
 	go func() {
 		for {
-			all, err := p.f.Snapshot(SnapshotOptions{Claims: true})
+			all, err := p.fleet.Snapshot(SnapshotOptions{Claims: true})
 			if err == nil {
 				p.samples = append(p.samples, all)
 			}
@@ -104,14 +106,14 @@
 			case <-p.stop:
 				p.done <- nil // a group that was killed amid a look is no fault of the run
 				return
-			case <-time.After(p.real(sampleEvery)):
+			case <-time.After(p.machineTime(sampleInterval)):
 			}
 		}
 	}()
 }
 
 // ownCores is the processor time of the fleet over the fault, in cores.
-func (p *strike) ownCores() float64 {
+func (p *faultTest) ownCores() float64 {
 	if len(p.samples) < 2 {
 		return 0
 	}
@@ -127,31 +129,31 @@
 }
 
 // sum makes the figures.
-func (p *strike) sum() error {
+func (p *faultTest) summarize() error {
 	p.peaks()
-	last, err := p.f.Snapshot(SnapshotOptions{Heap: true, Claims: true})
+	last, err := p.fleet.Snapshot(SnapshotOptions{Heap: true, Claims: true})
 	if err != nil {
 		return err
 	}
-	p.r.HeapAfter = heapEach(last)
+	p.result.HeapAfter = heapPerMember(last)
 	p.falseDeaths(last)
-	p.f.mu.Lock()
-	defer p.f.mu.Unlock()
-	p.r.Budgets = CheckBudgets(slices.Clone(p.f.claims), p.Size, p.f.ended)
+	p.fleet.mu.Lock()
+	defer p.fleet.mu.Unlock()
+	p.result.Budgets = CheckBudgets(slices.Clone(p.fleet.claims), p.Size, p.fleet.killedAt)
 	return nil
 }
 
 // peaks finds the worst moment of any process, and the mean over all moments and members.
-func (p *strike) peaks() {
-	r := p.r
+func (p *faultTest) peaks() {
+	r := p.result
 	sum, members := 0.0, 0
 	for n := 1; n < len(p.samples); n++ {
 		for k := range p.samples[n] {
 			before, after := p.samples[n-1][k], p.samples[n][k]
-			if before.At == 0 || after.At == 0 || len(after.Members) == 0 || after.At-before.At < int64(p.real(sampleEvery))/2 {
+			if before.At == 0 || after.At == 0 || len(after.Members) == 0 || after.At-before.At < int64(p.machineTime(sampleInterval))/2 {
 				continue
 			}
-			c := hollowCost([]Snapshot{sameMembers(before, after)}, []Snapshot{after}, p.slow())
+			c := hollowCost([]Snapshot{sameMembers(before, after)}, []Snapshot{after}, p.slowdown())
 			r.PeakBytes, r.PeakDatagrams, r.PeakCPU = max(r.PeakBytes, c.SentWire), max(r.PeakDatagrams, c.SentDatagrams), max(r.PeakCPU, c.CPU)
 			sum, members = sum+c.SentWire*float64(c.Members), members+c.Members
 		}
@@ -175,30 +177,30 @@
 }
 
 // falseDeaths counts what members took for deaths beyond those that there were.
-func (p *strike) falseDeaths(last []Snapshot) {
-	p.r.Dropped = -p.dropped
+func (p *faultTest) falseDeaths(last []Snapshot) {
+	p.result.Dropped = -p.droppedBefore
 	for _, l := range last {
 		for _, m := range l.Members {
-			before := p.deaths[m.Number]
+			before := p.deathsBefore[m.Number]
 			if m.Deaths < before { // a new process
 				before = 0
 			}
-			p.r.FalseDeaths += max(m.Deaths-before-p.owed(m.Number), 0)
-			p.r.Dropped += m.Dropped
+			p.result.FalseDeaths += max(m.Deaths-before-p.expectedDeaths(m.Number), 0)
+			p.result.Dropped += m.Dropped
 		}
 	}
 }
 
 // owed is how many deaths a member should have told.
-func (p *strike) owed(number int) int64 {
+func (p *faultTest) expectedDeaths(number int) int64 {
 	switch p.kind {
 	case FaultMachine, FaultRack, FaultZone, FaultAllocator:
-		return int64(p.r.Affected)
+		return int64(p.result.Affected)
 	case FaultRegion:
-		if number >= p.Size-p.r.Affected {
-			return int64(p.size - p.r.Affected)
+		if number >= p.Size-p.result.Affected {
+			return int64(p.size - p.result.Affected)
 		}
-		return int64(p.r.Affected)
+		return int64(p.result.Affected)
 	}
 	return 0
 }
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -22,9 +22,9 @@
 var FaultKinds = []string{FaultMachine, FaultRack, FaultZone, FaultAllocator, FaultServer, FaultRegion, FaultRestarts}
 
 const (
-	rackOf = 12
+	rackSize = 12
 	// faultMost bounds the wait until all know.
-	faultMost = 2 * time.Minute
+	faultTimeout = 2 * time.Minute
 	// coldServers is how many servers start cold while the allocator is lost.
 	coldServers = 4
 )
@@ -86,9 +86,9 @@
 	from := len(voters)
 	groups = append(groups, []int{from})
 	rack = len(groups)
-	groups = append(groups, SplitEvenly(from+1, from+1+min(rackOf, size/4), rackOf)...)
+	groups = append(groups, SplitEvenly(from+1, from+1+min(rackSize, size/4), rackSize)...)
 	zone = len(groups)
-	from += 1 + min(rackOf, size/4)
+	from += 1 + min(rackSize, size/4)
 	to := min(from+max(size/11, 1), size)
 	groups = append(groups, SplitEvenly(from, to, size)...)
 	return append(groups, SplitEvenly(to, size, each)...), rack, zone
@@ -105,7 +105,7 @@
 		return err
 	}
 	defer f.Close()
-	s.say("%d hollow members in %d processes start", s.Size, len(s.Groups))
+	s.logf("%d hollow members in %d processes start", s.Size, len(s.Groups))
 	if err := f.Start(); err != nil {
 		return err
 	}
@@ -113,8 +113,8 @@
 	if err != nil {
 		return err
 	}
-	s.say("all know of all after %.1f s by the members' clock", met.Seconds()/s.slow())
-	if err := f.pass(s.WarmUp); err != nil {
+	s.logf("all know of all after %.1f s by the members' clock", met.Seconds()/s.slowdown())
+	if err := f.sleep(s.WarmUp); err != nil {
 		return err
 	}
 	for _, one := range []struct {
@@ -124,41 +124,41 @@
 		if one.long <= 0 {
 			continue
 		}
-		if err := s.measured(f, one.calls, one.long, met); err != nil {
+		if err := s.measureSteady(f, one.calls, one.long, met); err != nil {
 			return err
 		}
 	}
-	if err := f.call(calls); err != nil {
+	if err := f.setCallRate(calls); err != nil {
 		return err
 	}
 	for _, kind := range s.Kinds {
-		p := &strike{FaultRun: s, kind: kind, f: f, rack: rack, zone: zone, size: f.left(),
-			r: &Fault{Kind: kind, Size: f.left(), ClockSlowdown: s.ClockSlowdown, SyntheticCalls: calls}}
+		p := &faultTest{FaultRun: s, kind: kind, fleet: f, rack: rack, zone: zone, size: f.remaining(),
+			result: &Fault{Kind: kind, Size: f.remaining(), ClockSlowdown: s.ClockSlowdown, SyntheticCalls: calls}}
 		if err := p.run(); err != nil {
 			return fmt.Errorf("%s: %w", kind, err)
 		}
-		if err := s.OnResult(nil, p.r); err != nil {
+		if err := s.OnResult(nil, p.result); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s FaultRun) say(format string, a ...any) { SteadyRun{Progress: s.Progress}.say(format, a...) }
+func (s FaultRun) logf(format string, a ...any) { SteadyRun{Progress: s.Progress}.logf(format, a...) }
 
 // measured measures the fleet at rest at a rate of made-up calls.
-func (s FaultRun) measured(f *Fleet, calls float64, long, met time.Duration) error {
-	if err := f.call(calls); err != nil {
+func (s FaultRun) measureSteady(f *Fleet, calls float64, long, met time.Duration) error {
+	if err := f.setCallRate(calls); err != nil {
 		return err
 	}
-	if err := f.pass(s.WarmUp); err != nil { // reports are up to six seconds old
+	if err := f.sleep(s.WarmUp); err != nil { // reports are up to six seconds old
 		return err
 	}
 	p, err := f.measure(long)
 	if err != nil {
 		return err
 	}
-	p.ConvergedS, p.Processes = met.Seconds()/s.slow(), len(s.Groups)
-	s.say("at rest with %.0f made-up calls: %s", calls, p)
+	p.ConvergedS, p.Processes = met.Seconds()/s.slowdown(), len(s.Groups)
+	s.logf("at rest with %.0f made-up calls: %s", calls, p)
 	return s.OnResult(p, nil)
 }
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -16,7 +16,7 @@
 )
 
 // joined is a decision module beside control.
-type joined = join.Module
+type joinModule = join.Module
 
 // feed makes up calls for a hollow member's shared state, so that it has as much to tell as one with real calls. The calls
 // touch neither control nor any socket.
@@ -37,16 +37,16 @@
 }
 
 // openFor is how long a call without an answer is waited for: as long as the class's aim.
-const openFor = int64(1200 * time.Millisecond)
+const answerTimeout = int64(1200 * time.Millisecond)
 
 // feedEvery is how often made-up calls are handed in.
-const feedEvery = 100 * time.Millisecond
+const feedInterval = 100 * time.Millisecond
 
 // fedMost bounds the calls of one turn.
-const fedMost = 1000
+const maxCallsPerTick = 1000
 
 // listed keeps the servers that serve.
-func (f *feed) listed(changed []exchange.Office, full bool) {
+func (f *feed) onListUpdate(changed []exchange.Office, full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if full || f.servers == nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (f *feed) all() []uint64 {
+func (f *feed) serving() []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.servers))
@@ -73,7 +73,7 @@
 // run hands calls in until ctx ends.
 func (f *feed) run(ctx context.Context, m *Member) {
 	f.rate.Store(math.Float64bits(m.spec.SyntheticCalls))
-	tick := time.NewTicker(feedEvery)
+	tick := time.NewTicker(feedInterval)
 	defer tick.Stop()
 	due := 0.0
 	for {
@@ -82,18 +82,18 @@
 			return
 		case <-tick.C:
 		}
-		servers := f.all()
-		due += feedEvery.Seconds() * math.Float64frombits(f.rate.Load()) / m.spec.slow()
-		n := uint64(min(due, fedMost))
+		servers := f.serving()
+		due += feedInterval.Seconds() * math.Float64frombits(f.rate.Load()) / m.spec.slowdown()
+		n := uint64(min(due, maxCallsPerTick))
 		if due -= float64(n); n == 0 || len(servers) == 0 {
 			continue
 		}
 		m.core.TryRun(func(now int64) {
 			for range n {
 				call := f.calls.Add(1)
-				f.call(now, m, call, servers[(call*7+uint64(m.k))%uint64(len(servers))])
+				f.call(now, m, call, servers[(call*7+uint64(m.number))%uint64(len(servers))])
 			}
-			f.overdue(now, m)
+			f.timeOutCalls(now, m)
 		})
 	}
 }
@@ -115,8 +115,8 @@
 }
 
 // overdue ends the calls whose answer did not come.
-func (f *feed) overdue(now int64, m *Member) {
-	for len(f.open) > 0 && now-f.open[0].at >= openFor {
+func (f *feed) timeOutCalls(now int64, m *Member) {
+	for len(f.open) > 0 && now-f.open[0].at >= answerTimeout {
 		one := f.open[0]
 		f.open = f.open[1:]
 		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -56,7 +56,7 @@
 		h := p.Hollow
 		sizes, tells = append(sizes, float64(p.Size)), append(tells, CountDatagrams(p.Size))
 		rates = append(rates, h.SentDatagrams+h.ReceivedDatagrams)
-		sent, wire, stream = append(sent, h.SentDatagrams), append(wire, h.SentBytes+headers*h.SentDatagrams), append(stream, h.SentStream)
+		sent, wire, stream = append(sent, h.SentDatagrams), append(wire, h.SentBytes+datagramHeaders*h.SentDatagrams), append(stream, h.SentStream)
 		cpu, resident, heap, age = append(cpu, h.CPU), append(resident, h.Resident), append(heap, h.Heap), append(age, p.CountAges.P99)
 	}
 	return []Line{
--- a/lab/scale/formula.go
+++ b/lab/scale/formula.go
@@ -15,12 +15,12 @@
 	countBytes, callBytes, reportBytes = 110.0, 140.0, 17.0
 	// memberBytes is a member's entry in an exchange of the whole list of members over a stream, exchangeEvery how often a
 	// member begins one in a fleet of 32, in seconds, and as often others begin one with it.
-	memberBytes, exchangeEvery = 130.0, 15.0
+	memberBytes, exchangeInterval = 130.0, 15.0
 	// rejoinEvery is how often, in seconds, a member exchanges lists with up to three of the seeds in the half minute after its
 	// start, in which the tests look at it; settled, it does so no more often than that.
-	rejoinEvery, rejoinSeeds = 24.0, 3.0
+	rejoinInterval, rejoinSeeds = 24.0, 3.0
 	// reportsMost is the most reports that a message carries, reportFor how long one lasts, in seconds.
-	reportsMost, reportFor = 64, 6
+	maxReports, reportLifetime = 64, 6
 )
 
 // Datagrams is the most that a member sends a second at rest.
@@ -28,7 +28,7 @@
 
 // Reports is how many reports a member's message carries at a rate of calls over so many servers.
 func ReportsPerMessage(calls float64, servers int) float64 {
-	return min(calls*reportFor, float64(servers), reportsMost)
+	return min(calls*reportLifetime, float64(servers), maxReports)
 }
 
 // Bytes is the most that a member sends a second at rest, with the headers of datagrams.
@@ -43,11 +43,11 @@
 // streamBytes is what a member sends a second in exchanges of the list of members. The library begins them more rarely in
 // larger fleets; those with the seeds are this program's and come as often in any fleet that has just started.
 func streamBytes(members int) float64 {
-	every := exchangeEvery
+	every := exchangeInterval
 	if members > 32 {
 		every *= math.Ceil(math.Log2(float64(members)/32)) + 1
 	}
-	return memberBytes * float64(members) * (2/every + 2*rejoinSeeds/rejoinEvery)
+	return memberBytes * float64(members) * (2/every + 2*rejoinSeeds/rejoinInterval)
 }
 
 // Exceeds names each figure of a measurement that is over the formula.
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -99,7 +99,7 @@
 		if err := m.Stop(); err != nil {
 			return err
 		}
-		claims, _ := m.claims.take()
+		claims, _ := m.claims.drain()
 		g.mu.Lock()
 		g.claims = append(g.claims, claims...)
 		g.mu.Unlock()
@@ -126,32 +126,32 @@
 	for _, k := range numbers {
 		inside[k] = true
 	}
-	for _, m := range g.all() {
+	for _, m := range g.allMembers() {
 		if len(numbers) == 0 {
-			m.cut.Store(nil)
+			m.reachable.Store(nil)
 			continue
 		}
-		here := inside[m.k]
+		here := inside[m.number]
 		reaches := func(other int) bool { return inside[other] == here }
-		m.cut.Store(&reaches)
+		m.reachable.Store(&reaches)
 	}
 }
 
 // Silence has the made-up calls of all members to a server get no answer; 0: all servers answer.
 func (g *Group) SilenceServer(server uint64) {
-	for _, m := range g.all() {
+	for _, m := range g.allMembers() {
 		m.feed.silent.Store(server)
 	}
 }
 
 // Call sets the made-up calls of all members, a second.
 func (g *Group) SetCallRate(rate float64) {
-	for _, m := range g.all() {
+	for _, m := range g.allMembers() {
 		m.feed.rate.Store(math.Float64bits(rate))
 	}
 }
 
-func (g *Group) all() (all []*Member) {
+func (g *Group) allMembers() (all []*Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, m := range g.members {
@@ -163,13 +163,13 @@
 // Look looks at all members.
 func (g *Group) Snapshot(a SnapshotOptions) Snapshot {
 	l := Snapshot{At: time.Now().UnixNano()}
-	for n, m := range g.all() {
-		l.Members = append(l.Members, m.sight())
+	for n, m := range g.allMembers() {
+		l.Members = append(l.Members, m.status())
 		if n < a.MembersForAges {
-			m.ages(&l)
+			m.addAges(&l)
 		}
 		if a.Claims {
-			claims, lost := m.claims.take()
+			claims, lost := m.claims.drain()
 			l.Claims, l.ClaimsLost = append(l.Claims, claims...), l.ClaimsLost+lost
 		}
 	}
@@ -178,17 +178,17 @@
 		l.Claims, g.claims = append(l.Claims, g.claims...), nil
 		g.mu.Unlock()
 	}
-	l.CPU, l.Resident = usage()
+	l.CPU, l.Resident = processUsage()
 	if a.Heap {
-		l.Heap = heap()
+		l.Heap = liveHeap()
 	}
 	return l
 }
 
 // sight looks at one member.
-func (m *Member) sight() MemberStatus {
+func (m *Member) status() MemberStatus {
 	st := m.peers.Status()
-	s := MemberStatus{Number: m.k, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
+	s := MemberStatus{Number: m.number, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
 	for _, one := range st.Members {
 		switch one.State {
 		case peers.Alive:
@@ -201,19 +201,19 @@
 		}
 	}
 	s.ListPos, _ = m.list.Position()
-	s.Avoided, s.Allocates = m.claims.now(m.now().UnixNano())
+	s.Avoided, s.Allocates = m.claims.current(m.now().UnixNano())
 	return s
 }
 
 // ages tells how old what a member knows of each other one is.
-func (m *Member) ages(l *Snapshot) {
+func (m *Member) addAges(l *Snapshot) {
 	now := m.now().UnixNano()
-	l.JudgementAgesMS = append(l.JudgementAgesMS, m.ear.ages(now)...)
+	l.JudgementAgesMS = append(l.JudgementAgesMS, m.module.ages(now)...)
 	m.core.Look(func() {
 		known := m.shared.Look(now).KnownCounts
 		l.CountSources = max(l.CountSources, len(known))
 		for _, k := range known {
-			if k.Name != m.spec.Name(m.k) {
+			if k.Name != m.spec.Name(m.number) {
 				l.CountAgesMS = append(l.CountAgesMS, k.AgeMS)
 			}
 		}
@@ -221,14 +221,14 @@
 }
 
 // usage is this process's processor time and resident memory.
-func usage() (time.Duration, int64) {
+func processUsage() (time.Duration, int64) {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), residentOf(os.Getpid())
 }
 
 // heap is what lives on the heap.
-func heap() int64 {
+func liveHeap() int64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -33,7 +33,7 @@
 const key = "bWFzdGhpbGwtbGFiLWtleQ=="
 
 // plannedEach is the planned load of each member, in calls a second: 110,000 over 470 members.
-const plannedEach = 234
+const plannedPerMember = 234
 
 // Spec is what all members of a fleet have in common.
 type Spec struct {
@@ -52,32 +52,32 @@
 }
 
 // slow is by how many times the clock is slower.
-func (s *Spec) slow() float64 { return max(s.ClockSlowdown, 1) }
+func (s *Spec) slowdown() float64 { return max(s.ClockSlowdown, 1) }
 
 // clock makes the clock of members. It does not step, and is the same in all processes of a run.
 func (s *Spec) clock() func() time.Time {
 	began := time.Now()
-	first := s.at(began)
-	return func() time.Time { return first.Add(time.Duration(float64(time.Since(began)) / s.slow())) }
+	first := s.memberTime(began)
+	return func() time.Time { return first.Add(time.Duration(float64(time.Since(began)) / s.slowdown())) }
 }
 
 // at is a time by the members' clock.
-func (s *Spec) at(t time.Time) time.Time {
-	if s.slow() == 1 {
+func (s *Spec) memberTime(t time.Time) time.Time {
+	if s.slowdown() == 1 {
 		return t
 	}
-	return time.Unix(0, s.ClockOrigin+int64(float64(t.UnixNano()-s.ClockOrigin)/s.slow()))
+	return time.Unix(0, s.ClockOrigin+int64(float64(t.UnixNano()-s.ClockOrigin)/s.slowdown()))
 }
 
 // Name is a member's name by its number.
 func (s *Spec) Name(k int) string { return fmt.Sprintf("n%d", k) }
 
 // perSubnet is how many members share the first three numbers of their addresses.
-const perSubnet = 200
+const membersPerSubnet = 200
 
 // Addr is a member's address by its number.
 func (s *Spec) Addr(k int) string {
-	return fmt.Sprintf("%s.%d.%d:2908", s.Network, 1+k/perSubnet, 1+k%perSubnet)
+	return fmt.Sprintf("%s.%d.%d:2908", s.Network, 1+k/membersPerSubnet, 1+k%membersPerSubnet)
 }
 
 // number is a member's number by its address; -1: it is none.
@@ -86,7 +86,7 @@
 	if !strings.HasPrefix(a.String(), s.Network+".") {
 		return -1
 	}
-	return (int(b[2])-1)*perSubnet + int(b[3]) - 1
+	return (int(b[2])-1)*membersPerSubnet + int(b[3]) - 1
 }
 
 // Voters are the numbers of the members that settle who allocates budgets: five, or three of a small fleet, on different
@@ -118,14 +118,14 @@
 
 // Platform is the platform's file of a member.
 func (s *Spec) Platform(k int) map[string]any {
-	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedEach * float64(s.Size)}, s.DiscoveryAddr,
+	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedPerMember * float64(s.Size)}, s.DiscoveryAddr,
 		s.Seed+uint64(k)*0x9e3779b97f4a7c15)
 	p["known"] = json.RawMessage(s.InitialList)
 	return p
 }
 
 // configured reads a member's files as the program does.
-func (s *Spec) configured(k int) (*config.Platform, *config.OperatorSettings, error) {
+func (s *Spec) parseConfig(k int) (*config.Platform, *config.OperatorSettings, error) {
 	text, err := json.Marshal(s.Platform(k))
 	if err != nil {
 		return nil, nil, err
@@ -140,19 +140,19 @@
 
 // Member is one hollow instance.
 type Member struct {
-	spec   *Spec
-	k      int
-	core   *exchange.Exchange
-	shared *shared.Shared
-	peers  *peers.Peers
-	list   *journal.Client
-	ear    *ear
-	claims claims
-	cut    atomic.Pointer[func(number int) bool] // which members can be reached; nil: all
-	feed   feed
-	stop   context.CancelFunc
-	done   chan error
-	now    func() time.Time // of its core
+	spec      *Spec
+	number    int
+	core      *exchange.Exchange
+	shared    *shared.Shared
+	peers     *peers.Peers
+	list      *journal.Client
+	module    *peerModule
+	claims    claims
+	reachable atomic.Pointer[func(number int) bool] // which members can be reached; nil: all
+	feed      feed
+	stop      context.CancelFunc
+	done      chan error
+	now       func() time.Time // of its core
 }
 
 // noServers is the servers' side of a core without calls.
@@ -166,16 +166,16 @@
 
 // NewMember assembles a hollow member as the program assembles itself, and opens its address.
 func NewMember(s *Spec, k int) (*Member, error) {
-	p, own, err := s.configured(k)
+	p, own, err := s.parseConfig(k)
 	if err != nil {
 		return nil, err
 	}
-	m := &Member{spec: s, k: k, done: make(chan error, 1)}
+	m := &Member{spec: s, number: k, done: make(chan error, 1)}
 	now := s.clock()
 	began := now()
 	m.now = now
 	epoch := rand.Uint64() | 1
-	m.claims.of(s.Name(k), epoch)
+	m.claims.setProcess(s.Name(k), epoch)
 	c := shared.Config{Control: p.Settings, Planned: p.PlannedRate, Name: s.Name(k), Machine: own.Peers.Machine, Epoch: epoch, Numbers: own.Peers.CountedNumbers,
 		Budgets: own.Peers.Budgets, DetectOutliers: own.Peers.DetectOutliers, Count: count.Config{OmitCheck: s.OmitCheck}, Outlier: outlier.Config{OmitCheck: s.OmitCheck},
 		Lease: lease.Config{Voters: own.Peers.Voters, MaxInstances: own.Peers.MaxInstances, Floor: own.Peers.FloorFraction, Term: int64(own.Peers.Term), OmitCheck: s.OmitCheck}}
@@ -183,30 +183,30 @@
 		c.Tenants = append(c.Tenants, t.Name)
 	}
 	m.shared = shared.New(c, p.Seed^epoch, began.UnixNano(), shared.Callbacks{
-		Claim:    func(one lease.Claim) { m.claims.claim(now(), one) },
-		Leader:   func(until int64) { m.claims.reign(now(), until) },
-		Decision: func(v outlier.Decision) { m.claims.judged(now(), v) },
+		Claim:    func(one lease.Claim) { m.claims.onClaim(now(), one) },
+		Leader:   func(until int64) { m.claims.onLeader(now(), until) },
+		Decision: func(v outlier.Decision) { m.claims.onDecision(now(), v) },
 	})
 	log := slog.New(slog.DiscardHandler)
-	m.core, err = exchange.New(exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: now, Log: log, MemoryBytes: p.MemoryMB << 20, Join: []joined{m.shared}})
+	m.core, err = exchange.New(exchange.Options{Settings: p.Settings, Seed: p.Seed, Now: now, Log: log, MemoryBytes: p.MemoryMB << 20, Join: []joinModule{m.shared}})
 	if err != nil {
 		return nil, err
 	}
 	m.core.SetOffices(noServers{})
 	m.list = &journal.Client{Addr: p.Journal, Log: log, OnChange: func(changed []exchange.Office, full bool) {
-		m.feed.listed(changed, full)
+		m.feed.onListUpdate(changed, full)
 		m.core.UpdateOffices(changed, full)
 	}}
 	m.list.LoadInitial(p.Known)
-	m.ear = &ear{Shared: m.shared, without: s.OmitCheck, judged: map[string]int64{}}
+	m.module = &peerModule{Shared: m.shared, omitCheck: s.OmitCheck, judgementsAt: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
-		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.ClockSlowdown})
+		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.module, Do: m.core.TryRun, Reach: m.isReachable, Slow: s.ClockSlowdown})
 	return m, err
 }
 
 // reach tells whether another member is on this one's side of a cut.
-func (m *Member) reach(a netip.AddrPort) bool {
-	cut := m.cut.Load()
+func (m *Member) isReachable(a netip.AddrPort) bool {
+	cut := m.reachable.Load()
 	return cut == nil || (*cut)(m.spec.number(a.Addr()))
 }
 
@@ -228,40 +228,40 @@
 }
 
 // ear stands between the membership and the shared state, and notes when each other member's judgements last came.
-type ear struct {
+type peerModule struct {
 	*shared.Shared
-	without string
-	mu      sync.Mutex
-	judged  map[string]int64 // by sender: when, by the member's clock
+	omitCheck    string
+	mu           sync.Mutex
+	judgementsAt map[string]int64 // by sender: when, by the member's clock
 }
 
 // WithoutPace leaves out that everything is told once: a build that talks too much, for the tests to catch.
 const CheckPace = "pace"
 
 // Tick implements peers.Module.
-func (e *ear) Tick(now int64, members int) []shared.Outgoing {
+func (e *peerModule) Tick(now int64, members int) []shared.Outgoing {
 	out := e.Shared.Tick(now, members)
-	if e.without == CheckPace {
+	if e.omitCheck == CheckPace {
 		out = append(out, out...)
 	}
 	return out
 }
 
 // Receive implements peers.Module.
-func (e *ear) Receive(now int64, m shared.Message) []shared.Outgoing {
+func (e *peerModule) Receive(now int64, m shared.Message) []shared.Outgoing {
 	if m.Health != nil {
 		e.mu.Lock()
-		e.judged[m.Health.From] = now
+		e.judgementsAt[m.Health.From] = now
 		e.mu.Unlock()
 	}
 	return e.Shared.Receive(now, m)
 }
 
 // ages tells how old each other member's newest judgements are, in milliseconds.
-func (e *ear) ages(now int64) (all []int64) {
+func (e *peerModule) ages(now int64) (all []int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, at := range e.judged {
+	for _, at := range e.judgementsAt {
 		all = append(all, (now-at)/1e6)
 	}
 	return all
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -14,7 +14,7 @@
 )
 
 // order is what a group is told to do.
-type order struct {
+type request struct {
 	Do      string          `json:"do"`
 	Spec    *Spec           `json:"spec,omitempty"`
 	Members []int           `json:"members,omitempty"`
@@ -43,7 +43,7 @@
 }
 
 // obey carries an order out.
-func (g *Group) obey(o order) (r reply) {
+func (g *Group) handle(o request) (r reply) {
 	var err error
 	switch o.Do {
 	case doStart:
@@ -77,7 +77,7 @@
 	orders, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var g *Group
 	for {
-		var o order
+		var o request
 		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
@@ -90,7 +90,7 @@
 		case g == nil:
 			r.Error = "no fleet was named yet"
 		default:
-			r = g.obey(o)
+			r = g.handle(o)
 		}
 		if err := replies.Encode(r); err != nil {
 			return err
@@ -100,7 +100,7 @@
 
 // runner runs one group, here or in a process of its own.
 type runner interface {
-	do(o order) (*Snapshot, error)
+	do(o request) (*Snapshot, error)
 	kill() // at once, without a planned end
 	close()
 }
@@ -116,8 +116,8 @@
 	return &local{NewGroup(ctx, s), stop}
 }
 
-func (l *local) do(o order) (*Snapshot, error) {
-	r := l.g.obey(o)
+func (l *local) do(o request) (*Snapshot, error) {
+	r := l.g.handle(o)
 	if r.Error != "" {
 		return nil, errors.New(r.Error)
 	}
@@ -127,30 +127,30 @@
 // kill has the members fall silent before they end, so that they do not leave.
 func (l *local) kill() {
 	none := func(int) bool { return false }
-	for _, m := range l.g.all() {
-		m.cut.Store(&none)
+	for _, m := range l.g.allMembers() {
+		m.reachable.Store(&none)
 	}
 	l.close()
 }
 
 func (l *local) close() {
 	l.stop()
-	for _, m := range l.g.all() {
+	for _, m := range l.g.allMembers() {
 		<-m.done
 	}
 }
 
 // remote runs a group in a process of its own.
 type remote struct {
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	out  *json.Decoder
-	over chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	in     io.WriteCloser
+	out    *json.Decoder
+	exited chan struct{}
 }
 
 // endFor is how long a group's process may take to end once it is told nothing more.
-const endFor = 5 * time.Second
+const exitTimeout = 5 * time.Second
 
 // newRemote starts a group's process, which ends with ctx at the latest. command is the program that serves, with its
 // arguments.
@@ -169,21 +169,21 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	r := &remote{cmd: cmd, in: in, out: json.NewDecoder(bufio.NewReader(out)), over: make(chan struct{})}
+	r := &remote{cmd: cmd, in: in, out: json.NewDecoder(bufio.NewReader(out)), exited: make(chan struct{})}
 	stop := context.AfterFunc(ctx, func() { cmd.Process.Kill() }) // it may be amid an order that takes long
 	go func() {
 		cmd.Wait()
 		stop()
-		close(r.over)
+		close(r.exited)
 	}()
-	if _, err := r.do(order{Do: doBegin, Spec: s}); err != nil {
+	if _, err := r.do(request{Do: doBegin, Spec: s}); err != nil {
 		r.kill()
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *remote) do(o order) (*Snapshot, error) {
+func (r *remote) do(o request) (*Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := json.NewEncoder(r.in).Encode(o); err != nil {
@@ -201,14 +201,14 @@
 
 func (r *remote) kill() {
 	r.cmd.Process.Kill()
-	<-r.over
+	<-r.exited
 }
 
 func (r *remote) close() {
 	r.in.Close()
 	select {
-	case <-r.over:
-	case <-time.After(endFor):
+	case <-r.exited:
+	case <-time.After(exitTimeout):
 		r.kill()
 	}
 }
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -28,32 +28,32 @@
 }
 
 // real is one process of the program.
-type real struct {
+type realProcess struct {
 	*host.Instance
-	k      int
+	number int
 	socket string
 }
 
 // realsAtOnce is how many processes start at the same time.
-const realsAtOnce = 4
+const maxConcurrentStarts = 4
 
 // StartReals starts the real members, and their load.
 func (f *Fleet) StartRealMembers(r RealMembers) error {
 	if len(r.Numbers) == 0 {
 		return nil
 	}
-	load, err := f.load(r)
+	load, err := f.startStandIns(r)
 	if err != nil {
 		return err
 	}
 	var starts errgroup.Group
-	starts.SetLimit(realsAtOnce)
+	starts.SetLimit(maxConcurrentStarts)
 	for _, k := range r.Numbers {
 		dir := filepath.Join(r.Dir, f.Name(k))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
 		}
-		one := &real{k: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
+		one := &realProcess{number: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
 		one.Settings = fmt.Sprintf("[socket]\npath = %q\n", one.socket)
 		if !r.WithoutPeers {
 			one.Settings += f.Settings(k)
@@ -63,7 +63,7 @@
 			list = load.lists[k]
 			one.Config["journal"] = list.Addr()
 		}
-		f.reals = append(f.reals, one)
+		f.realMembers = append(f.realMembers, one)
 		starts.Go(func() error {
 			addr, err := one.Start(f.ctx, list.KnownList())
 			if err == nil && load != nil {
@@ -77,7 +77,7 @@
 	}
 	if load != nil {
 		f.work.Go(func() error {
-			load.crowd.Run(f.ctx, loadMost) // ends with the run
+			load.crowd.Run(f.ctx, maxCallTime) // ends with the run
 			load.crowd.Close()
 			return nil
 		})
@@ -86,34 +86,34 @@
 }
 
 // loadMost bounds how long callers call.
-const loadMost = 10 * time.Minute
+const maxCallTime = 10 * time.Minute
 
 // load is the stand-ins that real members' calls need.
-type load struct {
+type standIns struct {
 	crowd *standin.CallerPool
 	lists map[int]*standin.ListService
 }
 
 // loadPart is the part of the stand-ins' planned load that callers bring.
-const loadPart = 0.7
+const loadFraction = 0.7
 
 // load starts the stand-ins; nil without calls. Their servers are the first ones of the fleet's list.
-func (f *Fleet) load(r RealMembers) (*load, error) {
+func (f *Fleet) startStandIns(r RealMembers) (*standIns, error) {
 	if r.Calls <= 0 {
 		return nil, nil
 	}
 	rate := r.Calls * float64(len(r.Numbers))
 	rng := rand.New(rand.NewPCG(f.Seed, 0x7363616c65))
-	params := processor.DrawParams(rate/loadPart, r.Servers, rng)
+	params := processor.DrawParams(rate/loadFraction, r.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	var names []string
 	for _, k := range r.Numbers {
 		names = append(names, f.Name(k))
 	}
-	l := &load{lists: map[int]*standin.ListService{}}
+	l := &standIns{lists: map[int]*standin.ListService{}}
 	var servers []*standin.Server
 	for k := range r.Servers {
-		s, err := standin.NewServer(entry(k, time.Time{}).ID, k, params, time.Time{}, 9*time.Second, names, rng.Uint64(), ledger)
+		s, err := standin.NewServer(serverEntry(k, time.Time{}).ID, k, params, time.Time{}, 9*time.Second, names, rng.Uint64(), ledger)
 		if err != nil {
 			return nil, err
 		}
@@ -139,38 +139,38 @@
 }
 
 // realLook is what one real member shows at one moment.
-type realLook struct {
-	at       int64
-	cpu      time.Duration
-	resident int64
-	sight    MemberStatus
-	taken    uint64 // calls, since its start
-	counts   []int64
+type realSnapshot struct {
+	at          int64
+	cpu         time.Duration
+	resident    int64
+	status      MemberStatus
+	calls       uint64 // calls, since its start
+	countAgesMS []int64
 }
 
 // lookAtReals looks at all real members.
-func (f *Fleet) lookAtReals(ctx context.Context) ([]realLook, error) {
-	var all []realLook
-	for _, r := range f.reals {
+func (f *Fleet) realSnapshots(ctx context.Context) ([]realSnapshot, error) {
+	var all []realSnapshot
+	for _, r := range f.realMembers {
 		pid := r.PID()
-		l := realLook{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
+		l := realSnapshot{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
 		s, err := ctl.FetchStatus(ctx, r.socket)
 		if err != nil {
 			return nil, fmt.Errorf("%s tells no status: %w", r.Name, err)
 		}
-		if l.taken = s.Core.ReceivedTotal; s.Peers == nil { // it knows of no others
+		if l.calls = s.Core.ReceivedTotal; s.Peers == nil { // it knows of no others
 			all = append(all, l)
 			continue
 		}
-		l.sight = MemberStatus{Number: r.k, Name: r.Name, Received: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
+		l.status = MemberStatus{Number: r.number, Name: r.Name, Received: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
 		for _, m := range s.Peers.Members {
 			if m.State == "alive" || m.State == "suspect" {
-				l.sight.Alive++
+				l.status.Alive++
 			}
 		}
 		for _, k := range s.Peers.Shared.KnownCounts {
 			if k.Name != r.Name {
-				l.counts = append(l.counts, k.AgeMS)
+				l.countAgesMS = append(l.countAgesMS, k.AgeMS)
 			}
 		}
 		all = append(all, l)
@@ -180,14 +180,14 @@
 
 // MeetReals waits until all real members know of so many.
 func (f *Fleet) WaitForRealMembers(members int) error {
-	for end := time.Now().Add(meetFor); ; {
-		all, err := f.lookAtReals(f.ctx)
+	for end := time.Now().Add(convergeTimeout); ; {
+		all, err := f.realSnapshots(f.ctx)
 		if err != nil {
 			return err
 		}
 		missing := 0
 		for _, l := range all {
-			if l.sight.Alive != members {
+			if l.status.Alive != members {
 				missing++
 			}
 		}
@@ -197,7 +197,7 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("%d real members do not know all %d", missing, members)
 		}
-		if err := f.pass(lookEvery); err != nil {
+		if err := f.sleep(pollInterval); err != nil {
 			return err
 		}
 	}
--- a/lab/scale/releases.go
+++ b/lab/scale/releases.go
@@ -45,15 +45,15 @@
 const (
 	releaseFleet = "scale"
 	// releaseWait bounds the wait until all members run a release, beyond its last stage.
-	releaseWait = 30 * time.Second
+	releaseTimeout = 30 * time.Second
 	// releaseMaxAge is when a member counts as stale.
 	releaseMaxAge = 10 * time.Second
 	// serverReady bounds the start of a server.
-	serverReady = 10 * time.Second
+	serverStartTimeout = 10 * time.Second
 )
 
 // releaseRun is a run under way.
-type releaseRun struct {
+type releaseTest struct {
 	ReleaseRun
 	ctx     context.Context
 	key     ed25519.PrivateKey
@@ -65,18 +65,18 @@
 	version distribution.Version
 	result  *ReleaseCost
 
-	mu      sync.Mutex
-	inForce map[distribution.Version]map[int]time.Time
+	mu        sync.Mutex
+	appliedAt map[distribution.Version]map[int]time.Time
 }
 
 // Run plays everything and gives the costs.
 func (r ReleaseRun) Run(ctx context.Context) (*ReleaseCost, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = byte(r.Seed)
-	run := &releaseRun{ReleaseRun: r, key: ed25519.NewKeyFromSeed(seed), client: releases.NewClient(nil), tap: newWiretap(),
-		result:  &ReleaseCost{Size: r.Size, Servers: r.Servers, Changes: r.Changes},
-		inForce: map[distribution.Version]map[int]time.Time{}}
-	at, held, err := place(r.Seed)
+	run := &releaseTest{ReleaseRun: r, key: ed25519.NewKeyFromSeed(seed), client: releases.NewClient(nil), tap: newWiretap(),
+		result:    &ReleaseCost{Size: r.Size, Servers: r.Servers, Changes: r.Changes},
+		appliedAt: map[distribution.Version]map[int]time.Time{}}
+	at, held, err := reserveNetwork(r.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	run.servers = make([]*exec.Cmd, r.Servers)
 	defer run.stopServers()
 	for k := range r.Servers {
-		if err := run.serve(k); err != nil {
+		if err := run.startServer(k); err != nil {
 			return nil, err
 		}
 	}
@@ -95,7 +95,7 @@
 	inner, stop := context.WithCancel(inner)
 	run.ctx = inner
 	run.startMembers(g)
-	err = run.play()
+	err = run.measure()
 	stop()
 	if groupErr := g.Wait(); err == nil {
 		err = groupErr
@@ -103,12 +103,12 @@
 	return run.result, err
 }
 
-func (r *releaseRun) say(format string, args ...any) {
-	SteadyRun{Progress: r.Progress}.say(format, args...)
+func (r *releaseTest) logf(format string, args ...any) {
+	SteadyRun{Progress: r.Progress}.logf(format, args...)
 }
 
 // serve starts a server, and waits until it answers.
-func (r *releaseRun) serve(k int) error {
+func (r *releaseTest) startServer(k int) error {
 	public := base64.StdEncoding.EncodeToString(r.key.Public().(ed25519.PublicKey))
 	cmd := exec.Command(r.Program, "config", "serve", "--fleet", releaseFleet, "--servers", strings.Join(r.addrs, ","), "--listen", r.addrs[k],
 		"--dir", filepath.Join(r.Dir, fmt.Sprint("server", k)), "--keys", public)
@@ -124,7 +124,7 @@
 	r.mu.Lock()
 	r.servers[k] = cmd
 	r.mu.Unlock()
-	for end := time.Now().Add(serverReady); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(serverStartTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if _, err = r.client.Status(context.Background(), r.addrs[k]); err == nil {
 			return nil
 		}
@@ -135,7 +135,7 @@
 }
 
 // kill ends a server's process at once.
-func (r *releaseRun) kill(k int) {
+func (r *releaseTest) killServer(k int) {
 	r.mu.Lock()
 	cmd := r.servers[k]
 	r.servers[k] = nil
@@ -147,14 +147,14 @@
 }
 
 // running are the servers' processes that have not been killed.
-func (r *releaseRun) running() []*exec.Cmd {
+func (r *releaseTest) running() []*exec.Cmd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(r.servers), func(cmd *exec.Cmd) bool { return cmd == nil })
 }
 
 // stopServers ends all servers in order.
-func (r *releaseRun) stopServers() {
+func (r *releaseTest) stopServers() {
 	running := r.running()
 	for _, cmd := range running {
 		cmd.Process.Signal(syscall.SIGTERM)
@@ -164,40 +164,40 @@
 	}
 }
 
-func (r *releaseRun) zone(k int) string { return fmt.Sprintf("zone-%d", k%max(r.Zones, 1)) }
+func (r *releaseTest) zone(k int) string { return fmt.Sprintf("zone-%d", k%max(r.Zones, 1)) }
 
 // startMembers starts all members.
-func (r *releaseRun) startMembers(g *errgroup.Group) {
+func (r *releaseTest) startMembers(g *errgroup.Group) {
 	quiet := slog.New(slog.DiscardHandler)
 	for k := range r.Size {
 		m := releases.NewMember(releases.MemberOptions{Name: fmt.Sprintf("n%d", k), Zone: r.zone(k), Fleet: releaseFleet, Servers: r.addrs,
 			Keys: []ed25519.PublicKey{r.key.Public().(ed25519.PublicKey)}, MaxAge: releaseMaxAge, Seed: r.Seed + uint64(k), Log: quiet,
-			Dial: r.tap.dial(k), Apply: func(release *distribution.Release) error { r.applied(k, release); return nil }})
+			Dial: r.tap.dial(k), Apply: func(release *distribution.Release) error { r.onApplied(k, release); return nil }})
 		r.members = append(r.members, m)
 		g.Go(func() error { return m.Run(r.ctx) })
 	}
 }
 
-func (r *releaseRun) applied(k int, release *distribution.Release) {
+func (r *releaseTest) onApplied(k int, release *distribution.Release) {
 	if release == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.inForce[release.Version] == nil {
-		r.inForce[release.Version] = map[int]time.Time{}
+	if r.appliedAt[release.Version] == nil {
+		r.appliedAt[release.Version] = map[int]time.Time{}
 	}
-	r.inForce[release.Version][k] = time.Now()
+	r.appliedAt[release.Version][k] = time.Now()
 }
 
 // publish publishes a release at a majority of the servers.
-func (r *releaseRun) publish() (time.Time, error) {
+func (r *releaseTest) publish() (time.Time, error) {
 	r.version++
 	release := distribution.Release{Fleet: releaseFleet, Version: r.version, Content: []byte("# " + strings.Repeat("x", max(r.ContentSize-2, 0))),
 		Stages: []distribution.Stage{{Zones: []string{r.zone(0)}}, {After: r.SecondStageAfter}}}
 	release.Sign(r.key)
 	began := time.Now()
-	for end := began.Add(releaseWait); ; {
+	for end := began.Add(releaseTimeout); ; {
 		accepted := 0
 		var last error
 		for _, addr := range r.addrs {
@@ -213,14 +213,14 @@
 		if time.Now().After(end) || r.ctx.Err() != nil {
 			return began, fmt.Errorf("version %d at %d servers: %w", r.version, accepted, last)
 		}
-		if err := r.pass(200 * time.Millisecond); err != nil {
+		if err := r.sleep(200 * time.Millisecond); err != nil {
 			return began, err
 		}
 		began = time.Now() // the release before was under way; this one begins now
 	}
 }
 
-func (r *releaseRun) pass(d time.Duration) error {
+func (r *releaseTest) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -230,12 +230,12 @@
 }
 
 // await waits until members run a version, and gives how long each took, in milliseconds; missing is how many do not in time.
-func (r *releaseRun) await(version distribution.Version, began time.Time, members []int) (took []float64, missing int, err error) {
-	for end := time.Now().Add(r.SecondStageAfter + releaseWait); ; {
+func (r *releaseTest) waitForRelease(version distribution.Version, began time.Time, members []int) (took []float64, missing int, err error) {
+	for end := time.Now().Add(r.SecondStageAfter + releaseTimeout); ; {
 		took = took[:0]
 		r.mu.Lock()
 		for _, k := range members {
-			if at, ok := r.inForce[version][k]; ok {
+			if at, ok := r.appliedAt[version][k]; ok {
 				took = append(took, float64(at.Sub(began).Microseconds())/1000)
 			}
 		}
@@ -244,14 +244,14 @@
 			slices.Sort(took)
 			return took, missing, nil
 		}
-		if err := r.pass(20 * time.Millisecond); err != nil {
+		if err := r.sleep(20 * time.Millisecond); err != nil {
 			return nil, missing, err
 		}
 	}
 }
 
 // all are the numbers of all members but some.
-func (r *releaseRun) all(but ...int) (members []int) {
+func (r *releaseTest) membersExcept(but ...int) (members []int) {
 	for k := range r.Size {
 		if !slices.Contains(but, k) {
 			members = append(members, k)
@@ -261,33 +261,33 @@
 }
 
 // play measures the fleet at rest, with releases one after the other, and under faults.
-func (r *releaseRun) play() error {
+func (r *releaseTest) measure() error {
 	machine := ReadMachineLoad()
-	if err := r.settled(); err != nil {
+	if err := r.waitForContact(); err != nil {
 		return err
 	}
-	if err := r.pass(r.WarmUp); err != nil {
+	if err := r.sleep(r.WarmUp); err != nil {
 		return err
 	}
-	rest, err := r.rest()
+	rest, err := r.measureIdle()
 	if err != nil {
 		return err
 	}
-	if err := r.changes(rest); err != nil {
+	if err := r.measureChanges(rest); err != nil {
 		return err
 	}
 	r.result.OthersCores, r.result.LoadAverage = max(cores(machine, ReadMachineLoad())-r.ownCores(machine), 0), ReadMachineLoad().LoadAverage
-	r.say("%d members: %.0f bytes a second and %.3f%% of a core at rest, %.0f while changes come; in force after %.0f ms (p99), %.0f ms at most; a server %.2f%%, %.1f MB",
+	r.logf("%d members: %.0f bytes a second and %.3f%% of a core at rest, %.0f while changes come; in force after %.0f ms (p99), %.0f ms at most; a server %.2f%%, %.1f MB",
 		r.Size, r.result.IdleBytes, r.result.IdleCPU, r.result.BusyBytes, r.result.AppliedP99, r.result.AppliedMax, r.result.ServerCPU, r.result.ServerMemory)
 	if !r.WithFaults {
 		return nil
 	}
-	return r.faults()
+	return r.runFaults()
 }
 
 // settled waits until all members have heard a server.
-func (r *releaseRun) settled() error {
-	for end := time.Now().Add(releaseWait); ; {
+func (r *releaseTest) waitForContact() error {
+	for end := time.Now().Add(releaseTimeout); ; {
 		heard := 0
 		for _, m := range r.members {
 			if m.Status().AgeMS >= 0 {
@@ -300,27 +300,27 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("%d of %d members have heard a server", heard, r.Size)
 		}
-		if err := r.pass(50 * time.Millisecond); err != nil {
+		if err := r.sleep(50 * time.Millisecond); err != nil {
 			return err
 		}
 	}
 }
 
 // rest measures the fleet without changes.
-func (r *releaseRun) rest() (use, error) {
-	before := r.use()
+func (r *releaseTest) measureIdle() (resourceUse, error) {
+	before := r.readUse()
 	var ages []float64
 	for end := time.Now().Add(r.MeasureFor); time.Now().Before(end); {
-		if err := r.pass(r.MeasureFor / 10); err != nil {
+		if err := r.sleep(r.MeasureFor / 10); err != nil {
 			return before, err
 		}
 		for _, m := range r.members {
 			ages = append(ages, float64(m.Status().AgeMS))
 		}
 	}
-	after := r.use()
+	after := r.readUse()
 	c := r.result
-	c.IdleBytes, c.IdleSegments, c.IdleCPU = r.each(before, after)
+	c.IdleBytes, c.IdleSegments, c.IdleCPU = r.perMember(before, after)
 	slices.Sort(ages)
 	c.AgeP99, c.AgeMax = p99(ages), ages[len(ages)-1]
 	c.ServerBytes = c.IdleBytes * float64(r.Size) / float64(r.Servers)
@@ -328,7 +328,7 @@
 }
 
 // changes publishes releases one after the other and measures how soon they are in force.
-func (r *releaseRun) changes(before use) error {
+func (r *releaseTest) measureChanges(before resourceUse) error {
 	c := r.result
 	var took []float64
 	for range r.Changes {
@@ -336,7 +336,7 @@
 		if err != nil {
 			return err
 		}
-		one, missing, err := r.await(r.version, began, r.all())
+		one, missing, err := r.waitForRelease(r.version, began, r.membersExcept())
 		if err != nil {
 			return err
 		}
@@ -346,8 +346,8 @@
 	if len(took) > 0 {
 		c.AppliedP99, c.AppliedMax = p99(took), took[len(took)-1]
 	}
-	after := r.use()
-	c.BusyBytes, _, c.BusyCPU = r.each(before, after)
+	after := r.readUse()
+	c.BusyBytes, _, c.BusyCPU = r.perMember(before, after)
 	c.BytesPerRelease = (c.BusyBytes - c.IdleBytes) * after.at.Sub(before.at).Seconds() / float64(max(r.Changes, 1))
 	for k := range after.servers {
 		c.ServerCPU = max(c.ServerCPU, 100*(after.servers[k]-before.servers[k]).Seconds()/after.at.Sub(before.at).Seconds())
--- a/lab/scale/releases_cost.go
+++ b/lab/scale/releases_cost.go
@@ -58,15 +58,15 @@
 }
 
 // use is what the run has used so far.
-type use struct {
+type resourceUse struct {
 	at      time.Time
 	cpu     time.Duration
 	servers []time.Duration
-	wire    wire
+	wire    traffic
 }
 
-func (r *releaseRun) use() use {
-	u := use{at: time.Now(), cpu: cpuOf(os.Getpid()), wire: r.tap.carried()}
+func (r *releaseTest) readUse() resourceUse {
+	u := resourceUse{at: time.Now(), cpu: cpuOf(os.Getpid()), wire: r.tap.carried()}
 	for _, cmd := range r.running() {
 		u.servers = append(u.servers, cpuOf(cmd.Process.Pid))
 	}
@@ -74,15 +74,15 @@
 }
 
 // each is a member's bytes, segments and processor time, a second, from one look to another.
-func (r *releaseRun) each(from, to use) (bytes, segments, cpu float64) {
+func (r *releaseTest) perMember(from, to resourceUse) (bytes, segments, cpu float64) {
 	seconds, n := to.at.Sub(from.at).Seconds(), float64(r.Size)
 	carried := to.wire.minus(from.wire)
 	return float64(carried.withHeaders()) / seconds / n, float64(carried.Segments) / seconds / n, 100 * (to.cpu - from.cpu).Seconds() / seconds / n
 }
 
 // ownCores is what the run's own processes used of the machine since a look at it, in cores.
-func (r *releaseRun) ownCores(since MachineLoad) float64 {
-	u := r.use()
+func (r *releaseTest) ownCores(since MachineLoad) float64 {
+	u := r.readUse()
 	used := u.cpu
 	for _, cpu := range u.servers {
 		used += cpu
--- a/lab/scale/releases_faults.go
+++ b/lab/scale/releases_faults.go
@@ -7,14 +7,14 @@
 )
 
 // faults plays all that may happen to servers and members, one after the other.
-func (r *releaseRun) faults() error {
+func (r *releaseTest) runFaults() error {
 	for _, play := range []func(*ReleaseFault) error{r.serverLost, r.serversRestarted, r.regionCutOff, r.allServersLost} {
 		fault := &ReleaseFault{}
 		if err := play(fault); err != nil {
 			return err
 		}
 		r.result.Faults = append(r.result.Faults, *fault)
-		r.say("  %s: %d struck; in force elsewhere after %.0f ms (p99), %.0f at most; healed after %.0f ms; greatest age told %.0f ms, %d told too little; %.0f bytes a second at most",
+		r.logf("  %s: %d struck; in force elsewhere after %.0f ms (p99), %.0f at most; healed after %.0f ms; greatest age told %.0f ms, %d told too little; %.0f bytes a second at most",
 			fault.Kind, fault.Affected, fault.AppliedP99, fault.AppliedMax, fault.RecoveredMS, fault.MaxAgeMS, fault.AgesTooLow, fault.PeakBytes)
 	}
 	return nil
@@ -22,19 +22,19 @@
 
 // watch samples the fleet's bytes, and the ages that some members tell, until it is stopped. Those members can hear nothing
 // from a time on.
-func (r *releaseRun) watch(fault *ReleaseFault, deaf []int, since time.Time) (stop func()) {
+func (r *releaseTest) startSampling(fault *ReleaseFault, deaf []int, since time.Time) (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		before := r.use()
+		before := r.readUse()
 		for {
 			select {
 			case <-quit:
 				return
 			case <-time.After(time.Second):
 			}
-			now := r.use()
-			bytes, _, _ := r.each(before, now)
+			now := r.readUse()
+			bytes, _, _ := r.perMember(before, now)
 			fault.PeakBytes, before = max(fault.PeakBytes, bytes), now
 			for _, k := range deaf {
 				least := time.Since(since)
@@ -50,12 +50,12 @@
 }
 
 // change publishes a release during a fault, and waits for the members that were not struck.
-func (r *releaseRun) change(fault *ReleaseFault, members []int) error {
+func (r *releaseTest) publishDuringFault(fault *ReleaseFault, members []int) error {
 	began, err := r.publish()
 	if err != nil {
 		return err
 	}
-	took, missing, err := r.await(r.version, began, members)
+	took, missing, err := r.waitForRelease(r.version, began, members)
 	if err != nil {
 		return err
 	}
@@ -67,9 +67,9 @@
 }
 
 // healed waits until all members run a version.
-func (r *releaseRun) healed(fault *ReleaseFault, version distribution.Version) error {
+func (r *releaseTest) waitForRecovery(fault *ReleaseFault, version distribution.Version) error {
 	began := time.Now()
-	_, missing, err := r.await(version, began, r.all())
+	_, missing, err := r.waitForRelease(version, began, r.membersExcept())
 	if err != nil {
 		return err
 	}
@@ -81,82 +81,82 @@
 }
 
 // serverLost kills one server in the midst of a release.
-func (r *releaseRun) serverLost(fault *ReleaseFault) error {
+func (r *releaseTest) serverLost(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "one server lost", 1
-	stop := r.watch(fault, nil, time.Now())
+	stop := r.startSampling(fault, nil, time.Now())
 	defer stop()
-	kill := time.AfterFunc(r.SecondStageAfter/2, func() { r.kill(0) })
+	kill := time.AfterFunc(r.SecondStageAfter/2, func() { r.killServer(0) })
 	defer kill.Stop()
-	if err := r.change(fault, r.all()); err != nil {
+	if err := r.publishDuringFault(fault, r.membersExcept()); err != nil {
 		return err
 	}
-	return r.healed(fault, r.version)
+	return r.waitForRecovery(fault, r.version)
 }
 
 // serversRestarted restarts all servers, one after the other, with a release among them.
-func (r *releaseRun) serversRestarted(fault *ReleaseFault) error {
+func (r *releaseTest) serversRestarted(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "servers restarted", r.Servers
-	stop := r.watch(fault, nil, time.Now())
+	stop := r.startSampling(fault, nil, time.Now())
 	defer stop()
 	for k := range r.Servers {
-		r.kill(k)
-		if err := r.serve(k); err != nil {
+		r.killServer(k)
+		if err := r.startServer(k); err != nil {
 			return err
 		}
 		if k == r.Servers/2 {
-			if err := r.change(fault, r.all()); err != nil {
+			if err := r.publishDuringFault(fault, r.membersExcept()); err != nil {
 				return err
 			}
 		}
-		if err := r.pass(time.Second); err != nil {
+		if err := r.sleep(time.Second); err != nil {
 			return err
 		}
 	}
-	return r.healed(fault, r.version)
+	return r.waitForRecovery(fault, r.version)
 }
 
 // regionCutOff cuts a third of the members off from all servers, and publishes a release meanwhile.
-func (r *releaseRun) regionCutOff(fault *ReleaseFault) error {
+func (r *releaseTest) regionCutOff(fault *ReleaseFault) error {
 	var cut []int
 	for k := range r.Size / 3 {
 		cut = append(cut, r.Size-1-k)
 	}
 	fault.Kind, fault.Affected = "region cut off", len(cut)
-	r.tap.cutOff(cut...)
+	r.tap.partition(cut...)
 	began := time.Now()
-	stop := r.watch(fault, cut, began)
-	if err := r.change(fault, r.all(cut...)); err != nil {
+	stop := r.startSampling(fault, cut, began)
+	if err := r.publishDuringFault(fault, r.membersExcept(cut...)); err != nil {
 		stop()
 		return err
 	}
-	err := r.pass(time.Until(began.Add(r.OutageFor)))
+	err := r.sleep(time.Until(began.Add(r.OutageFor)))
 	stop()
 	if err != nil {
 		return err
 	}
-	r.tap.cutOff()
-	return r.healed(fault, r.version)
+	r.tap.partition()
+	return r.waitForRecovery(fault, r.version)
 }
 
 // allServersLost kills all servers; when they are back, a release is published.
-func (r *releaseRun) allServersLost(fault *ReleaseFault) error {
+func (r *releaseTest) allServersLost(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "all servers lost", r.Servers
 	for k := range r.Servers {
-		r.kill(k)
+		r.killServer(k)
 	}
-	stop := r.watch(fault, r.all(), time.Now())
-	err := r.pass(r.OutageFor)
+	stop := r.startSampling(fault, r.membersExcept(), time.Now())
+	err := r.sleep(r.OutageFor)
 	stop()
 	if err != nil {
 		return err
 	}
 	for k := range r.Servers {
-		if err := r.serve(k); err != nil {
+		if err := r.startServer(k); err != nil {
 			return err
 		}
 	}
 	if _, err := r.publish(); err != nil {
 		return err
 	}
-	return r.healed(fault, r.version)
+	return r.waitForRecovery(fault, r.version)
 }
--- a/lab/scale/releases_test.go
+++ b/lab/scale/releases_test.go
@@ -9,7 +9,7 @@
 
 // releaseBytes is the most that configuration releases may cost a member at rest, in bytes a second with all headers: one
 // question a second and its answer.
-const releaseBytes = 1500
+const maxReleaseBytes = 1500
 
 // What releases cost a member at rest has its bound, and does not grow with the fleet; a lost server and a cut region end
 // with all members at the newest release, and ages are told in full meanwhile.
@@ -25,8 +25,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if cost.IdleBytes <= 0 || cost.IdleBytes > releaseBytes {
-			t.Errorf("%d members: %.0f bytes a second, and %d are the most", size, cost.IdleBytes, releaseBytes)
+		if cost.IdleBytes <= 0 || cost.IdleBytes > maxReleaseBytes {
+			t.Errorf("%d members: %.0f bytes a second, and %d are the most", size, cost.IdleBytes, maxReleaseBytes)
 		}
 		if cost.Missing > 0 {
 			t.Errorf("%d members: %d times a release did not come", size, cost.Missing)
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -16,12 +16,12 @@
 )
 
 // small is a fleet in this process.
-func small(size int, calls float64) Layout {
+func smallLayout(size int, calls float64) Layout {
 	return Layout{Spec: Spec{Size: size, Servers: size, Zones: 3, SyntheticCalls: calls, Seed: 5}, Groups: SplitEvenly(0, size, 10)}
 }
 
 // counted measures a fleet of hollow members by its counters.
-func counted(t *testing.T, l Layout) *Point {
+func measureTraffic(t *testing.T, l Layout) *Point {
 	t.Helper()
 	p, err := SteadyRun{Layout: l, WarmUp: time.Second, MeasureFor: 3 * time.Second}.Run(t.Context())
 	if err != nil {
@@ -36,7 +36,7 @@
 // A machine that is busy makes members send less, so these bounds hold on any.
 func TestTrafficStaysUnderTheFormula(t *testing.T) {
 	for size, calls := range map[int]float64{20: 10, 40: 0} {
-		for _, found := range ExceededLimits(counted(t, small(size, calls)), size) {
+		for _, found := range ExceededLimits(measureTraffic(t, smallLayout(size, calls)), size) {
 			t.Error(found)
 		}
 	}
@@ -44,9 +44,9 @@
 
 // A build that tells everything twice is over the formula.
 func TestAChattyBuildIsCaught(t *testing.T) {
-	l := small(20, 0)
+	l := smallLayout(20, 0)
 	l.OmitCheck = CheckPace
-	if p := counted(t, l); len(ExceededLimits(p, l.Size)) == 0 {
+	if p := measureTraffic(t, l); len(ExceededLimits(p, l.Size)) == 0 {
 		t.Errorf("nothing found: %+v", p.Hollow)
 	}
 }
@@ -54,7 +54,7 @@
 // What a member keeps of others goes by how many there are and have been of late, not by how often they start.
 func TestStateHasItsBound(t *testing.T) {
 	const size, again = 20, 10
-	f, err := NewFleet(t.Context(), small(size, 5))
+	f, err := NewFleet(t.Context(), smallLayout(size, 5))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := f.groups[1].do(order{Do: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
+		if _, err := f.groups[1].do(request{Do: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -90,12 +90,12 @@
 }
 
 // pressing is a rate of calls with which members ask for more of a cold server's budget than there is.
-const pressing = 100
+const excessCallRate = 100
 
 // struck has something happen to a fleet in this process.
-func struck(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
+func runFault(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
 	t.Helper()
-	l := small(size, calls)
+	l := smallLayout(size, calls)
 	l.OmitCheck = without
 	err := FaultRun{Layout: l, Kinds: []string{kind}, GroupSize: 10, PartitionFor: 2 * time.Second, MeasureBaseline: time.Second,
 		OnResult: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
@@ -106,7 +106,7 @@
 }
 
 func TestADeadAllocatorIsKnownToAll(t *testing.T) {
-	r := struck(t, FaultAllocator, 40, 10, "")
+	r := runFault(t, FaultAllocator, 40, 10, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("not all know: %+v", r)
 	}
@@ -116,7 +116,7 @@
 }
 
 func TestACutRegionEndsWithAllKnowing(t *testing.T) {
-	r := struck(t, FaultRegion, 12, pressing, "")
+	r := runFault(t, FaultRegion, 12, excessCallRate, "")
 	if r.DetectedS < 0 || r.RecoveredS < 0 || r.Note != "" {
 		t.Errorf("not all know: %+v", r)
 	}
@@ -126,7 +126,7 @@
 }
 
 func TestALostAllocatorOverspendsNothing(t *testing.T) {
-	r := struck(t, FaultAllocator, 10, pressing, "")
+	r := runFault(t, FaultAllocator, 10, excessCallRate, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("%+v", r)
 	}
@@ -137,7 +137,7 @@
 
 // With a slower clock the same happens, by that clock.
 func TestALostAllocatorBySlowerClock(t *testing.T) {
-	l := small(6, pressing)
+	l := smallLayout(6, excessCallRate)
 	l.ClockSlowdown = 2
 	var r *Fault
 	err := FaultRun{Layout: l, Kinds: []string{FaultAllocator}, GroupSize: 6, MeasureBaseline: time.Second,
@@ -152,7 +152,7 @@
 
 // A build whose allocator keeps no books is caught.
 func TestABuildWithoutBooksIsCaught(t *testing.T) {
-	if r := struck(t, FaultAllocator, 10, pressing, lease.CheckReservations); r.Budgets.Overspent == 0 {
+	if r := runFault(t, FaultAllocator, 10, excessCallRate, lease.CheckReservations); r.Budgets.Overspent == 0 {
 		t.Errorf("nothing found: %+v", r.Budgets)
 	}
 }
@@ -203,10 +203,10 @@
 	for k := range 200 {
 		all = append(all, int64(200-k))
 	}
-	if a := agesFrom(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Samples != 200 {
+	if a := summarizeAges(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Samples != 200 {
 		t.Errorf("%+v", a)
 	}
-	if a := agesFrom(nil); a != (Ages{}) {
+	if a := summarizeAges(nil); a != (Ages{}) {
 		t.Errorf("%+v", a)
 	}
 }
@@ -239,7 +239,7 @@
 func TestServeTakesOrders(t *testing.T) {
 	var in, out bytes.Buffer
 	orders := json.NewEncoder(&in)
-	for _, o := range []order{{Do: doLook}, {Do: doBegin, Spec: &Spec{Size: 3}}, {Do: "dance"}, {Do: doLook}} {
+	for _, o := range []request{{Do: doLook}, {Do: doBegin, Spec: &Spec{Size: 3}}, {Do: "dance"}, {Do: doLook}} {
 		orders.Encode(o)
 	}
 	if err := Serve(t.Context(), &in, &out); err != nil {
@@ -302,7 +302,7 @@
 func TestAnInterruptedRunEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(2*time.Second, cancel)
-	_, err := SteadyRun{Layout: small(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
+	_, err := SteadyRun{Layout: smallLayout(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -12,7 +12,7 @@
 )
 
 // headers are the bytes that IPv4 and UDP add to a datagram.
-const headers = 28
+const datagramHeaders = 28
 
 // Cost is what a member costs, as a mean over members of one kind.
 type Cost struct {
@@ -69,8 +69,8 @@
 
 // agesOf is how many members of each group tell ages, ageLooks how often, agePause how long after each other.
 const (
-	agesOf, ageLooks = 2, 3
-	agePause         = 1300 * time.Millisecond
+	ageMembers, ageSamples = 2, 3
+	agePause               = 1300 * time.Millisecond
 )
 
 // Run starts the fleet, measures it and ends it.
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	s.say("%d members: %d hollow ones in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
+	s.logf("%d members: %d hollow ones in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
 	if err := f.Start(); err != nil {
 		return nil, err
 	}
@@ -96,8 +96,8 @@
 			return nil, err
 		}
 	}
-	s.say("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.WarmUp)
-	if err := f.pass(s.WarmUp); err != nil {
+	s.logf("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.WarmUp)
+	if err := f.sleep(s.WarmUp); err != nil {
 		return nil, err
 	}
 	p, err := f.measure(s.MeasureFor)
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	p.ConvergedS, p.Processes = met.Seconds(), len(s.Groups)+len(s.Numbers)
-	s.say("  %s", p)
+	s.logf("  %s", p)
 	return p, nil
 }
 
@@ -119,7 +119,7 @@
 	return text
 }
 
-func (s SteadyRun) say(format string, a ...any) {
+func (s SteadyRun) logf(format string, a ...any) {
 	if s.Progress != nil {
 		fmt.Fprintf(s.Progress, time.Now().UTC().Format("15:04:05 ")+format+"\n", a...)
 	}
@@ -132,29 +132,29 @@
 	if err != nil {
 		return nil, err
 	}
-	realBefore, err := f.lookAtReals(f.ctx)
+	realBefore, err := f.realSnapshots(f.ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.pass(length); err != nil {
+	if err := f.sleep(length); err != nil {
 		return nil, err
 	}
 	after, err := f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return nil, err
 	}
-	realAfter, err := f.lookAtReals(f.ctx)
+	realAfter, err := f.realSnapshots(f.ctx)
 	if err != nil {
 		return nil, err
 	}
 	end := ReadMachineLoad()
 	p := &Point{Size: f.Size, SyntheticCalls: f.SyntheticCalls, ClockSlowdown: f.ClockSlowdown, MeasuredS: length.Seconds(), LoadAverage: end.LoadAverage}
-	p.Hollow = hollowCost(before, after, f.slow())
-	if len(f.reals) > 0 {
+	p.Hollow = hollowCost(before, after, f.slowdown())
+	if len(f.realMembers) > 0 {
 		c := realCost(realBefore, realAfter)
 		p.Real = &c
 	}
-	p.OwnCores = p.Hollow.CPU / 100 * float64(p.Hollow.Members) / f.slow()
+	p.OwnCores = p.Hollow.CPU / 100 * float64(p.Hollow.Members) / f.slowdown()
 	if p.Real != nil {
 		p.OwnCores += p.Real.CPU / 100 * float64(p.Real.Members)
 	}
@@ -164,15 +164,15 @@
 			p.Deaths += m.Deaths
 		}
 	}
-	return p, f.ages(p)
+	return p, f.addAges(p)
 }
 
 // ages adds to a point how old what members know is, and what lives on their heaps.
-func (f *Fleet) ages(p *Point) error {
+func (f *Fleet) addAges(p *Point) error {
 	var counts, judged, real []int64
 	heap, members := int64(0), 0
-	for n := range ageLooks {
-		all, err := f.Snapshot(SnapshotOptions{MembersForAges: agesOf, Heap: n == ageLooks-1})
+	for n := range ageSamples {
+		all, err := f.Snapshot(SnapshotOptions{MembersForAges: ageMembers, Heap: n == ageSamples-1})
 		if err != nil {
 			return err
 		}
@@ -180,27 +180,27 @@
 			counts, judged = append(counts, l.CountAgesMS...), append(judged, l.JudgementAgesMS...)
 			heap, members = heap+l.Heap, members+len(l.Members)
 		}
-		reals, err := f.lookAtReals(f.ctx)
+		reals, err := f.realSnapshots(f.ctx)
 		if err != nil {
 			return err
 		}
 		for _, l := range reals {
-			real = append(real, l.counts...)
+			real = append(real, l.countAgesMS...)
 		}
-		if err := f.pass(agePause); err != nil {
+		if err := f.sleep(agePause); err != nil {
 			return err
 		}
 	}
-	p.Hollow.Heap = float64(heap) / 1e6 / float64(max(members/ageLooks, 1))
-	p.CountAges, p.JudgementAges = agesFrom(counts), agesFrom(judged)
+	p.Hollow.Heap = float64(heap) / 1e6 / float64(max(members/ageSamples, 1))
+	p.CountAges, p.JudgementAges = summarizeAges(counts), summarizeAges(judged)
 	if len(real) > 0 {
-		a := agesFrom(real)
+		a := summarizeAges(real)
 		p.RealCountAges = &a
 	}
 	return nil
 }
 
-func agesFrom(all []int64) Ages {
+func summarizeAges(all []int64) Ages {
 	a := Ages{Samples: len(all)}
 	if len(all) == 0 {
 		return a
@@ -231,20 +231,20 @@
 		c.CPU += 100 * (after[k].CPU - before[k].CPU).Seconds() / seconds
 		c.Resident += float64(after[k].Resident) / 1e6
 	}
-	c.mean()
+	c.average()
 	return c
 }
 
-func realCost(before, after []realLook) Cost {
+func realCost(before, after []realSnapshot) Cost {
 	c := Cost{}
 	for k := range after {
 		seconds := float64(after[k].at-before[k].at) / 1e9
-		c.add(before[k].sight, after[k].sight, seconds)
+		c.add(before[k].status, after[k].status, seconds)
 		c.CPU += 100 * (after[k].cpu - before[k].cpu).Seconds() / seconds
 		c.Resident += float64(after[k].resident) / 1e6
-		c.Calls += float64(after[k].taken-before[k].taken) / seconds
+		c.Calls += float64(after[k].calls-before[k].calls) / seconds
 	}
-	c.mean()
+	c.average()
 	return c
 }
 
@@ -259,14 +259,16 @@
 	c.ReceivedBytes += rate(func(t peers.Traffic) int64 { return t.GotDatagramBytes })
 	c.ReceivedStream += rate(func(t peers.Traffic) int64 { return t.GotStreamBytes })
 	c.Dropped += float64(b.Dropped-a.Dropped) / seconds
-	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes + t.SentStreamBytes + headers*t.SentDatagrams }))
+	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 {
+		return t.SentDatagramBytes + t.SentStreamBytes + datagramHeaders*t.SentDatagrams
+	}))
 }
 
 // mean makes a sum the mean of its members.
-func (c *Cost) mean() {
+func (c *Cost) average() {
 	n := float64(max(c.Members, 1))
 	for _, v := range []*float64{&c.SentDatagrams, &c.SentBytes, &c.SentStream, &c.ReceivedDatagrams, &c.ReceivedBytes, &c.ReceivedStream, &c.CPU, &c.Resident, &c.Dropped, &c.Calls} {
 		*v /= n
 	}
-	c.SentWire = c.SentBytes + c.SentStream + headers*c.SentDatagrams
+	c.SentWire = c.SentBytes + c.SentStream + datagramHeaders*c.SentDatagrams
 }
--- a/lab/scale/wiretap.go
+++ b/lab/scale/wiretap.go
@@ -14,33 +14,35 @@
 const segmentHeaders = 52
 
 // wire is what connections have carried, both ways.
-type wire struct {
+type traffic struct {
 	Bytes    int64 // payload
 	Segments int64
 }
 
-func (w wire) minus(o wire) wire { return wire{w.Bytes - o.Bytes, w.Segments - o.Segments} }
+func (w traffic) minus(o traffic) traffic { return traffic{w.Bytes - o.Bytes, w.Segments - o.Segments} }
 
 // withHeaders is the bytes on the network.
-func (w wire) withHeaders() int64 { return w.Bytes + segmentHeaders*w.Segments }
+func (w traffic) withHeaders() int64 { return w.Bytes + segmentHeaders*w.Segments }
 
 // wiretap counts what the connections of some members carry, and can cut members off.
 type wiretap struct {
-	mu    sync.Mutex
-	ended wire
-	open  map[*tappedConn]bool
-	cut   map[int]bool
+	mu          sync.Mutex
+	closed      traffic
+	open        map[*tappedConn]bool
+	partitioned map[int]bool
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("cut off")
 
-func newWiretap() *wiretap { return &wiretap{open: map[*tappedConn]bool{}, cut: map[int]bool{}} }
+func newWiretap() *wiretap {
+	return &wiretap{open: map[*tappedConn]bool{}, partitioned: map[int]bool{}}
+}
 
 // dial makes the dialer of a member.
 func (t *wiretap) dial(member int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if t.isCut(member) {
-			return nil, errCut
+		if t.isPartitioned(member) {
+			return nil, errPartitioned
 		}
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
 		if err != nil {
@@ -54,22 +56,22 @@
 	}
 }
 
-func (t *wiretap) isCut(member int) bool {
+func (t *wiretap) isPartitioned(member int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.cut[member]
+	return t.partitioned[member]
 }
 
 // cutOff cuts members off, in place of those before.
-func (t *wiretap) cutOff(members ...int) {
+func (t *wiretap) partition(members ...int) {
 	t.mu.Lock()
-	clear(t.cut)
+	clear(t.partitioned)
 	for _, k := range members {
-		t.cut[k] = true
+		t.partitioned[k] = true
 	}
 	var struck []*tappedConn
 	for c := range t.open {
-		if t.cut[c.member] {
+		if t.partitioned[c.member] {
 			struck = append(struck, c)
 		}
 	}
@@ -80,10 +82,10 @@
 }
 
 // carried is what all connections have carried since the beginning.
-func (t *wiretap) carried() wire {
+func (t *wiretap) carried() traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.ended
+	all := t.closed
 	for c := range t.open {
 		now := c.carried()
 		all.Bytes, all.Segments = all.Bytes+now.Bytes, all.Segments+now.Segments
@@ -99,7 +101,7 @@
 }
 
 // carried reads the kernel's counts.
-func (c *tappedConn) carried() (w wire) {
+func (c *tappedConn) carried() (w traffic) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return w
@@ -107,7 +109,7 @@
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), syscall.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			w = wire{int64(info.Bytes_acked + info.Bytes_received), int64(info.Segs_out) + int64(info.Segs_in)}
+			w = traffic{int64(info.Bytes_acked + info.Bytes_received), int64(info.Segs_out) + int64(info.Segs_in)}
 		}
 	})
 	return w
@@ -118,7 +120,7 @@
 	c.tap.mu.Lock()
 	if c.tap.open[c] {
 		now := c.carried()
-		c.tap.ended = wire{c.tap.ended.Bytes + now.Bytes, c.tap.ended.Segments + now.Segments}
+		c.tap.closed = traffic{c.tap.closed.Bytes + now.Bytes, c.tap.closed.Segments + now.Segments}
 		delete(c.tap.open, c)
 	}
 	c.tap.mu.Unlock()
