--- a/lab/scale/claims.go
+++ b/lab/scale/claims.go
@@ -12,29 +12,30 @@
 	"masthill/control/shared/outlier"
 )
 
-// claimsMost bounds what is kept of one member's claims.
+// maxClaims limits the recorded claims of one member.
 const maxClaims = 1 << 15
 
-// Claim is one thing that a member claimed, with the time of the machine's clock.
+// Claim records a change of a member's budget lease, of its leadership or of its judgement of a server, with the time by
+// the member's clock.
 type Claim struct {
 	Name        string            `json:"name"`
 	Epoch       uint64            `json:"epoch"`
 	At          int64             `json:"at"`
 	Claim       lease.Claim       `json:"claim"`
-	LeaderUntil int64             `json:"reign,omitempty"` // it allocates budgets until then
+	LeaderUntil int64             `json:"reign,omitempty"` // the member is the leader, which allocates budgets, until then
 	Decision    *outlier.Decision `json:"verdict,omitempty"`
 }
 
-// claims keeps a member's claims for a check.
+// claims records a member's claims for CheckBudgets.
 type claims struct {
 	mu    sync.Mutex
 	name  string
 	epoch uint64
 	all   []Claim
 	lost  int
-	// What holds now, beside the record.
+	// The current state, besides the record.
 	avoided     map[uint64]bool
-	leaderUntil int64 // until when this member allocates budgets
+	leaderUntil int64 // until when this member is the leader
 }
 
 func (c *claims) onClaim(now time.Time, one lease.Claim) {
@@ -60,7 +61,7 @@
 	c.add(Claim{At: now.UnixNano(), Decision: &v})
 }
 
-// now tells which servers the member avoids, and whether it allocates budgets.
+// current returns the servers that the member avoids and whether it is the leader, which allocates budgets.
 func (c *claims) current(at int64) (avoided []uint64, allocates bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	c.all = append(c.all, one)
 }
 
-// take gives the claims since it was called last.
+// drain returns the claims recorded since the last call of drain, and how many were dropped.
 func (c *claims) drain() (all []Claim, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,23 +90,23 @@
 	return all, lost
 }
 
-// process is one process of a member.
+// process identifies one process of a member.
 type process struct {
 	name  string
 	epoch uint64
 }
 
-// Budgets is what the check of all claims found.
+// BudgetCheck is the result of checking all claims of a fleet.
 type BudgetCheck struct {
 	Claims            int      `json:"claims"`
 	Budgets           int      `json:"budgets"`
-	Overspent         int      `json:"budgets_overspent"` // moments at which the parts in use added up to more than the pool
-	MaxInUse          float64  `json:"most_in_use"`       // of a pool, as a part of it
-	ConcurrentLeaders int      `json:"two_allocators"`    // times that two held themselves to be the allocator
+	Overspent         int      `json:"budgets_overspent"` // times that the leases in use added up to more than the pool
+	MaxInUse          float64  `json:"most_in_use"`       // greatest use of a pool, as a fraction of it
+	ConcurrentLeaders int      `json:"two_allocators"`    // times that two members were leaders at once
 	Findings          []string `json:"found,omitempty"`
 }
 
-// textsMost bounds what is told of a check.
+// maxFindings limits the findings that a check describes.
 const maxFindings = 10
 
 func (b *BudgetCheck) addFinding(n *int, format string, a ...any) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// CheckBudgets holds the claims of all members of a fleet against each other. ended tells when processes that were killed
-// had ended: they use nothing from then on.
+// CheckBudgets checks that the claims of all members of a fleet are consistent: the leases of a budget never exceed its
+// pool, and there is one leader at a time. ended holds when members were killed; they use nothing from then on.
 func CheckBudgets(all []Claim, members int, ended map[string]int64) BudgetCheck {
 	b := BudgetCheck{}
 	slices.SortStableFunc(all, func(x, y Claim) int { return cmp.Compare(x.At, y.At) })
@@ -146,14 +147,14 @@
 	return b
 }
 
-// alive tells whether a process had not been killed by a time.
+// isAlive tells whether a process had not been killed at a time.
 func isAlive(p process, at int64, ended map[string]int64) bool {
 	end, killed := ended[p.name]
 	return !killed || at < end
 }
 
-// sum adds up what may be used of one budget at the moment of a claim. Parts grow by claims alone, so that the greatest
-// sums are at claims.
+// checkSum adds up the leases of one budget at the time of a claim. Leases grow only by claims, so the greatest sums occur
+// at claims.
 func (b *BudgetCheck) checkSum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
 	sum, size, floor := int64(0), int64(0), int64(0)
 	for who, c := range using {
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// The kinds of fault.
+// The kinds of faults.
 const (
 	FaultMachine   = "machine"   // one member's process is killed
-	FaultRack      = "rack"      // twelve
-	FaultZone      = "zone"      // an eleventh
-	FaultRegion    = "region"    // a third is cut off for a time
-	FaultAllocator = "allocator" // its process is killed while cold servers' budgets are handed out
-	FaultRestarts  = "restarts"  // all restart, one batch after the other
-	FaultServer    = "server"    // a session server goes silent
+	FaultRack      = "rack"      // the processes of rackSize members are killed
+	FaultZone      = "zone"      // the process of an eleventh of the members is killed
+	FaultRegion    = "region"    // a third of the members is partitioned for a time
+	FaultAllocator = "allocator" // the leader's process is killed while budgets of cold servers are leased out
+	FaultRestarts  = "restarts"  // all members restart, the voters last
+	FaultServer    = "server"    // a session server stops answering
 )
 
-// Faults are all kinds, the simplest first.
+// FaultKinds lists all kinds of faults, the simplest first.
 var FaultKinds = []string{FaultMachine, FaultRack, FaultZone, FaultAllocator, FaultServer, FaultRegion, FaultRestarts}
 
 const (
 	rackSize = 12
-	// faultMost bounds the wait until all know.
+	// faultTimeout limits the wait until all members have noticed a fault or its end.
 	faultTimeout = 2 * time.Minute
-	// coldServers is how many servers start cold while the allocator is lost.
+	// coldServers is how many servers start cold to have their budgets leased out.
 	coldServers = 4
 )
 
-// Fault is what one fault cost a fleet.
+// Fault holds the effects of one fault on a fleet.
 type Fault struct {
 	Kind           string      `json:"kind"`
 	Size           int         `json:"size"`
-	ClockSlowdown  float64     `json:"slow,omitempty"` // all times are by the slower clock
+	ClockSlowdown  float64     `json:"slow,omitempty"` // all times are by the slowed clock
 	SyntheticCalls float64     `json:"made_up_calls_s"`
 	Affected       int         `json:"struck"` // members
 	DurationS      float64     `json:"lasted_s"`
-	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all that are left know; -1: not in time
-	RecoveredS     float64     `json:"healed_s,omitempty"` // from its end until all know of all again; -1: not in time
-	FalseDeaths    int64       `json:"false_deaths"`       // deaths told of members that lived and could be reached
-	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, over the fault
-	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // of the members of one process on average, in the worst second or so
+	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all remaining members have noticed; -1: timed out
+	RecoveredS     float64     `json:"healed_s,omitempty"` // from its end until all members know all again; -1: timed out
+	FalseDeaths    int64       `json:"false_deaths"`       // members reported dead that were alive and reachable
+	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, during the fault
+	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // the greatest mean over the members of one process, in an interval of about a second
 	PeakDatagrams  float64     `json:"peak_datagrams_s"`   // the same
 	PeakCPU        float64     `json:"peak_cpu_percent"`   // of a core for each member of one process, the same
 	BaselineBytes  float64     `json:"rest_wire_bytes_s"`  // before the fault
-	BaselineCPU    float64     `json:"rest_cpu_percent"`   // before
+	BaselineCPU    float64     `json:"rest_cpu_percent"`   // before the fault
 	HeapBefore     float64     `json:"heap_before_mb"`     // of a member
-	HeapAfter      float64     `json:"heap_after_mb"`      // once all is over
-	Budgets        BudgetCheck `json:"budgets"`            // over the run
-	Dropped        int64       `json:"dropped"`            // messages that found no room, over the fault
-	OthersCores    float64     `json:"others_cores"`       // that everything else on the machine used meanwhile
+	HeapAfter      float64     `json:"heap_after_mb"`      // after the fault
+	Budgets        BudgetCheck `json:"budgets"`            // since the start of the fleet
+	Dropped        int64       `json:"dropped"`            // messages dropped because of full queues, during the fault
+	OthersCores    float64     `json:"others_cores"`       // used by everything else on the machine meanwhile
 	Note           string      `json:"note,omitempty"`
 }
 
-// String tells a fault in a few lines.
+// String describes a fault in two lines.
 func (f *Fault) String() string {
 	return fmt.Sprintf("%s: %d of %d members struck, %.1f s; all knew after %.1f s, healed after %.1f s; false deaths %d; overspent %d (of %d claims, most in use %.2f), two allocators %d\n"+
 		"  bytes a second: %.0f at rest, %.0f over it, %.0f at most; processor %.2f%% at rest, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; others %.1f cores. %s",
@@ -62,22 +62,22 @@
 		f.BaselineBytes, f.MeanBytes, f.PeakBytes, f.BaselineCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
 }
 
-// Strikes are faults that happen to one fleet, one after the other, after it was measured at rest.
+// FaultRun measures a steady fleet and then injects faults into it, one after the other.
 type FaultRun struct {
 	Layout
 	Kinds           []string
-	GroupSize       int           // hollow members in a process, but for those that faults kill
-	WarmUp          time.Duration // after the start
-	MeasureIdle     time.Duration // measured without made-up calls; 0: it is not
-	MeasureBusy     time.Duration // measured with them
-	PartitionFor    time.Duration // how long a region is cut off, by the members' clock
-	MeasureBaseline time.Duration // before each fault, by the members' clock
+	GroupSize       int           // hollow members in a process, other than those that faults kill
+	WarmUp          time.Duration // after the start and before each steady measurement
+	MeasureIdle     time.Duration // length of the measurement without synthetic calls; 0: none
+	MeasureBusy     time.Duration // length of the measurement with them; 0: none
+	PartitionFor    time.Duration // duration of a region's partition, by the members' clock
+	MeasureBaseline time.Duration // length of the measurement before each fault, by the members' clock
 	Progress        io.Writer
-	OnResult        func(*Point, *Fault) error // each result as it comes
+	OnResult        func(*Point, *Fault) error // called with each result as soon as it is there
 }
 
-// Grouped puts members into processes so that faults can kill whole ones: each voter has one of its own, as has a machine;
-// a rack, a zone, and the rest.
+// GroupForFaults divides members into groups, one for each process, so that faults can kill whole processes. Each voter has
+// its own, followed by one other member, a rack, a zone, and groups of each for the rest.
 func GroupForFaults(size, each int) (groups [][]int, rack, zone int) {
 	voters := (&Spec{Size: size}).Voters()
 	for _, k := range voters {
@@ -94,7 +94,7 @@
 	return append(groups, SplitEvenly(to, size, each)...), rack, zone
 }
 
-// Run starts a fleet, measures it, has the faults happen and ends the fleet.
+// Run starts a fleet, measures it, injects the faults and stops the fleet.
 func (s FaultRun) Run(ctx context.Context) error {
 	var rack, zone int
 	s.Groups, rack, zone = GroupForFaults(s.Size, max(s.GroupSize, 1))
@@ -146,7 +146,7 @@
 
 func (s FaultRun) logf(format string, a ...any) { SteadyRun{Progress: s.Progress}.logf(format, a...) }
 
-// measured measures the fleet at rest at a rate of made-up calls.
+// measureSteady measures the steady fleet at a rate of synthetic calls.
 func (s FaultRun) measureSteady(f *Fleet, calls float64, long, met time.Duration) error {
 	if err := f.setCallRate(calls); err != nil {
 		return err
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -15,37 +15,37 @@
 	"masthill/internal/exchange"
 )
 
-// joined is a decision module beside control.
+// joinModule is a decision module that runs beside control.
 type joinModule = join.Module
 
-// feed makes up calls for a hollow member's shared state, so that it has as much to tell as one with real calls. The calls
-// touch neither control nor any socket.
+// feed generates synthetic calls for a hollow member's shared state, so that it sends as much to other members as with real
+// calls. The calls use neither control nor any socket.
 type feed struct {
 	mu      sync.Mutex
 	servers map[uint64]bool
-	silent  atomic.Uint64 // calls to this server get no answer; 0: none
+	silent  atomic.Uint64 // calls to this server get no answer; 0: all servers answer
 	calls   atomic.Uint64
-	rate    atomic.Uint64 // calls a second, the bits of a float64
-	open    []openCall    // at the silent server; the core's goroutine alone looks at them
+	rate    atomic.Uint64 // calls per second, as the bits of a float64
+	open    []openCall    // at the silent server; used only by the core's goroutine
 }
 
-// openCall is a made-up call without its answer.
+// openCall is a synthetic call that has not been answered.
 type openCall struct {
 	id     string
 	server uint64
 	at     int64
 }
 
-// openFor is how long a call without an answer is waited for: as long as the class's aim.
+// answerTimeout is how long a call waits for its answer: as long as the aim of its class.
 const answerTimeout = int64(1200 * time.Millisecond)
 
-// feedEvery is how often made-up calls are handed in.
+// feedInterval is the interval at which synthetic calls are submitted.
 const feedInterval = 100 * time.Millisecond
 
-// fedMost bounds the calls of one turn.
+// maxCallsPerTick limits the calls submitted in one interval.
 const maxCallsPerTick = 1000
 
-// listed keeps the servers that serve.
+// onListUpdate maintains the set of serving servers.
 func (f *feed) onListUpdate(changed []exchange.Office, full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,10 +67,10 @@
 	return slices.Sorted(maps.Keys(f.servers))
 }
 
-// tenants are those of host.Platform.
+// tenants are the tenants of host.Platform.
 var tenants = []string{"slaney-vines", "barrow-estate", "suir-growers"}
 
-// run hands calls in until ctx ends.
+// run submits calls until ctx ends.
 func (f *feed) run(ctx context.Context, m *Member) {
 	f.rate.Store(math.Float64bits(m.spec.SyntheticCalls))
 	tick := time.NewTicker(feedInterval)
@@ -98,7 +98,7 @@
 	}
 }
 
-// call is one made-up call: it arrives, is sent to a server and stands, unless the server is silent.
+// call plays one synthetic call: it is admitted, sent to a server and established, unless the server is silent.
 func (f *feed) call(now int64, m *Member, call, server uint64) {
 	id := "f" + strconv.FormatUint(call, 16)
 	m.shared.Admit(now, join.Call{ID: id, Tenant: tenants[call%uint64(len(tenants))]})
@@ -114,7 +114,7 @@
 	m.shared.OnEvent(now, control.Event{Kind: control.Stands, Call: id, Server: server})
 }
 
-// overdue ends the calls whose answer did not come.
+// timeOutCalls ends the calls that were not answered in time.
 func (f *feed) timeOutCalls(now int64, m *Member) {
 	for len(f.open) > 0 && now-f.open[0].at >= answerTimeout {
 		one := f.open[0]
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -7,10 +7,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Line is a straight line through measurements, by least squares.
+// Line is a least-squares line through measurements.
 type Line struct {
 	Quantity    string  `json:"what"`
-	Variable    string  `json:"of"` // what it goes by
+	Variable    string  `json:"of"` // the independent variable
 	Intercept   float64 `json:"intercept"`
 	InterceptCI float64 `json:"intercept_ci95"` // half width
 	Slope       float64 `json:"slope"`
@@ -19,7 +19,8 @@
 	Points      int     `json:"points"`
 }
 
-// Fit fits a line, with 95% confidence intervals of its two figures. It takes three points at least.
+// FitLine fits a line, with 95% confidence intervals of its intercept and slope. It needs three points at least; with fewer,
+// both are zero.
 func FitLine(what, of string, x, y []float64) Line {
 	l := Line{Quantity: what, Variable: of, Points: len(x)}
 	if len(x) < 3 || stat.Variance(x, nil) == 0 {
@@ -37,19 +38,19 @@
 	variance := rest / (n - 2)
 	l.SlopeCI = t * math.Sqrt(variance/squares)
 	l.InterceptCI = t * math.Sqrt(variance*(1/n+mean*mean/squares))
-	if l.R2 = stat.RSquared(x, y, nil, l.Intercept, l.Slope); math.IsNaN(l.R2) { // all the same
+	if l.R2 = stat.RSquared(x, y, nil, l.Intercept, l.Slope); math.IsNaN(l.R2) { // all y are the same
 		l.R2 = 0
 	}
 	return l
 }
 
-// Tells is how many datagrams a second a member has to send to tell all others its counts: each gets one every half
-// second, and every so many half seconds more in fleets over 64.
+// CountDatagrams is how many datagrams per second a member sends to report its counts to all others: each gets one every half
+// second in fleets of up to 64, and one every ceil(members/64) half seconds in larger ones.
 func CountDatagrams(members int) float64 {
 	return 2 * float64(members-1) / math.Ceil(float64(members)/64)
 }
 
-// Lines fits a member's costs over points of different sizes with the same load.
+// FitCosts fits a member's costs over measurements of different sizes with the same load.
 func FitCosts(points []*Point) []Line {
 	var sizes, tells, rates, sent, wire, stream, cpu, resident, heap, age []float64
 	for _, p := range points {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// startPause is the pause between two starts in one group.
+	// startPause is the pause after each start of a member in a group.
 	startPause = 5 * time.Millisecond
-	// meetFor is how long a fleet may take until all its members know of all, by the members' clock, and meetMost by any.
+	// convergeTimeout is how long a fleet may take until all its members know all, by the members' clock, and
+	// maxConvergeTimeout by the machine's clock.
 	convergeTimeout, maxConvergeTimeout = 90 * time.Second, 4 * time.Minute
-	// lookEvery is the pause between two looks while something is waited for.
+	// pollInterval is the pause between two snapshots while waiting for a condition.
 	pollInterval = 500 * time.Millisecond
-	// listedFirst is the number of the first server on the list.
+	// firstServer is the number of the first server on the list.
 	firstServer = 0x1000
 )
 
-// Layout is a fleet of hollow members and how they are put into processes.
+// Layout describes a fleet of hollow members and how they are divided into processes.
 type Layout struct {
 	Spec
-	Groups  [][]int  // of members' numbers
-	Command []string // the program that serves a group, with its arguments; none: all run in this process
+	Groups  [][]int  // numbers of the members of each group
+	Command []string // the program that serves a group, with its arguments; empty: all groups run in this process
 }
 
-// Fleet is a fleet that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Layout
 	ctx         context.Context
@@ -41,13 +42,13 @@
 	list        *standin.ListService
 	mu          sync.Mutex
 	groups      []runner
-	killed      map[int]bool // groups that were killed
+	killed      map[int]bool // by group
 	realMembers []*realProcess
 	claims      []Claim
-	killedAt    map[string]int64 // members that were killed: when, by the members' clock
+	killedAt    map[string]int64 // by name of the member, by the members' clock
 }
 
-// Even puts members from a number on into groups of a size.
+// SplitEvenly divides the members from..to-1 into groups of size each; the last may be smaller.
 func SplitEvenly(from, to, each int) (all [][]int) {
 	for k := from; k < to; k++ {
 		if n := len(all); n == 0 || len(all[n-1]) >= each {
@@ -58,7 +59,7 @@
 	return all
 }
 
-// place finds a loopback net that no other run holds. It is this run's until the listener is closed.
+// reserveNetwork finds a loopback network that no other run uses. It is reserved until the listener is closed.
 func reserveNetwork(seed uint64) (at string, held net.Listener, err error) {
 	for n := range uint64(100) {
 		at = fmt.Sprintf("127.%d", 130+(seed+n*7)%100)
@@ -69,7 +70,7 @@
 	return "", nil, err
 }
 
-// Begin opens the discovery service and the groups' processes; no member runs yet.
+// NewFleet starts the discovery service and the processes of the groups, but no members.
 func NewFleet(ctx context.Context, l Layout) (*Fleet, error) {
 	at, held, err := reserveNetwork(l.Seed)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return newRemote(f.ctx, &f.Spec, f.Command)
 }
 
-// entry is a server on the list. Nobody connects to it: hollow members have no calls.
+// serverEntry makes the list entry of a server. Nobody connects to it, as hollow members have no real calls.
 func serverEntry(k int, started time.Time) standin.Entry {
 	e := standin.Entry{ID: fmt.Sprintf("s-%08x", firstServer+k), Addr: "127.0.0.1:9", Cell: k, State: "SERVING", Weight: 1}
 	if !started.IsZero() {
@@ -117,7 +118,7 @@
 	return e
 }
 
-// Start starts all hollow members: those that the others join by first.
+// Start starts all hollow members, the voters first, since they are the seeds of the others.
 func (f *Fleet) Start() error {
 	first := f.Voters()
 	if err := f.forEachGroup(func(k int, r runner) error {
@@ -134,7 +135,7 @@
 	})
 }
 
-// each does something with all groups that are alive, at the same time.
+// forEachGroup runs do for all groups that were not killed, concurrently.
 func (f *Fleet) forEachGroup(do func(k int, r runner) error) error {
 	var g errgroup.Group
 	f.mu.Lock()
@@ -154,7 +155,7 @@
 	return f.killed[k]
 }
 
-// Look looks at all groups; those that were killed have empty looks.
+// Snapshot takes snapshots of all groups; those of killed groups are empty.
 func (f *Fleet) Snapshot(a SnapshotOptions) ([]Snapshot, error) {
 	all := make([]Snapshot, len(f.groups))
 	err := f.forEachGroup(func(k int, r runner) error {
@@ -174,7 +175,7 @@
 	return all, err
 }
 
-// until looks at the fleet until something holds of all members, and tells how long that took.
+// waitUntil polls the fleet until a condition holds for all members, and returns how long that took.
 func (f *Fleet) waitUntil(what string, most time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
 	began := time.Now()
 	for {
@@ -203,7 +204,7 @@
 	}
 }
 
-// pass waits, and ends early with the run.
+// sleep waits for d, or returns the cause when the run is canceled.
 func (f *Fleet) sleep(d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -215,13 +216,13 @@
 	}
 }
 
-// Meet waits until all members know of so many.
+// WaitForMembers waits until all hollow members see so many members alive.
 func (f *Fleet) WaitForMembers(members int) (time.Duration, error) {
 	most := min(time.Duration(float64(convergeTimeout)*f.slowdown()), maxConvergeTimeout)
 	return f.waitUntil(fmt.Sprintf("all %d members are known", members), most, func(s MemberStatus) bool { return s.Alive == members })
 }
 
-// call sets the made-up calls of all hollow members, a second.
+// setCallRate sets the synthetic calls per second of each hollow member.
 func (f *Fleet) setCallRate(rate float64) error {
 	f.SyntheticCalls = rate
 	return f.forEachGroup(func(_ int, r runner) error {
@@ -230,14 +231,14 @@
 	})
 }
 
-// left is how many members have not been killed.
+// remaining is the number of members that have not been killed.
 func (f *Fleet) remaining() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Size - len(f.killedAt)
 }
 
-// Kill ends a group's process at once.
+// Kill kills a group's process.
 func (f *Fleet) Kill(k int) {
 	f.mu.Lock()
 	f.killed[k] = true
@@ -248,7 +249,7 @@
 	f.groups[k].kill()
 }
 
-// Close ends all that the fleet runs.
+// Close stops all members, processes and services of the fleet.
 func (f *Fleet) Close() {
 	for _, r := range f.realMembers {
 		r.Stop(true)
--- a/lab/scale/formula.go
+++ b/lab/scale/formula.go
@@ -5,33 +5,34 @@
 	"math"
 )
 
-// The formula of docs/CAPACITY.md: what a member sends at rest. Its figures are fitted there; the tests hold small fleets to it.
+// The formula of docs/CAPACITY.md for what a member of a steady fleet sends. Its figures are fitted there; the tests check
+// small fleets against it.
 const (
-	// probeDatagrams is what the membership library sends a second beside counts: two probes, the answers to two, and gossip
-	// while members come and go.
+	// probeDatagrams is the number of datagrams per second that the membership library sends besides counts: two probes, the
+	// answers to two, and gossip while members join and leave.
 	probeDatagrams = 8.0
-	// countBytes is a count's datagram without calls, with its headers, callBytes what counts of three tenants add to it, and
-	// reportBytes a report of one server in it.
+	// countBytes is the size of a count's datagram without calls, with its headers; callBytes is what the counts of three tenants
+	// add to it, and reportBytes what the report of one server adds.
 	countBytes, callBytes, reportBytes = 110.0, 140.0, 17.0
-	// memberBytes is a member's entry in an exchange of the whole list of members over a stream, exchangeEvery how often a
-	// member begins one in a fleet of 32, in seconds, and as often others begin one with it.
+	// memberBytes is the size of a member's entry in an exchange of the whole member list over a stream. exchangeInterval is the
+	// interval, in seconds, at which a member starts one in a fleet of 32; as often others start one with it.
 	memberBytes, exchangeInterval = 130.0, 15.0
-	// rejoinEvery is how often, in seconds, a member exchanges lists with up to three of the seeds in the half minute after its
-	// start, in which the tests look at it; settled, it does so no more often than that.
+	// rejoinInterval is the interval, in seconds, at which a member exchanges lists with up to three of the seeds in the half
+	// minute after its start, when the tests measure it; later it does so no more often than that.
 	rejoinInterval, rejoinSeeds = 24.0, 3.0
-	// reportsMost is the most reports that a message carries, reportFor how long one lasts, in seconds.
+	// maxReports is the limit of reports in a message, reportLifetime how long a report is repeated, in seconds.
 	maxReports, reportLifetime = 64, 6
 )
 
-// Datagrams is the most that a member sends a second at rest.
+// MaxDatagrams is the upper bound of datagrams per second that a member of a steady fleet sends.
 func MaxDatagrams(members int) float64 { return CountDatagrams(members) + probeDatagrams }
 
-// Reports is how many reports a member's message carries at a rate of calls over so many servers.
+// ReportsPerMessage is how many reports a member's message carries at a rate of calls, spread over so many servers.
 func ReportsPerMessage(calls float64, servers int) float64 {
 	return min(calls*reportLifetime, float64(servers), maxReports)
 }
 
-// Bytes is the most that a member sends a second at rest, with the headers of datagrams.
+// MaxBytes is the upper bound of bytes per second that a member of a steady fleet sends, with the headers of datagrams.
 func MaxBytes(members, servers int, calls float64) float64 {
 	each := countBytes
 	if calls > 0 {
@@ -40,8 +41,8 @@
 	return MaxDatagrams(members)*each + streamBytes(members)
 }
 
-// streamBytes is what a member sends a second in exchanges of the list of members. The library begins them more rarely in
-// larger fleets; those with the seeds are this program's and come as often in any fleet that has just started.
+// streamBytes is what a member sends per second in exchanges of the member list. The library starts them less often in
+// larger fleets; those with the seeds are started by this program, equally often in any fleet that has just started.
 func streamBytes(members int) float64 {
 	every := exchangeInterval
 	if members > 32 {
@@ -50,7 +51,7 @@
 	return memberBytes * float64(members) * (2/every + 2*rejoinSeeds/rejoinInterval)
 }
 
-// Exceeds names each figure of a measurement that is over the formula.
+// ExceededLimits describes each figure of a measurement that exceeds the formula.
 func ExceededLimits(p *Point, servers int) (all []string) {
 	for _, one := range []struct {
 		what        string
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -14,15 +14,15 @@
 	"masthill/internal/peers"
 )
 
-// Sight is what one member shows at one moment.
+// MemberStatus is the state of one member at one time.
 type MemberStatus struct {
 	Number    int           `json:"number"`
 	Name      string        `json:"name"`
-	Alive     int           `json:"alive"` // members that it takes to be there, itself among them
+	Alive     int           `json:"alive"` // members that it sees as alive or suspect, including itself
 	Suspect   int           `json:"suspect"`
 	Gone      int           `json:"gone"`
-	Deaths    int64         `json:"deaths"`            // how often it took another to have died, since the start of its process
-	Avoided   []uint64      `json:"avoided,omitempty"` // servers, on the others' word
+	Deaths    int64         `json:"deaths"`            // how often it declared another member dead, since the start of its process
+	Avoided   []uint64      `json:"avoided,omitempty"` // servers, by judgements shared with other members
 	Allocates bool          `json:"allocates,omitempty"`
 	Received  int64         `json:"heard"`
 	Dropped   int64         `json:"dropped"`
@@ -30,42 +30,42 @@
 	ListPos   int64         `json:"list_pos"`
 }
 
-// Look is what a group shows at one moment.
+// Snapshot is the state of a group at one time.
 type Snapshot struct {
 	At              int64          `json:"at"` // Unix nanoseconds
 	Members         []MemberStatus `json:"members"`
-	CPU             time.Duration  `json:"cpu_ns"` // of the process, since its start
+	CPU             time.Duration  `json:"cpu_ns"` // processor time of the process, since its start
 	Resident        int64          `json:"resident_bytes"`
-	Heap            int64          `json:"heap_bytes"` // live, after a collection
+	Heap            int64          `json:"heap_bytes"` // live bytes, after a garbage collection
 	CountAgesMS     []int64        `json:"count_ages_ms,omitempty"`
 	JudgementAgesMS []int64        `json:"judgement_ages_ms,omitempty"`
-	CountSources    int            `json:"sources,omitempty"` // processes whose counts a member keeps, at most
+	CountSources    int            `json:"sources,omitempty"` // the most processes whose counts a member keeps
 	Claims          []Claim        `json:"claims,omitempty"`
 	ClaimsLost      int            `json:"claims_lost,omitempty"`
 }
 
-// Ask is what a look is to tell beside what it always does; each costs processor time in the process that is looked at.
+// SnapshotOptions selects optional parts of a snapshot. Each costs processor time in the measured process.
 type SnapshotOptions struct {
-	MembersForAges int  `json:"ages"`   // ask so many members how old what they know is
-	Heap           bool `json:"heap"`   // collect garbage first, and tell what lives
-	Claims         bool `json:"claims"` // and the claims since the last such look
+	MembersForAges int  `json:"ages"`   // how many members report the ages of what they know
+	Heap           bool `json:"heap"`   // collect garbage first and report the live heap
+	Claims         bool `json:"claims"` // include the claims since the last snapshot with claims
 }
 
-// Group is some hollow members in this process.
+// Group is a set of hollow members in this process.
 type Group struct {
 	spec    *Spec
 	ctx     context.Context
 	mu      sync.Mutex
 	members map[int]*Member
-	claims  []Claim // of members that have ended
+	claims  []Claim // of members that have stopped
 }
 
-// NewGroup makes an empty group; ctx ends all its members.
+// NewGroup makes an empty group; the end of ctx stops all its members.
 func NewGroup(ctx context.Context, s *Spec) *Group {
 	return &Group{spec: s, ctx: ctx, members: map[int]*Member{}}
 }
 
-// Start starts members, pausing between them.
+// Start starts members, with a pause after each.
 func (g *Group) Start(numbers []int, pause time.Duration) error {
 	for _, k := range numbers {
 		m, err := NewMember(g.spec, k)
@@ -82,11 +82,11 @@
 		case <-time.After(pause):
 		}
 	}
-	debug.FreeOSMemory() // as the program does after its start
+	debug.FreeOSMemory() // the program does so after its start, too
 	return nil
 }
 
-// Stop has members leave as at a planned end, one after the other.
+// Stop shuts members down gracefully, one after the other.
 func (g *Group) Stop(numbers []int) error {
 	for _, k := range numbers {
 		g.mu.Lock()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// Cut has these members reach only each other and all others only themselves; none: all reach all.
+// Partition separates these members from all others; with no numbers, it ends the partition.
 func (g *Group) Partition(numbers []int) {
 	inside := map[int]bool{}
 	for _, k := range numbers {
@@ -137,14 +137,14 @@
 	}
 }
 
-// Silence has the made-up calls of all members to a server get no answer; 0: all servers answer.
+// SilenceServer leaves the synthetic calls of all members to a server unanswered; 0: all servers answer.
 func (g *Group) SilenceServer(server uint64) {
 	for _, m := range g.allMembers() {
 		m.feed.silent.Store(server)
 	}
 }
 
-// Call sets the made-up calls of all members, a second.
+// SetCallRate sets the synthetic calls per second of each member.
 func (g *Group) SetCallRate(rate float64) {
 	for _, m := range g.allMembers() {
 		m.feed.rate.Store(math.Float64bits(rate))
@@ -160,7 +160,7 @@
 	return all
 }
 
-// Look looks at all members.
+// Snapshot takes a snapshot of all members.
 func (g *Group) Snapshot(a SnapshotOptions) Snapshot {
 	l := Snapshot{At: time.Now().UnixNano()}
 	for n, m := range g.allMembers() {
@@ -185,7 +185,7 @@
 	return l
 }
 
-// sight looks at one member.
+// status reads the state of one member.
 func (m *Member) status() MemberStatus {
 	st := m.peers.Status()
 	s := MemberStatus{Number: m.number, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
@@ -205,7 +205,7 @@
 	return s
 }
 
-// ages tells how old what a member knows of each other one is.
+// addAges adds the ages of the counts and judgements that a member has of the others.
 func (m *Member) addAges(l *Snapshot) {
 	now := m.now().UnixNano()
 	l.JudgementAgesMS = append(l.JudgementAgesMS, m.module.ages(now)...)
@@ -220,14 +220,14 @@
 	})
 }
 
-// usage is this process's processor time and resident memory.
+// processUsage is this process's processor time and resident memory.
 func processUsage() (time.Duration, int64) {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), residentOf(os.Getpid())
 }
 
-// heap is what lives on the heap.
+// liveHeap is the size of the live heap, after a garbage collection.
 func liveHeap() int64 {
 	runtime.GC()
 	var s runtime.MemStats
