--- a/lab/scale/fault_kinds.go
+++ b/lab/scale/fault_kinds.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// play has the fault happen and waits until all know.
+// inject injects the fault and waits until all members have noticed it, and its end.
 func (p *faultTest) inject() error {
 	began := time.Now()
 	var err error
@@ -32,7 +32,7 @@
 	return err
 }
 
-// all waits until something holds of all members, from now on; -1: it does not in time.
+// waitForAll waits until a condition holds for all members and returns the seconds from now on; -1: timed out.
 func (p *faultTest) waitForAll(what string, holds func(MemberStatus) bool) (float64, error) {
 	took, err := p.fleet.waitUntil(what, p.machineTime(faultTimeout), holds)
 	if err != nil && took > p.machineTime(faultTimeout) {
@@ -42,7 +42,7 @@
 	return p.memberSeconds(took), err
 }
 
-// killed ends one process and waits until all others know that its members are gone.
+// killGroup kills one group's process and waits until all others know that its members are gone.
 func (p *faultTest) killGroup(group int) (err error) {
 	p.result.Affected = len(p.Groups[group])
 	p.fleet.Kill(group)
@@ -50,7 +50,8 @@
 	return err
 }
 
-// allocator has servers start cold, so that all ask for parts of their budgets, and kills the allocator then.
+// killAllocator has servers start cold, so that all members request leases of their budgets, and then kills the group of the
+// leader, which allocates them.
 func (p *faultTest) killAllocator() (err error) {
 	p.startColdServers()
 	reigns := func() int {
@@ -74,7 +75,7 @@
 		p.result.DetectedS = -1
 		return nil
 	}
-	if err := p.fleet.sleep(p.machineTime(3 * time.Second)); err != nil { // parts are out, and in use
+	if err := p.fleet.sleep(p.machineTime(3 * time.Second)); err != nil { // leases are granted and in use
 		return err
 	}
 	began := time.Now()
@@ -89,19 +90,19 @@
 			return err
 		}
 	}
-	p.result.RecoveredS = p.memberSeconds(time.Since(began)) // another allocates
+	p.result.RecoveredS = p.memberSeconds(time.Since(began)) // another member is the leader
 	p.result.DetectedS, err = p.waitForAll("the dead is known", func(s MemberStatus) bool { return s.Alive == p.size-p.result.Affected })
 	return err
 }
 
-// coldStart has the list tell that some servers have just started.
+// startColdServers updates the list so that some servers appear to have just started.
 func (p *faultTest) startColdServers() {
 	for k := range min(coldServers, p.Servers) {
 		p.fleet.list.AnnounceChange(serverEntry(k, p.fleet.memberTime(time.Now())), 0)
 	}
 }
 
-// server has a session server answer no call for a time.
+// silenceServer leaves the calls to a session server unanswered until all members avoid it.
 func (p *faultTest) silenceServer() (err error) {
 	const silent = firstServer + 7
 	p.result.Affected = 1
@@ -125,7 +126,7 @@
 	return err
 }
 
-// region cuts a third of the members off and heals it.
+// partitionRegion partitions a third of the members from the rest, and then ends the partition.
 func (p *faultTest) partitionRegion() (err error) {
 	away := p.Size / 3
 	p.result.Affected = away
@@ -164,8 +165,8 @@
 	return err
 }
 
-// restarts has all members restart as in a release: one after the other in each process, and the voters after the rest, one
-// at a time.
+// restartAll restarts all members as an upgrade does: one after the other in each process, and the voters after the rest,
+// one at a time.
 func (p *faultTest) restartAll() (err error) {
 	p.result.Affected = p.size
 	p.startColdServers()
@@ -197,5 +198,5 @@
 	return err
 }
 
-// restartPause is the pause after a restart before the next one in the same process.
+// restartPause is the pause between two restarts in the same process.
 const restartPause = 500 * time.Millisecond
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -1,7 +1,7 @@
-// Package scale measures what a fleet of masthill costs for each member, at sizes that one machine cannot run in full.
-// Most members are hollow: the program's own control stack (configuration, discovery client, core, shared state and
-// membership) with an address of its own on loopback, many in one process and without calls. Real ones, processes of
-// the program, run beside them. The figures of the two are held against each other before hollow ones are believed.
+// Package scale measures what a fleet of masthill costs each member, at sizes that one machine cannot run in full. Most
+// members are hollow: the program's own control stack (configuration, discovery client, core, shared state and membership)
+// with an address of its own on loopback, many in one process and without calls. Real members, which are processes of the
+// program, can run beside them; comparing the two shows how far the figures of hollow members can be trusted.
 package scale
 
 import (
@@ -29,39 +29,39 @@
 	"masthill/lab/host"
 )
 
-// key seals what the members of a run say to each other; it protects nothing.
+// key encrypts the messages between the members of a run. It is public, so it protects nothing.
 const key = "bWFzdGhpbGwtbGFiLWtleQ=="
 
-// plannedEach is the planned load of each member, in calls a second: 110,000 over 470 members.
+// plannedPerMember is the planned load of each member, in calls per second: 110,000 over 470 members.
 const plannedPerMember = 234
 
-// Spec is what all members of a fleet have in common.
+// Spec holds what all members of a fleet have in common.
 type Spec struct {
 	Size           int     `json:"size"`    // members
 	Servers        int     `json:"servers"` // on the list
 	Zones          int     `json:"zones"`
-	Network        string  `json:"net"`     // the first two numbers of all addresses
+	Network        string  `json:"net"`     // the first two octets of all addresses
 	DiscoveryAddr  string  `json:"list"`    // address of the discovery service
-	InitialList    []byte  `json:"known"`   // its list at the start
-	SyntheticCalls float64 `json:"calls"`   // made-up calls a second at each hollow member: what they make it tell, not their processor time
-	Budgets        bool    `json:"budgets"` // cold servers have a shared budget
-	OmitCheck      string  `json:"without"` // a guard that is left out, to show that the checks notice
-	ClockSlowdown  float64 `json:"slow"`    // the clock of hollow members runs so many times slower; up to 1: as it is
-	ClockOrigin    int64   `json:"origin"`  // when the fleet began, Unix nanoseconds: the slower clock runs from there
+	InitialList    []byte  `json:"known"`   // the list of servers at the start
+	SyntheticCalls float64 `json:"calls"`   // synthetic calls per second at each hollow member; they cause its messages, but not the processor time of calls
+	Budgets        bool    `json:"budgets"` // members share the budgets of cold servers
+	OmitCheck      string  `json:"without"` // a safety check that is omitted, to show that the tests detect it
+	ClockSlowdown  float64 `json:"slow"`    // the clock of hollow members runs so many times slower; up to 1: not slowed
+	ClockOrigin    int64   `json:"origin"`  // start of the fleet in Unix nanoseconds, from which the slowed clock runs
 	Seed           uint64  `json:"seed"`
 }
 
-// slow is by how many times the clock is slower.
+// slowdown is the factor by which the members' clock runs slower.
 func (s *Spec) slowdown() float64 { return max(s.ClockSlowdown, 1) }
 
-// clock makes the clock of members. It does not step, and is the same in all processes of a run.
+// clock makes the members' clock. It does not step, and is the same in all processes of a run.
 func (s *Spec) clock() func() time.Time {
 	began := time.Now()
 	first := s.memberTime(began)
 	return func() time.Time { return first.Add(time.Duration(float64(time.Since(began)) / s.slowdown())) }
 }
 
-// at is a time by the members' clock.
+// memberTime converts a time of the machine's clock to the members' clock.
 func (s *Spec) memberTime(t time.Time) time.Time {
 	if s.slowdown() == 1 {
 		return t
@@ -69,18 +69,18 @@
 	return time.Unix(0, s.ClockOrigin+int64(float64(t.UnixNano()-s.ClockOrigin)/s.slowdown()))
 }
 
-// Name is a member's name by its number.
+// Name is the name of member k.
 func (s *Spec) Name(k int) string { return fmt.Sprintf("n%d", k) }
 
-// perSubnet is how many members share the first three numbers of their addresses.
+// membersPerSubnet is how many members share the first three octets of their addresses.
 const membersPerSubnet = 200
 
-// Addr is a member's address by its number.
+// Addr is the address of member k.
 func (s *Spec) Addr(k int) string {
 	return fmt.Sprintf("%s.%d.%d:2908", s.Network, 1+k/membersPerSubnet, 1+k%membersPerSubnet)
 }
 
-// number is a member's number by its address; -1: it is none.
+// number is the number of the member with an address; -1: there is none.
 func (s *Spec) number(a netip.Addr) int {
 	b := a.As4()
 	if !strings.HasPrefix(a.String(), s.Network+".") {
@@ -89,8 +89,8 @@
 	return (int(b[2])-1)*membersPerSubnet + int(b[3]) - 1
 }
 
-// Voters are the numbers of the members that settle who allocates budgets: five, or three of a small fleet, on different
-// machines and zones.
+// Voters returns the numbers of the members that elect the leader, which allocates budgets: five, or three in a fleet of
+// fewer than 30, on different machines and in different zones.
 func (s *Spec) Voters() (all []int) {
 	n := 5
 	if s.Size < 30 {
@@ -102,7 +102,7 @@
 	return all
 }
 
-// Settings is the operators' file of a member.
+// Settings is the operators' settings file of member k.
 func (s *Spec) Settings(k int) string {
 	var voters, seeds []string
 	for _, n := range s.Voters() {
@@ -116,7 +116,7 @@
 		s.Addr(k), k%max(s.Zones, 1), k, strings.Join(seeds, ", "), key, strings.Join(voters, ", "), s.Size, s.Budgets)
 }
 
-// Platform is the platform's file of a member.
+// Platform is the platform file of member k.
 func (s *Spec) Platform(k int) map[string]any {
 	p := host.PlatformConfig(s.Name(k), k, host.Site{Instances: s.Size, Servers: s.Servers, Planned: plannedPerMember * float64(s.Size)}, s.DiscoveryAddr,
 		s.Seed+uint64(k)*0x9e3779b97f4a7c15)
@@ -124,7 +124,7 @@
 	return p
 }
 
-// configured reads a member's files as the program does.
+// parseConfig parses a member's files as the program does.
 func (s *Spec) parseConfig(k int) (*config.Platform, *config.OperatorSettings, error) {
 	text, err := json.Marshal(s.Platform(k))
 	if err != nil {
@@ -138,7 +138,7 @@
 	return p, own, err
 }
 
-// Member is one hollow instance.
+// Member is one hollow member.
 type Member struct {
 	spec      *Spec
 	number    int
@@ -148,14 +148,14 @@
 	list      *journal.Client
 	module    *peerModule
 	claims    claims
-	reachable atomic.Pointer[func(number int) bool] // which members can be reached; nil: all
+	reachable atomic.Pointer[func(number int) bool] // tells which members can be reached; nil: all
 	feed      feed
 	stop      context.CancelFunc
 	done      chan error
-	now       func() time.Time // of its core
+	now       func() time.Time // the members' clock
 }
 
-// noServers is the servers' side of a core without calls.
+// noServers implements exchange's connections to servers for a core without calls.
 type noServers struct{}
 
 func (noServers) UpdateList([]exchange.Office, bool)    {}
@@ -164,7 +164,7 @@
 func (noServers) Bye(uint64, string, int, bool)         {}
 func (noServers) ReportSilence(uint64, time.Time, bool) {}
 
-// NewMember assembles a hollow member as the program assembles itself, and opens its address.
+// NewMember assembles a hollow member in the same way as the program does, and opens its address.
 func NewMember(s *Spec, k int) (*Member, error) {
 	p, own, err := s.parseConfig(k)
 	if err != nil {
@@ -204,7 +204,7 @@
 	return m, err
 }
 
-// reach tells whether another member is on this one's side of a cut.
+// isReachable tells whether another member is on the same side of a partition.
 func (m *Member) isReachable(a netip.AddrPort) bool {
 	cut := m.reachable.Load()
 	return cut == nil || (*cut)(m.spec.number(a.Addr()))
@@ -221,21 +221,21 @@
 	go func() { m.done <- g.Wait() }()
 }
 
-// Stop has the member leave its fleet as at a planned end.
+// Stop shuts the member down gracefully: it leaves its fleet.
 func (m *Member) Stop() error {
 	m.stop()
 	return <-m.done
 }
 
-// ear stands between the membership and the shared state, and notes when each other member's judgements last came.
+// peerModule wraps the shared state for the membership, and records when judgements of each other member last arrived.
 type peerModule struct {
 	*shared.Shared
 	omitCheck    string
 	mu           sync.Mutex
-	judgementsAt map[string]int64 // by sender: when, by the member's clock
+	judgementsAt map[string]int64 // by sender, by the members' clock
 }
 
-// WithoutPace leaves out that everything is told once: a build that talks too much, for the tests to catch.
+// CheckPace, as Spec.OmitCheck, sends every message twice, to show that the tests detect excessive traffic.
 const CheckPace = "pace"
 
 // Tick implements peers.Module.
@@ -257,7 +257,7 @@
 	return e.Shared.Receive(now, m)
 }
 
-// ages tells how old each other member's newest judgements are, in milliseconds.
+// ages returns the ages of each other member's latest judgements, in milliseconds.
 func (e *peerModule) ages(now int64) (all []int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -10,18 +10,18 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Budget is what a member may spend on control.
+// CostBudget is what a member may use for control: percent of a core, megabytes, and bytes sent per second.
 var CostBudget = struct{ CPU, MemoryMB, Bytes float64 }{CPU: 1.3, MemoryMB: 32, Bytes: 7000}
 
-// panel is one picture: a cost by size, with its budget.
+// panel is one diagram: a cost by size, with its budget.
 type panel struct {
 	title  string
 	of     func(c *Cost) float64
 	budget float64
 }
 
-// Plot draws bytes, processor time and memory by size as SVG, with a point for each measurement: hollow members, real ones
-// beside them, and the budget as a line.
+// Plot draws bytes, processor time and memory by size as SVG, with a point for each measurement of hollow and of real
+// members, and the budget as a line.
 func Plot(points []*Point, file string) error {
 	panels := []panel{
 		{"KB a second sent, with headers", func(c *Cost) float64 { return c.SentWire / 1000 }, CostBudget.Bytes / 1000},
--- a/lab/scale/proc.go
+++ b/lab/scale/proc.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// clockTicks is the unit of processor time in /proc, in a second.
+// clockTicks is how many units of processor time in /proc make a second.
 const clockTicks = 100
 
-// residentOf is a process's resident memory that is its own: anonymous pages, without the program's mapped file.
+// residentOf is a process's resident anonymous memory, in bytes, which excludes the program's mapped file.
 func residentOf(pid int) int64 {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// cpuOf is a process's processor time.
+// cpuOf is the processor time that a process has used.
 func cpuOf(pid int) time.Duration {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -41,14 +41,14 @@
 	return time.Duration(user+system) * (time.Second / clockTicks)
 }
 
-// Machine is how busy the machine is.
+// MachineLoad is the processor use of the whole machine at one time.
 type MachineLoad struct {
 	At          int64   `json:"at"`
-	BusySeconds float64 `json:"busy_core_s"` // processor time of everybody since the machine's start
+	BusySeconds float64 `json:"busy_core_s"` // processor time of all processes since boot
 	LoadAverage float64 `json:"load_average"`
 }
 
-// LookAtMachine reads how busy the machine is.
+// ReadMachineLoad reads the processor use of the machine.
 func ReadMachineLoad() MachineLoad {
 	m := MachineLoad{At: time.Now().UnixNano()}
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
@@ -58,7 +58,7 @@
 		line, _, _ := strings.Cut(string(text), "\n")
 		for k, f := range strings.Fields(line) {
 			ticks, _ := strconv.ParseFloat(f, 64)
-			if k >= 1 && k <= 8 && k != 4 && k != 5 { // all but idle and waiting for disks
+			if k >= 1 && k <= 8 && k != 4 && k != 5 { // all but idle and iowait
 				m.BusySeconds += ticks / clockTicks
 			}
 		}
@@ -66,7 +66,7 @@
 	return m
 }
 
-// cores is how many cores were busy on average from one look to another.
+// cores is how many cores were busy on average between two readings.
 func cores(from, to MachineLoad) float64 {
 	return (to.BusySeconds - from.BusySeconds) / (float64(to.At-from.At) / 1e9)
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// order is what a group is told to do.
+// request asks a group to do something.
 type request struct {
 	Do      string          `json:"do"`
 	Spec    *Spec           `json:"spec,omitempty"`
@@ -24,7 +24,7 @@
 	Calls   float64         `json:"calls,omitempty"`
 }
 
-// The orders.
+// The values of request.Do.
 const (
 	doBegin   = "begin" // takes the Spec
 	doStart   = "start"
@@ -36,13 +36,13 @@
 	doLook    = "look"
 )
 
-// reply is what a group answers.
+// reply is a group's answer to a request.
 type reply struct {
 	Error string    `json:"error,omitempty"`
 	Look  *Snapshot `json:"look,omitempty"`
 }
 
-// obey carries an order out.
+// handle executes a request.
 func (g *Group) handle(o request) (r reply) {
 	var err error
 	switch o.Do {
@@ -62,7 +62,7 @@
 		l := g.Snapshot(o.Ask)
 		r.Look = &l
 	default:
-		err = fmt.Errorf("unknown order %q", o.Do)
+		err = fmt.Errorf("unknown request %q", o.Do)
 	}
 	if err != nil {
 		r.Error = err.Error()
@@ -70,7 +70,7 @@
 	return r
 }
 
-// Serve is a group's process: it takes orders as lines of JSON until there are no more, and ends then.
+// Serve runs a group's process: it reads requests as JSON from in and writes a reply to each to out, until in ends.
 func Serve(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -88,7 +88,7 @@
 		case o.Do == doBegin && o.Spec != nil:
 			g = NewGroup(ctx, o.Spec)
 		case g == nil:
-			r.Error = "no fleet was named yet"
+			r.Error = "the first request must begin a fleet"
 		default:
 			r = g.handle(o)
 		}
@@ -98,10 +98,10 @@
 	}
 }
 
-// runner runs one group, here or in a process of its own.
+// runner runs one group, in this process or in one of its own.
 type runner interface {
 	do(o request) (*Snapshot, error)
-	kill() // at once, without a planned end
+	kill() // without graceful shutdown
 	close()
 }
 
@@ -124,7 +124,7 @@
 	return r.Look, nil
 }
 
-// kill has the members fall silent before they end, so that they do not leave.
+// kill makes all other members unreachable first, so that the stopping members cannot announce that they leave.
 func (l *local) kill() {
 	none := func(int) bool { return false }
 	for _, m := range l.g.allMembers() {
@@ -149,11 +149,11 @@
 	exited chan struct{}
 }
 
-// endFor is how long a group's process may take to end once it is told nothing more.
+// exitTimeout is how long a group's process may take to exit once its input has ended.
 const exitTimeout = 5 * time.Second
 
-// newRemote starts a group's process, which ends with ctx at the latest. command is the program that serves, with its
-// arguments.
+// newRemote starts a group's process, which is killed at the latest when ctx ends. command is the program that serves the
+// group, with its arguments.
 func newRemote(ctx context.Context, s *Spec, command []string) (*remote, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	r := &remote{cmd: cmd, in: in, out: json.NewDecoder(bufio.NewReader(out)), exited: make(chan struct{})}
-	stop := context.AfterFunc(ctx, func() { cmd.Process.Kill() }) // it may be amid an order that takes long
+	stop := context.AfterFunc(ctx, func() { cmd.Process.Kill() }) // it may be executing a long request
 	go func() {
 		cmd.Wait()
 		stop()
@@ -191,7 +191,7 @@
 	}
 	var back reply
 	if err := r.out.Decode(&back); err != nil {
-		return nil, fmt.Errorf("a group's process ended: %w", err)
+		return nil, fmt.Errorf("the process of a group ended: %w", err)
 	}
 	if back.Error != "" {
 		return nil, errors.New(back.Error)
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -17,27 +17,27 @@
 	"masthill/lab/standin"
 )
 
-// Reals are the members that are processes of the program, and the load that they are under.
+// RealMembers describes the members that are processes of the program, and their load.
 type RealMembers struct {
 	Numbers      []int
 	Program      string
-	Dir          string  // for their folders
-	Calls        float64 // real calls a second at each, by stand-ins for callers and servers; 0: none
-	Servers      int     // stand-ins for servers, where there are calls
-	WithoutPeers bool    // they know nothing of each other: what a process costs without control
+	Dir          string  // holds a directory for each
+	Calls        float64 // real calls per second at each, from simulated callers to simulated servers; 0: none
+	Servers      int     // number of simulated servers, if there are calls
+	WithoutPeers bool    // they do not communicate, which shows what a process costs without that
 }
 
-// real is one process of the program.
+// realProcess is one process of the program.
 type realProcess struct {
 	*host.Instance
 	number int
 	socket string
 }
 
-// realsAtOnce is how many processes start at the same time.
+// maxConcurrentStarts is how many processes start at the same time.
 const maxConcurrentStarts = 4
 
-// StartReals starts the real members, and their load.
+// StartRealMembers starts the real members and their load.
 func (f *Fleet) StartRealMembers(r RealMembers) error {
 	if len(r.Numbers) == 0 {
 		return nil
@@ -77,7 +77,7 @@
 	}
 	if load != nil {
 		f.work.Go(func() error {
-			load.crowd.Run(f.ctx, maxCallTime) // ends with the run
+			load.crowd.Run(f.ctx, maxCallTime) // until the run ends
 			load.crowd.Close()
 			return nil
 		})
@@ -85,19 +85,20 @@
 	return nil
 }
 
-// loadMost bounds how long callers call.
+// maxCallTime limits how long callers place calls.
 const maxCallTime = 10 * time.Minute
 
-// load is the stand-ins that real members' calls need.
+// standIns are the simulated callers, and a list of simulated servers for each real member.
 type standIns struct {
 	crowd *standin.CallerPool
 	lists map[int]*standin.ListService
 }
 
-// loadPart is the part of the stand-ins' planned load that callers bring.
+// loadFraction is the load that callers offer, as a fraction of the simulated servers' planned load.
 const loadFraction = 0.7
 
-// load starts the stand-ins; nil without calls. Their servers are the first ones of the fleet's list.
+// startStandIns starts the simulated callers and servers; it returns nil without calls. The servers have the identities of
+// the first ones on the fleet's list.
 func (f *Fleet) startStandIns(r RealMembers) (*standIns, error) {
 	if r.Calls <= 0 {
 		return nil, nil
@@ -138,17 +139,17 @@
 	return l, nil
 }
 
-// realLook is what one real member shows at one moment.
+// realSnapshot is the state of one real member at one time.
 type realSnapshot struct {
 	at          int64
 	cpu         time.Duration
 	resident    int64
 	status      MemberStatus
-	calls       uint64 // calls, since its start
+	calls       uint64 // received since its start
 	countAgesMS []int64
 }
 
-// lookAtReals looks at all real members.
+// realSnapshots takes snapshots of all real members.
 func (f *Fleet) realSnapshots(ctx context.Context) ([]realSnapshot, error) {
 	var all []realSnapshot
 	for _, r := range f.realMembers {
@@ -156,9 +157,9 @@
 		l := realSnapshot{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
 		s, err := ctl.FetchStatus(ctx, r.socket)
 		if err != nil {
-			return nil, fmt.Errorf("%s tells no status: %w", r.Name, err)
+			return nil, fmt.Errorf("cannot read the status of %s: %w", r.Name, err)
 		}
-		if l.calls = s.Core.ReceivedTotal; s.Peers == nil { // it knows of no others
+		if l.calls = s.Core.ReceivedTotal; s.Peers == nil { // it does not communicate with others
 			all = append(all, l)
 			continue
 		}
@@ -178,7 +179,7 @@
 	return all, nil
 }
 
-// MeetReals waits until all real members know of so many.
+// WaitForRealMembers waits until all real members see so many members alive.
 func (f *Fleet) WaitForRealMembers(members int) error {
 	for end := time.Now().Add(convergeTimeout); ; {
 		all, err := f.realSnapshots(f.ctx)
