--- a/lab/scale/fault_run.go
+++ b/lab/scale/fault_run.go
@@ -7,22 +7,22 @@
 	"masthill/internal/peers"
 )
 
-// strike is a fault under way.
+// faultTest injects one fault and measures its effects.
 type faultTest struct {
 	FaultRun
 	kind          string
-	size          int // members that were there before
+	size          int // members before the fault
 	fleet         *Fleet
 	result        *Fault
 	rack, zone    int
-	deathsBefore  map[int]int64 // told before, by member
+	deathsBefore  map[int]int64 // deaths reported before the fault, by member
 	droppedBefore int64
 	samples       [][]Snapshot
 	stop          chan struct{}
 	done          chan error
 }
 
-// run has the fault happen and waits until all know.
+// run measures the fleet before the fault, injects it, and computes the result.
 func (p *faultTest) run() error {
 	if err := p.measureBefore(); err != nil {
 		return err
@@ -44,15 +44,15 @@
 	return p.summarize()
 }
 
-// real is a time of the members' clock by the machine's.
+// machineTime converts a duration of the members' clock to the machine's clock.
 func (p *faultTest) machineTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * p.slowdown())
 }
 
-// since is a time of the machine's clock by the members'.
+// memberSeconds converts a duration of the machine's clock to seconds of the members' clock.
 func (p *faultTest) memberSeconds(d time.Duration) float64 { return d.Seconds() / p.slowdown() }
 
-// rest measures the fleet before the fault.
+// measureBefore measures the fleet before the fault.
 func (p *faultTest) measureBefore() error {
 	if err := p.fleet.sleep(p.machineTime(3 * time.Second)); err != nil {
 		return err
@@ -90,10 +90,10 @@
 	return float64(heap) / 1e6 / float64(max(members, 1))
 }
 
-// sampleEvery is the pause between two samples during a fault, by the members' clock.
+// sampleInterval is the pause between two samples during a fault, by the members' clock.
 const sampleInterval = time.Second
 
-// watch samples the fleet until the fault is over.
+// startSampling takes snapshots of the fleet until the fault is over.
 func (p *faultTest) startSampling() {
 	p.stop, p.done = make(chan struct{}), make(chan error, 1)
 	go func() {
@@ -104,7 +104,7 @@
 			}
 			select {
 			case <-p.stop:
-				p.done <- nil // a group that was killed amid a look is no fault of the run
+				p.done <- nil // a group may be killed during a snapshot, so its error does not fail the run
 				return
 			case <-time.After(p.machineTime(sampleInterval)):
 			}
@@ -112,7 +112,7 @@
 	}()
 }
 
-// ownCores is the processor time of the fleet over the fault, in cores.
+// ownCores is how many cores the fleet used on average during the fault.
 func (p *faultTest) ownCores() float64 {
 	if len(p.samples) < 2 {
 		return 0
@@ -128,7 +128,7 @@
 	return used / max(seconds, 1)
 }
 
-// sum makes the figures.
+// summarize computes the result from the samples.
 func (p *faultTest) summarize() error {
 	p.peaks()
 	last, err := p.fleet.Snapshot(SnapshotOptions{Heap: true, Claims: true})
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// peaks finds the worst moment of any process, and the mean over all moments and members.
+// peaks finds the greatest costs of any process between two samples, and the mean over all samples and members.
 func (p *faultTest) peaks() {
 	r := p.result
 	sum, members := 0.0, 0
@@ -161,7 +161,7 @@
 	r.MeanBytes = sum / float64(max(members, 1))
 }
 
-// sameMembers makes a look in which members that restarted since begin from nothing.
+// sameMembers returns the earlier snapshot with the traffic of members that have restarted since set to zero.
 func sameMembers(before, after Snapshot) Snapshot {
 	now := map[int]peers.Traffic{}
 	for _, m := range after.Members {
@@ -176,7 +176,7 @@
 	return before
 }
 
-// falseDeaths counts what members took for deaths beyond those that there were.
+// falseDeaths counts the deaths that members reported beyond those that happened.
 func (p *faultTest) falseDeaths(last []Snapshot) {
 	p.result.Dropped = -p.droppedBefore
 	for _, l := range last {
@@ -191,7 +191,7 @@
 	}
 }
 
-// owed is how many deaths a member should have told.
+// expectedDeaths is how many deaths a member should have reported.
 func (p *faultTest) expectedDeaths(number int) int64 {
 	switch p.kind {
 	case FaultMachine, FaultRack, FaultZone, FaultAllocator:
--- a/lab/scale/releases.go
+++ b/lab/scale/releases.go
@@ -23,20 +23,20 @@
 	"masthill/internal/releases"
 )
 
-// Releases is a fleet that takes configuration releases: servers in processes of their own, and hollow members, which are an
-// instance's side of it alone.
+// ReleaseRun measures the distribution of configuration releases: the servers are processes of their own, the members are
+// only the part of an instance that receives releases.
 type ReleaseRun struct {
 	Size             int
 	Zones            int
-	Program          string // that serves releases
+	Program          string // the program that serves releases
 	Dir              string
 	Servers          int
-	Changes          int           // releases, one after the other
-	SecondStageAfter time.Duration // when all zones but the first take a release
-	ContentSize      int           // bytes
+	Changes          int           // number of releases, published one after the other
+	SecondStageAfter time.Duration // when all zones but the first apply a release, from its publication
+	ContentSize      int           // bytes of a release
 	WarmUp           time.Duration
-	MeasureFor       time.Duration // measured at rest
-	OutageFor        time.Duration // how long the servers are lost, and a region cut off
+	MeasureFor       time.Duration // length of the measurement without releases
+	OutageFor        time.Duration // how long all servers are down, and how long a region is partitioned
 	WithFaults       bool
 	Seed             uint64
 	Progress         io.Writer
@@ -44,21 +44,21 @@
 
 const (
 	releaseFleet = "scale"
-	// releaseWait bounds the wait until all members run a release, beyond its last stage.
+	// releaseTimeout limits the wait until all members have applied a release, after its last stage.
 	releaseTimeout = 30 * time.Second
-	// releaseMaxAge is when a member counts as stale.
+	// releaseMaxAge is the age from which what a member knows counts as stale.
 	releaseMaxAge = 10 * time.Second
-	// serverReady bounds the start of a server.
+	// serverStartTimeout limits the start of a server.
 	serverStartTimeout = 10 * time.Second
 )
 
-// releaseRun is a run under way.
+// releaseTest is a ReleaseRun in progress.
 type releaseTest struct {
 	ReleaseRun
 	ctx     context.Context
 	key     ed25519.PrivateKey
 	addrs   []string
-	servers []*exec.Cmd // nil: killed; under mu
+	servers []*exec.Cmd // nil: killed; guarded by mu
 	client  *releases.Client
 	members []*releases.Member
 	tap     *wiretap
@@ -69,7 +69,7 @@
 	appliedAt map[distribution.Version]map[int]time.Time
 }
 
-// Run plays everything and gives the costs.
+// Run starts the servers and members, measures them, injects faults if wanted, and returns the costs.
 func (r ReleaseRun) Run(ctx context.Context) (*ReleaseCost, error) {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = byte(r.Seed)
@@ -107,7 +107,7 @@
 	SteadyRun{Progress: r.Progress}.logf(format, args...)
 }
 
-// serve starts a server, and waits until it answers.
+// startServer starts a server and waits until it answers.
 func (r *releaseTest) startServer(k int) error {
 	public := base64.StdEncoding.EncodeToString(r.key.Public().(ed25519.PublicKey))
 	cmd := exec.Command(r.Program, "config", "serve", "--fleet", releaseFleet, "--servers", strings.Join(r.addrs, ","), "--listen", r.addrs[k],
@@ -134,7 +134,7 @@
 	}
 }
 
-// kill ends a server's process at once.
+// killServer kills a server's process.
 func (r *releaseTest) killServer(k int) {
 	r.mu.Lock()
 	cmd := r.servers[k]
@@ -146,14 +146,14 @@
 	}
 }
 
-// running are the servers' processes that have not been killed.
+// running returns the processes of the servers that have not been killed.
 func (r *releaseTest) running() []*exec.Cmd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(r.servers), func(cmd *exec.Cmd) bool { return cmd == nil })
 }
 
-// stopServers ends all servers in order.
+// stopServers terminates all servers gracefully.
 func (r *releaseTest) stopServers() {
 	running := r.running()
 	for _, cmd := range running {
@@ -190,7 +190,7 @@
 	r.appliedAt[release.Version][k] = time.Now()
 }
 
-// publish publishes a release at a majority of the servers.
+// publish publishes a release to a majority of the servers, and returns when.
 func (r *releaseTest) publish() (time.Time, error) {
 	r.version++
 	release := distribution.Release{Fleet: releaseFleet, Version: r.version, Content: []byte("# " + strings.Repeat("x", max(r.ContentSize-2, 0))),
@@ -211,12 +211,12 @@
 			return began, nil
 		}
 		if time.Now().After(end) || r.ctx.Err() != nil {
-			return began, fmt.Errorf("version %d at %d servers: %w", r.version, accepted, last)
+			return began, fmt.Errorf("version %d accepted by %d servers only: %w", r.version, accepted, last)
 		}
 		if err := r.sleep(200 * time.Millisecond); err != nil {
 			return began, err
 		}
-		began = time.Now() // the release before was under way; this one begins now
+		began = time.Now() // the previous rollout was still in progress; count from this try
 	}
 }
 
@@ -229,7 +229,8 @@
 	}
 }
 
-// await waits until members run a version, and gives how long each took, in milliseconds; missing is how many do not in time.
+// waitForRelease waits until members have applied a version. It returns how long each took, in milliseconds, sorted, and how
+// many did not apply it in time.
 func (r *releaseTest) waitForRelease(version distribution.Version, began time.Time, members []int) (took []float64, missing int, err error) {
 	for end := time.Now().Add(r.SecondStageAfter + releaseTimeout); ; {
 		took = took[:0]
@@ -250,7 +251,7 @@
 	}
 }
 
-// all are the numbers of all members but some.
+// membersExcept returns the numbers of all members except some.
 func (r *releaseTest) membersExcept(but ...int) (members []int) {
 	for k := range r.Size {
 		if !slices.Contains(but, k) {
@@ -260,7 +261,7 @@
 	return members
 }
 
-// play measures the fleet at rest, with releases one after the other, and under faults.
+// measure measures the fleet without releases, with releases one after the other, and under faults.
 func (r *releaseTest) measure() error {
 	machine := ReadMachineLoad()
 	if err := r.waitForContact(); err != nil {
@@ -285,7 +286,7 @@
 	return r.runFaults()
 }
 
-// settled waits until all members have heard a server.
+// waitForContact waits until all members have heard from a server.
 func (r *releaseTest) waitForContact() error {
 	for end := time.Now().Add(releaseTimeout); ; {
 		heard := 0
@@ -298,7 +299,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d members have heard a server", heard, r.Size)
+			return fmt.Errorf("only %d of %d members have heard from a server", heard, r.Size)
 		}
 		if err := r.sleep(50 * time.Millisecond); err != nil {
 			return err
@@ -306,7 +307,7 @@
 	}
 }
 
-// rest measures the fleet without changes.
+// measureIdle measures the fleet without releases.
 func (r *releaseTest) measureIdle() (resourceUse, error) {
 	before := r.readUse()
 	var ages []float64
@@ -327,7 +328,7 @@
 	return after, nil
 }
 
-// changes publishes releases one after the other and measures how soon they are in force.
+// measureChanges publishes releases one after the other and measures how soon all members have applied them.
 func (r *releaseTest) measureChanges(before resourceUse) error {
 	c := r.result
 	var took []float64
--- a/lab/scale/releases_faults.go
+++ b/lab/scale/releases_faults.go
@@ -6,7 +6,7 @@
 	"masthill/control/distribution"
 )
 
-// faults plays all that may happen to servers and members, one after the other.
+// runFaults injects all faults of servers and members, one after the other.
 func (r *releaseTest) runFaults() error {
 	for _, play := range []func(*ReleaseFault) error{r.serverLost, r.serversRestarted, r.regionCutOff, r.allServersLost} {
 		fault := &ReleaseFault{}
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// watch samples the fleet's bytes, and the ages that some members tell, until it is stopped. Those members can hear nothing
-// from a time on.
+// startSampling samples the fleet's bytes, and the ages reported by members that have been cut off since a time, until it is
+// stopped.
 func (r *releaseTest) startSampling(fault *ReleaseFault, deaf []int, since time.Time) (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -49,7 +49,7 @@
 	return func() { close(quit); <-done }
 }
 
-// change publishes a release during a fault, and waits for the members that were not struck.
+// publishDuringFault publishes a release during a fault, and waits until the given members have applied it.
 func (r *releaseTest) publishDuringFault(fault *ReleaseFault, members []int) error {
 	began, err := r.publish()
 	if err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// healed waits until all members run a version.
+// waitForRecovery waits until all members have applied a version.
 func (r *releaseTest) waitForRecovery(fault *ReleaseFault, version distribution.Version) error {
 	began := time.Now()
 	_, missing, err := r.waitForRelease(version, began, r.membersExcept())
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// serverLost kills one server in the midst of a release.
+// serverLost kills one server during the rollout of a release.
 func (r *releaseTest) serverLost(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "one server lost", 1
 	stop := r.startSampling(fault, nil, time.Now())
@@ -93,7 +93,7 @@
 	return r.waitForRecovery(fault, r.version)
 }
 
-// serversRestarted restarts all servers, one after the other, with a release among them.
+// serversRestarted restarts all servers, one after the other, and publishes a release meanwhile.
 func (r *releaseTest) serversRestarted(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "servers restarted", r.Servers
 	stop := r.startSampling(fault, nil, time.Now())
@@ -115,7 +115,7 @@
 	return r.waitForRecovery(fault, r.version)
 }
 
-// regionCutOff cuts a third of the members off from all servers, and publishes a release meanwhile.
+// regionCutOff partitions a third of the members from all servers, and publishes a release meanwhile.
 func (r *releaseTest) regionCutOff(fault *ReleaseFault) error {
 	var cut []int
 	for k := range r.Size / 3 {
@@ -138,7 +138,7 @@
 	return r.waitForRecovery(fault, r.version)
 }
 
-// allServersLost kills all servers; when they are back, a release is published.
+// allServersLost kills all servers, and publishes a release after they have been started again.
 func (r *releaseTest) allServersLost(fault *ReleaseFault) error {
 	fault.Kind, fault.Affected = "all servers lost", r.Servers
 	for k := range r.Servers {
--- a/lab/scale/results.go
+++ b/lab/scale/results.go
@@ -10,19 +10,19 @@
 	"github.com/google/renameio/v2"
 )
 
-// Results are the measurements of one or more runs.
+// Results holds the measurements of one or more runs.
 type Results struct {
 	Points      []*Point     `json:"points"`
 	Faults      []*Fault     `json:"faults,omitempty"`
 	Comparisons []Comparison `json:"trust,omitempty"`
-	// Releases are the costs of configuration releases, by size.
+	// Releases holds the costs of distributing configuration releases, by size.
 	Releases       []*ReleaseCost `json:"releases,omitempty"`
 	ReleasesLines  []Line         `json:"releases_lines,omitempty"`
-	Lines          []Line         `json:"lines,omitempty"` // of the points without made-up calls
+	Lines          []Line         `json:"lines,omitempty"` // fitted to the points without synthetic calls
 	LinesWithCalls []Line         `json:"lines_with_calls,omitempty"`
 }
 
-// Read reads results; a file that is not there has none.
+// ReadResults reads results from a file; they are empty if it does not exist.
 func ReadResults(file string) (*Results, error) {
 	r := &Results{}
 	text, err := os.ReadFile(file)
@@ -35,7 +35,7 @@
 	return r, json.Unmarshal(text, r)
 }
 
-// Write writes results, fits included, whole or not at all.
+// Write computes the fits and writes all results to a file atomically.
 func (r *Results) Write(file string) error {
 	var quiet, busy []*Point
 	for _, p := range r.Points {
@@ -65,7 +65,7 @@
 	return renameio.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Has tells whether a size was measured already.
+// Has tells whether a fleet of this size, load and clock was measured already.
 func (r *Results) Has(size, real int, calls, slow float64) bool {
 	for _, p := range r.Points {
 		reals := 0
@@ -88,22 +88,22 @@
 	return errors.Join(err, f.Close())
 }
 
-// Trust holds a fleet of real members against one of the same size and load that is hollow. What a real process costs
-// without knowing of others is no cost of control, and is taken off before.
+// Comparison compares a fleet of real members with a hollow one of the same size and load. The processor time and memory of
+// a real process without peers are not costs of control, and are subtracted first.
 type Comparison struct {
 	Size            int     `json:"size"`
 	Real            Cost    `json:"real"`
 	WithoutPeers    Cost    `json:"real_without_peers"`
 	Hollow          Cost    `json:"hollow"`
 	SingleMember    Cost    `json:"hollow_one_a_process"`
-	Bytes           float64 `json:"bytes_ratio"` // hollow over real
+	Bytes           float64 `json:"bytes_ratio"` // hollow / real
 	Datagrams       float64 `json:"datagrams_ratio"`
-	CPU             float64 `json:"cpu_ratio"` // hollow over real less plain
+	CPU             float64 `json:"cpu_ratio"` // hollow / (real - without peers)
 	CPUSingleMember float64 `json:"cpu_ratio_one_a_process"`
-	Memory          float64 `json:"memory_ratio"` // hollow over real less plain
+	Memory          float64 `json:"memory_ratio"` // hollow / (real - without peers)
 }
 
-// NewTrust makes the ratios.
+// Compare computes the ratios of a comparison.
 func Compare(size int, real, plain, hollow, single Cost) Comparison {
 	return Comparison{Size: size, Real: real, WithoutPeers: plain, Hollow: hollow, SingleMember: single,
 		Bytes: hollow.SentWire / real.SentWire, Datagrams: hollow.SentDatagrams / real.SentDatagrams,
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -11,28 +11,28 @@
 	"masthill/internal/peers"
 )
 
-// headers are the bytes that IPv4 and UDP add to a datagram.
+// datagramHeaders are the bytes that IPv4 and UDP add to a datagram.
 const datagramHeaders = 28
 
-// Cost is what a member costs, as a mean over members of one kind.
+// Cost is the mean cost of a member per second, over all members of one kind.
 type Cost struct {
 	Members           int     `json:"members"`
 	SentDatagrams     float64 `json:"sent_datagrams_s"`
 	SentBytes         float64 `json:"sent_datagram_bytes_s"` // payload
 	SentStream        float64 `json:"sent_stream_bytes_s"`
-	SentWire          float64 `json:"sent_wire_bytes_s"`                // all sent, with the headers of datagrams
-	MaxSentWire       float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends most
+	SentWire          float64 `json:"sent_wire_bytes_s"`                // all bytes sent, with the headers of datagrams
+	MaxSentWire       float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends the most
 	ReceivedDatagrams float64 `json:"got_datagrams_s"`
 	ReceivedBytes     float64 `json:"got_datagram_bytes_s"`
 	ReceivedStream    float64 `json:"got_stream_bytes_s"`
 	CPU               float64 `json:"cpu_percent"` // of a core
-	Resident          float64 `json:"resident_mb"` // anonymous memory of the processes, over their members
+	Resident          float64 `json:"resident_mb"` // anonymous memory of the processes, divided by their members
 	Heap              float64 `json:"heap_mb,omitempty"`
-	Dropped           float64 `json:"dropped_s"` // messages that found no room
+	Dropped           float64 `json:"dropped_s"` // messages dropped because of full queues
 	Calls             float64 `json:"calls_s,omitempty"`
 }
 
-// Ages are how old what members know of each other is, in milliseconds.
+// Ages summarizes how old the counts or judgements are that members have of each other, in milliseconds.
 type Ages struct {
 	Samples int     `json:"looks"`
 	Median  float64 `json:"median_ms"`
@@ -40,26 +40,26 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// Point is one measurement of a fleet at rest.
+// Point is one measurement of a steady fleet.
 type Point struct {
 	Size           int     `json:"size"`
-	SyntheticCalls float64 `json:"made_up_calls_s"` // at each hollow member
+	SyntheticCalls float64 `json:"made_up_calls_s"` // per second at each hollow member
 	ClockSlowdown  float64 `json:"slow,omitempty"`  // the clock ran so many times slower; all figures are by that clock
 	MeasuredS      float64 `json:"measured_s"`
-	ConvergedS     float64 `json:"meet_s"` // from the last start until all knew of all
+	ConvergedS     float64 `json:"meet_s"` // from the last start until all members knew all
 	Processes      int     `json:"processes"`
 	Hollow         Cost    `json:"hollow"`
 	Real           *Cost   `json:"real,omitempty"`
 	CountAges      Ages    `json:"count_age"`
 	RealCountAges  *Ages   `json:"real_count_age,omitempty"`
 	JudgementAges  Ages    `json:"judgement_age"`
-	Deaths         int64   `json:"deaths"` // that members took to be, with none
+	Deaths         int64   `json:"deaths"` // members declared dead, although none died
 	OwnCores       float64 `json:"own_cores"`
-	OthersCores    float64 `json:"others_cores"` // that everything else on the machine used meanwhile
+	OthersCores    float64 `json:"others_cores"` // used by everything else on the machine meanwhile
 	LoadAverage    float64 `json:"load_average"`
 }
 
-// Steady is how a fleet at rest is measured.
+// SteadyRun starts a fleet and measures it without faults.
 type SteadyRun struct {
 	Layout
 	RealMembers
@@ -67,13 +67,13 @@
 	Progress           io.Writer
 }
 
-// agesOf is how many members of each group tell ages, ageLooks how often, agePause how long after each other.
+// ageMembers is how many members of each group report ages, ageSamples how often, agePause the pause between two reports.
 const (
 	ageMembers, ageSamples = 2, 3
 	agePause               = 1300 * time.Millisecond
 )
 
-// Run starts the fleet, measures it and ends it.
+// Run starts the fleet, measures it and stops it.
 func (s SteadyRun) Run(ctx context.Context) (*Point, error) {
 	f, err := NewFleet(ctx, s.Layout)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return p, nil
 }
 
-// String tells a point in a line.
+// String describes a point in one line.
 func (p *Point) String() string {
 	text := fmt.Sprintf("%.0f bytes and %.1f datagrams a second sent, %.2f%% of a core, %.2f MB, counts %.0f ms old (p99), judgements %.0f; own %.1f cores, others %.1f, load %.1f",
 		p.Hollow.SentWire, p.Hollow.SentDatagrams, p.Hollow.CPU, p.Hollow.Resident, p.CountAges.P99, p.JudgementAges.P99, p.OwnCores, p.OthersCores, p.LoadAverage)
@@ -125,7 +125,7 @@
 	}
 }
 
-// measure looks at a fleet that runs before and after a time.
+// measure measures a running fleet from snapshots before and after a time.
 func (f *Fleet) measure(length time.Duration) (*Point, error) {
 	machine := ReadMachineLoad()
 	before, err := f.Snapshot(SnapshotOptions{})
@@ -167,7 +167,7 @@
 	return p, f.addAges(p)
 }
 
-// ages adds to a point how old what members know is, and what lives on their heaps.
+// addAges adds the ages of counts and judgements, and the live heaps, to a point.
 func (f *Fleet) addAges(p *Point) error {
 	var counts, judged, real []int64
 	heap, members := int64(0), 0
@@ -213,7 +213,7 @@
 	return a
 }
 
-// hollowCost is the difference of two looks, over the members that are in both.
+// hollowCost is the mean cost of members between two snapshots, over the groups that are in both.
 func hollowCost(before, after []Snapshot, slow float64) Cost {
 	c := Cost{}
 	for k := range after {
@@ -248,7 +248,7 @@
 	return c
 }
 
-// add adds one member's traffic to a sum.
+// add adds one member's traffic between two states.
 func (c *Cost) add(a, b MemberStatus, seconds float64) {
 	rate := func(of func(peers.Traffic) int64) float64 { return float64(of(b.Traffic)-of(a.Traffic)) / seconds }
 	c.Members++
@@ -264,7 +264,7 @@
 	}))
 }
 
-// mean makes a sum the mean of its members.
+// average divides the sums by the number of members.
 func (c *Cost) average() {
 	n := float64(max(c.Members, 1))
 	for _, v := range []*float64{&c.SentDatagrams, &c.SentBytes, &c.SentStream, &c.ReceivedDatagrams, &c.ReceivedBytes, &c.ReceivedStream, &c.CPU, &c.Resident, &c.Dropped, &c.Calls} {
--- a/lab/scale/wiretap.go
+++ b/lab/scale/wiretap.go
@@ -13,7 +13,7 @@
 // segmentHeaders are the bytes that IPv4 and TCP with timestamps add to a segment.
 const segmentHeaders = 52
 
-// wire is what connections have carried, both ways.
+// traffic is what connections have carried, in both directions.
 type traffic struct {
 	Bytes    int64 // payload
 	Segments int64
@@ -21,10 +21,10 @@
 
 func (w traffic) minus(o traffic) traffic { return traffic{w.Bytes - o.Bytes, w.Segments - o.Segments} }
 
-// withHeaders is the bytes on the network.
+// withHeaders is the number of bytes with the headers of IP and TCP.
 func (w traffic) withHeaders() int64 { return w.Bytes + segmentHeaders*w.Segments }
 
-// wiretap counts what the connections of some members carry, and can cut members off.
+// wiretap counts the traffic of members' connections, and can partition members from the servers.
 type wiretap struct {
 	mu          sync.Mutex
 	closed      traffic
@@ -32,13 +32,13 @@
 	partitioned map[int]bool
 }
 
-var errPartitioned = errors.New("cut off")
+var errPartitioned = errors.New("partitioned from the servers")
 
 func newWiretap() *wiretap {
 	return &wiretap{open: map[*tappedConn]bool{}, partitioned: map[int]bool{}}
 }
 
-// dial makes the dialer of a member.
+// dial returns the dialer of a member.
 func (t *wiretap) dial(member int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if t.isPartitioned(member) {
@@ -62,7 +62,7 @@
 	return t.partitioned[member]
 }
 
-// cutOff cuts members off, in place of those before.
+// partition cuts these members off, and reconnects those that were cut off before.
 func (t *wiretap) partition(members ...int) {
 	t.mu.Lock()
 	clear(t.partitioned)
@@ -81,7 +81,7 @@
 	}
 }
 
-// carried is what all connections have carried since the beginning.
+// carried is the traffic of all connections since the beginning.
 func (t *wiretap) carried() traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,14 +93,14 @@
 	return all
 }
 
-// tappedConn is a connection whose traffic is counted by the kernel.
+// tappedConn is a connection whose traffic is read from the kernel's counters.
 type tappedConn struct {
 	*net.TCPConn
 	tap    *wiretap
 	member int
 }
 
-// carried reads the kernel's counts.
+// carried reads the kernel's counters.
 func (c *tappedConn) carried() (w traffic) {
 	raw, err := c.SyscallConn()
 	if err != nil {
