--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -13,7 +13,7 @@
 	"masthill/internal/exchange"
 )
 
-// placed is the servers' side and the caller of a core that is driven: it notes where a call was sent.
+// fakeServers stands in for the servers and the caller of a core, and records where the last call was sent.
 type fakeServers struct {
 	server uint64
 	sent   int
@@ -27,23 +27,23 @@
 func (p *fakeServers) Answer(string, exchange.FinalAnswer)   {}
 func (p *fakeServers) Release(string, bool)                  {}
 
-// BenchmarkCallByServers is what the core and its decisions cost for a call from its arrival to its release, by the number
-// of servers on the list, at 234 calls a second that last half a second each. Sockets come on top.
+// BenchmarkCallByServers measures the core and its decisions for a call from its arrival to its release, by the number of
+// servers on the list, at 234 calls per second of half a second each. Sockets are not included.
 func BenchmarkCallByServers(b *testing.B) {
 	for _, servers := range []int{7, 30, 60, 120, 240, 470, 940} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchmarkCalls(b, servers, false) })
 	}
 }
 
-// BenchmarkCallAmongPeers is the same for a member whose others tell it their counts and judgements meanwhile: a message
-// of 64 reports comes for every second call, as at 470 members.
+// BenchmarkCallAmongPeers measures the same for a member that also receives counts and judgements of others: a message of 64
+// reports for every second call, as in a fleet of 470 members.
 func BenchmarkCallAmongPeers(b *testing.B) {
 	for _, servers := range []int{7, 60, 470} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchmarkCalls(b, servers, true) })
 	}
 }
 
-// told is what another member tells of the servers.
+// peerMessage makes a message of another member, with counts and reports on servers.
 func peerMessage(from, servers int) shared.Message {
 	name := fmt.Sprintf("n%d", from)
 	j := &outlier.Message{From: name, Machine: "machine-" + name}
@@ -110,7 +110,7 @@
 		}
 	}
 	after, _ := processUsage()
-	b.ReportMetric(float64((after-before).Microseconds())/float64(b.N), "cpu-us/op") // says something on a busy machine, too
+	b.ReportMetric(float64((after-before).Microseconds())/float64(b.N), "cpu-us/op") // meaningful on a busy machine, too
 	if side.sent < b.N {
 		b.Fatalf("%d of %d calls were sent", side.sent, b.N)
 	}
--- a/lab/scale/releases_test.go
+++ b/lab/scale/releases_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// releaseBytes is the most that configuration releases may cost a member at rest, in bytes a second with all headers: one
-// question a second and its answer.
+// maxReleaseBytes is the limit of a member's traffic while no release is published, in bytes per second with all headers: one
+// request per second and its answer.
 const maxReleaseBytes = 1500
 
-// What releases cost a member at rest has its bound, and does not grow with the fleet; a lost server and a cut region end
-// with all members at the newest release, and ages are told in full meanwhile.
-func TestReleasesStayUnderTheirBound(t *testing.T) {
+// A member's traffic while no release is published is bounded and does not grow with the fleet. After lost servers and a
+// partitioned region, all members apply the newest release, and they do not understate the age of what they know meanwhile.
+func TestReleaseTrafficIsBounded(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "masthill")
 	if out, err := exec.Command("go", "build", "-o", program, "masthill/cmd/masthill").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -26,18 +26,18 @@
 			t.Fatal(err)
 		}
 		if cost.IdleBytes <= 0 || cost.IdleBytes > maxReleaseBytes {
-			t.Errorf("%d members: %.0f bytes a second, and %d are the most", size, cost.IdleBytes, maxReleaseBytes)
+			t.Errorf("%d members: %.0f bytes per second, want at most %d", size, cost.IdleBytes, maxReleaseBytes)
 		}
 		if cost.Missing > 0 {
-			t.Errorf("%d members: %d times a release did not come", size, cost.Missing)
+			t.Errorf("%d members: %d times a member did not apply a release", size, cost.Missing)
 		}
 		costs = append(costs, cost)
 	}
 	if few, many := costs[0].IdleBytes, costs[1].IdleBytes; many > 1.1*few {
-		t.Errorf("%.0f bytes a second for each of 20 members, and %.0f for each of 40", few, many)
+		t.Errorf("%.0f bytes per second for each of 20 members, but %.0f for each of 40", few, many)
 	}
 	if n := len(costs[1].Faults); n != 4 {
-		t.Fatalf("%d faults", n)
+		t.Fatalf("%d faults, want 4", n)
 	}
 	for _, fault := range costs[1].Faults {
 		if fault.RecoveredMS < 0 || fault.AgesTooLow > 0 {
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -15,12 +15,12 @@
 	"masthill/control/shared/lease"
 )
 
-// small is a fleet in this process.
+// smallLayout is a fleet in this process.
 func smallLayout(size int, calls float64) Layout {
 	return Layout{Spec: Spec{Size: size, Servers: size, Zones: 3, SyntheticCalls: calls, Seed: 5}, Groups: SplitEvenly(0, size, 10)}
 }
 
-// counted measures a fleet of hollow members by its counters.
+// measureTraffic measures a fleet of hollow members, and fails if it saw no traffic.
 func measureTraffic(t *testing.T, l Layout) *Point {
 	t.Helper()
 	p, err := SteadyRun{Layout: l, WarmUp: time.Second, MeasureFor: 3 * time.Second}.Run(t.Context())
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	if p.Hollow.Members != l.Size || p.Hollow.SentDatagrams < 1 || p.Hollow.SentStream <= 0 || p.Hollow.ReceivedDatagrams < 1 {
-		t.Fatalf("too little was seen: %+v", p)
+		t.Fatalf("no traffic, or not of all members: %+v", p)
 	}
 	return p
 }
 
-// A machine that is busy makes members send less, so these bounds hold on any.
+// The traffic of small fleets stays within the formula. Members send less on a busy machine, so the bounds hold on any.
 func TestTrafficStaysUnderTheFormula(t *testing.T) {
 	for size, calls := range map[int]float64{20: 10, 40: 0} {
 		for _, found := range ExceededLimits(measureTraffic(t, smallLayout(size, calls)), size) {
@@ -42,17 +42,18 @@
 	}
 }
 
-// A build that tells everything twice is over the formula.
-func TestAChattyBuildIsCaught(t *testing.T) {
+// A build that sends every message twice exceeds the formula.
+func TestDuplicatedMessagesExceedTheFormula(t *testing.T) {
 	l := smallLayout(20, 0)
 	l.OmitCheck = CheckPace
 	if p := measureTraffic(t, l); len(ExceededLimits(p, l.Size)) == 0 {
-		t.Errorf("nothing found: %+v", p.Hollow)
+		t.Errorf("no limit exceeded: %+v", p.Hollow)
 	}
 }
 
-// What a member keeps of others goes by how many there are and have been of late, not by how often they start.
-func TestStateHasItsBound(t *testing.T) {
+// The state that a member keeps of others is bounded by how many processes there are and have been lately, however often
+// they restart.
+func TestStateIsBounded(t *testing.T) {
 	const size, again = 20, 10
 	f, err := NewFleet(t.Context(), smallLayout(size, 5))
 	if err != nil {
@@ -83,16 +84,16 @@
 		}
 		for _, s := range l.Members {
 			if s.Alive+s.Gone > size {
-				t.Errorf("%s keeps %d members", s.Name, s.Alive+s.Gone)
+				t.Errorf("%s keeps %d members, too many", s.Name, s.Alive+s.Gone)
 			}
 		}
 	}
 }
 
-// pressing is a rate of calls with which members ask for more of a cold server's budget than there is.
+// excessCallRate is a rate of calls at which members request more of a cold server's budget than there is.
 const excessCallRate = 100
 
-// struck has something happen to a fleet in this process.
+// runFault injects a fault into a fleet in this process.
 func runFault(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
 	t.Helper()
 	l := smallLayout(size, calls)
@@ -105,27 +106,27 @@
 	return r
 }
 
-func TestADeadAllocatorIsKnownToAll(t *testing.T) {
+func TestDeadAllocatorIsDetectedByAll(t *testing.T) {
 	r := runFault(t, FaultAllocator, 40, 10, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
-		t.Errorf("not all know: %+v", r)
+		t.Errorf("not detected by all members, or not ended: %+v", r)
 	}
 	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 40 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
-func TestACutRegionEndsWithAllKnowing(t *testing.T) {
+func TestPartitionedRegionRecovers(t *testing.T) {
 	r := runFault(t, FaultRegion, 12, excessCallRate, "")
 	if r.DetectedS < 0 || r.RecoveredS < 0 || r.Note != "" {
-		t.Errorf("not all know: %+v", r)
+		t.Errorf("not detected by all members, or not ended: %+v", r)
 	}
 	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 10 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
-func TestALostAllocatorOverspendsNothing(t *testing.T) {
+func TestLostAllocatorOverspendsNothing(t *testing.T) {
 	r := runFault(t, FaultAllocator, 10, excessCallRate, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("%+v", r)
@@ -135,8 +136,8 @@
 	}
 }
 
-// With a slower clock the same happens, by that clock.
-func TestALostAllocatorBySlowerClock(t *testing.T) {
+// With a slowed clock the results are the same, by that clock.
+func TestLostAllocatorWithSlowedClock(t *testing.T) {
 	l := smallLayout(6, excessCallRate)
 	l.ClockSlowdown = 2
 	var r *Fault
@@ -150,14 +151,14 @@
 	}
 }
 
-// A build whose allocator keeps no books is caught.
-func TestABuildWithoutBooksIsCaught(t *testing.T) {
+// A build whose leader does not track which parts of a budget are leased out overspends budgets, and the check reports it.
+func TestMissingReservationsAreDetected(t *testing.T) {
 	if r := runFault(t, FaultAllocator, 10, excessCallRate, lease.CheckReservations); r.Budgets.Overspent == 0 {
-		t.Errorf("nothing found: %+v", r.Budgets)
+		t.Errorf("no overspent budget found: %+v", r.Budgets)
 	}
 }
 
-func TestTheCheckOfBudgets(t *testing.T) {
+func TestCheckBudgets(t *testing.T) {
 	at := func(s float64) int64 { return int64(s * 1e9) }
 	claim := func(name string, from, until float64, rate int64) Claim {
 		return Claim{Name: name, Epoch: 1, At: at(from), Claim: lease.Claim{Budget: "b", Floor: 1000, Rate: rate, Until: at(until), Size: 10_000}}
@@ -194,7 +195,7 @@
 		t.Errorf("%+v", l)
 	}
 	if l := FitLine("y", "x", []float64{1, 2}, []float64{1, 2}); l.Slope != 0 || l.Points != 2 {
-		t.Errorf("a line through two points: %+v", l)
+		t.Errorf("a line was fitted to two points: %+v", l)
 	}
 }
 
@@ -211,7 +212,7 @@
 	}
 }
 
-// Results are kept over a run that was cut, and a size that they have is not measured again.
+// Results survive an interrupted run, and sizes that they contain count as measured.
 func TestResultsAreKept(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "results.json")
 	r, err := ReadResults(file)
@@ -231,12 +232,12 @@
 		t.Error(err)
 	}
 	if text, _ := os.ReadFile(file + ".svg"); !bytes.Contains(text, []byte("<svg")) {
-		t.Error("no picture")
+		t.Error("the plot is no SVG")
 	}
 }
 
-// A group's process takes orders until its input ends, and says what is wrong with one.
-func TestServeTakesOrders(t *testing.T) {
+// A group's process handles requests until its input ends, and reports an error for an invalid one.
+func TestServeHandlesRequests(t *testing.T) {
 	var in, out bytes.Buffer
 	orders := json.NewEncoder(&in)
 	for _, o := range []request{{Do: doLook}, {Do: doBegin, Spec: &Spec{Size: 3}}, {Do: "dance"}, {Do: doLook}} {
@@ -267,16 +268,16 @@
 	for k := range s.Size {
 		addr := s.Addr(k)
 		if seen[addr] {
-			t.Fatalf("%s twice", addr)
+			t.Fatalf("two members have the address %s", addr)
 		}
 		seen[addr] = true
 		host := strings.TrimSuffix(addr, ":2908")
 		if n := s.number(mustAddr(t, host)); n != k {
-			t.Fatalf("%s is %d, not %d", addr, n, k)
+			t.Fatalf("%s: number %d, want %d", addr, n, k)
 		}
 	}
 	if s.number(mustAddr(t, "127.0.0.1")) != -1 {
-		t.Error("an address outside is a member's")
+		t.Error("an address outside the network belongs to a member")
 	}
 }
 
@@ -287,19 +288,19 @@
 		for _, g := range groups {
 			for _, k := range g {
 				if seen[k] {
-					t.Errorf("%d twice", k)
+					t.Errorf("member %d is in two groups", k)
 				}
 				seen[k] = true
 			}
 		}
 		if len(seen) != size || len(groups[rack]) != min(12, size/4) || len(groups[zone]) != max(size/11, 1) {
-			t.Errorf("%d: %d members, a rack of %d, a zone of %d", size, len(seen), len(groups[rack]), len(groups[zone]))
+			t.Errorf("size %d: %d members in groups, a rack of %d, a zone of %d", size, len(seen), len(groups[rack]), len(groups[zone]))
 		}
 	}
 }
 
-// An interrupted run ends with all that it started, and says that it was interrupted.
-func TestAnInterruptedRunEnds(t *testing.T) {
+// An interrupted run stops all that it started, and returns the cancellation.
+func TestInterruptedRunStops(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(2*time.Second, cancel)
 	_, err := SteadyRun{Layout: smallLayout(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
