--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -18,7 +18,7 @@
 	"masthill/lab/model"
 )
 
-// borderCmd plays jumps of several heights at several sizes and shows at which a fleet does not come back.
+// borderCmd simulates load jumps of several heights at several sizes and shows after which a fleet does not recover.
 type borderCmd struct {
 	Sizes   []string      `default:"7/3,50/8,100/24,150/24,200/24,250/24,300/24,400/24" help:"Sizes, as CONTROLLERS/SERVERS."`
 	Times   []float64     `default:"1.2,1.4,1.6,1.8,2" help:"Heights of the jump, as multiples of the load."`
@@ -32,7 +32,7 @@
 	Plot    string        `help:"Draw both pictures there, as PNG." placeholder:"FILE"`
 }
 
-// cell is one size and one jump.
+// borderCell is the result for one size and one jump.
 type borderCell struct {
 	Modules string  `json:"modules"`
 	Size    string  `json:"size"`
@@ -116,7 +116,7 @@
 	return c.plot(cells)
 }
 
-// grid is one picture's cells for the plotter: columns are jumps, rows sizes.
+// grid provides the cells of one plot to the plotter: columns are jumps, rows are sizes.
 type grid struct {
 	c     borderCmd
 	cells []borderCell
@@ -152,7 +152,7 @@
 		colours.SetMin(0)
 		colours.SetMax(1)
 		heat := plotter.NewHeatMap(g, colours.Palette(64))
-		heat.Min, heat.Max = -0.4, 1 // so that the texts of empty cells can be read
+		heat.Min, heat.Max = -0.4, 1 // keeps the labels of cells near zero readable
 		p := plot.New()
 		p.Title.Text = fmt.Sprintf("%s: served from 15 s after the jump on", names)
 		p.X.Label.Text, p.Y.Label.Text = "height of the jump", "controllers/servers"
--- a/cmd/masthill-lab/cold.go
+++ b/cmd/masthill-lab/cold.go
@@ -12,7 +12,7 @@
 	"masthill/lab/model"
 )
 
-// coldCmd counts what cold servers get from all controllers together, and how often that is more than they bear.
+// coldCmd measures the load of cold servers from all controllers together, and how often it exceeds what they can serve.
 type coldCmd struct {
 	Scene       []string `default:"all" help:"Cold scenes by name, or all."`
 	Controllers int      `default:"20" help:"Session controllers, up to 1,000."`
@@ -23,7 +23,7 @@
 	With        string   `default:"plain" help:"The modules beside control, as scenes has them."`
 }
 
-// scenes gives the cold scenes that are asked for.
+// scenes returns the selected cold scenes.
 func (c coldCmd) scenes() (list []model.Scene, err error) {
 	for _, s := range model.ColdScenes {
 		for _, name := range c.Scene {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// printCold prints a line about starts.
+// printCold prints a line that summarizes cold starts.
 func printCold(name string, starts []model.ColdStart, served string) {
 	falls, broken, worst, told, mean, sends := 0, 0, 0.0, 0.0, 0.0, 0.0
 	for _, s := range starts {
@@ -103,7 +103,7 @@
 	fmt.Printf("%-9s %7d %6d %7d %6.4f (%.4f to %.4f) %10.3f %10.3f %10.3f %8.1f %8s\n", name, len(starts), falls, broken, float64(broken)/n, low, high, mean/n, worst, told, sends/n, served)
 }
 
-// proportion is the exact 95% interval (Clopper and Pearson) of a proportion of which k in n were seen.
+// proportionInterval is the exact (Clopper-Pearson) 95% confidence interval of a proportion, given k of n observations.
 func proportionInterval(k, n int) (low, high float64) {
 	if n == 0 {
 		return 0, 1
--- a/cmd/masthill-lab/coldchance.go
+++ b/cmd/masthill-lab/coldchance.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// chanceCmd computes how likely it is that a cold server gets more than it bears while calls never lack, from the ramp
-// alone: docs/design/cold.md has the derivation.
+// chanceCmd computes, from the ramp alone, the probability that a cold server gets more calls than it can serve while there
+// are always calls to place. docs/design/cold.md has the derivation.
 type chanceCmd struct {
 	Controllers []int     `default:"10,20,30,60,300" help:"Session controllers."`
 	Budget      []float64 `default:"9,17" help:"N at the start: what the server's budget allows in a window."`
@@ -19,7 +19,7 @@
 	Pauses      []float64 `default:"2,4" help:"Windows without calls after the start."`
 }
 
-// ramp is one fleet and one server that has started.
+// ramp is the growing budget of one server that has started cold, in one fleet.
 type ramp struct {
 	chanceCmd
 	n      int
@@ -28,19 +28,19 @@
 
 func (c ramp) warmth(at float64) float64 { return min(c.ColdFrom+(1-c.ColdFrom)*at/c.ColdSpan, 1) }
 
-// allowed is N a time after the start, in windows.
+// allowed is N at a time after the start, in windows.
 func (c ramp) allowed(at float64) float64 { return c.budget * c.warmth(at) / c.ColdFrom }
 
-// pace is what one controller earns in a window then.
+// pace is the credit that one controller earns in a window at that time.
 func (c ramp) pace(at float64) float64 { return c.Part * c.allowed(at) / float64(c.n) }
 
-// earned is what one controller has earned since the start.
+// earned is the credit that one controller has earned since the start.
 func (c ramp) earned(at float64) float64 {
 	return c.Part * c.budget / float64(c.n) * (at + (1-c.ColdFrom)*at*at/(2*c.ColdSpan*c.ColdFrom))
 }
 
-// tail is the chance that n controllers, each of which sends mean on average and no more than one from it, send over
-// what is borne when N is allowed.
+// exceedProbability is the probability that n controllers, each of which sends mean calls on average, rounded up or down,
+// together send more than a server can take when N is allowed.
 func exceedProbability(n int, mean, allowed float64) float64 {
 	whole := math.Floor(mean)
 	over := math.Floor(allowed+2*math.Sqrt(allowed)+2) - whole*float64(n)
@@ -53,7 +53,8 @@
 	return distuv.Binomial{N: float64(n), P: mean - whole}.Survival(over)
 }
 
-// start bounds the chance that any window in the three after the start is too full: each send may end one.
+// startProbability is an upper bound of the probability that any window within the first three after the start is too full:
+// each call sent may be the end of such a window.
 func (c ramp) startProbability() float64 {
 	p := c.pace(0)
 	whole := math.Floor(p)
@@ -64,13 +65,14 @@
 	return min(1, 3*p*float64(c.n)*distuv.Binomial{N: float64(c.n - 1), P: p - whole}.Survival(over))
 }
 
-// pause is the chance after a pause: saved is the credit beyond its phase that a controller holds then. The calls come at
-// once, so that the window may end at any time after; the worst of its beginning and its end counts.
+// pauseProbability is the probability of a window that is too full after a pause; saved is the credit beyond its phase that a
+// controller holds then. The calls come at once, so the window may end at any time after; the worst of its beginning, middle
+// and end counts.
 func (c ramp) pauseProbability(at, saved float64, lost bool) float64 {
 	worst := 0.0
 	for _, into := range []float64{0, 0.5, 1} {
 		mean := saved + c.earned(at+into) - c.earned(at)
-		if lost && c.pace(at) < 1 { // a saved credit is cut to one: its phase is lost, and the next takes a whole 1/pace
+		if lost && c.pace(at) < 1 { // saved credit is limited to one: its phase is lost, and the next takes a whole 1/pace
 			mean = min(mean, 1)
 		}
 		worst = max(worst, exceedProbability(c.n, mean, c.allowed(at+into)))
--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -25,7 +25,7 @@
 	"masthill/lab/wave"
 )
 
-// jamCmd plays a jump of the load that may tip a fleet into a jam, over seeds on a simulated clock.
+// jamCmd simulates, over several seeds, a jump of the load after which a fleet may stay congested.
 type jamCmd struct {
 	Controllers int           `default:"300" help:"Session controllers, up to 1,000."`
 	Servers     int           `default:"24" help:"Session servers, up to 100."`
@@ -46,11 +46,11 @@
 
 const (
 	jumpStart, jamRunLength = 20 * time.Second, 80 * time.Second
-	// jamBack is how long after the jump's end service has to be back, and over what.
+	// jamRecovery is how long after the jump's end service has to be restored, and jamServed the served share from which it is.
 	jamRecovery, jamServed = 15 * time.Second, 0.98
 )
 
-// seeds reads FIRST-LAST or one number.
+// seeds parses FIRST-LAST or a single number.
 func seeds(text string) (all []uint64, err error) {
 	first, last, two := strings.Cut(text, "-")
 	from, err := strconv.ParseUint(first, 10, 32)
@@ -72,7 +72,7 @@
 		QueueOrder: processor.QueueOrders[c.Line], DropAnswers: c.DropAnswers, RateFactor: c.jump}
 }
 
-// jump is the rate over time.
+// jump is the load at a time, as a multiple of the usual load.
 func (c jamCmd) jump(at time.Duration) float64 {
 	if at >= jumpStart && at < jumpStart+c.For {
 		return c.Times
@@ -80,15 +80,15 @@
 	return 1
 }
 
-// bound is what can be served at most: in the jump no more stand in time than the processors can do, if they do nothing in
-// vain, and the rest of the callers stand late at best.
+// maxServed is an upper bound of the served share: during the jump, no more calls can be established in time than the servers'
+// processors can handle without wasted work, and the other callers are served late at best.
 func (c jamCmd) maxServed(r *model.Result) float64 {
 	total := c.Load * (jamRunLength.Seconds() + (c.Times-1)*c.For.Seconds())
 	over := max(c.Load*c.Times-1/r.UtilizationAtPlan, 0) * c.For.Seconds()
 	return 1 - (1-model.LateValue)*over/total
 }
 
-// share is the part of the calls first offered from a second on, up to another, that was served.
+// servedShare is the served fraction of the calls that were first offered between two seconds.
 func servedShare(bySecond []float64, offeredByS []int, from, to int) float64 {
 	var served, offered float64
 	for k := from; k < min(to, len(bySecond)); k++ {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// sockets plays the jump with real processes.
+// sockets runs the jump with real processes.
 func (c jamCmd) sockets(ctx context.Context, numbers []uint64) error {
 	if c.Controllers > 24 || c.Servers > 24 {
 		return fmt.Errorf("with --sockets 24 controllers and 24 servers at most: each is a process or a listener for every one")
@@ -171,13 +171,13 @@
 		return err
 	}
 	if _, err := os.Stat(program); err != nil {
-		return fmt.Errorf("the program to run: %w", err)
+		return fmt.Errorf("cannot find the program to run: %w", err)
 	}
 	settings := ""
 	if !c.Plain {
 		text, err := os.ReadFile(config.OperatorSettingsFile)
 		if err != nil {
-			return fmt.Errorf("the settings that run has: %w", err)
+			return fmt.Errorf("cannot read the deployed settings: %w", err)
 		}
 		settings = string(text)
 	}
@@ -211,7 +211,7 @@
 	return writeJSON(c.JSON, all)
 }
 
-// plot draws what was served of the calls of each second: each seed thin, the mean over them thick.
+// plot draws the served share of the calls of each second: a thin line for each seed, a thick one for their mean.
 func (c jamCmd) plot(all []*model.Result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d controllers, %d servers, load %.2f, %.1f times that for %v", c.Controllers, c.Servers, c.Load, c.Times, c.For)
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -14,7 +14,7 @@
 	"masthill/lab/model"
 )
 
-// levelsCmd plays a scenario with and without levels, over paired seeds.
+// levelsCmd simulates a scenario with and without levels of service, over paired seeds.
 type levelsCmd struct {
 	Scenario    string `arg:"" enum:"swing,jump,slowdown,overload" help:"One of ${enum}."`
 	Controllers int    `default:"7" help:"Session controllers."`
@@ -22,13 +22,13 @@
 	Seeds       int    `default:"8" help:"Seeds, from 1."`
 }
 
-// swingEvery is half of a swing.
+// halfSwing is half the period of a swing.
 const halfSwing = 4 * time.Second
 
 func (c levelsCmd) scenario(seed uint64) model.Scenario {
 	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: 1, Duration: 80 * time.Second, Redials: 2}
 	switch c.Scenario {
-	case "swing": // from 90% to 120% of plan and back
+	case "swing": // from 90% to 120% of the plan and back
 		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 10*time.Second && at/halfSwing%2 == 1 {
 				return 1.2
@@ -42,7 +42,7 @@
 			}
 			return 0.93
 		}
-	case "slowdown": // that ends while a restart wave begins
+	case "slowdown": // ends just after a restart wave begins
 		sc.Load = 0.93
 		sc.Faults = []model.Fault{{Kind: "slow", At: 15 * time.Second, Duration: 15 * time.Second, Magnitude: 2.5},
 			{Kind: "restarts", At: 29 * time.Second, Duration: 20 * time.Second, Share: 0.93, Batch: 0.28}}
--- a/cmd/masthill-lab/main.go
+++ b/cmd/masthill-lab/main.go
@@ -1,5 +1,5 @@
-// Command masthill-lab runs experiments with real instances of the program against stand-ins, on loopback, bounded in
-// time and count.
+// Command masthill-lab runs experiments on fleets: simulations, and real instances of the program with simulated callers and
+// servers on loopback. All are limited in time and size.
 package main
 
 import (
@@ -65,7 +65,7 @@
 	Plot      string  `help:"Draw the servers' waits and the served share there, as SVG or PNG." placeholder:"FILE"`
 }
 
-// columns are the settings that are compared.
+// columnSettings are the settings for the values of --column.
 var columnSettings = map[string]string{
 	"plain":     "",
 	"recovery":  "[recovery]\nenabled = true\n",
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// writeJSON writes a result for people and programs to read.
+// writeJSON writes a result as indented JSON.
 func writeJSON(file string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -15,7 +15,7 @@
 	"masthill/lab/model"
 )
 
-// What experiments play as run is what the repository's settings turn on.
+// The modules that experiments use as "run" are those that deploy/masthill.toml enables.
 func TestAsRun(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/masthill.toml")
 	if err != nil {
@@ -34,7 +34,7 @@
 	slices.Sort(want)
 	got, twice := deployedModules(control.Settings{Classes: []control.Class{{Aim: 1e9, Deadline: 9e9}}}, 66, 1, 0).Names()
 	if slices.Sort(got); twice || !slices.Equal(got, want) {
-		t.Errorf("the settings turn on %v, experiments play %v", want, got)
+		t.Errorf("the settings enable %v, experiments use %v", want, got)
 	}
 }
 
@@ -47,9 +47,9 @@
 	}
 }
 
-// The jam itself, at a size that CI has time for: many servers that each take few calls. After a jump the program without
-// its modules beside control does not come back; with them most of what such servers can do is served. The files have what
-// is said of them.
+// Reproduces lasting congestion at a size that CI has time for: many servers that each take few calls. After a jump of the
+// load, a fleet without modules beside control does not recover; with them, most of what such servers can handle is served.
+// Also checks that the result and plot files are written.
 func TestTheJam(t *testing.T) {
 	dir := t.TempDir()
 	played := func(plain bool) (served, after float64) {
@@ -67,7 +67,7 @@
 			t.Fatal(all, err)
 		}
 		if info, err := os.Stat(filepath.Join(dir, "jam.svg")); err != nil || info.Size() < 1000 {
-			t.Error("no plot", err)
+			t.Error("the plot is missing or too small", err)
 		}
 		for _, r := range all {
 			served, after = served+r.ServedShare/4, after+servedShare(r.ServedBySecond, r.OfferedBySecond, 45, 80)/4
@@ -77,9 +77,9 @@
 	plain, plainAfter := played(true)
 	run, runAfter := played(false)
 	if plainAfter > 0.45 {
-		t.Errorf("without it there is no jam: %.3f", plainAfter)
+		t.Errorf("without the modules the fleet recovered: %.3f served at the end", plainAfter)
 	}
 	if run < plain+0.2 || runAfter < plainAfter+0.2 {
-		t.Errorf("%.3f served, %.3f at the end; without %.3f and %.3f", run, runAfter, plain, plainAfter)
+		t.Errorf("%.3f served, %.3f at the end; without the modules %.3f and %.3f", run, runAfter, plain, plainAfter)
 	}
 }
--- a/cmd/masthill-lab/model.go
+++ b/cmd/masthill-lab/model.go
@@ -15,7 +15,7 @@
 	"masthill/lab/model"
 )
 
-// modelCmd plays the restart wave on a simulated clock, with and without recovery, over paired seeds.
+// modelCmd simulates the restart wave with and without recovery, over paired seeds.
 type modelCmd struct {
 	Controllers int     `default:"20" help:"Session controllers, up to 1,000."`
 	Servers     int     `default:"3" help:"Session servers, up to 100."`
@@ -109,14 +109,14 @@
 	return nil
 }
 
-// floodCmd plays a flood by one member, with and without shares.
+// floodCmd simulates a flood of calls by one tenant, with and without shares.
 type floodCmd struct {
 	Controllers int     `default:"7" help:"Session controllers."`
 	Servers     int     `default:"3" help:"Session servers."`
 	Seeds       int     `default:"6" help:"Seeds, from 1."`
 	Load        float64 `default:"0.8" help:"Part of the planned load, beside the flood."`
 	Flood       float64 `default:"1.5" help:"The flood, as a part of the planned load of all."`
-	// Columns are lists of modules, as scenes has them.
+	// Columns are lists of modules in the format of parseModules.
 	Columns []string `sep:";" default:"plain;shares" help:"The modules beside control, a list for each column with semicolons between."`
 }
 
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// paired gives the mean of b - a and half the width of its 95% interval, by Student's distribution.
+// pairedDifference returns the mean of b - a and half the width of its 95% confidence interval, by Student's t-distribution.
 func pairedDifference(a, b []float64) (mean, half float64) {
 	d := make([]float64, len(a))
 	for k := range a {
--- a/cmd/masthill-lab/modules.go
+++ b/cmd/masthill-lab/modules.go
@@ -15,18 +15,19 @@
 	"masthill/lab/model"
 )
 
-// parallel is how many runs of the model go side by side: each holds some hundred megabytes at the largest sizes.
+// maxParallelRuns limits the concurrent runs of the model: each uses some hundred megabytes at the largest sizes.
 const maxParallelRuns = 4
 
-// joining makes the modules beside control of a controller that starts.
+// moduleFactory makes the decision modules that run beside control in a controller that starts.
 type moduleFactory func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
 
-// asRun makes the modules beside control that the deploy file's run has: TestAsRun holds it against the settings.
+// deployedModules makes the modules that deploy/masthill.toml enables; TestAsRun checks that they agree.
 func deployedModules(s control.Settings, _ float64, seed uint64, now int64) join.Chain {
 	return join.Chain{goodput.New(goodput.Settings{Control: s}, seed, now, nil)}
 }
 
-// modules makes the modules of a list of names, such as "recovery,goodput"; "plain" is none, "run" what run has.
+// parseModules returns the factory for a list of module names, such as "recovery,goodput". "plain" is none, "run" those of
+// deployedModules.
 func parseModules(list string) (moduleFactory, error) {
 	switch list {
 	case "plain":
@@ -52,7 +53,7 @@
 				chain = append(chain, levels.New(s, seed, now, nil, nil))
 			case "shares":
 				own := shares.New(s, model.Tenants(), planned, seed, now)
-				if fleet != nil { // named before
+				if fleet != nil { // shared comes earlier in the list
 					own.UseFleetTotals(fleet)
 				}
 				chain = append(chain, own)
@@ -67,7 +68,7 @@
 	}, nil
 }
 
-// talking is a controller's part in a fleet whose instances know of each other: three of them are keepers.
+// peerConfig configures a controller of a fleet whose instances share state; three of them are voters.
 func peerConfig(s control.Settings, planned float64, seed uint64) shared.Config {
 	c := shared.Config{Epoch: seed, Control: s, Planned: planned, Name: fmt.Sprint("n", s.Ordinal), Machine: fmt.Sprint("m", s.Ordinal), Budgets: true, DetectOutliers: true,
 		Lease: lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: s.GroupSize}}
--- a/cmd/masthill-lab/rig.go
+++ b/cmd/masthill-lab/rig.go
@@ -9,7 +9,7 @@
 	"masthill/lab/rig"
 )
 
-// rigCmd runs a fleet of real processes and breaks things.
+// rigCmd runs a fleet of real processes and injects faults.
 type rigCmd struct {
 	File    string `arg:"" help:"What is played."`
 	Seed    uint64 `default:"1" help:"Seed of all draws."`
@@ -67,7 +67,7 @@
 		fmt.Println(" ", text)
 	}
 	if r.Bad() {
-		return fmt.Errorf("something did not hold")
+		return fmt.Errorf("a check failed or an instance reported errors")
 	}
 	return nil
 }
--- a/cmd/masthill-lab/scale.go
+++ b/cmd/masthill-lab/scale.go
@@ -10,7 +10,7 @@
 	"masthill/lab/scale"
 )
 
-// scaleCmd measures what a fleet costs by its size.
+// scaleCmd measures the costs of a fleet by its size.
 type scaleCmd struct {
 	Steady scaleSteadyCmd `cmd:"" default:"withargs" help:"A fleet at rest, at several sizes."`
 	Trust  scaleTrustCmd  `cmd:"" help:"The same size all real and all hollow."`
@@ -19,7 +19,7 @@
 	Group  scaleGroupCmd  `cmd:"" hidden:"" help:"Serve a group of hollow members; the others start it."`
 }
 
-// scaleOptions are what all of them have in common.
+// scaleOptions are the options that the scale commands have in common.
 type scaleOptions struct {
 	Calls   float64       `help:"Made-up calls a second at each hollow member, for what they have to tell."`
 	Slow    float64       `help:"Run the clock of hollow members so many times slower, up to 8; not with real ones."`
@@ -35,14 +35,14 @@
 }
 
 const (
-	// scaleMost and scaleRealMost bound a fleet and its processes, scaleForMost the time at one size.
+	// maxMembers and maxRealMembers limit a fleet and its real members, maxMeasureTime each phase of a measurement.
 	maxMembers, maxRealMembers = 1000, 100
 	maxMeasureTime             = 2 * time.Minute
-	// zones is how many zones members are spread over.
+	// zoneCount is how many zones members are spread over.
 	zoneCount = 11
 )
 
-// results opens the results of a run.
+// results returns the results to add to: those in the file with --resume, else none.
 func (o scaleOptions) results() (*scale.Results, error) {
 	if !o.Resume || o.JSON == "" {
 		return &scale.Results{}, nil
@@ -50,7 +50,7 @@
 	return scale.ReadResults(o.JSON)
 }
 
-// write writes what there is so far.
+// write writes and plots the results so far.
 func (o scaleOptions) write(r *scale.Results) error {
 	if o.JSON != "" {
 		if err := r.Write(o.JSON); err != nil {
@@ -63,13 +63,13 @@
 	return nil
 }
 
-// steady is a fleet of which so many are real.
+// steady prepares the run of a fleet of which so many members are real. clean removes its directory.
 func (o scaleOptions) steady(size, real int) (s scale.SteadyRun, clean func(), err error) {
 	if size < 3 || size > maxMembers || real > maxRealMembers || real > size {
-		return s, nil, fmt.Errorf("%d members, %d of them real: up to %d, and %d real ones", size, real, maxMembers, maxRealMembers)
+		return s, nil, fmt.Errorf("%d members, %d of them real: the limits are 3 to %d members, and %d real ones", size, real, maxMembers, maxRealMembers)
 	}
 	if o.Slow > 8 || o.Slow > 1 && real > 0 {
-		return s, nil, fmt.Errorf("a clock %v times slower: 8 at most, and real members have no other clock", o.Slow)
+		return s, nil, fmt.Errorf("a clock %v times slower: the limit is 8, and real members cannot have a slower clock", o.Slow)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -97,7 +97,7 @@
 	return s, func() { os.RemoveAll(dir) }, nil
 }
 
-// measure measures one fleet.
+// measure runs and measures one fleet.
 func (o scaleOptions) measure(ctx context.Context, size, real int, change func(*scale.SteadyRun)) (*scale.Point, error) {
 	s, clean, err := o.steady(size, real)
 	if err != nil {
@@ -137,7 +137,7 @@
 			return err
 		}
 	}
-	return c.write(r) // with nothing new, too: fits and the plot are made anew
+	return c.write(r) // also without new results, to update the fits and the plot
 }
 
 type scaleTrustCmd struct {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// compare measures one size in four ways: real, real without knowing of others, hollow, and hollow with a process for each.
+// compare measures one size in four ways: real, real without peers, hollow, and hollow with one member per process.
 func (c scaleTrustCmd) compare(ctx context.Context, size int) (*scale.Comparison, error) {
 	var points [4]*scale.Point
 	for k, way := range []struct {
--- a/cmd/masthill-lab/scaleconfig.go
+++ b/cmd/masthill-lab/scaleconfig.go
@@ -10,7 +10,7 @@
 	"masthill/lab/scale"
 )
 
-// scaleConfigCmd measures configuration releases by the fleet's size.
+// scaleConfigCmd measures the distribution of configuration releases by the fleet's size.
 type scaleConfigCmd struct {
 	Sizes   []int         `default:"120,240,470" help:"Members."`
 	Servers int           `default:"5" help:"Configuration servers, each in a process."`
@@ -26,12 +26,12 @@
 	JSON    string        `name:"json" help:"Write the results there, after each size." placeholder:"FILE"`
 }
 
-// maxConfigServers bounds the configuration servers of a run.
+// maxConfigServers limits the configuration servers of a run.
 const maxConfigServers = 9
 
 func (c scaleConfigCmd) Run(ctx context.Context) error {
 	if c.Servers < 1 || c.Servers > maxConfigServers {
-		return fmt.Errorf("%d servers: 1 to %d", c.Servers, maxConfigServers)
+		return fmt.Errorf("%d servers: wanted 1 to %d", c.Servers, maxConfigServers)
 	}
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
@@ -40,7 +40,7 @@
 	r := &scale.Results{}
 	for _, size := range c.Sizes {
 		if size < 3 || size > maxMembers {
-			return fmt.Errorf("%d members: 3 to %d", size, maxMembers)
+			return fmt.Errorf("%d members: wanted 3 to %d", size, maxMembers)
 		}
 		cost, err := c.measure(ctx, program, size)
 		if err != nil {
--- a/cmd/masthill-lab/scenes.go
+++ b/cmd/masthill-lab/scenes.go
@@ -12,7 +12,7 @@
 	"masthill/lab/model"
 )
 
-// scenesCmd plays scenes with some modules beside control and with others, over paired seeds.
+// scenesCmd simulates scenes with two sets of modules beside control, and compares them over paired seeds.
 type scenesCmd struct {
 	Scene       []string `default:"all" help:"Scenes by name, or all."`
 	Controllers int      `default:"300" help:"Session controllers, up to 1,000."`
--- a/cmd/masthill-lab/silent.go
+++ b/cmd/masthill-lab/silent.go
@@ -11,18 +11,19 @@
 	"masthill/lab/model"
 )
 
-// silentCmd plays one server that goes silent, of which the list says nothing, and shows how long set-ups go there.
+// silentCmd simulates a server that goes silent without a change on the list, and shows how long set-ups are sent there.
 type silentCmd struct {
 	Controllers int     `default:"50" help:"Session controllers."`
 	Servers     int     `default:"21" help:"Session servers."`
 	Seeds       string  `default:"1-8" help:"Seeds, as FIRST-LAST or one."`
 	Load        float64 `default:"0.8" help:"Part of the planned load."`
-	// Columns are lists of modules; see scenes.
+	// Columns are lists of modules in the format of parseModules.
 	Columns []string `sep:";" default:"goodput;shared,goodput" help:"The modules beside control, a list for each column with semicolons between."`
 	Liar    bool     `help:"One controller tells the others all the time that every server is dead."`
 }
 
-// silentFrom and silentFor are when the server is silent; the list notices some seconds later, unless it is back.
+// silentFrom and silentFor are the beginning and length of the silence; the list shows it some seconds later, unless the
+// server answers again by then.
 const silentFrom, silentFor, silentLength = 15 * time.Second, 4 * time.Second, 40 * time.Second
 
 func (c silentCmd) Run(ctx context.Context) error {
