--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -61,7 +61,7 @@
 	if c.For < 0 || jumpStart+c.For+jamRecovery > jamRunLength {
 		return fmt.Errorf("wanted a jump of %v at most", jamRunLength-jumpStart-jamRecovery)
 	}
-	back, end := int((jumpStart+c.For+jamRecovery)/time.Second), int(jamRunLength/time.Second)
+	recovered, end := int((jumpStart+c.For+jamRecovery)/time.Second), int(jamRunLength/time.Second)
 	var cells []borderCell
 	for _, names := range []string{c.Before, c.With} {
 		with, err := parseModules(names)
@@ -87,21 +87,21 @@
 			fmt.Printf(" %15s", fmt.Sprintf("x %.1f", times))
 		}
 		for k, j := range jumps {
-			one := borderCell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
+			result := borderCell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
 			for _, r := range results[k*len(numbers) : (k+1)*len(numbers)] {
-				after := servedShare(r.ServedBySecond, r.OfferedBySecond, back, end)
-				one.Served += r.ServedShare / float64(len(numbers))
-				one.After += after / float64(len(numbers))
-				one.Worst = min(one.Worst, after)
+				after := servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, end)
+				result.Served += r.ServedShare / float64(len(numbers))
+				result.After += after / float64(len(numbers))
+				result.Worst = min(result.Worst, after)
 				if r.Any() {
-					return fmt.Errorf("%s, seed %d: a rule was broken: %v", one.Size, r.Seed, r.Descriptions)
+					return fmt.Errorf("%s, seed %d: a rule was broken: %v", result.Size, r.Seed, r.Descriptions)
 				}
 			}
 			if k%len(c.Times) == 0 {
-				fmt.Printf("\n%-10s", one.Size)
+				fmt.Printf("\n%-10s", result.Size)
 			}
-			fmt.Printf(" %6.3f (%6.3f)", one.After, one.Worst)
-			cells = append(cells, one)
+			fmt.Printf(" %6.3f (%6.3f)", result.After, result.Worst)
+			cells = append(cells, result)
 		}
 		fmt.Println()
 	}
--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -127,11 +127,11 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	back := int((jumpStart + c.For + jamRecovery) / time.Second)
+	recovered := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var served, after []float64
 	broken := 0
 	for _, r := range all {
-		served, after = append(served, r.ServedShare), append(after, servedShare(r.ServedBySecond, r.OfferedBySecond, back, int(jamRunLength/time.Second)))
+		served, after = append(served, r.ServedShare), append(after, servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, int(jamRunLength/time.Second)))
 		if r.Any() || r.FellOver {
 			broken++
 			fmt.Println(" ", r.Seed, r.Descriptions)
@@ -185,7 +185,7 @@
 	if planned == 0 {
 		planned = 22 * float64(c.Servers)
 	}
-	back := int((jumpStart + c.For + jamRecovery) / time.Second)
+	recovered := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var all []*wave.Result
 	for _, seed := range numbers {
 		dir, err := os.MkdirTemp("", "masthill-lab-")
@@ -199,7 +199,7 @@
 			return err
 		}
 		fmt.Printf("seed %d: served %.3f, 15 s after the jump %.3f, %d calls, %d tries, missing %d, twice %d, overlapping %d, rig late %.0f ms\n", seed, r.Served,
-			servedShare(r.ServedBySecond, r.OfferedBySecond, back, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
+			servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
 		r.Samples = nil
 		if all = append(all, r); r.Any() || len(r.Errors) > 0 {
 			return fmt.Errorf("a rule was broken, or an instance failed: %v %v", r.Descriptions, r.Errors)
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -96,20 +96,20 @@
 	}
 	var served [2][]float64
 	for on := range 2 {
-		most, changes, worst, high := 0, 0, 1.0, levels.Normal
+		most, changes, worst, highest := 0, 0, 1.0, levels.Normal
 		for _, p := range runs[on] {
 			if p.r.Any() {
 				return fmt.Errorf("seed %d: a rule was broken: %v", p.r.Seed, p.r.Descriptions)
 			}
 			served[on] = append(served[on], p.r.ServedShare)
-			most, changes, high, worst = max(most, p.most), changes+p.changes, max(high, p.highest), min(worst, p.r.ServedShare)
+			most, changes, highest, worst = max(most, p.most), changes+p.changes, max(highest, p.highest), min(worst, p.r.ServedShare)
 		}
 		mean := 0.0
 		for _, x := range served[on] {
 			mean += x / float64(len(served[on]))
 		}
 		fmt.Printf("levels %-3s served %.4f (worst %.4f); changes of level: %.1f a controller, %d at most; highest %s\n", [...]string{"off", "on"}[on], mean, worst,
-			float64(changes)/float64(c.Seeds*c.Controllers), most, high)
+			float64(changes)/float64(c.Seeds*c.Controllers), most, highest)
 	}
 	mean, half := pairedDifference(served[0], served[1])
 	fmt.Printf("on - off: %+.4f, 95%% interval %+.4f to %+.4f\n", mean, mean-half, mean+half)
--- a/cmd/masthill-lab/scale.go
+++ b/cmd/masthill-lab/scale.go
@@ -168,7 +168,7 @@
 // compare measures one size in four ways: real, real without peers, hollow, and hollow with one member per process.
 func (c scaleTrustCmd) compare(ctx context.Context, size int) (*scale.Comparison, error) {
 	var points [4]*scale.Point
-	for k, way := range []struct {
+	for k, variant := range []struct {
 		real   int
 		change func(*scale.SteadyRun)
 	}{
@@ -177,7 +177,7 @@
 		{0, nil},
 		{0, func(s *scale.SteadyRun) { s.Groups = scale.SplitEvenly(0, size, 1) }},
 	} {
-		p, err := c.measure(ctx, size, way.real, way.change)
+		p, err := c.measure(ctx, size, variant.real, variant.change)
 		if err != nil {
 			return nil, err
 		}
@@ -206,7 +206,7 @@
 		return err
 	}
 	defer clean()
-	told := func(p *scale.Point, f *scale.Fault) error {
+	onResult := func(p *scale.Point, f *scale.Fault) error {
 		if p != nil {
 			r.Points = append(r.Points, p)
 		}
@@ -217,7 +217,7 @@
 		return c.write(r)
 	}
 	return scale.FaultRun{Layout: s.Layout, Kinds: c.Kind, GroupSize: c.Each, WarmUp: s.WarmUp, MeasureIdle: min(c.Quiet, maxMeasureTime), MeasureBusy: s.MeasureFor,
-		PartitionFor: min(c.Cut, maxMeasureTime), MeasureBaseline: min(c.Rest, maxMeasureTime), Progress: os.Stdout, OnResult: told}.Run(ctx)
+		PartitionFor: min(c.Cut, maxMeasureTime), MeasureBaseline: min(c.Rest, maxMeasureTime), Progress: os.Stdout, OnResult: onResult}.Run(ctx)
 }
 
 // scaleGroupCmd serves a group of hollow members until its input ends.
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -15,12 +15,12 @@
 
 // fakeServers stands in for the servers and the caller of a core, and records where the last call was sent.
 type fakeServers struct {
-	server uint64
-	sent   int
+	lastServer uint64
+	sent       int
 }
 
 func (p *fakeServers) UpdateList([]exchange.Office, bool)    {}
-func (p *fakeServers) Invite(a exchange.Attempt)             { p.server, p.sent = a.Server, p.sent+1 }
+func (p *fakeServers) Invite(a exchange.Attempt)             { p.lastServer, p.sent = a.Server, p.sent+1 }
 func (p *fakeServers) Cancel(uint64, string, int)            {}
 func (p *fakeServers) Bye(uint64, string, int, bool)         {}
 func (p *fakeServers) ReportSilence(uint64, time.Time, bool) {}
@@ -100,9 +100,9 @@
 		id := fmt.Sprintf("%016x", n)
 		x.Submit(exchange.Setup{ID: id, Owner: "o", Name: "open-log", Tenant: tenants[n%3], Number: "17", Dest: n % servers, Taken: now, ExpiresAt: now.Add(3 * time.Second)}, side)
 		x.RunDue()
-		x.Accepted(side.server, id, 0, nil)
+		x.Accepted(side.lastServer, id, 0, nil)
 		x.RunDue()
-		open = append(open, standing{id, side.server, now.Add(time.Second / 2)})
+		open = append(open, standing{id, side.lastServer, now.Add(time.Second / 2)})
 		for len(open) > 0 && !now.Before(open[0].until) {
 			x.Released(open[0].server, open[0].id, false, nil)
 			x.RunDue()
--- a/lab/scale/claims.go
+++ b/lab/scale/claims.go
@@ -28,11 +28,11 @@
 
 // claims records a member's claims for CheckBudgets.
 type claims struct {
-	mu    sync.Mutex
-	name  string
-	epoch uint64
-	all   []Claim
-	lost  int
+	mu       sync.Mutex
+	name     string
+	epoch    uint64
+	recorded []Claim
+	dropped  int
 	// The current state, besides the record.
 	avoided     map[uint64]bool
 	leaderUntil int64 // until when this member is the leader
@@ -73,20 +73,20 @@
 func (c *claims) add(one Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.all) >= maxClaims {
-		c.lost++
+	if len(c.recorded) >= maxClaims {
+		c.dropped++
 		return
 	}
 	one.Name, one.Epoch = c.name, c.epoch
-	c.all = append(c.all, one)
+	c.recorded = append(c.recorded, one)
 }
 
 // drain returns the claims recorded since the last call of drain, and how many were dropped.
 func (c *claims) drain() (all []Claim, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all, lost = c.all, c.lost
-	c.all, c.lost = nil, 0
+	all, lost = c.recorded, c.dropped
+	c.recorded, c.dropped = nil, 0
 	return all, lost
 }
 
@@ -122,18 +122,18 @@
 	b := BudgetCheck{}
 	slices.SortStableFunc(all, func(x, y Claim) int { return cmp.Compare(x.At, y.At) })
 	using := map[string]map[process]Claim{}
-	reigns := map[process]int64{}
+	leaders := map[process]int64{}
 	for _, c := range all {
 		who := process{c.Name, c.Epoch}
 		switch {
 		case c.Decision != nil:
 		case c.LeaderUntil > 0:
-			for other, until := range reigns {
+			for other, until := range leaders {
 				if other != who && isAlive(other, c.At, ended) && until > c.At {
 					b.addFinding(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
 				}
 			}
-			reigns[who] = max(reigns[who], c.LeaderUntil)
+			leaders[who] = max(leaders[who], c.LeaderUntil)
 		default:
 			b.Claims++
 			if using[c.Claim.Budget] == nil {
--- a/lab/scale/fault_kinds.go
+++ b/lab/scale/fault_kinds.go
@@ -54,12 +54,12 @@
 // leader, which allocates them.
 func (p *faultTest) killAllocator() (err error) {
 	p.startColdServers()
-	reigns := func() int {
-		looks, err := p.fleet.Snapshot(SnapshotOptions{Claims: true})
+	leaderGroup := func() int {
+		snapshots, err := p.fleet.Snapshot(SnapshotOptions{Claims: true})
 		if err != nil {
 			return -1
 		}
-		return slices.IndexFunc(looks, func(l Snapshot) bool {
+		return slices.IndexFunc(snapshots, func(l Snapshot) bool {
 			return slices.ContainsFunc(l.Members, func(s MemberStatus) bool { return s.Allocates })
 		})
 	}
@@ -68,7 +68,7 @@
 		if err := p.fleet.sleep(p.machineTime(200 * time.Millisecond)); err != nil {
 			return err
 		}
-		group = reigns()
+		group = leaderGroup()
 	}
 	if group < 0 {
 		p.result.Note = "nobody allocated within 10 s"
@@ -81,7 +81,7 @@
 	began := time.Now()
 	p.fleet.Kill(group)
 	p.result.Affected = len(p.Groups[group])
-	for next := -1; next < 0; next = reigns() {
+	for next := -1; next < 0; next = leaderGroup() {
 		if time.Since(began) > p.machineTime(30*time.Second) {
 			p.result.Note = "no other allocated within 30 s"
 			break
@@ -108,7 +108,7 @@
 	p.result.Affected = 1
 	tell := func(server uint64) error {
 		return p.fleet.forEachGroup(func(_ int, r runner) error {
-			_, err := r.do(request{Do: doSilence, Server: server})
+			_, err := r.do(request{Action: doSilence, Server: server})
 			return err
 		})
 	}
@@ -128,9 +128,9 @@
 
 // partitionRegion partitions a third of the members from the rest, and then ends the partition.
 func (p *faultTest) partitionRegion() (err error) {
-	away := p.Size / 3
-	p.result.Affected = away
-	cut := make([]int, away)
+	cutCount := p.Size / 3
+	p.result.Affected = cutCount
+	cut := make([]int, cutCount)
 	for k := range cut {
 		cut[k] = p.Size - 1 - k
 	}
@@ -138,7 +138,7 @@
 	began := time.Now()
 	tell := func(numbers []int) error {
 		return p.fleet.forEachGroup(func(_ int, r runner) error {
-			_, err := r.do(request{Do: doCut, Members: numbers})
+			_, err := r.do(request{Action: doCut, Members: numbers})
 			return err
 		})
 	}
@@ -146,10 +146,10 @@
 		return err
 	}
 	p.result.DetectedS, err = p.waitForAll("each side knows itself alone", func(s MemberStatus) bool {
-		if s.Number >= p.Size-away {
-			return s.Alive == away
+		if s.Number >= p.Size-cutCount {
+			return s.Alive == cutCount
 		}
-		return s.Alive == p.size-away
+		return s.Alive == p.size-cutCount
 	})
 	if err != nil {
 		return err
@@ -172,7 +172,7 @@
 	p.startColdServers()
 	voters := len(p.Voters())
 	one := func(r runner, k int) error {
-		_, err := r.do(request{Do: doRestart, Members: []int{k}, Pause: p.machineTime(restartPause)})
+		_, err := r.do(request{Action: doRestart, Members: []int{k}, Pause: p.machineTime(restartPause)})
 		return err
 	}
 	err = p.fleet.forEachGroup(func(k int, r runner) error {
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -109,22 +109,22 @@
 	if err := f.Start(); err != nil {
 		return err
 	}
-	met, err := f.WaitForMembers(s.Size)
+	converged, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return err
 	}
-	s.logf("all know of all after %.1f s by the members' clock", met.Seconds()/s.slowdown())
+	s.logf("all know of all after %.1f s by the members' clock", converged.Seconds()/s.slowdown())
 	if err := f.sleep(s.WarmUp); err != nil {
 		return err
 	}
-	for _, one := range []struct {
+	for _, phase := range []struct {
 		calls float64
 		long  time.Duration
 	}{{0, s.MeasureIdle}, {calls, s.MeasureBusy}} {
-		if one.long <= 0 {
+		if phase.long <= 0 {
 			continue
 		}
-		if err := s.measureSteady(f, one.calls, one.long, met); err != nil {
+		if err := s.measureSteady(f, phase.calls, phase.long, converged); err != nil {
 			return err
 		}
 	}
@@ -147,18 +147,18 @@
 func (s FaultRun) logf(format string, a ...any) { SteadyRun{Progress: s.Progress}.logf(format, a...) }
 
 // measureSteady measures the steady fleet at a rate of synthetic calls.
-func (s FaultRun) measureSteady(f *Fleet, calls float64, long, met time.Duration) error {
+func (s FaultRun) measureSteady(f *Fleet, calls float64, length, converged time.Duration) error {
 	if err := f.setCallRate(calls); err != nil {
 		return err
 	}
 	if err := f.sleep(s.WarmUp); err != nil { // reports are up to six seconds old
 		return err
 	}
-	p, err := f.measure(long)
+	p, err := f.measure(length)
 	if err != nil {
 		return err
 	}
-	p.ConvergedS, p.Processes = met.Seconds()/s.slowdown(), len(s.Groups)
+	p.ConvergedS, p.Processes = converged.Seconds()/s.slowdown(), len(s.Groups)
 	s.logf("at rest with %.0f made-up calls: %s", calls, p)
 	return s.OnResult(p, nil)
 }
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -117,8 +117,8 @@
 // timeOutCalls ends the calls that were not answered in time.
 func (f *feed) timeOutCalls(now int64, m *Member) {
 	for len(f.open) > 0 && now-f.open[0].at >= answerTimeout {
-		one := f.open[0]
+		call := f.open[0]
 		f.open = f.open[1:]
-		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
+		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: call.id, Server: call.server, Outcome: control.TimedOut})
 	}
 }
--- a/lab/scale/fit.go
+++ b/lab/scale/fit.go
@@ -27,15 +27,15 @@
 		return l
 	}
 	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
-	mean, squares, rest := stat.Mean(x, nil), 0.0, 0.0
+	mean, squares, residuals := stat.Mean(x, nil), 0.0, 0.0
 	for k := range x {
 		squares += (x[k] - mean) * (x[k] - mean)
-		miss := y[k] - l.Intercept - l.Slope*x[k]
-		rest += miss * miss
+		residual := y[k] - l.Intercept - l.Slope*x[k]
+		residuals += residual * residual
 	}
 	n := float64(len(x))
 	t := distuv.StudentsT{Nu: n - 2, Sigma: 1}.Quantile(0.975)
-	variance := rest / (n - 2)
+	variance := residuals / (n - 2)
 	l.SlopeCI = t * math.Sqrt(variance/squares)
 	l.InterceptCI = t * math.Sqrt(variance*(1/n+mean*mean/squares))
 	if l.R2 = stat.RSquared(x, y, nil, l.Intercept, l.Slope); math.IsNaN(l.R2) { // all y are the same
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -72,7 +72,7 @@
 
 // NewFleet starts the discovery service and the processes of the groups, but no members.
 func NewFleet(ctx context.Context, l Layout) (*Fleet, error) {
-	at, held, err := reserveNetwork(l.Seed)
+	at, reservation, err := reserveNetwork(l.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -83,21 +83,21 @@
 	}
 	list, err := standin.NewListService(entries, nil)
 	if err != nil {
-		held.Close()
+		reservation.Close()
 		return nil, err
 	}
 	l.DiscoveryAddr, l.InitialList = list.Addr(), list.KnownList()
 	ctx, stop := context.WithCancel(ctx)
 	work, ctx := errgroup.WithContext(ctx)
-	f := &Fleet{Layout: l, ctx: ctx, work: work, stop: stop, reservation: held, list: list, killed: map[int]bool{}, killedAt: map[string]int64{}}
+	f := &Fleet{Layout: l, ctx: ctx, work: work, stop: stop, reservation: reservation, list: list, killed: map[int]bool{}, killedAt: map[string]int64{}}
 	work.Go(func() error { return list.Run(ctx) })
 	for range l.Groups {
-		one, err := f.newRunner()
+		group, err := f.newRunner()
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.groups = append(f.groups, one)
+		f.groups = append(f.groups, group)
 	}
 	return f, nil
 }
@@ -123,14 +123,14 @@
 	first := f.Voters()
 	if err := f.forEachGroup(func(k int, r runner) error {
 		seeds := slices.DeleteFunc(slices.Clone(f.Groups[k]), func(n int) bool { return !slices.Contains(first, n) })
-		_, err := r.do(request{Do: doStart, Members: seeds, Pause: startPause})
+		_, err := r.do(request{Action: doStart, Members: seeds, Pause: startPause})
 		return err
 	}); err != nil {
 		return err
 	}
 	return f.forEachGroup(func(k int, r runner) error {
 		rest := slices.DeleteFunc(slices.Clone(f.Groups[k]), func(n int) bool { return slices.Contains(first, n) })
-		_, err := r.do(request{Do: doStart, Members: rest, Pause: startPause})
+		_, err := r.do(request{Action: doStart, Members: rest, Pause: startPause})
 		return err
 	})
 }
@@ -159,7 +159,7 @@
 func (f *Fleet) Snapshot(a SnapshotOptions) ([]Snapshot, error) {
 	all := make([]Snapshot, len(f.groups))
 	err := f.forEachGroup(func(k int, r runner) error {
-		l, err := r.do(request{Do: doLook, Ask: a})
+		l, err := r.do(request{Action: doSnapshot, Options: a})
 		if err == nil {
 			all[k] = *l
 		}
@@ -176,7 +176,7 @@
 }
 
 // waitUntil polls the fleet until a condition holds for all members, and returns how long that took.
-func (f *Fleet) waitUntil(what string, most time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
+func (f *Fleet) waitUntil(what string, timeout time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
 	began := time.Now()
 	for {
 		all, err := f.Snapshot(SnapshotOptions{})
@@ -195,7 +195,7 @@
 		if missing == 0 {
 			return took, nil
 		}
-		if took > most {
+		if took > timeout {
 			return took, fmt.Errorf("%s: not so for %d members after %v", what, missing, took.Round(time.Second))
 		}
 		if err := f.sleep(pollInterval); err != nil {
@@ -218,15 +218,15 @@
 
 // WaitForMembers waits until all hollow members see so many members alive.
 func (f *Fleet) WaitForMembers(members int) (time.Duration, error) {
-	most := min(time.Duration(float64(convergeTimeout)*f.slowdown()), maxConvergeTimeout)
-	return f.waitUntil(fmt.Sprintf("all %d members are known", members), most, func(s MemberStatus) bool { return s.Alive == members })
+	timeout := min(time.Duration(float64(convergeTimeout)*f.slowdown()), maxConvergeTimeout)
+	return f.waitUntil(fmt.Sprintf("all %d members are known", members), timeout, func(s MemberStatus) bool { return s.Alive == members })
 }
 
 // setCallRate sets the synthetic calls per second of each hollow member.
 func (f *Fleet) setCallRate(rate float64) error {
 	f.SyntheticCalls = rate
 	return f.forEachGroup(func(_ int, r runner) error {
-		_, err := r.do(request{Do: doCall, Calls: rate})
+		_, err := r.do(request{Action: doCall, Calls: rate})
 		return err
 	})
 }
--- a/lab/scale/formula.go
+++ b/lab/scale/formula.go
@@ -53,15 +53,15 @@
 
 // ExceededLimits describes each figure of a measurement that exceeds the formula.
 func ExceededLimits(p *Point, servers int) (all []string) {
-	for _, one := range []struct {
+	for _, limit := range []struct {
 		what        string
 		is, allowed float64
 	}{
 		{"datagrams a second", p.Hollow.SentDatagrams, MaxDatagrams(p.Size)},
 		{"bytes a second", p.Hollow.SentWire, MaxBytes(p.Size, servers, p.SyntheticCalls)},
 	} {
-		if one.is > one.allowed {
-			all = append(all, fmt.Sprintf("%d members: %.1f %s, and %.1f are the most", p.Size, one.is, one.what, one.allowed))
+		if limit.is > limit.allowed {
+			all = append(all, fmt.Sprintf("%d members: %.1f %s, and %.1f are the most", p.Size, limit.is, limit.what, limit.allowed))
 		}
 	}
 	return all
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -189,8 +189,8 @@
 func (m *Member) status() MemberStatus {
 	st := m.peers.Status()
 	s := MemberStatus{Number: m.number, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
-	for _, one := range st.Members {
-		switch one.State {
+	for _, other := range st.Members {
+		switch other.State {
 		case peers.Alive:
 			s.Alive++
 		case peers.Suspect:
--- a/lab/scale/plot.go
+++ b/lab/scale/plot.go
@@ -48,18 +48,18 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Min = o.title, "members", 0
 	var quiet, busy, real plotter.XYs
-	most := 0.0
-	for _, one := range points {
-		at := plotter.XY{X: float64(one.Size), Y: o.of(&one.Hollow)}
-		if one.SyntheticCalls > 0 {
+	largest := 0.0
+	for _, point := range points {
+		at := plotter.XY{X: float64(point.Size), Y: o.of(&point.Hollow)}
+		if point.SyntheticCalls > 0 {
 			busy = append(busy, at)
 		} else {
 			quiet = append(quiet, at)
 		}
-		if one.Real != nil {
-			real = append(real, plotter.XY{X: float64(one.Size), Y: o.of(one.Real)})
+		if point.Real != nil {
+			real = append(real, plotter.XY{X: float64(point.Size), Y: o.of(point.Real)})
 		}
-		most = max(most, at.X)
+		largest = max(largest, at.X)
 	}
 	for _, series := range []struct {
 		name  string
@@ -77,7 +77,7 @@
 		p.Add(s)
 		p.Legend.Add(series.name, s)
 	}
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: o.budget}, {X: most, Y: o.budget}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: o.budget}, {X: largest, Y: o.budget}})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -15,37 +15,37 @@
 
 // request asks a group to do something.
 type request struct {
-	Do      string          `json:"do"`
+	Action  string          `json:"do"`
 	Spec    *Spec           `json:"spec,omitempty"`
 	Members []int           `json:"members,omitempty"`
 	Pause   time.Duration   `json:"pause,omitempty"`
-	Ask     SnapshotOptions `json:"ask"`
+	Options SnapshotOptions `json:"ask"`
 	Server  uint64          `json:"server,omitempty"`
 	Calls   float64         `json:"calls,omitempty"`
 }
 
 // The values of request.Do.
 const (
-	doBegin   = "begin" // takes the Spec
-	doStart   = "start"
-	doStop    = "stop"
-	doRestart = "restart"
-	doCut     = "cut"
-	doSilence = "silence"
-	doCall    = "call"
-	doLook    = "look"
+	doBegin    = "begin" // takes the Spec
+	doStart    = "start"
+	doStop     = "stop"
+	doRestart  = "restart"
+	doCut      = "cut"
+	doSilence  = "silence"
+	doCall     = "call"
+	doSnapshot = "look"
 )
 
 // reply is a group's answer to a request.
 type reply struct {
-	Error string    `json:"error,omitempty"`
-	Look  *Snapshot `json:"look,omitempty"`
+	Error    string    `json:"error,omitempty"`
+	Snapshot *Snapshot `json:"look,omitempty"`
 }
 
 // handle executes a request.
 func (g *Group) handle(o request) (r reply) {
 	var err error
-	switch o.Do {
+	switch o.Action {
 	case doStart:
 		err = g.Start(o.Members, o.Pause)
 	case doStop:
@@ -58,11 +58,11 @@
 		g.SilenceServer(o.Server)
 	case doCall:
 		g.SetCallRate(o.Calls)
-	case doLook:
-		l := g.Snapshot(o.Ask)
-		r.Look = &l
+	case doSnapshot:
+		l := g.Snapshot(o.Options)
+		r.Snapshot = &l
 	default:
-		err = fmt.Errorf("unknown request %q", o.Do)
+		err = fmt.Errorf("unknown request %q", o.Action)
 	}
 	if err != nil {
 		r.Error = err.Error()
@@ -85,7 +85,7 @@
 		}
 		r := reply{}
 		switch {
-		case o.Do == doBegin && o.Spec != nil:
+		case o.Action == doBegin && o.Spec != nil:
 			g = NewGroup(ctx, o.Spec)
 		case g == nil:
 			r.Error = "the first request must begin a fleet"
@@ -121,7 +121,7 @@
 	if r.Error != "" {
 		return nil, errors.New(r.Error)
 	}
-	return r.Look, nil
+	return r.Snapshot, nil
 }
 
 // kill makes all other members unreachable first, so that the stopping members cannot announce that they leave.
@@ -176,7 +176,7 @@
 		stop()
 		close(r.exited)
 	}()
-	if _, err := r.do(request{Do: doBegin, Spec: s}); err != nil {
+	if _, err := r.do(request{Action: doBegin, Spec: s}); err != nil {
 		r.kill()
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 	if back.Error != "" {
 		return nil, errors.New(back.Error)
 	}
-	return back.Look, nil
+	return back.Snapshot, nil
 }
 
 func (r *remote) kill() {
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -53,21 +53,21 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
 		}
-		one := &realProcess{number: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
-		one.Settings = fmt.Sprintf("[socket]\npath = %q\n", one.socket)
+		member := &realProcess{number: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
+		member.Settings = fmt.Sprintf("[socket]\npath = %q\n", member.socket)
 		if !r.WithoutPeers {
-			one.Settings += f.Settings(k)
+			member.Settings += f.Settings(k)
 		}
 		list := f.list
 		if load != nil {
 			list = load.lists[k]
-			one.Config["journal"] = list.Addr()
+			member.Config["journal"] = list.Addr()
 		}
-		f.realMembers = append(f.realMembers, one)
+		f.realMembers = append(f.realMembers, member)
 		starts.Go(func() error {
-			addr, err := one.Start(f.ctx, list.KnownList())
+			addr, err := member.Start(f.ctx, list.KnownList())
 			if err == nil && load != nil {
-				err = load.crowd.AddInstance(f.ctx, one.Name, addr)
+				err = load.crowd.AddInstance(f.ctx, member.Name, addr)
 			}
 			return err
 		})
--- a/lab/scale/releases.go
+++ b/lab/scale/releases.go
@@ -76,11 +76,11 @@
 	run := &releaseTest{ReleaseRun: r, key: ed25519.NewKeyFromSeed(seed), client: releases.NewClient(nil), tap: newWiretap(),
 		result:    &ReleaseCost{Size: r.Size, Servers: r.Servers, Changes: r.Changes},
 		appliedAt: map[distribution.Version]map[int]time.Time{}}
-	at, held, err := reserveNetwork(r.Seed)
+	at, reservation, err := reserveNetwork(r.Seed)
 	if err != nil {
 		return nil, err
 	}
-	defer held.Close()
+	defer reservation.Close()
 	for k := range r.Servers {
 		run.addrs = append(run.addrs, fmt.Sprintf("%s.254.%d:2910", at, 1+k))
 	}
@@ -337,11 +337,11 @@
 		if err != nil {
 			return err
 		}
-		one, missing, err := r.waitForRelease(r.version, began, r.membersExcept())
+		times, missing, err := r.waitForRelease(r.version, began, r.membersExcept())
 		if err != nil {
 			return err
 		}
-		took, c.Missing = append(took, one...), c.Missing+missing
+		took, c.Missing = append(took, times...), c.Missing+missing
 	}
 	slices.Sort(took)
 	if len(took) > 0 {
--- a/lab/scale/releases_faults.go
+++ b/lab/scale/releases_faults.go
@@ -22,7 +22,7 @@
 
 // startSampling samples the fleet's bytes, and the ages reported by members that have been cut off since a time, until it is
 // stopped.
-func (r *releaseTest) startSampling(fault *ReleaseFault, deaf []int, since time.Time) (stop func()) {
+func (r *releaseTest) startSampling(fault *ReleaseFault, cutOff []int, since time.Time) (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -36,11 +36,11 @@
 			now := r.readUse()
 			bytes, _, _ := r.perMember(before, now)
 			fault.PeakBytes, before = max(fault.PeakBytes, bytes), now
-			for _, k := range deaf {
-				least := time.Since(since)
+			for _, k := range cutOff {
+				minAge := time.Since(since)
 				age := r.members[k].Status().AgeMS
 				fault.MaxAgeMS = max(fault.MaxAgeMS, float64(age))
-				if age < least.Milliseconds() {
+				if age < minAge.Milliseconds() {
 					fault.AgesTooLow++
 				}
 			}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -67,18 +67,18 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := f.groups[1].do(request{Do: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
+		if _, err := f.groups[1].do(request{Action: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, err := f.WaitForMembers(size); err != nil {
 		t.Fatal(err)
 	}
-	looks, err := f.Snapshot(SnapshotOptions{MembersForAges: size})
+	snapshots, err := f.Snapshot(SnapshotOptions{MembersForAges: size})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range looks {
+	for _, l := range snapshots {
 		if l.CountSources < 2 || l.CountSources > size+2*again {
 			t.Errorf("counts of %d processes are kept", l.CountSources)
 		}
@@ -240,7 +240,7 @@
 func TestServeHandlesRequests(t *testing.T) {
 	var in, out bytes.Buffer
 	orders := json.NewEncoder(&in)
-	for _, o := range []request{{Do: doLook}, {Do: doBegin, Spec: &Spec{Size: 3}}, {Do: "dance"}, {Do: doLook}} {
+	for _, o := range []request{{Action: doSnapshot}, {Action: doBegin, Spec: &Spec{Size: 3}}, {Action: "dance"}, {Action: doSnapshot}} {
 		orders.Encode(o)
 	}
 	if err := Serve(t.Context(), &in, &out); err != nil {
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -87,7 +87,7 @@
 	if err := f.StartRealMembers(s.RealMembers); err != nil {
 		return nil, err
 	}
-	met, err := f.WaitForMembers(s.Size)
+	converged, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 			return nil, err
 		}
 	}
-	s.logf("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.WarmUp)
+	s.logf("  all know of all after %.1f s; warms up for %v", converged.Seconds(), s.WarmUp)
 	if err := f.sleep(s.WarmUp); err != nil {
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.ConvergedS, p.Processes = met.Seconds(), len(s.Groups)+len(s.Numbers)
+	p.ConvergedS, p.Processes = converged.Seconds(), len(s.Groups)+len(s.Numbers)
 	s.logf("  %s", p)
 	return p, nil
 }
--- a/lab/scale/wiretap.go
+++ b/lab/scale/wiretap.go
@@ -48,11 +48,11 @@
 		if err != nil {
 			return nil, err
 		}
-		one := &tappedConn{TCPConn: c.(*net.TCPConn), tap: t, member: member}
+		conn := &tappedConn{TCPConn: c.(*net.TCPConn), tap: t, member: member}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.open[one] = true
-		return one, nil
+		t.open[conn] = true
+		return conn, nil
 	}
 }
 
@@ -69,14 +69,14 @@
 	for _, k := range members {
 		t.partitioned[k] = true
 	}
-	var struck []*tappedConn
+	var affected []*tappedConn
 	for c := range t.open {
 		if t.partitioned[c.member] {
-			struck = append(struck, c)
+			affected = append(affected, c)
 		}
 	}
 	t.mu.Unlock()
-	for _, c := range struck {
+	for _, c := range affected {
 		c.Close()
 	}
 }
