--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -38,7 +38,7 @@
 	Affected       int         `json:"struck"` // members
 	DurationS      float64     `json:"lasted_s"`
 	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all remaining members have noticed; -1: timed out
-	RecoveredS     float64     `json:"healed_s,omitempty"` // from its end until all members know all again; -1: timed out
+	RecoveredS     float64     `json:"healed_s,omitempty"` // until the fleet recovered: all know all again, use the server again, or have a new leader; -1: timed out
 	FalseDeaths    int64       `json:"false_deaths"`       // members reported dead that were alive and reachable
 	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, during the fault
 	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // the greatest mean over the members of one process, in an interval of about a second
@@ -57,7 +57,7 @@
 // String describes a fault in two lines.
 func (f *Fault) String() string {
 	return fmt.Sprintf("%s: %d of %d members struck, %.1f s; all knew after %.1f s, healed after %.1f s; false deaths %d; overspent %d (of %d claims, most in use %.2f), two allocators %d\n"+
-		"  bytes a second: %.0f at rest, %.0f over it, %.0f at most; processor %.2f%% at rest, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; others %.1f cores. %s",
+		"  bytes per second: %.0f before, %.0f during the fault, %.0f at most; CPU %.2f%% before, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; other processes %.1f cores. %s",
 		f.Kind, f.Affected, f.Size, f.DurationS, f.DetectedS, f.RecoveredS, f.FalseDeaths, f.Budgets.Overspent, f.Budgets.Claims, f.Budgets.MaxInUse, f.Budgets.ConcurrentLeaders,
 		f.BaselineBytes, f.MeanBytes, f.PeakBytes, f.BaselineCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
 }
@@ -105,7 +105,7 @@
 		return err
 	}
 	defer f.Close()
-	s.logf("%d hollow members in %d processes start", s.Size, len(s.Groups))
+	s.logf("starting %d hollow members in %d processes", s.Size, len(s.Groups))
 	if err := f.Start(); err != nil {
 		return err
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	s.logf("all know of all after %.1f s by the members' clock", converged.Seconds()/s.slowdown())
+	s.logf("all members know all after %.1f s by the members' clock", converged.Seconds()/s.slowdown())
 	if err := f.sleep(s.WarmUp); err != nil {
 		return err
 	}
@@ -159,6 +159,6 @@
 		return err
 	}
 	p.ConvergedS, p.Processes = converged.Seconds()/s.slowdown(), len(s.Groups)
-	s.logf("at rest with %.0f made-up calls: %s", calls, p)
+	s.logf("steady with %.0f synthetic calls per second: %s", calls, p)
 	return s.OnResult(p, nil)
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -196,7 +196,7 @@
 			return took, nil
 		}
 		if took > timeout {
-			return took, fmt.Errorf("%s: not so for %d members after %v", what, missing, took.Round(time.Second))
+			return took, fmt.Errorf("%s: does not hold for %d members after %v", what, missing, took.Round(time.Second))
 		}
 		if err := f.sleep(pollInterval); err != nil {
 			return took, err
--- a/lab/scale/formula.go
+++ b/lab/scale/formula.go
@@ -57,11 +57,11 @@
 		what        string
 		is, allowed float64
 	}{
-		{"datagrams a second", p.Hollow.SentDatagrams, MaxDatagrams(p.Size)},
-		{"bytes a second", p.Hollow.SentWire, MaxBytes(p.Size, servers, p.SyntheticCalls)},
+		{"datagrams per second", p.Hollow.SentDatagrams, MaxDatagrams(p.Size)},
+		{"bytes per second", p.Hollow.SentWire, MaxBytes(p.Size, servers, p.SyntheticCalls)},
 	} {
 		if limit.is > limit.allowed {
-			all = append(all, fmt.Sprintf("%d members: %.1f %s, and %.1f are the most", p.Size, limit.is, limit.what, limit.allowed))
+			all = append(all, fmt.Sprintf("%d members: %.1f %s, want at most %.1f", p.Size, limit.is, limit.what, limit.allowed))
 		}
 	}
 	return all
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -196,7 +196,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d real members do not know all %d", missing, members)
+			return fmt.Errorf("%d real members do not know all %d members", missing, members)
 		}
 		if err := f.sleep(pollInterval); err != nil {
 			return err
--- a/lab/scale/releases.go
+++ b/lab/scale/releases.go
@@ -278,7 +278,7 @@
 		return err
 	}
 	r.result.OthersCores, r.result.LoadAverage = max(cores(machine, ReadMachineLoad())-r.ownCores(machine), 0), ReadMachineLoad().LoadAverage
-	r.logf("%d members: %.0f bytes a second and %.3f%% of a core at rest, %.0f while changes come; in force after %.0f ms (p99), %.0f ms at most; a server %.2f%%, %.1f MB",
+	r.logf("%d members: %.0f bytes per second and %.3f%% of a core idle, %.0f bytes per second with releases; applied after %.0f ms (p99), %.0f ms at most; a server %.2f%%, %.1f MB",
 		r.Size, r.result.IdleBytes, r.result.IdleCPU, r.result.BusyBytes, r.result.AppliedP99, r.result.AppliedMax, r.result.ServerCPU, r.result.ServerMemory)
 	if !r.WithFaults {
 		return nil
--- a/lab/scale/releases_faults.go
+++ b/lab/scale/releases_faults.go
@@ -14,7 +14,7 @@
 			return err
 		}
 		r.result.Faults = append(r.result.Faults, *fault)
-		r.logf("  %s: %d struck; in force elsewhere after %.0f ms (p99), %.0f at most; healed after %.0f ms; greatest age told %.0f ms, %d told too little; %.0f bytes a second at most",
+		r.logf("  %s: %d affected; applied elsewhere after %.0f ms (p99), %.0f at most; recovered after %.0f ms; greatest age reported %.0f ms, %d too low; %.0f bytes per second at most",
 			fault.Kind, fault.Affected, fault.AppliedP99, fault.AppliedMax, fault.RecoveredMS, fault.MaxAgeMS, fault.AgesTooLow, fault.PeakBytes)
 	}
 	return nil
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	s.logf("%d members: %d hollow ones in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
+	s.logf("%d members: %d hollow in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
 	if err := f.Start(); err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 			return nil, err
 		}
 	}
-	s.logf("  all know of all after %.1f s; warms up for %v", converged.Seconds(), s.WarmUp)
+	s.logf("  all members know all after %.1f s; warming up for %v", converged.Seconds(), s.WarmUp)
 	if err := f.sleep(s.WarmUp); err != nil {
 		return nil, err
 	}
