--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -56,7 +56,7 @@
 
 // String describes a fault in two lines.
 func (f *Fault) String() string {
-	return fmt.Sprintf("%s: %d of %d members struck, %.1f s; all knew after %.1f s, healed after %.1f s; false deaths %d; overspent %d (of %d claims, most in use %.2f), two allocators %d\n"+
+	return fmt.Sprintf("%s: %d of %d members affected, %.1f s; detected by all after %.1f s, recovered after %.1f s; false deaths %d; overspent %d (of %d claims, at most %.2f in use), concurrent leaders %d\n"+
 		"  bytes per second: %.0f before, %.0f during the fault, %.0f at most; CPU %.2f%% before, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; other processes %.1f cores. %s",
 		f.Kind, f.Affected, f.Size, f.DurationS, f.DetectedS, f.RecoveredS, f.FalseDeaths, f.Budgets.Overspent, f.Budgets.Claims, f.Budgets.MaxInUse, f.Budgets.ConcurrentLeaders,
 		f.BaselineBytes, f.MeanBytes, f.PeakBytes, f.BaselineCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
