--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -24,7 +24,7 @@
 	Calls   float64         `json:"calls,omitempty"`
 }
 
-// The values of request.Do.
+// The values of request.Action.
 const (
 	doBegin    = "begin" // takes the Spec
 	doStart    = "start"
