--- a/lab/scale/fault_kinds.go
+++ b/lab/scale/fault_kinds.go
@@ -33,8 +33,8 @@
 }
 
 // waitForAll waits until a condition holds for all members and returns the seconds from now on; -1: timed out.
-func (p *faultTest) waitForAll(what string, holds func(MemberStatus) bool) (float64, error) {
-	took, err := p.fleet.waitUntil(what, p.machineTime(faultTimeout), holds)
+func (p *faultTest) waitForAll(condition string, holds func(MemberStatus) bool) (float64, error) {
+	took, err := p.fleet.waitUntil(condition, p.machineTime(faultTimeout), holds)
 	if err != nil && took > p.machineTime(faultTimeout) {
 		p.result.Note = err.Error()
 		return -1, nil
@@ -138,7 +138,7 @@
 	began := time.Now()
 	tell := func(numbers []int) error {
 		return p.fleet.forEachGroup(func(_ int, r runner) error {
-			_, err := r.do(request{Action: doCut, Members: numbers})
+			_, err := r.do(request{Action: doPartition, Members: numbers})
 			return err
 		})
 	}
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -60,11 +60,11 @@
 }
 
 // reserveNetwork finds a loopback network that no other run uses. It is reserved until the listener is closed.
-func reserveNetwork(seed uint64) (at string, held net.Listener, err error) {
+func reserveNetwork(seed uint64) (at string, reservation net.Listener, err error) {
 	for n := range uint64(100) {
 		at = fmt.Sprintf("127.%d", 130+(seed+n*7)%100)
-		if held, err = net.Listen("tcp", at+".255.1:2908"); err == nil {
-			return at, held, nil
+		if reservation, err = net.Listen("tcp", at+".255.1:2908"); err == nil {
+			return at, reservation, nil
 		}
 	}
 	return "", nil, err
@@ -176,7 +176,7 @@
 }
 
 // waitUntil polls the fleet until a condition holds for all members, and returns how long that took.
-func (f *Fleet) waitUntil(what string, timeout time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
+func (f *Fleet) waitUntil(condition string, timeout time.Duration, holds func(s MemberStatus) bool) (time.Duration, error) {
 	began := time.Now()
 	for {
 		all, err := f.Snapshot(SnapshotOptions{})
@@ -196,7 +196,7 @@
 			return took, nil
 		}
 		if took > timeout {
-			return took, fmt.Errorf("%s: does not hold for %d members after %v", what, missing, took.Round(time.Second))
+			return took, fmt.Errorf("%s: does not hold for %d members after %v", condition, missing, took.Round(time.Second))
 		}
 		if err := f.sleep(pollInterval); err != nil {
 			return took, err
@@ -226,7 +226,7 @@
 func (f *Fleet) setCallRate(rate float64) error {
 	f.SyntheticCalls = rate
 	return f.forEachGroup(func(_ int, r runner) error {
-		_, err := r.do(request{Action: doCall, Calls: rate})
+		_, err := r.do(request{Action: doSetCallRate, Calls: rate})
 		return err
 	})
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -26,14 +26,14 @@
 
 // The values of request.Action.
 const (
-	doBegin    = "begin" // takes the Spec
-	doStart    = "start"
-	doStop     = "stop"
-	doRestart  = "restart"
-	doCut      = "cut"
-	doSilence  = "silence"
-	doCall     = "call"
-	doSnapshot = "look"
+	doBegin       = "begin" // takes the Spec
+	doStart       = "start"
+	doStop        = "stop"
+	doRestart     = "restart"
+	doPartition   = "cut"
+	doSilence     = "silence"
+	doSetCallRate = "call"
+	doSnapshot    = "look"
 )
 
 // reply is a group's answer to a request.
@@ -43,26 +43,26 @@
 }
 
 // handle executes a request.
-func (g *Group) handle(o request) (r reply) {
+func (g *Group) handle(req request) (r reply) {
 	var err error
-	switch o.Action {
+	switch req.Action {
 	case doStart:
-		err = g.Start(o.Members, o.Pause)
+		err = g.Start(req.Members, req.Pause)
 	case doStop:
-		err = g.Stop(o.Members)
+		err = g.Stop(req.Members)
 	case doRestart:
-		err = g.Restart(o.Members, o.Pause)
-	case doCut:
-		g.Partition(o.Members)
+		err = g.Restart(req.Members, req.Pause)
+	case doPartition:
+		g.Partition(req.Members)
 	case doSilence:
-		g.SilenceServer(o.Server)
-	case doCall:
-		g.SetCallRate(o.Calls)
+		g.SilenceServer(req.Server)
+	case doSetCallRate:
+		g.SetCallRate(req.Calls)
 	case doSnapshot:
-		l := g.Snapshot(o.Options)
+		l := g.Snapshot(req.Options)
 		r.Snapshot = &l
 	default:
-		err = fmt.Errorf("unknown request %q", o.Action)
+		err = fmt.Errorf("unknown request %q", req.Action)
 	}
 	if err != nil {
 		r.Error = err.Error()
@@ -74,23 +74,23 @@
 func Serve(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	orders, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
+	requests, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var g *Group
 	for {
-		var o request
-		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
+		var req request
+		if err := requests.Decode(&req); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		r := reply{}
 		switch {
-		case o.Action == doBegin && o.Spec != nil:
-			g = NewGroup(ctx, o.Spec)
+		case req.Action == doBegin && req.Spec != nil:
+			g = NewGroup(ctx, req.Spec)
 		case g == nil:
 			r.Error = "the first request must begin a fleet"
 		default:
-			r = g.handle(o)
+			r = g.handle(req)
 		}
 		if err := replies.Encode(r); err != nil {
 			return err
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -178,13 +178,13 @@
 			t.Errorf("%s: %+v", what, b)
 		}
 	}
-	reign := func(name string, from, until float64) Claim {
+	leadership := func(name string, from, until float64) Claim {
 		return Claim{Name: name, Epoch: 1, At: at(from), LeaderUntil: at(until)}
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 3, 5)}, 2, nil); b.ConcurrentLeaders != 0 {
+	if b := CheckBudgets([]Claim{leadership("a", 1, 3), leadership("b", 3, 5)}, 2, nil); b.ConcurrentLeaders != 0 {
 		t.Errorf("%+v", b)
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 2.9, 5)}, 2, nil); b.ConcurrentLeaders != 1 {
+	if b := CheckBudgets([]Claim{leadership("a", 1, 3), leadership("b", 2.9, 5)}, 2, nil); b.ConcurrentLeaders != 1 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -239,9 +239,9 @@
 // A group's process handles requests until its input ends, and reports an error for an invalid one.
 func TestServeHandlesRequests(t *testing.T) {
 	var in, out bytes.Buffer
-	orders := json.NewEncoder(&in)
-	for _, o := range []request{{Action: doSnapshot}, {Action: doBegin, Spec: &Spec{Size: 3}}, {Action: "dance"}, {Action: doSnapshot}} {
-		orders.Encode(o)
+	requests := json.NewEncoder(&in)
+	for _, req := range []request{{Action: doSnapshot}, {Action: doBegin, Spec: &Spec{Size: 3}}, {Action: "dance"}, {Action: doSnapshot}} {
+		requests.Encode(req)
 	}
 	if err := Serve(t.Context(), &in, &out); err != nil {
 		t.Fatal(err)
