--- a/lab/scale/fault_kinds.go
+++ b/lab/scale/fault_kinds.go
@@ -71,7 +71,7 @@
 		group = leaderGroup()
 	}
 	if group < 0 {
-		p.result.Note = "no leader allocated budgets within 10 s"
+		p.result.Note = "nobody allocated within 10 s"
 		p.result.DetectedS = -1
 		return nil
 	}
@@ -83,7 +83,7 @@
 	p.result.Affected = len(p.Groups[group])
 	for next := -1; next < 0; next = leaderGroup() {
 		if time.Since(began) > p.machineTime(30*time.Second) {
-			p.result.Note = "no new leader allocated budgets within 30 s"
+			p.result.Note = "no other allocated within 30 s"
 			break
 		}
 		if err := p.fleet.sleep(p.machineTime(100 * time.Millisecond)); err != nil {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -196,7 +196,7 @@
 			return took, nil
 		}
 		if took > timeout {
-			return took, fmt.Errorf("%s: does not hold for %d members after %v", condition, missing, took.Round(time.Second))
+			return took, fmt.Errorf("%s: not so for %d members after %v", condition, missing, took.Round(time.Second))
 		}
 		if err := f.sleep(pollInterval); err != nil {
 			return took, err
