--- a/cmd/masthill-lab/coldchance.go
+++ b/cmd/masthill-lab/coldchance.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// chanceCmd computes, from the ramp alone, the probability that a cold server gets more calls than it can serve while there
-// are always calls to place. docs/design/cold.md has the derivation.
+// chanceCmd computes, from the ramp of the budget alone, the probability that a cold server gets more calls than it can serve
+// while there are always calls to place. docs/design/cold.md has the derivation.
 type chanceCmd struct {
 	Controllers []int     `default:"10,20,30,60,300" help:"Session controllers."`
 	Budget      []float64 `default:"9,17" help:"N at the start: what the server's budget allows in a window."`
