--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -188,7 +188,7 @@
 // status reads the state of one member.
 func (m *Member) status() MemberStatus {
 	st := m.peers.Status()
-	s := MemberStatus{Number: m.number, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
+	s := MemberStatus{Number: m.number, Name: st.Name, Received: st.Received, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
 	for _, other := range st.Members {
 		switch other.State {
 		case peers.Alive:
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -163,7 +163,7 @@
 			all = append(all, l)
 			continue
 		}
-		l.status = MemberStatus{Number: r.number, Name: r.Name, Received: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
+		l.status = MemberStatus{Number: r.number, Name: r.Name, Received: s.Peers.Received, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
 		for _, m := range s.Peers.Members {
 			if m.State == "alive" || m.State == "suspect" {
 				l.status.Alive++
