--- a/cmd/masthill-lab/modules.go
+++ b/cmd/masthill-lab/modules.go
@@ -44,7 +44,7 @@
 		}
 	}
 	return func(s control.Settings, planned float64, seed uint64, now int64) (chain join.Chain) {
-		var fleet *shared.Shared
+		var fleet *shared.Module
 		for _, name := range names {
 			switch name {
 			case "recovery":
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -226,7 +226,7 @@
 			k.KnownCounts = []count.KnownCounts{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
 			if said != nil && n == 10 {
 				k.KnownCounts = append(k.KnownCounts, count.KnownCounts{Source: count.Source{Name: "b", Epoch: 1}, Counts: said, AgeMS: age})
-				k.Look.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: said["least"], UpperBound: 1000}}}
+				k.Snapshot.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: said["least"], UpperBound: 1000}}}
 			}
 			p.snapshots = append(p.snapshots, k)
 		}
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -143,7 +143,7 @@
 	spec      *Spec
 	number    int
 	core      *exchange.Exchange
-	shared    *shared.Shared
+	shared    *shared.Module
 	peers     *peers.Peers
 	list      *journal.Client
 	module    *peerModule
@@ -198,7 +198,7 @@
 		m.core.UpdateOffices(changed, full)
 	}}
 	m.list.LoadInitial(p.Known)
-	m.module = &peerModule{Shared: m.shared, omitCheck: s.OmitCheck, judgementsAt: map[string]int64{}}
+	m.module = &peerModule{Module: m.shared, omitCheck: s.OmitCheck, judgementsAt: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
 		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.module, TryRun: m.core.TryRun, Reachable: m.isReachable, ClockSlowdown: s.ClockSlowdown})
 	return m, err
@@ -229,7 +229,7 @@
 
 // peerModule wraps the shared state for the membership, and records when judgements of each other member last arrived.
 type peerModule struct {
-	*shared.Shared
+	*shared.Module
 	omitCheck    string
 	mu           sync.Mutex
 	judgementsAt map[string]int64 // by sender, by the members' clock
@@ -240,7 +240,7 @@
 
 // Tick implements peers.Module.
 func (e *peerModule) Tick(now int64, members int) []shared.Outgoing {
-	out := e.Shared.Tick(now, members)
+	out := e.Module.Tick(now, members)
 	if e.omitCheck == CheckPace {
 		out = append(out, out...)
 	}
@@ -254,7 +254,7 @@
 		e.judgementsAt[m.Health.From] = now
 		e.mu.Unlock()
 	}
-	return e.Shared.Receive(now, m)
+	return e.Module.Receive(now, m)
 }
 
 // ages returns the ages of each other member's latest judgements, in milliseconds.
