--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -10,7 +10,7 @@
 	"masthill/internal/peers"
 )
 
-// Text writes a status for people.
+// WriteText writes the status in a form for people.
 func (s *Status) WriteText(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer t.Flush()
@@ -34,12 +34,12 @@
 		fmt.Fprintln(t)
 	}
 	if s.Peers != nil {
-		by := map[string]int{}
+		countByState := map[string]int{}
 		for _, m := range s.Peers.Members {
-			by[m.State]++
+			countByState[m.State]++
 		}
-		fmt.Fprintf(t, "peers\t%s: %d alive, %d suspect, %d gone, %d left; allocator %s; masthill peers tells more\n", s.Peers.Shared.State, by[peers.Alive],
-			by[peers.Suspect], by[peers.Gone], by[peers.Left], cmp.Or(s.Peers.Shared.Leader, "not known"))
+		fmt.Fprintf(t, "peers\t%s: %d alive, %d suspect, %d gone, %d left; allocator %s; details: masthill peers\n", s.Peers.Shared.State, countByState[peers.Alive],
+			countByState[peers.Suspect], countByState[peers.Gone], countByState[peers.Left], cmp.Or(s.Peers.Shared.Leader, "not known"))
 	}
 	if s.ConfigWarning != "" {
 		fmt.Fprintf(t, "warning\t%s\n", s.ConfigWarning)
@@ -51,18 +51,18 @@
 	}
 	fmt.Fprintln(t, "office\taddress\tlisted\twarm\tbelieved\tout\tstanding\tdelay")
 	for _, o := range s.Core.Offices {
-		believed := ""
+		status := ""
 		for _, b := range []struct {
 			is   bool
 			name string
 		}{{o.Down, "down"}, {o.Cold, "cold"}, {o.InBackoff, "marked"}, {o.Overloaded, "pressed"}} {
 			if b.is {
-				believed += " " + b.name
+				status += " " + b.name
 			}
 		}
-		if believed == "" {
-			believed = " well"
+		if status == "" {
+			status = " well"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.CapacityFraction, believed[1:], o.Pending, o.EstablishedCalls, o.ExpectedDelayMS)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.CapacityFraction, status[1:], o.Pending, o.EstablishedCalls, o.ExpectedDelayMS)
 	}
 }
