--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -15,43 +15,43 @@
 	"masthill/internal/sip"
 )
 
-// shrinkFor is how long clients may take to be within a smaller share: connections end in order.
-const shrinkFor = 2 * time.Second
+// shrinkTimeout is how long clients may take to get within a smaller share, as their connections are closed gracefully.
+const shrinkTimeout = 2 * time.Second
 
-// resizable is a front whose bound can change.
+// resizable is a front whose limit of connections can change.
 type resizable interface{ SetMaxOpen(n int) }
 
-// allocation keeps each user of descriptors within its share, and changes the shares with the list of servers, with a
-// second process at the same address, and with a limit that is lowered from outside.
+// allocation keeps each user of file descriptors within its share. It recomputes the shares when the list of servers
+// changes, when a second process serves the same address, and when the limit is lowered from outside.
 type allocation struct {
 	log     *slog.Logger
-	servers *descriptors.Limiter // connections to them
+	servers *descriptors.Limiter // limits the connections to servers
 
-	mu        sync.Mutex
-	demand    descriptors.Demand
-	budget    descriptors.Budget
-	listed    map[uint64]bool // servers on the list
-	maxPlaces int             // the clients' places that the memory allows
-	clients   sharedFront     // the platform's front
-	webSocket sharedFront
+	mu                   sync.Mutex
+	demand               descriptors.Demand
+	budget               descriptors.Budget
+	listedServers        map[uint64]bool // by server number
+	maxClientConnections int             // limit of client connections by memory
+	clients              sharedFront     // the front that the platform's callers connect to
+	webSocket            sharedFront
 }
 
-// sharedFront is one front with its listener, once it is open.
+// sharedFront is one front and its listener; both are nil until the front is attached.
 type sharedFront struct {
 	resizable
 	listener *listener.Bounded
 }
 
-// newAllocation plans for a demand.
-func newAllocation(d descriptors.Demand, maxPlaces int, log *slog.Logger) *allocation {
-	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listed: map[uint64]bool{}, maxPlaces: maxPlaces}
-	a.demand.Limit = processLimit(d.Limit)
-	a.plan()
+// newAllocation makes an allocation with the shares for a demand.
+func newAllocation(d descriptors.Demand, maxClientConnections int, log *slog.Logger) *allocation {
+	a := &allocation{log: log, servers: descriptors.NewLimiter(0), demand: d, listedServers: map[uint64]bool{}, maxClientConnections: maxClientConnections}
+	a.demand.Limit = effectiveLimit(d.Limit)
+	a.replan()
 	return a
 }
 
-// processLimit is the lower one of a limit and what the system allows this process now.
-func processLimit(limit int) int {
+// effectiveLimit is the lower of limit and the process's current limit of open files.
+func effectiveLimit(limit int) int {
 	var allowed syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &allowed); err == nil && allowed.Cur < uint64(limit) {
 		return int(allowed.Cur)
@@ -59,23 +59,24 @@
 	return limit
 }
 
-// plan makes the budget anew and applies it. Called under the lock, or before there is a second user.
-func (a *allocation) plan() {
+// replan recomputes the budget and applies it. It is called with the lock held, or before the allocation is in use.
+func (a *allocation) replan() {
 	a.budget = descriptors.Plan(a.demand)
 	a.servers.SetLimit(a.budget.Servers)
-	a.clients.apply(a.clientsFront())
+	a.clients.apply(a.clientsShare())
 	a.webSocket.apply(a.budget.WebSocket)
 }
 
-// clientsFront is the platform's front's share, within what the memory allows.
-func (a *allocation) clientsFront() descriptors.FrontShare {
+// clientsShare is the share of the platform's front, limited by memory too.
+func (a *allocation) clientsShare() descriptors.FrontShare {
 	f := a.budget.Clients
-	f.MaxConnections = min(f.MaxConnections, a.maxPlaces)
+	f.MaxConnections = min(f.MaxConnections, a.maxClientConnections)
 	return f
 }
 
-// operatorsPlaces is how many connections the operators' address holds at once, beside the one that waits for a place.
-func (a *allocation) operatorsPlaces() int { return max(a.budget.Operators-1, 1) }
+// adminMaxConnections is how many connections the operators' address serves at once; one descriptor of its share is for the
+// connection that waits to be served.
+func (a *allocation) adminMaxConnections() int { return max(a.budget.Operators-1, 1) }
 
 func (f sharedFront) apply(share descriptors.FrontShare) {
 	if f.resizable != nil {
@@ -84,64 +85,65 @@
 	}
 }
 
-// attach hands a front and its listener over to the allocation.
+// attach has the allocation limit a front and its listener, and returns the limited listener to serve from.
 func (a *allocation) attach(to *sharedFront, f resizable, l *listener.Listener) *listener.Bounded {
-	l.OnShortage = a.shortage
+	l.OnShortage = a.onShortage
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	*to = sharedFront{f, listener.NewBounded(l, descriptors.NewLimiter(0))}
-	a.plan()
+	a.replan()
 	return to.listener
 }
 
-// list follows how many servers there are.
-func (a *allocation) list(changed []exchange.Office, full bool) {
+// onServerList recomputes the shares when the number of servers on the list has changed.
+func (a *allocation) onServerList(changed []exchange.Office, full bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if full {
-		clear(a.listed)
+		clear(a.listedServers)
 	}
 	for _, s := range changed {
 		if s.State == control.Removed {
-			delete(a.listed, s.Server)
+			delete(a.listedServers, s.Server)
 		} else {
-			a.listed[s.Server] = true
+			a.listedServers[s.Server] = true
 		}
 	}
-	if len(a.listed) == a.demand.Servers {
+	if len(a.listedServers) == a.demand.Servers {
 		return
 	}
-	a.demand.Servers = len(a.listed)
-	a.plan()
+	a.demand.Servers = len(a.listedServers)
+	a.replan()
 	if need := a.demand.Servers; a.budget.Servers < need {
 		a.log.Warn("descriptors do not suffice", "reason", "servers", "servers", need, "share", a.budget.Servers)
 	}
 }
 
-// upgrade halves the budget while another process serves the same address, and returns once clients are within it.
-func (a *allocation) upgrade(present bool) {
-	began := time.Now()
-	a.share(present)
-	for a.exceeded() && time.Since(began) < shrinkFor {
-		time.Sleep(endStep)
+// onUpgrade halves the budget while another process serves the same address. It returns once clients are within their
+// shares, or after shrinkTimeout.
+func (a *allocation) onUpgrade(present bool) {
+	startedAt := time.Now()
+	a.setUpgrade(present)
+	for a.exceeded() && time.Since(startedAt) < shrinkTimeout {
+		time.Sleep(pollInterval)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.log.Info("descriptors shared out", "upgrade", present, "total", a.budget.Total, "clients", a.budget.Clients.Descriptors,
-		"held", a.clients.held(), "after_ms", time.Since(began).Milliseconds())
+		"held", a.clients.held(), "after_ms", time.Since(startedAt).Milliseconds())
 }
 
-// share plans with or without another process.
-func (a *allocation) share(present bool) {
+// setUpgrade recomputes the shares with or without another process at the same address.
+func (a *allocation) setUpgrade(present bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.demand.Upgrade != present {
 		a.demand.Upgrade = present
-		a.plan()
+		a.replan()
 	}
 }
 
-// exceeded tells whether clients hold more than their share.
+// exceeded tells whether clients hold more descriptors than their shares.
 func (a *allocation) exceeded() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -157,40 +159,41 @@
 	return f.listener.Held()
 }
 
-// shortage is called where no descriptor was left: a limit that was lowered is planned for, and idle clients make room.
-func (a *allocation) shortage() {
+// onShortage is called when no descriptor was left. If the limit has been lowered from outside, it recomputes the
+// shares, and the fronts close idle connections.
+func (a *allocation) onShortage() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if limit := processLimit(a.demand.Limit); limit < a.demand.Limit {
+	if limit := effectiveLimit(a.demand.Limit); limit < a.demand.Limit {
 		a.log.Warn("descriptors limited from outside", "limit", limit, "before", a.demand.Limit)
 		a.demand.Limit = limit
-		a.plan()
+		a.replan()
 	}
 }
 
-// dial bounds the connections that one way to servers makes.
+// dial wraps a dial function so that its connections stay within the share for servers.
 func (a *allocation) dial(dial office.Dial) office.Dial {
 	return func(ctx context.Context, addr string) (office.Peer, error) {
 		if !a.servers.TryAcquire() {
 			return nil, descriptors.ErrShareExhausted
 		}
-		peer, err := descriptors.OpenWithRetry(ctx, a.shortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
+		peer, err := descriptors.OpenWithRetry(ctx, a.onShortage, func(ctx context.Context) (office.Peer, error) { return dial(ctx, addr) })
 		if err != nil {
 			a.servers.Release()
 			return nil, err
 		}
-		return &heldPeer{peer, a.servers}, nil
+		return &limitedPeer{peer, a.servers}, nil
 	}
 }
 
-// heldPeer gives its descriptor back when it ends.
-type heldPeer struct {
+// limitedPeer returns its descriptor to the limiter when its connection ends.
+type limitedPeer struct {
 	office.Peer
-	gate *descriptors.Limiter
+	limiter *descriptors.Limiter
 }
 
 // Run implements office.Peer.
-func (p *heldPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
-	defer p.gate.Release()
+func (p *limitedPeer) Run(ctx context.Context, h office.Handler) (sip.Reason, error) {
+	defer p.limiter.Release()
 	return p.Peer.Run(ctx, h)
 }
