--- a/lab/scale/claims.go
+++ b/lab/scale/claims.go
@@ -12,41 +12,44 @@
 	"masthill/control/shared/outlier"
 )
 
-// claimsMost bounds what is kept of one member's claims.
-const claimsMost = 1 << 15
+// maxClaims limits the recorded claims of one member.
+const maxClaims = 1 << 15
 
-// Claim is one thing that a member claimed, with the time of the machine's clock.
+// Claim records a change of a member's budget lease, of its leadership or of its judgement of a server, with the time by
+// the member's clock.
 type Claim struct {
 	Name        string            `json:"name"`
 	Epoch       uint64            `json:"epoch"`
 	At          int64             `json:"at"`
 	Claim       lease.Claim       `json:"claim"`
-	LeaderUntil int64             `json:"reign,omitempty"` // it allocates budgets until then
+	LeaderUntil int64             `json:"reign,omitempty"` // the member is the leader, which allocates budgets, until then
 	Decision    *outlier.Decision `json:"verdict,omitempty"`
 }
 
-// claims keeps a member's claims for a check.
+// claims records a member's claims for CheckBudgets.
 type claims struct {
-	mu    sync.Mutex
-	name  string
-	epoch uint64
-	all   []Claim
-	lost  int
-	// What holds now, beside the record.
-	avoided map[uint64]bool
-	reigns  int64 // until when this member allocates budgets
+	mu       sync.Mutex
+	name     string
+	epoch    uint64
+	recorded []Claim
+	dropped  int
+	// The current state, besides the record.
+	avoided     map[uint64]bool
+	leaderUntil int64 // until when this member is the leader
 }
 
-func (c *claims) claim(now time.Time, one lease.Claim) { c.put(Claim{At: now.UnixNano(), Claim: one}) }
+func (c *claims) onClaim(now time.Time, one lease.Claim) {
+	c.add(Claim{At: now.UnixNano(), Claim: one})
+}
 
-func (c *claims) reign(now time.Time, until int64) {
+func (c *claims) onLeader(now time.Time, until int64) {
 	c.mu.Lock()
-	c.reigns = until
+	c.leaderUntil = until
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), LeaderUntil: until})
+	c.add(Claim{At: now.UnixNano(), LeaderUntil: until})
 }
 
-func (c *claims) judged(now time.Time, v outlier.Decision) {
+func (c *claims) onDecision(now time.Time, v outlier.Decision) {
 	c.mu.Lock()
 	if c.avoided == nil {
 		c.avoided = map[uint64]bool{}
@@ -55,107 +58,107 @@
 		c.avoided[v.Server] = true
 	}
 	c.mu.Unlock()
-	c.put(Claim{At: now.UnixNano(), Decision: &v})
+	c.add(Claim{At: now.UnixNano(), Decision: &v})
 }
 
-// now tells which servers the member avoids, and whether it allocates budgets.
-func (c *claims) now(at int64) (avoided []uint64, allocates bool) {
+// current returns the servers that the member avoids and whether it is the leader, which allocates budgets.
+func (c *claims) current(at int64) (avoided []uint64, allocates bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Sorted(maps.Keys(c.avoided)), at < c.reigns
+	return slices.Sorted(maps.Keys(c.avoided)), at < c.leaderUntil
 }
 
-func (c *claims) of(name string, epoch uint64) { c.name, c.epoch = name, epoch }
+func (c *claims) setProcess(name string, epoch uint64) { c.name, c.epoch = name, epoch }
 
-func (c *claims) put(one Claim) {
+func (c *claims) add(one Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.all) >= claimsMost {
-		c.lost++
+	if len(c.recorded) >= maxClaims {
+		c.dropped++
 		return
 	}
 	one.Name, one.Epoch = c.name, c.epoch
-	c.all = append(c.all, one)
+	c.recorded = append(c.recorded, one)
 }
 
-// take gives the claims since it was called last.
-func (c *claims) take() (all []Claim, lost int) {
+// drain returns the claims recorded since the last call of drain, and how many were dropped.
+func (c *claims) drain() (all []Claim, lost int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all, lost = c.all, c.lost
-	c.all, c.lost = nil, 0
+	all, lost = c.recorded, c.dropped
+	c.recorded, c.dropped = nil, 0
 	return all, lost
 }
 
-// process is one process of a member.
+// process identifies one process of a member.
 type process struct {
 	name  string
 	epoch uint64
 }
 
-// Budgets is what the check of all claims found.
+// BudgetCheck is the result of checking all claims of a fleet.
 type BudgetCheck struct {
 	Claims            int      `json:"claims"`
 	Budgets           int      `json:"budgets"`
-	Overspent         int      `json:"budgets_overspent"` // moments at which the parts in use added up to more than the pool
-	MaxInUse          float64  `json:"most_in_use"`       // of a pool, as a part of it
-	ConcurrentLeaders int      `json:"two_allocators"`    // times that two held themselves to be the allocator
+	Overspent         int      `json:"budgets_overspent"` // times that the leases in use added up to more than the pool
+	MaxInUse          float64  `json:"most_in_use"`       // greatest use of a pool, as a fraction of it
+	ConcurrentLeaders int      `json:"two_allocators"`    // times that two members were leaders at once
 	Findings          []string `json:"found,omitempty"`
 }
 
-// textsMost bounds what is told of a check.
-const textsMost = 10
+// maxFindings limits the findings that a check describes.
+const maxFindings = 10
 
-func (b *BudgetCheck) found(n *int, format string, a ...any) {
+func (b *BudgetCheck) addFinding(n *int, format string, a ...any) {
 	*n++
-	if len(b.Findings) < textsMost {
+	if len(b.Findings) < maxFindings {
 		b.Findings = append(b.Findings, fmt.Sprintf(format, a...))
 	}
 }
 
-// CheckBudgets holds the claims of all members of a fleet against each other. ended tells when processes that were killed
-// had ended: they use nothing from then on.
+// CheckBudgets checks that the claims of all members of a fleet are consistent: the leases of a budget never exceed its
+// pool, and there is one leader at a time. ended holds when members were killed; they use nothing from then on.
 func CheckBudgets(all []Claim, members int, ended map[string]int64) BudgetCheck {
 	b := BudgetCheck{}
 	slices.SortStableFunc(all, func(x, y Claim) int { return cmp.Compare(x.At, y.At) })
 	using := map[string]map[process]Claim{}
-	reigns := map[process]int64{}
+	leaders := map[process]int64{}
 	for _, c := range all {
 		who := process{c.Name, c.Epoch}
 		switch {
 		case c.Decision != nil:
 		case c.LeaderUntil > 0:
-			for other, until := range reigns {
-				if other != who && alive(other, c.At, ended) && until > c.At {
-					b.found(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
+			for other, until := range leaders {
+				if other != who && isAlive(other, c.At, ended) && until > c.At {
+					b.addFinding(&b.ConcurrentLeaders, "%s and %s both allocate at %d", other.name, c.Name, c.At)
 				}
 			}
-			reigns[who] = max(reigns[who], c.LeaderUntil)
+			leaders[who] = max(leaders[who], c.LeaderUntil)
 		default:
 			b.Claims++
 			if using[c.Claim.Budget] == nil {
 				using[c.Claim.Budget] = map[process]Claim{}
 			}
 			using[c.Claim.Budget][who] = c
-			b.sum(c, using[c.Claim.Budget], members, ended)
+			b.checkSum(c, using[c.Claim.Budget], members, ended)
 		}
 	}
 	b.Budgets = len(using)
 	return b
 }
 
-// alive tells whether a process had not been killed by a time.
-func alive(p process, at int64, ended map[string]int64) bool {
+// isAlive tells whether a process had not been killed at a time.
+func isAlive(p process, at int64, ended map[string]int64) bool {
 	end, killed := ended[p.name]
 	return !killed || at < end
 }
 
-// sum adds up what may be used of one budget at the moment of a claim. Parts grow by claims alone, so that the greatest
-// sums are at claims.
-func (b *BudgetCheck) sum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
+// checkSum adds up the leases of one budget at the time of a claim. Leases grow only by claims, so the greatest sums occur
+// at claims.
+func (b *BudgetCheck) checkSum(now Claim, using map[process]Claim, members int, ended map[string]int64) {
 	sum, size, floor := int64(0), int64(0), int64(0)
 	for who, c := range using {
-		if c.Claim.Until <= now.At || !alive(who, now.At, ended) {
+		if c.Claim.Until <= now.At || !isAlive(who, now.At, ended) {
 			delete(using, who)
 			continue
 		}
@@ -170,6 +173,6 @@
 	}
 	b.MaxInUse = max(b.MaxInUse, float64(sum)/float64(pool))
 	if sum > pool {
-		b.found(&b.Overspent, "%s: %d of %d in use at %d by %d", now.Claim.Budget, sum, pool, now.At, len(using))
+		b.addFinding(&b.Overspent, "%s: %d of %d in use at %d by %d", now.Claim.Budget, sum, pool, now.At, len(using))
 	}
 }
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -15,38 +15,38 @@
 	"masthill/internal/exchange"
 )
 
-// joined is a decision module beside control.
-type joined = join.Module
+// joinModule is a decision module that runs beside control.
+type joinModule = join.Module
 
-// feed makes up calls for a hollow member's shared state, so that it has as much to tell as one with real calls. The calls
-// touch neither control nor any socket.
+// feed generates synthetic calls for a hollow member's shared state, so that it sends as much to other members as with real
+// calls. The calls use neither control nor any socket.
 type feed struct {
 	mu      sync.Mutex
 	servers map[uint64]bool
-	silent  atomic.Uint64 // calls to this server get no answer; 0: none
+	silent  atomic.Uint64 // calls to this server get no answer; 0: all servers answer
 	calls   atomic.Uint64
-	rate    atomic.Uint64 // calls a second, the bits of a float64
-	open    []openCall    // at the silent server; the core's goroutine alone looks at them
+	rate    atomic.Uint64 // calls per second, as the bits of a float64
+	open    []openCall    // at the silent server; used only by the core's goroutine
 }
 
-// openCall is a made-up call without its answer.
+// openCall is a synthetic call that has not been answered.
 type openCall struct {
 	id     string
 	server uint64
 	at     int64
 }
 
-// openFor is how long a call without an answer is waited for: as long as the class's aim.
-const openFor = int64(1200 * time.Millisecond)
+// answerTimeout is how long a call waits for its answer: as long as the aim of its class.
+const answerTimeout = int64(1200 * time.Millisecond)
 
-// feedEvery is how often made-up calls are handed in.
-const feedEvery = 100 * time.Millisecond
+// feedInterval is the interval at which synthetic calls are submitted.
+const feedInterval = 100 * time.Millisecond
 
-// fedMost bounds the calls of one turn.
-const fedMost = 1000
+// maxCallsPerTick limits the calls submitted in one interval.
+const maxCallsPerTick = 1000
 
-// listed keeps the servers that serve.
-func (f *feed) listed(changed []exchange.Office, full bool) {
+// onListUpdate maintains the set of serving servers.
+func (f *feed) onListUpdate(changed []exchange.Office, full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if full || f.servers == nil {
@@ -61,19 +61,19 @@
 	}
 }
 
-func (f *feed) all() []uint64 {
+func (f *feed) serving() []uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.servers))
 }
 
-// tenants are those of host.Platform.
+// tenants are the tenants of host.Platform.
 var tenants = []string{"slaney-vines", "barrow-estate", "suir-growers"}
 
-// run hands calls in until ctx ends.
+// run submits calls until ctx ends.
 func (f *feed) run(ctx context.Context, m *Member) {
 	f.rate.Store(math.Float64bits(m.spec.SyntheticCalls))
-	tick := time.NewTicker(feedEvery)
+	tick := time.NewTicker(feedInterval)
 	defer tick.Stop()
 	due := 0.0
 	for {
@@ -82,23 +82,23 @@
 			return
 		case <-tick.C:
 		}
-		servers := f.all()
-		due += feedEvery.Seconds() * math.Float64frombits(f.rate.Load()) / m.spec.slow()
-		n := uint64(min(due, fedMost))
+		servers := f.serving()
+		due += feedInterval.Seconds() * math.Float64frombits(f.rate.Load()) / m.spec.slowdown()
+		n := uint64(min(due, maxCallsPerTick))
 		if due -= float64(n); n == 0 || len(servers) == 0 {
 			continue
 		}
 		m.core.TryRun(func(now int64) {
 			for range n {
 				call := f.calls.Add(1)
-				f.call(now, m, call, servers[(call*7+uint64(m.k))%uint64(len(servers))])
+				f.call(now, m, call, servers[(call*7+uint64(m.number))%uint64(len(servers))])
 			}
-			f.overdue(now, m)
+			f.timeOutCalls(now, m)
 		})
 	}
 }
 
-// call is one made-up call: it arrives, is sent to a server and stands, unless the server is silent.
+// call plays one synthetic call: it is admitted, sent to a server and established, unless the server is silent.
 func (f *feed) call(now int64, m *Member, call, server uint64) {
 	id := "f" + strconv.FormatUint(call, 16)
 	m.shared.Admit(now, join.Call{ID: id, Tenant: tenants[call%uint64(len(tenants))]})
@@ -114,11 +114,11 @@
 	m.shared.OnEvent(now, control.Event{Kind: control.Established, Call: id, Server: server})
 }
 
-// overdue ends the calls whose answer did not come.
-func (f *feed) overdue(now int64, m *Member) {
-	for len(f.open) > 0 && now-f.open[0].at >= openFor {
-		one := f.open[0]
+// timeOutCalls ends the calls that were not answered in time.
+func (f *feed) timeOutCalls(now int64, m *Member) {
+	for len(f.open) > 0 && now-f.open[0].at >= answerTimeout {
+		call := f.open[0]
 		f.open = f.open[1:]
-		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: one.id, Server: one.server, Outcome: control.TimedOut})
+		m.shared.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: call.id, Server: call.server, Outcome: control.TimedOut})
 	}
 }
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -11,28 +11,28 @@
 	"masthill/internal/peers"
 )
 
-// headers are the bytes that IPv4 and UDP add to a datagram.
-const headers = 28
+// datagramHeaders are the bytes that IPv4 and UDP add to a datagram.
+const datagramHeaders = 28
 
-// Cost is what a member costs, as a mean over members of one kind.
+// Cost is the mean cost of a member per second, over all members of one kind.
 type Cost struct {
 	Members           int     `json:"members"`
 	SentDatagrams     float64 `json:"sent_datagrams_s"`
 	SentBytes         float64 `json:"sent_datagram_bytes_s"` // payload
 	SentStream        float64 `json:"sent_stream_bytes_s"`
-	SentWire          float64 `json:"sent_wire_bytes_s"`                // all sent, with the headers of datagrams
-	MaxSentWire       float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends most
+	SentWire          float64 `json:"sent_wire_bytes_s"`                // all bytes sent, with the headers of datagrams
+	MaxSentWire       float64 `json:"most_sent_wire_bytes_s,omitempty"` // of the member that sends the most
 	ReceivedDatagrams float64 `json:"got_datagrams_s"`
 	ReceivedBytes     float64 `json:"got_datagram_bytes_s"`
 	ReceivedStream    float64 `json:"got_stream_bytes_s"`
 	CPU               float64 `json:"cpu_percent"` // of a core
-	Resident          float64 `json:"resident_mb"` // anonymous memory of the processes, over their members
+	Resident          float64 `json:"resident_mb"` // anonymous memory of the processes, divided by their members
 	Heap              float64 `json:"heap_mb,omitempty"`
-	Dropped           float64 `json:"dropped_s"` // messages that found no room
+	Dropped           float64 `json:"dropped_s"` // messages dropped because of full queues
 	Calls             float64 `json:"calls_s,omitempty"`
 }
 
-// Ages are how old what members know of each other is, in milliseconds.
+// Ages summarizes how old the counts or judgements are that members have of each other, in milliseconds.
 type Ages struct {
 	Samples int     `json:"looks"`
 	Median  float64 `json:"median_ms"`
@@ -40,26 +40,26 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// Point is one measurement of a fleet at rest.
+// Point is one measurement of a steady fleet.
 type Point struct {
 	Size           int     `json:"size"`
-	SyntheticCalls float64 `json:"made_up_calls_s"` // at each hollow member
+	SyntheticCalls float64 `json:"made_up_calls_s"` // per second at each hollow member
 	ClockSlowdown  float64 `json:"slow,omitempty"`  // the clock ran so many times slower; all figures are by that clock
 	MeasuredS      float64 `json:"measured_s"`
-	ConvergedS     float64 `json:"meet_s"` // from the last start until all knew of all
+	ConvergedS     float64 `json:"meet_s"` // from the last start until all members knew all
 	Processes      int     `json:"processes"`
 	Hollow         Cost    `json:"hollow"`
 	Real           *Cost   `json:"real,omitempty"`
 	CountAges      Ages    `json:"count_age"`
 	RealCountAges  *Ages   `json:"real_count_age,omitempty"`
 	JudgementAges  Ages    `json:"judgement_age"`
-	Deaths         int64   `json:"deaths"` // that members took to be, with none
+	Deaths         int64   `json:"deaths"` // members declared dead, although none died
 	OwnCores       float64 `json:"own_cores"`
-	OthersCores    float64 `json:"others_cores"` // that everything else on the machine used meanwhile
+	OthersCores    float64 `json:"others_cores"` // used by everything else on the machine meanwhile
 	LoadAverage    float64 `json:"load_average"`
 }
 
-// Steady is how a fleet at rest is measured.
+// SteadyRun starts a fleet and measures it without faults.
 type SteadyRun struct {
 	Layout
 	RealMembers
@@ -67,27 +67,27 @@
 	Progress           io.Writer
 }
 
-// agesOf is how many members of each group tell ages, ageLooks how often, agePause how long after each other.
+// ageMembers is how many members of each group report ages, ageSamples how often, agePause the pause between two reports.
 const (
-	agesOf, ageLooks = 2, 3
-	agePause         = 1300 * time.Millisecond
+	ageMembers, ageSamples = 2, 3
+	agePause               = 1300 * time.Millisecond
 )
 
-// Run starts the fleet, measures it and ends it.
+// Run starts the fleet, measures it and stops it.
 func (s SteadyRun) Run(ctx context.Context) (*Point, error) {
 	f, err := NewFleet(ctx, s.Layout)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	s.say("%d members: %d hollow ones in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
+	s.logf("%d members: %d hollow in %d processes, %d real", s.Size, s.Size-len(s.Numbers), len(s.Groups), len(s.Numbers))
 	if err := f.Start(); err != nil {
 		return nil, err
 	}
 	if err := f.StartRealMembers(s.RealMembers); err != nil {
 		return nil, err
 	}
-	met, err := f.WaitForMembers(s.Size)
+	converged, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return nil, err
 	}
@@ -96,20 +96,20 @@
 			return nil, err
 		}
 	}
-	s.say("  all know of all after %.1f s; warms up for %v", met.Seconds(), s.WarmUp)
-	if err := f.pass(s.WarmUp); err != nil {
+	s.logf("  all members know all after %.1f s; warming up for %v", converged.Seconds(), s.WarmUp)
+	if err := f.sleep(s.WarmUp); err != nil {
 		return nil, err
 	}
 	p, err := f.measure(s.MeasureFor)
 	if err != nil {
 		return nil, err
 	}
-	p.ConvergedS, p.Processes = met.Seconds(), len(s.Groups)+len(s.Numbers)
-	s.say("  %s", p)
+	p.ConvergedS, p.Processes = converged.Seconds(), len(s.Groups)+len(s.Numbers)
+	s.logf("  %s", p)
 	return p, nil
 }
 
-// String tells a point in a line.
+// String describes a point in one line.
 func (p *Point) String() string {
 	text := fmt.Sprintf("%.0f bytes and %.1f datagrams a second sent, %.2f%% of a core, %.2f MB, counts %.0f ms old (p99), judgements %.0f; own %.1f cores, others %.1f, load %.1f",
 		p.Hollow.SentWire, p.Hollow.SentDatagrams, p.Hollow.CPU, p.Hollow.Resident, p.CountAges.P99, p.JudgementAges.P99, p.OwnCores, p.OthersCores, p.LoadAverage)
@@ -119,42 +119,42 @@
 	return text
 }
 
-func (s SteadyRun) say(format string, a ...any) {
+func (s SteadyRun) logf(format string, a ...any) {
 	if s.Progress != nil {
 		fmt.Fprintf(s.Progress, time.Now().UTC().Format("15:04:05 ")+format+"\n", a...)
 	}
 }
 
-// measure looks at a fleet that runs before and after a time.
+// measure measures a running fleet from snapshots before and after a time.
 func (f *Fleet) measure(length time.Duration) (*Point, error) {
 	machine := ReadMachineLoad()
 	before, err := f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return nil, err
 	}
-	realBefore, err := f.lookAtReals(f.ctx)
+	realBefore, err := f.realSnapshots(f.ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.pass(length); err != nil {
+	if err := f.sleep(length); err != nil {
 		return nil, err
 	}
 	after, err := f.Snapshot(SnapshotOptions{})
 	if err != nil {
 		return nil, err
 	}
-	realAfter, err := f.lookAtReals(f.ctx)
+	realAfter, err := f.realSnapshots(f.ctx)
 	if err != nil {
 		return nil, err
 	}
 	end := ReadMachineLoad()
 	p := &Point{Size: f.Size, SyntheticCalls: f.SyntheticCalls, ClockSlowdown: f.ClockSlowdown, MeasuredS: length.Seconds(), LoadAverage: end.LoadAverage}
-	p.Hollow = hollowCost(before, after, f.slow())
-	if len(f.reals) > 0 {
+	p.Hollow = hollowCost(before, after, f.slowdown())
+	if len(f.realMembers) > 0 {
 		c := realCost(realBefore, realAfter)
 		p.Real = &c
 	}
-	p.OwnCores = p.Hollow.CPU / 100 * float64(p.Hollow.Members) / f.slow()
+	p.OwnCores = p.Hollow.CPU / 100 * float64(p.Hollow.Members) / f.slowdown()
 	if p.Real != nil {
 		p.OwnCores += p.Real.CPU / 100 * float64(p.Real.Members)
 	}
@@ -164,15 +164,15 @@
 			p.Deaths += m.Deaths
 		}
 	}
-	return p, f.ages(p)
+	return p, f.addAges(p)
 }
 
-// ages adds to a point how old what members know is, and what lives on their heaps.
-func (f *Fleet) ages(p *Point) error {
+// addAges adds the ages of counts and judgements, and the live heaps, to a point.
+func (f *Fleet) addAges(p *Point) error {
 	var counts, judged, real []int64
 	heap, members := int64(0), 0
-	for n := range ageLooks {
-		all, err := f.Snapshot(SnapshotOptions{MembersForAges: agesOf, Heap: n == ageLooks-1})
+	for n := range ageSamples {
+		all, err := f.Snapshot(SnapshotOptions{MembersForAges: ageMembers, Heap: n == ageSamples-1})
 		if err != nil {
 			return err
 		}
@@ -180,27 +180,27 @@
 			counts, judged = append(counts, l.CountAgesMS...), append(judged, l.JudgementAgesMS...)
 			heap, members = heap+l.Heap, members+len(l.Members)
 		}
-		reals, err := f.lookAtReals(f.ctx)
+		reals, err := f.realSnapshots(f.ctx)
 		if err != nil {
 			return err
 		}
 		for _, l := range reals {
-			real = append(real, l.counts...)
+			real = append(real, l.countAgesMS...)
 		}
-		if err := f.pass(agePause); err != nil {
+		if err := f.sleep(agePause); err != nil {
 			return err
 		}
 	}
-	p.Hollow.Heap = float64(heap) / 1e6 / float64(max(members/ageLooks, 1))
-	p.CountAges, p.JudgementAges = agesFrom(counts), agesFrom(judged)
+	p.Hollow.Heap = float64(heap) / 1e6 / float64(max(members/ageSamples, 1))
+	p.CountAges, p.JudgementAges = summarizeAges(counts), summarizeAges(judged)
 	if len(real) > 0 {
-		a := agesFrom(real)
+		a := summarizeAges(real)
 		p.RealCountAges = &a
 	}
 	return nil
 }
 
-func agesFrom(all []int64) Ages {
+func summarizeAges(all []int64) Ages {
 	a := Ages{Samples: len(all)}
 	if len(all) == 0 {
 		return a
@@ -213,7 +213,7 @@
 	return a
 }
 
-// hollowCost is the difference of two looks, over the members that are in both.
+// hollowCost is the mean cost of members between two snapshots, over the groups that are in both.
 func hollowCost(before, after []Snapshot, slow float64) Cost {
 	c := Cost{}
 	for k := range after {
@@ -231,24 +231,24 @@
 		c.CPU += 100 * (after[k].CPU - before[k].CPU).Seconds() / seconds
 		c.Resident += float64(after[k].Resident) / 1e6
 	}
-	c.mean()
+	c.average()
 	return c
 }
 
-func realCost(before, after []realLook) Cost {
+func realCost(before, after []realSnapshot) Cost {
 	c := Cost{}
 	for k := range after {
 		seconds := float64(after[k].at-before[k].at) / 1e9
-		c.add(before[k].sight, after[k].sight, seconds)
+		c.add(before[k].status, after[k].status, seconds)
 		c.CPU += 100 * (after[k].cpu - before[k].cpu).Seconds() / seconds
 		c.Resident += float64(after[k].resident) / 1e6
-		c.Calls += float64(after[k].taken-before[k].taken) / seconds
+		c.Calls += float64(after[k].calls-before[k].calls) / seconds
 	}
-	c.mean()
+	c.average()
 	return c
 }
 
-// add adds one member's traffic to a sum.
+// add adds one member's traffic between two states.
 func (c *Cost) add(a, b MemberStatus, seconds float64) {
 	rate := func(of func(peers.Traffic) int64) float64 { return float64(of(b.Traffic)-of(a.Traffic)) / seconds }
 	c.Members++
@@ -259,14 +259,16 @@
 	c.ReceivedBytes += rate(func(t peers.Traffic) int64 { return t.ReceivedDatagramBytes })
 	c.ReceivedStream += rate(func(t peers.Traffic) int64 { return t.ReceivedStreamBytes })
 	c.Dropped += float64(b.Dropped-a.Dropped) / seconds
-	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes + t.SentStreamBytes + headers*t.SentDatagrams }))
+	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 {
+		return t.SentDatagramBytes + t.SentStreamBytes + datagramHeaders*t.SentDatagrams
+	}))
 }
 
-// mean makes a sum the mean of its members.
-func (c *Cost) mean() {
+// average divides the sums by the number of members.
+func (c *Cost) average() {
 	n := float64(max(c.Members, 1))
 	for _, v := range []*float64{&c.SentDatagrams, &c.SentBytes, &c.SentStream, &c.ReceivedDatagrams, &c.ReceivedBytes, &c.ReceivedStream, &c.CPU, &c.Resident, &c.Dropped, &c.Calls} {
 		*v /= n
 	}
-	c.SentWire = c.SentBytes + c.SentStream + headers*c.SentDatagrams
+	c.SentWire = c.SentBytes + c.SentStream + datagramHeaders*c.SentDatagrams
 }
