--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -25,7 +25,7 @@
 	"masthill/lab/wave"
 )
 
-// jamCmd plays a jump of the load that may tip a fleet into a jam, over seeds on a simulated clock.
+// jamCmd simulates, over several seeds, a jump of the load after which a fleet may stay congested.
 type jamCmd struct {
 	Controllers int           `default:"300" help:"Session controllers, up to 1,000."`
 	Servers     int           `default:"24" help:"Session servers, up to 100."`
@@ -45,12 +45,12 @@
 }
 
 const (
-	jamFrom, jamLength = 20 * time.Second, 80 * time.Second
-	// jamBack is how long after the jump's end service has to be back, and over what.
-	jamBack, jamServed = 15 * time.Second, 0.98
+	jumpStart, jamRunLength = 20 * time.Second, 80 * time.Second
+	// jamRecovery is how long after the jump's end service has to be restored, and jamServed the served share from which it is.
+	jamRecovery, jamServed = 15 * time.Second, 0.98
 )
 
-// seeds reads FIRST-LAST or one number.
+// seeds parses FIRST-LAST or a single number.
 func seeds(text string) (all []uint64, err error) {
 	first, last, two := strings.Cut(text, "-")
 	from, err := strconv.ParseUint(first, 10, 32)
@@ -68,28 +68,28 @@
 }
 
 func (c jamCmd) scenario(seed uint64, with func(control.Settings, float64, uint64, int64) join.Chain) model.Scenario {
-	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, Duration: jamLength, Redials: c.Redials, Join: with,
+	return model.Scenario{Seed: seed, Controllers: c.Controllers, Servers: c.Servers, Planned: c.Planned, Load: c.Load, Duration: jamRunLength, Redials: c.Redials, Join: with,
 		QueueOrder: processor.QueueOrders[c.Line], DropAnswers: c.DropAnswers, RateFactor: c.jump}
 }
 
-// jump is the rate over time.
+// jump is the load at a time, as a multiple of the usual load.
 func (c jamCmd) jump(at time.Duration) float64 {
-	if at >= jamFrom && at < jamFrom+c.For {
+	if at >= jumpStart && at < jumpStart+c.For {
 		return c.Times
 	}
 	return 1
 }
 
-// bound is what can be served at most: in the jump no more stand in time than the processors can do, if they do nothing in
-// vain, and the rest of the callers stand late at best.
-func (c jamCmd) bound(r *model.Result) float64 {
-	total := c.Load * (jamLength.Seconds() + (c.Times-1)*c.For.Seconds())
+// maxServed is an upper bound of the served share: during the jump, no more calls can be established in time than the servers'
+// processors can handle without wasted work, and the other callers are served late at best.
+func (c jamCmd) maxServed(r *model.Result) float64 {
+	total := c.Load * (jamRunLength.Seconds() + (c.Times-1)*c.For.Seconds())
 	over := max(c.Load*c.Times-1/r.UtilizationAtPlan, 0) * c.For.Seconds()
 	return 1 - (1-model.LateValue)*over/total
 }
 
-// share is the part of the calls first offered from a second on, up to another, that was served.
-func share(bySecond []float64, offeredByS []int, from, to int) float64 {
+// servedShare is the served fraction of the calls that were first offered between two seconds.
+func servedShare(bySecond []float64, offeredByS []int, from, to int) float64 {
 	var served, offered float64
 	for k := from; k < min(to, len(bySecond)); k++ {
 		served += bySecond[k] * float64(offeredByS[k])
@@ -99,8 +99,8 @@
 }
 
 func (c jamCmd) Run(ctx context.Context) error {
-	if c.Controllers < 1 || c.Controllers > 1000 || c.Servers < 1 || c.Servers > 100 || c.For < 0 || jamFrom+c.For+jamBack > jamLength {
-		return fmt.Errorf("wanted 1 to 1,000 controllers, 1 to 100 servers and a jump of %v at most", jamLength-jamFrom-jamBack)
+	if c.Controllers < 1 || c.Controllers > 1000 || c.Servers < 1 || c.Servers > 100 || c.For < 0 || jumpStart+c.For+jamRecovery > jamRunLength {
+		return fmt.Errorf("wanted 1 to 1,000 controllers, 1 to 100 servers and a jump of %v at most", jamRunLength-jumpStart-jamRecovery)
 	}
 	numbers, err := seeds(c.Seeds)
 	if err != nil {
@@ -109,13 +109,13 @@
 	if c.Sockets {
 		return c.sockets(ctx, numbers)
 	}
-	with := asRun
+	with := deployedModules
 	if c.Plain {
 		with = nil
 	}
 	all := make([]*model.Result, len(numbers))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallel)
+	g.SetLimit(maxParallelRuns)
 	for k, seed := range numbers {
 		g.Go(func() (err error) {
 			if err = ctx.Err(); err == nil {
@@ -127,19 +127,19 @@
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	back := int((jamFrom + c.For + jamBack) / time.Second)
+	recovered := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var served, after []float64
 	broken := 0
 	for _, r := range all {
-		served, after = append(served, r.ServedShare), append(after, share(r.ServedBySecond, r.OfferedBySecond, back, int(jamLength/time.Second)))
+		served, after = append(served, r.ServedShare), append(after, servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, int(jamRunLength/time.Second)))
 		if r.Any() || r.FellOver {
 			broken++
 			fmt.Println(" ", r.Seed, r.Descriptions)
 		}
 	}
-	fmt.Printf("served %.4f (worst %.4f), 15 s after the jump %.4f (worst %.4f), %d seeds\n", stat.Mean(served, nil), least(served), stat.Mean(after, nil), least(after), len(all))
+	fmt.Printf("served %.4f (worst %.4f), 15 s after the jump %.4f (worst %.4f), %d seeds\n", stat.Mean(served, nil), minimum(served), stat.Mean(after, nil), minimum(after), len(all))
 	for k, r := range all {
-		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.ServedShare, c.bound(r), after[k], r.RefusedByServers,
+		fmt.Printf("  seed %d: %.3f (bound %.3f), after %.3f, refused by servers %d, tries %.2f a call\n", r.Seed, r.ServedShare, c.maxServed(r), after[k], r.RefusedByServers,
 			float64(r.Tries)/float64(max(r.Calls, 1)))
 	}
 	if c.JSON != "" {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// sockets plays the jump with real processes.
+// sockets runs the jump with real processes.
 func (c jamCmd) sockets(ctx context.Context, numbers []uint64) error {
 	if c.Controllers > 24 || c.Servers > 24 {
 		return fmt.Errorf("with --sockets 24 controllers and 24 servers at most: each is a process or a listener for every one")
@@ -171,13 +171,13 @@
 		return err
 	}
 	if _, err := os.Stat(program); err != nil {
-		return fmt.Errorf("the program to run: %w", err)
+		return fmt.Errorf("cannot find the program to run: %w", err)
 	}
 	settings := ""
 	if !c.Plain {
 		text, err := os.ReadFile(config.OperatorSettingsFile)
 		if err != nil {
-			return fmt.Errorf("the settings that run has: %w", err)
+			return fmt.Errorf("cannot read the deployed settings: %w", err)
 		}
 		settings = string(text)
 	}
@@ -185,7 +185,7 @@
 	if planned == 0 {
 		planned = 22 * float64(c.Servers)
 	}
-	back := int((jamFrom + c.For + jamBack) / time.Second)
+	recovered := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var all []*wave.Result
 	for _, seed := range numbers {
 		dir, err := os.MkdirTemp("", "masthill-lab-")
@@ -193,13 +193,13 @@
 			return err
 		}
 		r, err := wave.Run(ctx, wave.Options{Program: program, Settings: settings, Instances: c.Controllers, Servers: c.Servers, Seed: seed, Load: c.Load,
-			Planned: planned, Steady: true, WarmUp: jamFrom, RestartWindow: c.For, After: jamLength - jamFrom - c.For, RateFactor: c.jump, Dir: dir})
+			Planned: planned, Steady: true, WarmUp: jumpStart, RestartWindow: c.For, After: jamRunLength - jumpStart - c.For, RateFactor: c.jump, Dir: dir})
 		os.RemoveAll(dir)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("seed %d: served %.3f, 15 s after the jump %.3f, %d calls, %d tries, missing %d, twice %d, overlapping %d, rig late %.0f ms\n", seed, r.Served,
-			share(r.ServedBySecond, r.OfferedBySecond, back, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
+			servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, len(r.ServedBySecond)), r.Calls, r.Tries, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.MaxDelayMS)
 		r.Samples = nil
 		if all = append(all, r); r.Any() || len(r.Errors) > 0 {
 			return fmt.Errorf("a rule was broken, or an instance failed: %v %v", r.Descriptions, r.Errors)
@@ -211,13 +211,13 @@
 	return writeJSON(c.JSON, all)
 }
 
-// plot draws what was served of the calls of each second: each seed thin, the mean over them thick.
+// plot draws the served share of the calls of each second: a thin line for each seed, a thick one for their mean.
 func (c jamCmd) plot(all []*model.Result) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d controllers, %d servers, load %.2f, %.1f times that for %v", c.Controllers, c.Servers, c.Load, c.Times, c.For)
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min, p.Y.Max = "time of the first try (s)", "served share", 0, 1.02
 	var mean plotter.XYs
-	for k := range int(jamLength / time.Second) {
+	for k := range int(jamRunLength / time.Second) {
 		sum := 0.0
 		for _, r := range all {
 			sum += r.ServedBySecond[k]
--- a/cmd/masthill-lab/asrun.go
+++ b/cmd/masthill-lab/modules.go
@@ -15,24 +15,25 @@
 	"masthill/lab/model"
 )
 
-// parallel is how many runs of the model go side by side: each holds some hundred megabytes at the largest sizes.
-const parallel = 4
+// maxParallelRuns limits the concurrent runs of the model: each uses some hundred megabytes at the largest sizes.
+const maxParallelRuns = 4
 
-// joining makes the modules beside control of a controller that starts.
-type joining func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
+// moduleFactory makes the decision modules that run beside control in a controller that starts.
+type moduleFactory func(s control.Settings, planned float64, seed uint64, now int64) join.Chain
 
-// asRun makes the modules beside control that the deploy file's run has: TestAsRun holds it against the settings.
-func asRun(s control.Settings, _ float64, seed uint64, now int64) join.Chain {
+// deployedModules makes the modules that deploy/masthill.toml enables; TestAsRun checks that they agree.
+func deployedModules(s control.Settings, _ float64, seed uint64, now int64) join.Chain {
 	return join.Chain{goodput.New(goodput.Settings{Control: s}, seed, now, nil)}
 }
 
-// modules makes the modules of a list of names, such as "recovery,goodput"; "plain" is none, "run" what run has.
-func modules(list string) (joining, error) {
+// parseModules returns the factory for a list of module names, such as "recovery,goodput". "plain" is none, "run" those of
+// deployedModules.
+func parseModules(list string) (moduleFactory, error) {
 	switch list {
 	case "plain":
 		return nil, nil
 	case "run":
-		return asRun, nil
+		return deployedModules, nil
 	}
 	names := strings.Split(list, ",")
 	for _, name := range names {
@@ -52,12 +53,12 @@
 				chain = append(chain, levels.New(s, seed, now, nil, nil))
 			case "shares":
 				own := shares.New(s, model.Tenants(), planned, seed, now)
-				if fleet != nil { // named before
+				if fleet != nil { // shared comes earlier in the list
 					own.UseFleetTotals(fleet)
 				}
 				chain = append(chain, own)
 			case "shared":
-				fleet = shared.New(talking(s, planned, seed), seed, now, shared.Callbacks{})
+				fleet = shared.New(peerConfig(s, planned, seed), seed, now, shared.Callbacks{})
 				chain = append(chain, fleet)
 			case "goodput":
 				chain = append(chain, goodput.New(goodput.Settings{Control: s}, seed, now, nil))
@@ -67,8 +68,8 @@
 	}, nil
 }
 
-// talking is a controller's part in a fleet whose instances know of each other: three of them are keepers.
-func talking(s control.Settings, planned float64, seed uint64) shared.Config {
+// peerConfig configures a controller of a fleet whose instances share state; three of them are voters.
+func peerConfig(s control.Settings, planned float64, seed uint64) shared.Config {
 	c := shared.Config{Epoch: seed, Control: s, Planned: planned, Name: fmt.Sprint("n", s.Ordinal), Machine: fmt.Sprint("m", s.Ordinal), Budgets: true, DetectOutliers: true,
 		Lease: lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: s.GroupSize}}
 	for _, t := range model.Tenants() {
--- a/cmd/masthill-lab/scaleconfig.go
+++ b/cmd/masthill-lab/scaleconfig.go
@@ -10,7 +10,7 @@
 	"masthill/lab/scale"
 )
 
-// scaleConfigCmd measures configuration releases by the fleet's size.
+// scaleConfigCmd measures the distribution of configuration releases by the fleet's size.
 type scaleConfigCmd struct {
 	Sizes   []int         `default:"120,240,470" help:"Members."`
 	Servers int           `default:"5" help:"Configuration servers, each in a process."`
@@ -26,12 +26,12 @@
 	JSON    string        `name:"json" help:"Write the results there, after each size." placeholder:"FILE"`
 }
 
-// maxConfigServers bounds the configuration servers of a run.
+// maxConfigServers limits the configuration servers of a run.
 const maxConfigServers = 9
 
 func (c scaleConfigCmd) Run(ctx context.Context) error {
 	if c.Servers < 1 || c.Servers > maxConfigServers {
-		return fmt.Errorf("%d servers: 1 to %d", c.Servers, maxConfigServers)
+		return fmt.Errorf("%d servers: wanted 1 to %d", c.Servers, maxConfigServers)
 	}
 	program, err := filepath.Abs(c.Program)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 	r := &scale.Results{}
 	for _, size := range c.Sizes {
-		if size < 3 || size > scaleMost {
-			return fmt.Errorf("%d members: 3 to %d", size, scaleMost)
+		if size < 3 || size > maxMembers {
+			return fmt.Errorf("%d members: wanted 3 to %d", size, maxMembers)
 		}
 		cost, err := c.measure(ctx, program, size)
 		if err != nil {
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return scale.ReleaseRun{Size: size, Zones: zones, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, SecondStageAfter: c.Rest, ContentSize: c.Content,
-		WarmUp: min(c.Warm, scaleForMost), MeasureFor: min(c.For, scaleForMost), OutageFor: min(c.Cut, scaleForMost), WithFaults: c.Faults, Seed: c.Seed,
+	return scale.ReleaseRun{Size: size, Zones: zoneCount, Program: program, Dir: dir, Servers: c.Servers, Changes: c.Changes, SecondStageAfter: c.Rest, ContentSize: c.Content,
+		WarmUp: min(c.Warm, maxMeasureTime), MeasureFor: min(c.For, maxMeasureTime), OutageFor: min(c.Cut, maxMeasureTime), WithFaults: c.Faults, Seed: c.Seed,
 		Progress: os.Stdout}.Run(ctx)
 }
--- a/lab/scale/faults.go
+++ b/lab/scale/faults.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// The kinds of fault.
+// The kinds of faults.
 const (
 	FaultMachine   = "machine"   // one member's process is killed
-	FaultRack      = "rack"      // twelve
-	FaultZone      = "zone"      // an eleventh
-	FaultRegion    = "region"    // a third is cut off for a time
-	FaultAllocator = "allocator" // its process is killed while cold servers' budgets are handed out
-	FaultRestarts  = "restarts"  // all restart, one batch after the other
-	FaultServer    = "server"    // a session server goes silent
+	FaultRack      = "rack"      // the processes of rackSize members are killed
+	FaultZone      = "zone"      // the process of an eleventh of the members is killed
+	FaultRegion    = "region"    // a third of the members is partitioned for a time
+	FaultAllocator = "allocator" // the leader's process is killed while budgets of cold servers are leased out
+	FaultRestarts  = "restarts"  // all members restart, the voters last
+	FaultServer    = "server"    // a session server stops answering
 )
 
-// Faults are all kinds, the simplest first.
+// FaultKinds lists all kinds of faults, the simplest first.
 var FaultKinds = []string{FaultMachine, FaultRack, FaultZone, FaultAllocator, FaultServer, FaultRegion, FaultRestarts}
 
 const (
-	rackOf = 12
-	// faultMost bounds the wait until all know.
-	faultMost = 2 * time.Minute
-	// coldServers is how many servers start cold while the allocator is lost.
+	rackSize = 12
+	// faultTimeout limits the wait until all members have noticed a fault or its end.
+	faultTimeout = 2 * time.Minute
+	// coldServers is how many servers start cold to have their budgets leased out.
 	coldServers = 4
 )
 
-// Fault is what one fault cost a fleet.
+// Fault holds the effects of one fault on a fleet.
 type Fault struct {
 	Kind           string      `json:"kind"`
 	Size           int         `json:"size"`
-	ClockSlowdown  float64     `json:"slow,omitempty"` // all times are by the slower clock
+	ClockSlowdown  float64     `json:"slow,omitempty"` // all times are by the slowed clock
 	SyntheticCalls float64     `json:"made_up_calls_s"`
 	Affected       int         `json:"struck"` // members
 	DurationS      float64     `json:"lasted_s"`
-	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all that are left know; -1: not in time
-	RecoveredS     float64     `json:"healed_s,omitempty"` // from its end until all know of all again; -1: not in time
-	FalseDeaths    int64       `json:"false_deaths"`       // deaths told of members that lived and could be reached
-	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, over the fault
-	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // of the members of one process on average, in the worst second or so
+	DetectedS      float64     `json:"all_know_s"`         // from its beginning until all remaining members have noticed; -1: timed out
+	RecoveredS     float64     `json:"healed_s,omitempty"` // until the fleet recovered: all know all again, use the server again, or have a new leader; -1: timed out
+	FalseDeaths    int64       `json:"false_deaths"`       // members reported dead that were alive and reachable
+	MeanBytes      float64     `json:"mean_wire_bytes_s"`  // of a member, during the fault
+	PeakBytes      float64     `json:"peak_wire_bytes_s"`  // the greatest mean over the members of one process, in an interval of about a second
 	PeakDatagrams  float64     `json:"peak_datagrams_s"`   // the same
 	PeakCPU        float64     `json:"peak_cpu_percent"`   // of a core for each member of one process, the same
 	BaselineBytes  float64     `json:"rest_wire_bytes_s"`  // before the fault
-	BaselineCPU    float64     `json:"rest_cpu_percent"`   // before
+	BaselineCPU    float64     `json:"rest_cpu_percent"`   // before the fault
 	HeapBefore     float64     `json:"heap_before_mb"`     // of a member
-	HeapAfter      float64     `json:"heap_after_mb"`      // once all is over
-	Budgets        BudgetCheck `json:"budgets"`            // over the run
-	Dropped        int64       `json:"dropped"`            // messages that found no room, over the fault
-	OthersCores    float64     `json:"others_cores"`       // that everything else on the machine used meanwhile
+	HeapAfter      float64     `json:"heap_after_mb"`      // after the fault
+	Budgets        BudgetCheck `json:"budgets"`            // since the start of the fleet
+	Dropped        int64       `json:"dropped"`            // messages dropped because of full queues, during the fault
+	OthersCores    float64     `json:"others_cores"`       // used by everything else on the machine meanwhile
 	Note           string      `json:"note,omitempty"`
 }
 
-// String tells a fault in a few lines.
+// String describes a fault in two lines.
 func (f *Fault) String() string {
-	return fmt.Sprintf("%s: %d of %d members struck, %.1f s; all knew after %.1f s, healed after %.1f s; false deaths %d; overspent %d (of %d claims, most in use %.2f), two allocators %d\n"+
-		"  bytes a second: %.0f at rest, %.0f over it, %.0f at most; processor %.2f%% at rest, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; others %.1f cores. %s",
+	return fmt.Sprintf("%s: %d of %d members affected, %.1f s; detected by all after %.1f s, recovered after %.1f s; false deaths %d; overspent %d (of %d claims, at most %.2f in use), concurrent leaders %d\n"+
+		"  bytes per second: %.0f before, %.0f during the fault, %.0f at most; CPU %.2f%% before, %.2f%% at most; heap %.2f MB before, %.2f MB after; dropped %d; other processes %.1f cores. %s",
 		f.Kind, f.Affected, f.Size, f.DurationS, f.DetectedS, f.RecoveredS, f.FalseDeaths, f.Budgets.Overspent, f.Budgets.Claims, f.Budgets.MaxInUse, f.Budgets.ConcurrentLeaders,
 		f.BaselineBytes, f.MeanBytes, f.PeakBytes, f.BaselineCPU, f.PeakCPU, f.HeapBefore, f.HeapAfter, f.Dropped, f.OthersCores, f.Note)
 }
 
-// Strikes are faults that happen to one fleet, one after the other, after it was measured at rest.
+// FaultRun measures a steady fleet and then injects faults into it, one after the other.
 type FaultRun struct {
 	Layout
 	Kinds           []string
-	GroupSize       int           // hollow members in a process, but for those that faults kill
-	WarmUp          time.Duration // after the start
-	MeasureIdle     time.Duration // measured without made-up calls; 0: it is not
-	MeasureBusy     time.Duration // measured with them
-	PartitionFor    time.Duration // how long a region is cut off, by the members' clock
-	MeasureBaseline time.Duration // before each fault, by the members' clock
+	GroupSize       int           // hollow members in a process, other than those that faults kill
+	WarmUp          time.Duration // after the start and before each steady measurement
+	MeasureIdle     time.Duration // length of the measurement without synthetic calls; 0: none
+	MeasureBusy     time.Duration // length of the measurement with them; 0: none
+	PartitionFor    time.Duration // duration of a region's partition, by the members' clock
+	MeasureBaseline time.Duration // length of the measurement before each fault, by the members' clock
 	Progress        io.Writer
-	OnResult        func(*Point, *Fault) error // each result as it comes
+	OnResult        func(*Point, *Fault) error // called with each result as soon as it is there
 }
 
-// Grouped puts members into processes so that faults can kill whole ones: each voter has one of its own, as has a machine;
-// a rack, a zone, and the rest.
+// GroupForFaults divides members into groups, one for each process, so that faults can kill whole processes. Each voter has
+// its own, followed by one other member, a rack, a zone, and groups of each for the rest.
 func GroupForFaults(size, each int) (groups [][]int, rack, zone int) {
 	voters := (&Spec{Size: size}).Voters()
 	for _, k := range voters {
@@ -86,15 +86,15 @@
 	from := len(voters)
 	groups = append(groups, []int{from})
 	rack = len(groups)
-	groups = append(groups, SplitEvenly(from+1, from+1+min(rackOf, size/4), rackOf)...)
+	groups = append(groups, SplitEvenly(from+1, from+1+min(rackSize, size/4), rackSize)...)
 	zone = len(groups)
-	from += 1 + min(rackOf, size/4)
+	from += 1 + min(rackSize, size/4)
 	to := min(from+max(size/11, 1), size)
 	groups = append(groups, SplitEvenly(from, to, size)...)
 	return append(groups, SplitEvenly(to, size, each)...), rack, zone
 }
 
-// Run starts a fleet, measures it, has the faults happen and ends the fleet.
+// Run starts a fleet, measures it, injects the faults and stops the fleet.
 func (s FaultRun) Run(ctx context.Context) error {
 	var rack, zone int
 	s.Groups, rack, zone = GroupForFaults(s.Size, max(s.GroupSize, 1))
@@ -105,60 +105,60 @@
 		return err
 	}
 	defer f.Close()
-	s.say("%d hollow members in %d processes start", s.Size, len(s.Groups))
+	s.logf("starting %d hollow members in %d processes", s.Size, len(s.Groups))
 	if err := f.Start(); err != nil {
 		return err
 	}
-	met, err := f.WaitForMembers(s.Size)
+	converged, err := f.WaitForMembers(s.Size)
 	if err != nil {
 		return err
 	}
-	s.say("all know of all after %.1f s by the members' clock", met.Seconds()/s.slow())
-	if err := f.pass(s.WarmUp); err != nil {
+	s.logf("all members know all after %.1f s by the members' clock", converged.Seconds()/s.slowdown())
+	if err := f.sleep(s.WarmUp); err != nil {
 		return err
 	}
-	for _, one := range []struct {
+	for _, phase := range []struct {
 		calls float64
 		long  time.Duration
 	}{{0, s.MeasureIdle}, {calls, s.MeasureBusy}} {
-		if one.long <= 0 {
+		if phase.long <= 0 {
 			continue
 		}
-		if err := s.measured(f, one.calls, one.long, met); err != nil {
+		if err := s.measureSteady(f, phase.calls, phase.long, converged); err != nil {
 			return err
 		}
 	}
-	if err := f.call(calls); err != nil {
+	if err := f.setCallRate(calls); err != nil {
 		return err
 	}
 	for _, kind := range s.Kinds {
-		p := &strike{FaultRun: s, kind: kind, f: f, rack: rack, zone: zone, size: f.left(),
-			r: &Fault{Kind: kind, Size: f.left(), ClockSlowdown: s.ClockSlowdown, SyntheticCalls: calls}}
+		p := &faultTest{FaultRun: s, kind: kind, fleet: f, rack: rack, zone: zone, size: f.remaining(),
+			result: &Fault{Kind: kind, Size: f.remaining(), ClockSlowdown: s.ClockSlowdown, SyntheticCalls: calls}}
 		if err := p.run(); err != nil {
 			return fmt.Errorf("%s: %w", kind, err)
 		}
-		if err := s.OnResult(nil, p.r); err != nil {
+		if err := s.OnResult(nil, p.result); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s FaultRun) say(format string, a ...any) { SteadyRun{Progress: s.Progress}.say(format, a...) }
+func (s FaultRun) logf(format string, a ...any) { SteadyRun{Progress: s.Progress}.logf(format, a...) }
 
-// measured measures the fleet at rest at a rate of made-up calls.
-func (s FaultRun) measured(f *Fleet, calls float64, long, met time.Duration) error {
-	if err := f.call(calls); err != nil {
+// measureSteady measures the steady fleet at a rate of synthetic calls.
+func (s FaultRun) measureSteady(f *Fleet, calls float64, length, converged time.Duration) error {
+	if err := f.setCallRate(calls); err != nil {
 		return err
 	}
-	if err := f.pass(s.WarmUp); err != nil { // reports are up to six seconds old
+	if err := f.sleep(s.WarmUp); err != nil { // reports are up to six seconds old
 		return err
 	}
-	p, err := f.measure(long)
+	p, err := f.measure(length)
 	if err != nil {
 		return err
 	}
-	p.ConvergedS, p.Processes = met.Seconds()/s.slow(), len(s.Groups)
-	s.say("at rest with %.0f made-up calls: %s", calls, p)
+	p.ConvergedS, p.Processes = converged.Seconds()/s.slowdown(), len(s.Groups)
+	s.logf("steady with %.0f synthetic calls per second: %s", calls, p)
 	return s.OnResult(p, nil)
 }
--- a/lab/scale/process.go
+++ b/lab/scale/process.go
@@ -13,56 +13,56 @@
 	"time"
 )
 
-// order is what a group is told to do.
-type order struct {
-	Do      string          `json:"do"`
+// request asks a group to do something.
+type request struct {
+	Action  string          `json:"do"`
 	Spec    *Spec           `json:"spec,omitempty"`
 	Members []int           `json:"members,omitempty"`
 	Pause   time.Duration   `json:"pause,omitempty"`
-	Ask     SnapshotOptions `json:"ask"`
+	Options SnapshotOptions `json:"ask"`
 	Server  uint64          `json:"server,omitempty"`
 	Calls   float64         `json:"calls,omitempty"`
 }
 
-// The orders.
+// The values of request.Action.
 const (
-	doBegin   = "begin" // takes the Spec
-	doStart   = "start"
-	doStop    = "stop"
-	doRestart = "restart"
-	doCut     = "cut"
-	doSilence = "silence"
-	doCall    = "call"
-	doLook    = "look"
+	doBegin       = "begin" // takes the Spec
+	doStart       = "start"
+	doStop        = "stop"
+	doRestart     = "restart"
+	doPartition   = "cut"
+	doSilence     = "silence"
+	doSetCallRate = "call"
+	doSnapshot    = "look"
 )
 
-// reply is what a group answers.
+// reply is a group's answer to a request.
 type reply struct {
-	Error string    `json:"error,omitempty"`
-	Look  *Snapshot `json:"look,omitempty"`
+	Error    string    `json:"error,omitempty"`
+	Snapshot *Snapshot `json:"look,omitempty"`
 }
 
-// obey carries an order out.
-func (g *Group) obey(o order) (r reply) {
+// handle executes a request.
+func (g *Group) handle(req request) (r reply) {
 	var err error
-	switch o.Do {
+	switch req.Action {
 	case doStart:
-		err = g.Start(o.Members, o.Pause)
+		err = g.Start(req.Members, req.Pause)
 	case doStop:
-		err = g.Stop(o.Members)
+		err = g.Stop(req.Members)
 	case doRestart:
-		err = g.Restart(o.Members, o.Pause)
-	case doCut:
-		g.Partition(o.Members)
+		err = g.Restart(req.Members, req.Pause)
+	case doPartition:
+		g.Partition(req.Members)
 	case doSilence:
-		g.SilenceServer(o.Server)
-	case doCall:
-		g.SetCallRate(o.Calls)
-	case doLook:
-		l := g.Snapshot(o.Ask)
-		r.Look = &l
+		g.SilenceServer(req.Server)
+	case doSetCallRate:
+		g.SetCallRate(req.Calls)
+	case doSnapshot:
+		l := g.Snapshot(req.Options)
+		r.Snapshot = &l
 	default:
-		err = fmt.Errorf("unknown order %q", o.Do)
+		err = fmt.Errorf("unknown request %q", req.Action)
 	}
 	if err != nil {
 		r.Error = err.Error()
@@ -70,27 +70,27 @@
 	return r
 }
 
-// Serve is a group's process: it takes orders as lines of JSON until there are no more, and ends then.
+// Serve runs a group's process: it reads requests as JSON from in and writes a reply to each to out, until in ends.
 func Serve(ctx context.Context, in io.Reader, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	orders, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
+	requests, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	var g *Group
 	for {
-		var o order
-		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
+		var req request
+		if err := requests.Decode(&req); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		r := reply{}
 		switch {
-		case o.Do == doBegin && o.Spec != nil:
-			g = NewGroup(ctx, o.Spec)
+		case req.Action == doBegin && req.Spec != nil:
+			g = NewGroup(ctx, req.Spec)
 		case g == nil:
-			r.Error = "no fleet was named yet"
+			r.Error = "the first request must begin a fleet"
 		default:
-			r = g.obey(o)
+			r = g.handle(req)
 		}
 		if err := replies.Encode(r); err != nil {
 			return err
@@ -98,10 +98,10 @@
 	}
 }
 
-// runner runs one group, here or in a process of its own.
+// runner runs one group, in this process or in one of its own.
 type runner interface {
-	do(o order) (*Snapshot, error)
-	kill() // at once, without a planned end
+	do(o request) (*Snapshot, error)
+	kill() // without graceful shutdown
 	close()
 }
 
@@ -116,44 +116,44 @@
 	return &local{NewGroup(ctx, s), stop}
 }
 
-func (l *local) do(o order) (*Snapshot, error) {
-	r := l.g.obey(o)
+func (l *local) do(o request) (*Snapshot, error) {
+	r := l.g.handle(o)
 	if r.Error != "" {
 		return nil, errors.New(r.Error)
 	}
-	return r.Look, nil
+	return r.Snapshot, nil
 }
 
-// kill has the members fall silent before they end, so that they do not leave.
+// kill makes all other members unreachable first, so that the stopping members cannot announce that they leave.
 func (l *local) kill() {
 	none := func(int) bool { return false }
-	for _, m := range l.g.all() {
-		m.cut.Store(&none)
+	for _, m := range l.g.allMembers() {
+		m.reachable.Store(&none)
 	}
 	l.close()
 }
 
 func (l *local) close() {
 	l.stop()
-	for _, m := range l.g.all() {
+	for _, m := range l.g.allMembers() {
 		<-m.done
 	}
 }
 
 // remote runs a group in a process of its own.
 type remote struct {
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	out  *json.Decoder
-	over chan struct{}
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	in     io.WriteCloser
+	out    *json.Decoder
+	exited chan struct{}
 }
 
-// endFor is how long a group's process may take to end once it is told nothing more.
-const endFor = 5 * time.Second
+// exitTimeout is how long a group's process may take to exit once its input has ended.
+const exitTimeout = 5 * time.Second
 
-// newRemote starts a group's process, which ends with ctx at the latest. command is the program that serves, with its
-// arguments.
+// newRemote starts a group's process, which is killed at the latest when ctx ends. command is the program that serves the
+// group, with its arguments.
 func newRemote(ctx context.Context, s *Spec, command []string) (*remote, error) {
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
@@ -169,21 +169,21 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	r := &remote{cmd: cmd, in: in, out: json.NewDecoder(bufio.NewReader(out)), over: make(chan struct{})}
-	stop := context.AfterFunc(ctx, func() { cmd.Process.Kill() }) // it may be amid an order that takes long
+	r := &remote{cmd: cmd, in: in, out: json.NewDecoder(bufio.NewReader(out)), exited: make(chan struct{})}
+	stop := context.AfterFunc(ctx, func() { cmd.Process.Kill() }) // it may be executing a long request
 	go func() {
 		cmd.Wait()
 		stop()
-		close(r.over)
+		close(r.exited)
 	}()
-	if _, err := r.do(order{Do: doBegin, Spec: s}); err != nil {
+	if _, err := r.do(request{Action: doBegin, Spec: s}); err != nil {
 		r.kill()
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *remote) do(o order) (*Snapshot, error) {
+func (r *remote) do(o request) (*Snapshot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := json.NewEncoder(r.in).Encode(o); err != nil {
@@ -191,24 +191,24 @@
 	}
 	var back reply
 	if err := r.out.Decode(&back); err != nil {
-		return nil, fmt.Errorf("a group's process ended: %w", err)
+		return nil, fmt.Errorf("the process of a group ended: %w", err)
 	}
 	if back.Error != "" {
 		return nil, errors.New(back.Error)
 	}
-	return back.Look, nil
+	return back.Snapshot, nil
 }
 
 func (r *remote) kill() {
 	r.cmd.Process.Kill()
-	<-r.over
+	<-r.exited
 }
 
 func (r *remote) close() {
 	r.in.Close()
 	select {
-	case <-r.over:
-	case <-time.After(endFor):
+	case <-r.exited:
+	case <-time.After(exitTimeout):
 		r.kill()
 	}
 }
