--- a/control/pressure.go
+++ b/control/pressure.go
@@ -48,8 +48,8 @@
 
 // perSecond turns a count over loadAveraging into a rate a second, allowing for the shorter time since a start.
 func (c *Controller) perSecond(d *decayingCount) float64 {
-	seen := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
-	return d.decayed(c.now, loadAveraging) * float64(second) / seen
+	observed := loadAveraging * (1 - math.Exp(-float64(max(c.now-c.startedAt, second))/loadAveraging))
+	return d.decayed(c.now, loadAveraging) * float64(second) / observed
 }
 
 // refreshTotals updates, once an event, what concerns all servers: the share of lost answers, and the recent peaks of
@@ -178,16 +178,16 @@
 	return nil
 }
 
-// recordAnswer takes a server's answer to a set-up. Its delay counts as at least the given one, 0 for a success.
-func (c *Controller) recordAnswer(s *server, id string, least float64) {
+// recordAnswer takes a server's answer to a set-up. Its delay counts as minDelay at least, 0 for a success.
+func (c *Controller) recordAnswer(s *server, id string, minDelay float64) {
 	a, ok := s.removeAttempt(id)
 	if !ok {
 		return
 	}
 	s.answered.n = s.answered.decayed(c.now, lossDecay) + 1
 	c.cancelOvertaken(s, a.sentAt)
-	delay, gap := max(float64(c.now-a.sentAt), least), float64(c.now-s.delayAt)
-	if least == 0 {
+	delay, gap := max(float64(c.now-a.sentAt), minDelay), float64(c.now-s.delayAt)
+	if minDelay == 0 {
 		s.establishedSentAt = max(s.establishedSentAt, a.sentAt)
 		c.spacing = max(c.spacing+spacingSmoothing*(delay-c.spacing), float64(c.cfg.Resolution), 1)
 	}
@@ -220,12 +220,12 @@
 
 // onLoadReport takes a load report. Measured delays count as overload whatever is reported. The number of free lines is
 // soon out of date, as calls end all the time: no free line counts as long as an answer for lack of lines does.
-func (c *Controller) onLoadReport(s *server, r []float64) {
+func (c *Controller) onLoadReport(s *server, report []float64) {
 	value := func(index int) float64 { // -1: none
-		if index < 0 || index >= len(r) {
+		if index < 0 || index >= len(report) {
 			return -1
 		}
-		return r[index]
+		return report[index]
 	}
 	if rate := value(c.rateField); rate > 0 {
 		if s.rate == 0 || c.now-s.rateAt >= rateMaxAge {
@@ -282,16 +282,16 @@
 		// A fast "full" must not count as a fast set-up, or it would attract calls to a failing server. This covers any
 		// server that fails fast; one that is full for an instant is avoided for about two seconds.
 		c.recordAnswer(s, ev.Call, saturatedDelay*c.refDelay)
-		// A told wait is kept up to maxTrialInterval; a longer one is then tested by a single trial, as a processor
-		// that dropped its queue or restarted would otherwise stay idle.
+		// The wait that a server asks for is kept up to maxTrialInterval; a longer one is then tested by a single
+		// trial, as a processor that dropped its queue or restarted would otherwise stay idle.
 		s.down = s.down || ev.WaitMS*1e6 > maxTrialInterval
 		s.backoffUntil = max(s.backoffUntil,
 			c.now+max(int64(c.spacing), minBackoff, min(ev.WaitMS*1e6, maxTrialInterval)))
 	}
 }
 
-// recordFault takes a fault of a server on a call that another server established. A server that answers with faults is
-// as fast and as useless as one that cuts established calls; a single chance fault costs it a moment.
+// recordFault takes a fault of a server on a call that another server established. Such a server looks fast but is as
+// useless as one that cuts established calls. A single chance fault keeps calls off it for minBackoff only.
 func (c *Controller) recordFault(s *server) {
 	s.backoffUntil = max(s.backoffUntil, c.now+minBackoff)
 	s.weight *= faultWeightFactor
--- a/control/types.go
+++ b/control/types.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Settings is what an instance is told once, when it starts. Times are in nanoseconds.
+// Settings configures a controller and does not change while it runs. Times are in nanoseconds.
 type Settings struct {
 	GroupSize     int // instances in the group
 	Ordinal       int // number of this instance among them, from 0
@@ -14,16 +14,16 @@
 	OwnCell       int  // own exchange, -1 with pools
 	ListOnRequest bool // the server list is sent only after Subscribe
 	MaxAttempts   int
-	MayCancel     bool
-	SecondCopies  bool
+	MayCancel     bool // the controller may cancel an attempt before its time-out
+	SecondCopies  bool // not used by the controller
 	RetryAfter    bool // a refusal may tell the caller when to call again
 	MaxRetryAfter int64
 	ReportFields  []string // names of the values of a load report
 	Resolution    int64    // least time between two batches of events
 	T1            int64    // a set-up without an answer is repeated after this; 0: never
 	ReleaseWait   int64    // wait before another attempt after a time-out, lost connection or cancel
-	DrainGrace    int64
-	CrashMultiple float64 // sends within FallWindow, in multiples of its capacity, at which a cold server crashes
+	DrainGrace    int64    // during which a draining server still accepts set-ups; none is sent
+	CrashMultiple float64  // sends within CrashWindow, in multiples of its capacity, at which a cold server crashes
 	CrashWindow   int64
 	ColdFraction  float64 // part of its capacity that a server has when it starts
 	WarmUpTime    int64   // time until it has all of it
@@ -77,8 +77,8 @@
 // Class describes a class of calls.
 type Class struct {
 	TargetDelay, Deadline int64   // time from a call's arrival within which it should, and must, be established
-	Value                 float64 // of a call established within its target time Aim
-	LateValue             float64 // factor of Worth after that
+	Value                 float64 // of a call established within TargetDelay
+	LateValue             float64 // factor of Value after that
 	Effect                Effect
 	Cells                 []int // that may take it; empty: any
 }
@@ -123,7 +123,7 @@
 	Unavailable               // the server takes no calls, or the set-up was kept back
 )
 
-// Event is something that an instance is told. Which fields have a meaning depends on Kind.
+// Event is an input of the controller. Which fields have a meaning depends on Kind.
 type Event struct {
 	Kind        EventKind
 	Call        string
@@ -131,16 +131,16 @@
 	Key         string // dialled number
 	NotAfter    int64  // when the call is given up
 	Waited      int64  // time since the call was accepted, if another module held it first
-	FirstChoice int    // cell of the first choice
+	FirstChoice int    // preferred cell; -1: none
 	Redialed    bool   // the caller calls again
-	InTransit   bool   // only servers of cell FarEnd may take the call
+	InTransit   bool   // only servers of cell FirstChoice may take the call
 	Server      uint64
 	Elapsed     int64 // since the attempt or probe was sent
 	Outcome     Outcome
 	CallEnded   bool      // the call is over, with no further attempt
 	Note        int       // detail of the outcome: 1 no free line, 4 number busy
 	WaitMS      int64     // wait that the server asked for, in milliseconds
-	Report      []float64 // load report, in the order of Settings.Fields; nil: none
+	Report      []float64 // load report, in the order of Settings.ReportFields; nil: none
 	Tag         uint64
 	FullList    bool
 	Entries     []Entry
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -67,7 +67,7 @@
 var noteNumbers = map[string]int{"all_trunks_busy": 1, "via_said_no": 2, "cpu_full": 3, "number_busy": 4,
 	"far_cpu_full": 18}
 
-// Note returns the control module's number for a note; 0 for none or an unknown one.
+// NoteNumber returns the control module's number for a note; 0 for none or an unknown one.
 func NoteNumber(word string) int { return noteNumbers[word] }
 
 // DialSIP connects to offices that use SIP. name is this instance's name in the Via header.
@@ -172,18 +172,18 @@
 
 // refusal maps a response of status 300 or more to the result of the attempt.
 func (p *sipPeer) refusal(m *sip.Message) exchange.Result {
-	e := exchange.Result{Outcome: control.Errored, Note: NoteNumber(string(m.Get("X-Note"))),
+	result := exchange.Result{Outcome: control.Errored, Note: NoteNumber(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
 	switch m.Status {
 	case 503:
-		e.Outcome = control.Saturated
+		result.Outcome = control.Saturated
 	case 480:
-		e.Outcome = control.Unavailable
+		result.Outcome = control.Unavailable
 	case 504:
-		e.Outcome = control.ConnectionLost
+		result.Outcome = control.ConnectionLost
 	}
 	if ms, err := strconv.ParseInt(string(m.Get("X-Delay")), 10, 32); err == nil && ms > 0 {
-		e.WaitMS = ms
+		result.WaitMS = ms
 	}
-	return e
+	return result
 }
