--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -20,16 +20,16 @@
 
 // borderCmd simulates load jumps of several heights at several sizes and shows after which a fleet does not recover.
 type borderCmd struct {
-	Sizes   []string      `default:"7/3,50/8,100/24,150/24,200/24,250/24,300/24,400/24" help:"Sizes, as CONTROLLERS/SERVERS."`
-	Times   []float64     `default:"1.2,1.4,1.6,1.8,2" help:"Heights of the jump, as multiples of the load."`
-	Load    float64       `default:"0.93" help:"Part of the planned load."`
-	For     time.Duration `default:"9.3s" help:"How long the jump lasts."`
-	Redials int           `default:"2" help:"How often callers dial again."`
-	Seeds   string        `default:"1-3" help:"Seeds, as FIRST-LAST or one."`
-	Before  string        `default:"plain" help:"The modules beside control of the first picture."`
-	With    string        `default:"run" help:"The modules beside control of the second picture."`
-	JSON    string        `name:"json" help:"Write the cells there." placeholder:"FILE"`
-	Plot    string        `help:"Draw both pictures there, as PNG." placeholder:"FILE"`
+	Sizes   []string      `default:"7/3,50/8,100/24,150/24,200/24,250/24,300/24,400/24" help:"Fleet sizes, as CONTROLLERS/SERVERS."`
+	Times   []float64     `default:"1.2,1.4,1.6,1.8,2" help:"Load during the jump, as multiples of the usual load."`
+	Load    float64       `default:"0.93" help:"Offered load, as a fraction of the planned load."`
+	For     time.Duration `default:"9.3s" help:"Duration of the jump."`
+	Redials int           `default:"2" help:"Maximum number of redials per call."`
+	Seeds   string        `default:"1-3" help:"Seeds, as FIRST-LAST or a single number."`
+	Before  string        `default:"plain" help:"Decision modules in the first plot, as for scenes."`
+	With    string        `default:"run" help:"Decision modules in the second plot."`
+	JSON    string        `name:"json" help:"Write the result of each size and jump to this file, as JSON." placeholder:"FILE"`
+	Plot    string        `help:"Write both plots to this file, as PNG." placeholder:"FILE"`
 }
 
 // borderCell is the result for one size and one jump.
--- a/cmd/masthill-lab/cold.go
+++ b/cmd/masthill-lab/cold.go
@@ -14,13 +14,13 @@
 
 // coldCmd measures the load of cold servers from all controllers together, and how often it exceeds what they can serve.
 type coldCmd struct {
-	Scene       []string `default:"all" help:"Cold scenes by name, or all."`
-	Controllers int      `default:"20" help:"Session controllers, up to 1,000."`
-	Servers     int      `default:"8" help:"Session servers, up to 100."`
-	Planned     float64  `default:"14" help:"Calls a second that each server is planned for."`
-	Skew        float64  `default:"0.8" help:"Spread of the controllers' shares of the traffic: standard deviation of their logarithms."`
-	Seeds       string   `default:"1-20" help:"Seeds, as FIRST-LAST or one."`
-	With        string   `default:"plain" help:"The modules beside control, as scenes has them."`
+	Scene       []string `default:"all" help:"Names of cold scenes, or all."`
+	Controllers int      `default:"20" help:"Number of session controllers, at most 1,000."`
+	Servers     int      `default:"8" help:"Number of session servers, at most 100."`
+	Planned     float64  `default:"14" help:"Planned load of each server, in calls per second."`
+	Skew        float64  `default:"0.8" help:"Spread of the controllers' shares of the traffic, as the standard deviation of their logarithms."`
+	Seeds       string   `default:"1-20" help:"Seeds, as FIRST-LAST or a single number."`
+	With        string   `default:"plain" help:"Decision modules, as for scenes."`
 }
 
 // scenes returns the selected cold scenes.
@@ -88,19 +88,19 @@
 
 // printCold prints a line that summarizes cold starts.
 func printCold(name string, starts []model.ColdStart, served string) {
-	falls, broken, worst, told, mean, sends := 0, 0, 0.0, 0.0, 0.0, 0.0
+	falls, violations, worst, worstInformed, mean, sends := 0, 0, 0.0, 0.0, 0.0, 0.0
 	for _, s := range starts {
 		if s.BoundExceeded {
 			falls++
 		}
 		if s.BreaksRule() {
-			broken++
+			violations++
 		}
-		worst, told, mean, sends = max(worst, s.PeakLoad), max(told, s.InformedLoad), mean+s.PeakLoad, sends+float64(s.TotalSent)
+		worst, worstInformed, mean, sends = max(worst, s.PeakLoad), max(worstInformed, s.InformedLoad), mean+s.PeakLoad, sends+float64(s.TotalSent)
 	}
 	n := float64(max(len(starts), 1))
-	low, high := proportionInterval(broken, len(starts))
-	fmt.Printf("%-9s %7d %6d %7d %6.4f (%.4f to %.4f) %10.3f %10.3f %10.3f %8.1f %8s\n", name, len(starts), falls, broken, float64(broken)/n, low, high, mean/n, worst, told, sends/n, served)
+	low, high := proportionInterval(violations, len(starts))
+	fmt.Printf("%-9s %7d %6d %7d %6.4f (%.4f to %.4f) %10.3f %10.3f %10.3f %8.1f %8s\n", name, len(starts), falls, violations, float64(violations)/n, low, high, mean/n, worst, worstInformed, sends/n, served)
 }
 
 // proportionInterval is the exact (Clopper-Pearson) 95% confidence interval of a proportion, given k of n observations.
--- a/cmd/masthill-lab/coldchance.go
+++ b/cmd/masthill-lab/coldchance.go
@@ -7,16 +7,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// chanceCmd computes, from the ramp of the budget alone, the probability that a cold server gets more calls than it can serve
-// while there are always calls to place. docs/design/cold.md has the derivation.
+// chanceCmd computes, from the ramp of the budget alone, the probability that a cold server receives more calls than it
+// can serve while there are always calls to place. docs/design/cold.md has the derivation.
 type chanceCmd struct {
-	Controllers []int     `default:"10,20,30,60,300" help:"Session controllers."`
-	Budget      []float64 `default:"9,17" help:"N at the start: what the server's budget allows in a window."`
-	Part        float64   `default:"0.7" help:"The sum of all controllers' pace as a part of N."`
-	ColdFrom    float64   `default:"0.31" help:"Warmth at the start."`
-	ColdSpan    float64   `default:"15" help:"Windows until the server is warm."`
-	Kept        float64   `default:"0.3" help:"The module's coldKept."`
-	Pauses      []float64 `default:"2,4" help:"Windows without calls after the start."`
+	Controllers []int     `default:"10,20,30,60,300" help:"Numbers of session controllers."`
+	Budget      []float64 `default:"9,17" help:"Budget of the server at its start (N): the requests that are allowed in a window."`
+	Part        float64   `default:"0.7" help:"Rate at which all controllers together earn credit, per window, as a fraction of N."`
+	ColdFrom    float64   `default:"0.31" help:"Fraction of its capacity that the server has at its start."`
+	ColdSpan    float64   `default:"15" help:"Warm-up time of the server, in windows."`
+	Kept        float64   `default:"0.3" help:"Factor of the credit that a controller keeps during a pause, as coldCreditMargin in package control."`
+	Pauses      []float64 `default:"2,4" help:"Pauses without calls after the start, in windows."`
 }
 
 // ramp is the growing budget of one server that has started cold, in one fleet.
@@ -26,10 +26,13 @@
 	budget float64 // at the start
 }
 
-func (c ramp) warmth(at float64) float64 { return min(c.ColdFrom+(1-c.ColdFrom)*at/c.ColdSpan, 1) }
+// capacityFraction is the part of its capacity that the server has at a time after the start, in windows.
+func (c ramp) capacityFraction(at float64) float64 {
+	return min(c.ColdFrom+(1-c.ColdFrom)*at/c.ColdSpan, 1)
+}
 
 // allowed is N at a time after the start, in windows.
-func (c ramp) allowed(at float64) float64 { return c.budget * c.warmth(at) / c.ColdFrom }
+func (c ramp) allowed(at float64) float64 { return c.budget * c.capacityFraction(at) / c.ColdFrom }
 
 // pace is the credit that one controller earns in a window at that time.
 func (c ramp) pace(at float64) float64 { return c.Part * c.allowed(at) / float64(c.n) }
@@ -53,8 +56,8 @@
 	return distuv.Binomial{N: float64(n), P: mean - whole}.Survival(over)
 }
 
-// startProbability is an upper bound of the probability that any window within the first three after the start is too full:
-// each call sent may be the end of such a window.
+// startProbability is an upper bound of the probability that any window within the first three after the start is too
+// full: each call sent may be the end of such a window.
 func (c ramp) startProbability() float64 {
 	p := c.pace(0)
 	whole := math.Floor(p)
@@ -65,9 +68,9 @@
 	return min(1, 3*p*float64(c.n)*distuv.Binomial{N: float64(c.n - 1), P: p - whole}.Survival(over))
 }
 
-// pauseProbability is the probability of a window that is too full after a pause; saved is the credit beyond its phase that a
-// controller holds then. The calls come at once, so the window may end at any time after; the worst of its beginning, middle
-// and end counts.
+// pauseProbability is the probability of a window that is too full after a pause; saved is the credit beyond its phase
+// that a controller holds then. The calls come at once, so the window may end at any time after; the worst of its
+// beginning, middle and end counts.
 func (c ramp) pauseProbability(at, saved float64, lost bool) float64 {
 	worst := 0.0
 	for _, into := range []float64{0, 0.5, 1} {
@@ -91,8 +94,8 @@
 			r := ramp{c, n, budget}
 			fmt.Printf("%11d %4.0f %7.1f %22.2g", n, budget, budget+2*math.Sqrt(budget)+2, r.startProbability())
 			for _, at := range c.Pauses {
-				kept := min(r.earned(at), c.Kept*(r.warmth(at)+r.pace(at)))
-				if c.Kept*(r.warmth(at)+r.pace(at)) >= 1 {
+				kept := min(r.earned(at), c.Kept*(r.capacityFraction(at)+r.pace(at)))
+				if c.Kept*(r.capacityFraction(at)+r.pace(at)) >= 1 {
 					kept = 1
 				}
 				fmt.Printf(" %22.2g %22.2g", r.pauseProbability(at, min(r.earned(at), 1), true), r.pauseProbability(at, kept, kept == 1))
--- a/cmd/masthill-lab/jam.go
+++ b/cmd/masthill-lab/jam.go
@@ -27,26 +27,27 @@
 
 // jamCmd simulates, over several seeds, a jump of the load after which a fleet may stay congested.
 type jamCmd struct {
-	Controllers int           `default:"300" help:"Session controllers, up to 1,000."`
-	Servers     int           `default:"24" help:"Session servers, up to 100."`
-	Planned     float64       `help:"Calls a second that the servers are planned for; else 22 for each server."`
-	Load        float64       `default:"0.93" help:"Part of the planned load."`
-	Times       float64       `default:"1.8" help:"The jump, as a multiple of the load."`
-	For         time.Duration `default:"9.3s" help:"How long the jump lasts; it begins after 20 s."`
-	Seeds       string        `default:"1-20" help:"Seeds, as FIRST-LAST or one."`
-	Redials     int           `default:"2" help:"How often callers dial again."`
-	Line        string        `enum:"setups-first,in-turn,answers-first" default:"setups-first" help:"The order of work at the servers: ${enum}."`
-	DropAnswers bool          `help:"A call that is given up takes its pending answer with it."`
-	Plain       bool          `help:"The program without the modules that run has beside control."`
-	Sockets     bool          `help:"Play it with real processes on loopback, one seed after the other, 24 controllers at most."`
-	Program     string        `default:"bin/masthill" help:"The program to run, with --sockets." placeholder:"PATH"`
-	JSON        string        `name:"json" help:"Write an array with a result for each seed there." placeholder:"FILE"`
-	Plot        string        `help:"Draw the served share by second there, as SVG or PNG; else beside the JSON file." placeholder:"FILE"`
+	Controllers int           `default:"300" help:"Number of session controllers, at most 1,000."`
+	Servers     int           `default:"24" help:"Number of session servers, at most 100."`
+	Planned     float64       `help:"Planned load of all servers together, in calls per second (default: 22 per server)."`
+	Load        float64       `default:"0.93" help:"Offered load, as a fraction of the planned load."`
+	Times       float64       `default:"1.8" help:"Load during the jump, as a multiple of the usual load."`
+	For         time.Duration `default:"9.3s" help:"Duration of the jump, which begins after 20 s."`
+	Seeds       string        `default:"1-20" help:"Seeds, as FIRST-LAST or a single number."`
+	Redials     int           `default:"2" help:"Maximum number of redials per call."`
+	Line        string        `enum:"setups-first,in-turn,answers-first" default:"setups-first" help:"Order of work at the servers: ${enum}."`
+	DropAnswers bool          `help:"Canceling a call also removes its queued answer at the server."`
+	Plain       bool          `help:"Run without the decision modules that the deployed settings enable."`
+	Sockets     bool          `help:"Run real processes on loopback, one seed after the other, with at most 24 controllers."`
+	Program     string        `default:"bin/masthill" help:"Path of the program to run with --sockets." placeholder:"PATH"`
+	JSON        string        `name:"json" help:"Write an array with one result per seed to this file, as JSON." placeholder:"FILE"`
+	Plot        string        `help:"Plot the served share by second to this file, as SVG or PNG (default: beside the JSON file)." placeholder:"FILE"`
 }
 
 const (
 	jumpStart, jamRunLength = 20 * time.Second, 80 * time.Second
-	// jamRecovery is how long after the jump's end service has to be restored, and jamServed the served share from which it is.
+	// jamRecovery is how long after the jump's end service has to be restored, and jamServed the served share from
+	// which it is.
 	jamRecovery, jamServed = 15 * time.Second, 0.98
 )
 
@@ -80,8 +81,8 @@
 	return 1
 }
 
-// maxServed is an upper bound of the served share: during the jump, no more calls can be established in time than the servers'
-// processors can handle without wasted work, and the other callers are served late at best.
+// maxServed is an upper bound of the served share: during the jump, no more calls can be established in time than the
+// servers' processors can handle without wasted work, and the other callers are served late at best.
 func (c jamCmd) maxServed(r *model.Result) float64 {
 	total := c.Load * (jamRunLength.Seconds() + (c.Times-1)*c.For.Seconds())
 	over := max(c.Load*c.Times-1/r.UtilizationAtPlan, 0) * c.For.Seconds()
@@ -129,11 +130,11 @@
 	}
 	recovered := int((jumpStart + c.For + jamRecovery) / time.Second)
 	var served, after []float64
-	broken := 0
+	violatingRuns := 0
 	for _, r := range all {
 		served, after = append(served, r.ServedShare), append(after, servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, int(jamRunLength/time.Second)))
 		if r.Any() || r.FellOver {
-			broken++
+			violatingRuns++
 			fmt.Println(" ", r.Seed, r.Descriptions)
 		}
 	}
@@ -155,8 +156,8 @@
 			return err
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("a rule was broken in %d runs", broken)
+	if violatingRuns > 0 {
+		return fmt.Errorf("a rule was broken in %d runs", violatingRuns)
 	}
 	return nil
 }
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -16,10 +16,10 @@
 
 // levelsCmd simulates a scenario with and without levels of service, over paired seeds.
 type levelsCmd struct {
-	Scenario    string `arg:"" enum:"swing,jump,slowdown,overload" help:"One of ${enum}."`
-	Controllers int    `default:"7" help:"Session controllers."`
-	Servers     int    `default:"3" help:"Session servers."`
-	Seeds       int    `default:"8" help:"Seeds, from 1."`
+	Scenario    string `arg:"" enum:"swing,jump,slowdown,overload" help:"Scenario: ${enum}."`
+	Controllers int    `default:"7" help:"Number of session controllers."`
+	Servers     int    `default:"3" help:"Number of session servers."`
+	Seeds       int    `default:"8" help:"Number of seeds, which are counted from 1."`
 }
 
 // halfSwing is half the period of a swing.
@@ -58,13 +58,13 @@
 }
 
 func (c levelsCmd) Run(ctx context.Context) error {
-	type played struct {
+	type levelsRun struct {
 		r       *model.Result
 		most    int // changes of level of one controller
 		changes int // of all
 		highest levels.Level
 	}
-	runs := [2][]played{make([]played, c.Seeds), make([]played, c.Seeds)}
+	runs := [2][]levelsRun{make([]levelsRun, c.Seeds), make([]levelsRun, c.Seeds)}
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(8)
 	for on := range 2 {
--- a/cmd/masthill-lab/main.go
+++ b/cmd/masthill-lab/main.go
@@ -1,5 +1,5 @@
-// Command masthill-lab runs experiments on fleets: simulations, and real instances of the program with simulated callers and
-// servers on loopback. All are limited in time and size.
+// Command masthill-lab runs experiments on fleets: simulations, and real instances of the program with simulated
+// callers and servers on loopback. All are limited in time and size.
 package main
 
 import (
@@ -18,24 +18,24 @@
 )
 
 type cli struct {
-	Demo        demoCmd   `cmd:"" help:"Run a fleet of three against stand-ins, and restart it."`
-	Model       modelCmd  `cmd:"" help:"Play the wave on a simulated clock at any size, with and without recovery, over paired seeds."`
-	Flood       floodCmd  `cmd:"" help:"Play one member's flood on a simulated clock, with and without shares, over paired seeds."`
-	Silent      silentCmd `cmd:"" help:"Play a server that goes silent on a simulated clock, and how long set-ups go there."`
-	Cold        coldCmd   `cmd:"" help:"Count what cold servers get from a whole fleet on a simulated clock, and how often it is too much."`
-	ColdChance  chanceCmd `cmd:"" help:"Compute how likely a cold server gets more than it bears, from the ramp alone."`
-	Jam         jamCmd    `cmd:"" help:"Play a jump of the load that may tip a fleet into a jam, on a simulated clock."`
-	Border      borderCmd `cmd:"" help:"Show at which sizes and jumps a fleet does not come back, as a table and a picture."`
-	Scenes      scenesCmd `cmd:"" help:"Play scenes on a simulated clock, with what run has beside control and without, over paired seeds."`
-	Levels      levelsCmd `cmd:"" help:"Play a swing, a jump, a slowdown into a restart wave, or an overload on a simulated clock, with and without levels."`
-	Rig         rigCmd    `cmd:"" help:"Run a fleet of real processes that know of each other, break things, and hold what each claims against the others."`
-	Scale       scaleCmd  `cmd:"" help:"Measure what a fleet costs each member, by its size: most of it hollow."`
+	Demo        demoCmd   `cmd:"" help:"Run three instances against simulated callers and servers, and restart them."`
+	Model       modelCmd  `cmd:"" help:"Simulate a restart wave in a fleet of any size, with and without recovery, over paired seeds."`
+	Flood       floodCmd  `cmd:"" help:"Simulate a flood of calls by one tenant, with and without shares, over the same seeds."`
+	Silent      silentCmd `cmd:"" help:"Simulate a server that goes silent, and measure how long set-ups are sent to it."`
+	Cold        coldCmd   `cmd:"" help:"Simulate cold servers, and measure the load from all controllers and how often it is too high."`
+	ColdChance  chanceCmd `cmd:"" help:"Compute the probability that a cold server is overloaded, from the ramp of its budget alone."`
+	Jam         jamCmd    `cmd:"" help:"Simulate a load jump after which a fleet may stay congested."`
+	Border      borderCmd `cmd:"" help:"Show after which load jumps and at which sizes a fleet does not recover, as a table and plots."`
+	Scenes      scenesCmd `cmd:"" help:"Simulate scenes with two sets of decision modules, over paired seeds."`
+	Levels      levelsCmd `cmd:"" help:"Simulate a load swing, a load jump, a slowdown before a restart wave, or an overload, with and without levels."`
+	Rig         rigCmd    `cmd:"" help:"Run a fleet of real processes that share state, inject faults, and check their claims against each other."`
+	Scale       scaleCmd  `cmd:"" help:"Measure the cost per member by the size of a fleet, with real and hollow members."`
 	RestartWave waveCmd   `cmd:"" help:"Restart most of a fleet within half a minute, just after a server was replaced by a cold one."`
 }
 
 type demoCmd struct {
-	Program string        `default:"bin/masthill" help:"The program to run." placeholder:"PATH"`
-	For     time.Duration `default:"30s" help:"How long callers call; two minutes at most."`
+	Program string        `default:"bin/masthill" help:"Path of the program to run." placeholder:"PATH"`
+	For     time.Duration `default:"30s" help:"How long callers make calls, at most two minutes."`
 }
 
 func (c demoCmd) Run(ctx context.Context) error {
@@ -52,17 +52,17 @@
 }
 
 type waveCmd struct {
-	Instances int     `default:"20" help:"Instances of the program."`
-	Servers   int     `default:"3" help:"Session servers."`
-	Seed      uint64  `default:"1" help:"Seed of all draws."`
-	Load      float64 `help:"Part of the planned load; drawn from 0.88 to 0.97 unless given."`
-	Program   string  `default:"bin/masthill" help:"The program to run." placeholder:"PATH"`
-	Settings  string  `help:"The operators' settings for each instance, %DIR% standing for its folder; else none." placeholder:"FILE"`
-	Column    string  `enum:"plain,recovery,snapshots" default:"recovery" help:"Without --settings: ${enum}."`
-	Crash     bool    `help:"The cold server is one that crashed and started again unseen, in place of a new one."`
-	Kill      bool    `help:"SIGKILL in place of SIGTERM."`
-	JSON      string  `name:"json" help:"Write the result there." placeholder:"FILE"`
-	Plot      string  `help:"Draw the servers' waits and the served share there, as SVG or PNG." placeholder:"FILE"`
+	Instances int     `default:"20" help:"Number of instances of the program."`
+	Servers   int     `default:"3" help:"Number of session servers."`
+	Seed      uint64  `default:"1" help:"Seed of all random draws."`
+	Load      float64 `help:"Offered load, as a fraction of the planned load (default: drawn from 0.88 to 0.97)."`
+	Program   string  `default:"bin/masthill" help:"Path of the program to run." placeholder:"PATH"`
+	Settings  string  `help:"File with the operators' settings of each instance, in which %DIR% is replaced by the instance's directory." placeholder:"FILE"`
+	Column    string  `enum:"plain,recovery,snapshots" default:"recovery" help:"Built-in settings to use without --settings: ${enum}."`
+	Crash     bool    `help:"Make a server cold by a crash and an unnoticed restart, instead of replacing it by a new one."`
+	Kill      bool    `help:"Stop instances with SIGKILL instead of SIGTERM."`
+	JSON      string  `name:"json" help:"Write the result to this file, as JSON." placeholder:"FILE"`
+	Plot      string  `help:"Plot the servers' waits and the served share to this file, as SVG or PNG." placeholder:"FILE"`
 }
 
 // columnSettings are the settings for the values of --column.
@@ -129,7 +129,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	var c cli
-	k := kong.Parse(&c, kong.Name("masthill-lab"), kong.Description("Experiments with real instances against stand-ins, on loopback."),
+	k := kong.Parse(&c, kong.Name("masthill-lab"), kong.Description("Experiments on fleets: simulations, and real instances with simulated callers and servers on loopback."),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -47,12 +47,12 @@
 	}
 }
 
-// Reproduces lasting congestion at a size that CI has time for: many servers that each take few calls. After a jump of the
-// load, a fleet without modules beside control does not recover; with them, most of what such servers can handle is served.
-// Also checks that the result and plot files are written.
+// Reproduces lasting congestion at a size that CI has time for: many servers that each take few calls. After a jump of
+// the load, a fleet without modules beside control does not recover; with them, most of what such servers can handle is
+// served. Also checks that the result and plot files are written.
 func TestTheJam(t *testing.T) {
 	dir := t.TempDir()
-	played := func(plain bool) (served, after float64) {
+	runJam := func(plain bool) (served, after float64) {
 		c := jamCmd{Controllers: 24, Servers: 24, Planned: 66, Load: 0.93, Times: 1.8, For: 9300 * time.Millisecond, Seeds: "1-4", Redials: 2, Line: "setups-first",
 			Plain: plain, JSON: filepath.Join(dir, "jam.json")}
 		if err := c.Run(context.Background()); err != nil {
@@ -74,8 +74,8 @@
 		}
 		return served, after
 	}
-	plain, plainAfter := played(true)
-	run, runAfter := played(false)
+	plain, plainAfter := runJam(true)
+	run, runAfter := runJam(false)
 	if plainAfter > 0.45 {
 		t.Errorf("without the modules the fleet recovered: %.3f served at the end", plainAfter)
 	}
--- a/cmd/masthill-lab/model.go
+++ b/cmd/masthill-lab/model.go
@@ -17,15 +17,15 @@
 
 // modelCmd simulates the restart wave with and without recovery, over paired seeds.
 type modelCmd struct {
-	Controllers int     `default:"20" help:"Session controllers, up to 1,000."`
-	Servers     int     `default:"3" help:"Session servers, up to 100."`
-	Seeds       int     `default:"10" help:"Seeds, from 1."`
-	Load        float64 `default:"0.93" help:"Part of the planned load."`
-	Cold        string  `enum:"replace,crash" default:"replace" help:"How a server comes to be cold: ${enum}. The list tells of either late."`
-	ListLate    float64 `default:"3" help:"Seconds by which the list is late, at most."`
-	Before      string  `default:"plain" help:"The modules beside control that are compared with, as scenes has them."`
-	With        string  `default:"recovery" help:"The modules beside control."`
-	JSON        string  `name:"json" help:"Write a line for each run there." placeholder:"FILE"`
+	Controllers int     `default:"20" help:"Number of session controllers, at most 1,000."`
+	Servers     int     `default:"3" help:"Number of session servers, at most 100."`
+	Seeds       int     `default:"10" help:"Number of seeds, which are counted from 1."`
+	Load        float64 `default:"0.93" help:"Offered load, as a fraction of the planned load."`
+	Cold        string  `enum:"replace,crash" default:"replace" help:"How a server becomes cold: ${enum}. The list announces either with a delay."`
+	ListLate    float64 `default:"3" help:"Maximum delay of list changes, in seconds."`
+	Before      string  `default:"plain" help:"Decision modules to compare with, as for scenes."`
+	With        string  `default:"recovery" help:"Decision modules, as for scenes."`
+	JSON        string  `name:"json" help:"Write a JSON line for each run to this file." placeholder:"FILE"`
 }
 
 func (c modelCmd) scenario(seed uint64, join moduleFactory) model.Scenario {
@@ -45,14 +45,14 @@
 			return err
 		}
 	}
-	plain, paced := make([]*model.Result, c.Seeds), make([]*model.Result, c.Seeds)
+	before, with := make([]*model.Result, c.Seeds), make([]*model.Result, c.Seeds)
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(8)
 	for k := range c.Seeds {
 		for _, to := range []struct {
 			into []*model.Result
 			join moduleFactory
-		}{{plain, columns[0]}, {paced, columns[1]}} {
+		}{{before, columns[0]}, {with, columns[1]}} {
 			g.Go(func() (err error) {
 				if ctx.Err() != nil {
 					return ctx.Err()
@@ -72,8 +72,8 @@
 		}
 		defer f.Close()
 		e := json.NewEncoder(f)
-		for k := range plain {
-			for name, r := range map[string]*model.Result{c.Before: plain[k], c.With: paced[k]} {
+		for k := range before {
+			for name, r := range map[string]*model.Result{c.Before: before[k], c.With: with[k]} {
 				e.Encode(struct {
 					Column string `json:"column"`
 					*model.Result
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	broken := 0
+	violatingRuns := 0
 	column := func(name string, all []*model.Result) []float64 {
 		var served, wait []float64
 		fell, rate, kb := 0, 0.0, 0.0
@@ -91,7 +91,7 @@
 				fell++
 			}
 			if r.Any() {
-				broken++
+				violatingRuns++
 				fmt.Println(" ", r.Seed, r.Descriptions)
 			}
 			rate, kb = rate+r.EventsPerSecond, max(kb, r.MemoryKB)
@@ -100,30 +100,30 @@
 			name, stat.Mean(served, nil), minimum(served), stat.Mean(wait, nil), -minimum(negated(wait)), fell, len(all), rate/float64(len(all)), kb)
 		return served
 	}
-	a, b := column(c.Before, plain), column(c.With, paced)
+	a, b := column(c.Before, before), column(c.With, with)
 	mean, half := pairedDifference(a, b)
 	fmt.Printf("with - before: %+.5f, 95%% interval %+.5f to %+.5f\n", mean, mean-half, mean+half)
-	if broken > 0 {
-		return fmt.Errorf("a rule was broken in %d runs", broken)
+	if violatingRuns > 0 {
+		return fmt.Errorf("a rule was broken in %d runs", violatingRuns)
 	}
 	return nil
 }
 
 // floodCmd simulates a flood of calls by one tenant, with and without shares.
 type floodCmd struct {
-	Controllers int     `default:"7" help:"Session controllers."`
-	Servers     int     `default:"3" help:"Session servers."`
-	Seeds       int     `default:"6" help:"Seeds, from 1."`
-	Load        float64 `default:"0.8" help:"Part of the planned load, beside the flood."`
-	Flood       float64 `default:"1.5" help:"The flood, as a part of the planned load of all."`
+	Controllers int     `default:"7" help:"Number of session controllers."`
+	Servers     int     `default:"3" help:"Number of session servers."`
+	Seeds       int     `default:"6" help:"Number of seeds, which are counted from 1."`
+	Load        float64 `default:"0.8" help:"Offered load besides the flood, as a fraction of the planned load."`
+	Flood       float64 `default:"1.5" help:"Load of the flood, as a fraction of the planned load of all tenants."`
 	// Columns are lists of modules in the format of parseModules.
-	Columns []string `sep:";" default:"plain;shares" help:"The modules beside control, a list for each column with semicolons between."`
+	Columns []string `sep:";" default:"plain;shares" help:"Decision modules: one list per column, separated by semicolons."`
 }
 
 func (c floodCmd) Run(ctx context.Context) error {
 	const from, to = 20, 60 // seconds of the flood
 	for _, column := range c.Columns {
-		joined, err := parseModules(column)
+		modules, err := parseModules(column)
 		if err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 			g.Go(func() (err error) {
 				sc := model.Scenario{Seed: uint64(k + 1), Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: c.Load, Duration: to * time.Second,
 					Redials: 2, Flood: &model.Flood{Tenant: "barrow-estate", At: from * time.Second, Duration: (to - from) * time.Second, Load: c.Flood}}
-				sc.Join = joined
+				sc.Join = modules
 				if err = ctx.Err(); err == nil {
 					all[k], err = model.Run(sc)
 				}
@@ -144,10 +144,10 @@
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		by, worst, good := map[string]float64{}, 1.0, 0.0
+		servedByTenant, worst, good := map[string]float64{}, 1.0, 0.0
 		for _, r := range all {
 			for name, share := range r.ServedInFlood {
-				by[name] += share / float64(len(all))
+				servedByTenant[name] += share / float64(len(all))
 				if name != "barrow-estate" {
 					worst = min(worst, share)
 				}
@@ -160,12 +160,13 @@
 			}
 		}
 		fmt.Printf("%-21s slaney-vines %.3f, suir-growers %.3f (worst of either %.3f), barrow-estate (the flood) %.3f; placed %.2f of the plan\n", column,
-			by["slaney-vines"], by["suir-growers"], worst, by["barrow-estate"], good)
+			servedByTenant["slaney-vines"], servedByTenant["suir-growers"], worst, servedByTenant["barrow-estate"], good)
 	}
 	return nil
 }
 
-// pairedDifference returns the mean of b - a and half the width of its 95% confidence interval, by Student's t-distribution.
+// pairedDifference returns the mean of b - a and half the width of its 95% confidence interval, by Student's
+// t-distribution.
 func pairedDifference(a, b []float64) (mean, half float64) {
 	d := make([]float64, len(a))
 	for k := range a {
--- a/cmd/masthill-lab/rig.go
+++ b/cmd/masthill-lab/rig.go
@@ -11,14 +11,14 @@
 
 // rigCmd runs a fleet of real processes and injects faults.
 type rigCmd struct {
-	File    string `arg:"" help:"What is played."`
-	Seed    uint64 `default:"1" help:"Seed of all draws."`
-	Program string `default:"bin/masthill" help:"The program to run." placeholder:"PATH"`
-	Plain   bool   `help:"Instances that know nothing of each other, under the same load and faults."`
-	Without string `help:"Of a build with -tags broken: the guard that is left out: mute, anchor, open, book, merge or witnesses."`
-	Keep    string `help:"Keep the instances' folders, claims and logs there." placeholder:"DIR"`
-	JSON    string `name:"json" help:"Write the result there." placeholder:"FILE"`
-	Plot    string `help:"Draw the served share by second there, as SVG or PNG." placeholder:"FILE"`
+	File    string `arg:"" help:"File that describes the run."`
+	Seed    uint64 `default:"1" help:"Seed of all random draws."`
+	Program string `default:"bin/masthill" help:"Path of the program to run." placeholder:"PATH"`
+	Plain   bool   `help:"Run instances that do not share state, under the same load and faults."`
+	Without string `help:"Check to leave out, in a build with -tags broken: mute, anchor, open, book, merge or witnesses."`
+	Keep    string `help:"Keep the instances' directories, audit files and logs in this directory." placeholder:"DIR"`
+	JSON    string `name:"json" help:"Write the result to this file, as JSON." placeholder:"FILE"`
+	Plot    string `help:"Plot the served share by second to this file, as SVG or PNG." placeholder:"FILE"`
 }
 
 func (c rigCmd) Run(ctx context.Context) error {
--- a/cmd/masthill-lab/scale.go
+++ b/cmd/masthill-lab/scale.go
@@ -12,26 +12,26 @@
 
 // scaleCmd measures the costs of a fleet by its size.
 type scaleCmd struct {
-	Steady scaleSteadyCmd `cmd:"" default:"withargs" help:"A fleet at rest, at several sizes."`
-	Trust  scaleTrustCmd  `cmd:"" help:"The same size all real and all hollow."`
-	Faults scaleFaultsCmd `cmd:"" help:"A fleet that something happens to."`
-	Config scaleConfigCmd `cmd:"" help:"Configuration releases: servers in processes, and members that are that part alone."`
-	Group  scaleGroupCmd  `cmd:"" hidden:"" help:"Serve a group of hollow members; the others start it."`
+	Steady scaleSteadyCmd `cmd:"" default:"withargs" help:"Measure a fleet without faults at several sizes."`
+	Trust  scaleTrustCmd  `cmd:"" help:"Compare fleets of the same size with only real and only hollow members."`
+	Faults scaleFaultsCmd `cmd:"" help:"Inject faults into a fleet and measure its reaction."`
+	Config scaleConfigCmd `cmd:"" help:"Measure the distribution of configuration releases, with real servers and members that run nothing else."`
+	Group  scaleGroupCmd  `cmd:"" hidden:"" help:"Run a group of hollow members in this process, for the other commands."`
 }
 
 // scaleOptions are the options that the scale commands have in common.
 type scaleOptions struct {
-	Calls   float64       `help:"Made-up calls a second at each hollow member, for what they have to tell."`
-	Slow    float64       `help:"Run the clock of hollow members so many times slower, up to 8; not with real ones."`
-	Servers int           `help:"Session servers on the list; as many as members unless given."`
-	Each    int           `default:"40" help:"Hollow members in a process."`
-	Warm    time.Duration `default:"10s" help:"Before the measurement."`
-	For     time.Duration `default:"25s" help:"Of a measurement."`
-	Program string        `default:"bin/masthill" help:"The program that real members run." placeholder:"PATH"`
-	Seed    uint64        `default:"1" help:"Seed of all draws."`
-	JSON    string        `name:"json" help:"Write the results there, after each size." placeholder:"FILE"`
-	Plot    string        `help:"Draw the costs by size there, as SVG." placeholder:"FILE"`
-	Resume  bool          `help:"Keep what the file of results has, and measure what it lacks."`
+	Calls   float64       `help:"Synthetic calls per second at each hollow member, so that it has something to report."`
+	Slow    float64       `help:"Factor by which the clock of hollow members is slowed down, at most 8; not with real members."`
+	Servers int           `help:"Number of session servers on the list (default: the number of members)."`
+	Each    int           `default:"40" help:"Number of hollow members per process."`
+	Warm    time.Duration `default:"10s" help:"Warm-up time before a measurement."`
+	For     time.Duration `default:"25s" help:"Duration of a measurement."`
+	Program string        `default:"bin/masthill" help:"Path of the program that real members run." placeholder:"PATH"`
+	Seed    uint64        `default:"1" help:"Seed of all random draws."`
+	JSON    string        `name:"json" help:"Write the results to this file after each size, as JSON." placeholder:"FILE"`
+	Plot    string        `help:"Plot the costs by size to this file, as SVG." placeholder:"FILE"`
+	Resume  bool          `help:"Keep the results in the JSON file, and measure only what is missing."`
 }
 
 const (
@@ -63,15 +63,15 @@
 	return nil
 }
 
-// steady prepares the run of a fleet of which so many members are real. clean removes its directory.
-func (o scaleOptions) steady(size, real int) (s scale.SteadyRun, clean func(), err error) {
+// prepareRun prepares the run of a fleet of which so many members are real. clean removes its directory.
+func (o scaleOptions) prepareRun(size, real int) (s scale.SteadyRun, clean func(), err error) {
 	if size < 3 || size > maxMembers || real > maxRealMembers || real > size {
 		return s, nil, fmt.Errorf("%d members, %d of them real: the limits are 3 to %d members, and %d real ones", size, real, maxMembers, maxRealMembers)
 	}
 	if o.Slow > 8 || o.Slow > 1 && real > 0 {
 		return s, nil, fmt.Errorf("a clock %v times slower: the limit is 8, and real members cannot have a slower clock", o.Slow)
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return s, nil, err
 	}
@@ -88,7 +88,7 @@
 		return s, nil, err
 	}
 	s.Layout = scale.Layout{Spec: scale.Spec{Size: size, Servers: servers, Zones: zoneCount, SyntheticCalls: o.Calls, ClockSlowdown: o.Slow, Seed: o.Seed},
-		Groups: scale.SplitEvenly(0, size-real, o.Each), Command: []string{self, "scale", "group"}}
+		Groups: scale.SplitEvenly(0, size-real, o.Each), Command: []string{executable, "scale", "group"}}
 	s.RealMembers = scale.RealMembers{Program: program, Dir: dir}
 	for k := size - real; k < size; k++ {
 		s.Numbers = append(s.Numbers, k)
@@ -99,7 +99,7 @@
 
 // measure runs and measures one fleet.
 func (o scaleOptions) measure(ctx context.Context, size, real int, change func(*scale.SteadyRun)) (*scale.Point, error) {
-	s, clean, err := o.steady(size, real)
+	s, clean, err := o.prepareRun(size, real)
 	if err != nil {
 		return nil, err
 	}
@@ -112,10 +112,10 @@
 
 type scaleSteadyCmd struct {
 	scaleOptions
-	Sizes       []int   `default:"30,60,120,240" help:"Members, all together."`
-	Real        int     `help:"How many of them are processes of the program."`
-	RealCalls   float64 `help:"Real calls a second at each real member, by stand-ins."`
-	RealServers int     `default:"8" help:"Stand-ins for servers, where there are real calls."`
+	Sizes       []int   `default:"30,60,120,240" help:"Fleet sizes, as the total number of members."`
+	Real        int     `help:"Number of real members, which are processes of the program."`
+	RealCalls   float64 `help:"Calls per second at each real member, from simulated callers."`
+	RealServers int     `default:"8" help:"Number of simulated servers for these calls."`
 }
 
 func (c scaleSteadyCmd) Run(ctx context.Context) error {
@@ -142,7 +142,7 @@
 
 type scaleTrustCmd struct {
 	scaleOptions
-	Sizes []int `default:"30,60" help:"Members."`
+	Sizes []int `default:"30,60" help:"Fleet sizes, as the number of members."`
 }
 
 func (c scaleTrustCmd) Run(ctx context.Context) error {
@@ -189,11 +189,11 @@
 
 type scaleFaultsCmd struct {
 	scaleOptions
-	Size  int           `default:"470" help:"Members, all hollow."`
-	Cut   time.Duration `default:"60s" help:"How long a region is cut off."`
-	Rest  time.Duration `default:"6s" help:"Measured before each fault."`
-	Quiet time.Duration `help:"Measure the fleet first without made-up calls, for so long."`
-	Kind  []string      `default:"machine,rack,zone,allocator,server,region,restarts" help:"What happens to the fleet, one after the other."`
+	Size  int           `default:"470" help:"Number of members, which are all hollow."`
+	Cut   time.Duration `default:"60s" help:"How long a region is partitioned from the others."`
+	Rest  time.Duration `default:"6s" help:"Duration of the baseline measurement before each fault."`
+	Quiet time.Duration `help:"Duration of a first measurement without synthetic calls (default: none)."`
+	Kind  []string      `default:"machine,rack,zone,allocator,server,region,restarts" help:"Faults to inject, one after the other."`
 }
 
 func (c scaleFaultsCmd) Run(ctx context.Context) error {
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	s, clean, err := c.steady(c.Size, 0)
+	s, clean, err := c.prepareRun(c.Size, 0)
 	if err != nil {
 		return err
 	}
--- a/cmd/masthill-lab/scaleconfig.go
+++ b/cmd/masthill-lab/scaleconfig.go
@@ -12,18 +12,18 @@
 
 // scaleConfigCmd measures the distribution of configuration releases by the fleet's size.
 type scaleConfigCmd struct {
-	Sizes   []int         `default:"120,240,470" help:"Members."`
-	Servers int           `default:"5" help:"Configuration servers, each in a process."`
-	Changes int           `default:"5" help:"Releases, one after the other."`
-	Rest    time.Duration `default:"4s" help:"When all zones but the first take a release."`
-	Content int           `default:"4096" help:"Bytes of a release."`
-	Warm    time.Duration `default:"5s" help:"Before the measurement."`
-	For     time.Duration `default:"20s" help:"Of the measurement at rest."`
-	Cut     time.Duration `default:"20s" help:"How long a region is cut off, and all servers are lost."`
-	Faults  bool          `help:"Have servers lost and members cut off, too."`
-	Program string        `default:"bin/masthill" help:"The program that serves releases." placeholder:"PATH"`
-	Seed    uint64        `default:"1" help:"Seed of all draws."`
-	JSON    string        `name:"json" help:"Write the results there, after each size." placeholder:"FILE"`
+	Sizes   []int         `default:"120,240,470" help:"Fleet sizes, as the number of members."`
+	Servers int           `default:"5" help:"Number of configuration servers, each in its own process."`
+	Changes int           `default:"5" help:"Number of releases, published one after the other."`
+	Rest    time.Duration `default:"4s" help:"How long after its publication all zones but the first apply a release."`
+	Content int           `default:"4096" help:"Size of a release's content, in bytes."`
+	Warm    time.Duration `default:"5s" help:"Warm-up time before the measurement."`
+	For     time.Duration `default:"20s" help:"Duration of the measurement without new releases."`
+	Cut     time.Duration `default:"20s" help:"How long a region is cut off, and how long all servers are down."`
+	Faults  bool          `help:"Also inject faults: lost servers, and members that are cut off."`
+	Program string        `default:"bin/masthill" help:"Path of the program that serves releases." placeholder:"PATH"`
+	Seed    uint64        `default:"1" help:"Seed of all random draws."`
+	JSON    string        `name:"json" help:"Write the results to this file after each size, as JSON." placeholder:"FILE"`
 }
 
 // maxConfigServers limits the configuration servers of a run.
--- a/cmd/masthill-lab/scenes.go
+++ b/cmd/masthill-lab/scenes.go
@@ -14,15 +14,15 @@
 
 // scenesCmd simulates scenes with two sets of modules beside control, and compares them over paired seeds.
 type scenesCmd struct {
-	Scene       []string `default:"all" help:"Scenes by name, or all."`
-	Controllers int      `default:"300" help:"Session controllers, up to 1,000."`
-	Servers     int      `default:"24" help:"Session servers, up to 100."`
-	Planned     float64  `help:"Calls a second that the servers are planned for; else 22 for each server."`
-	Seeds       string   `default:"1-8" help:"Seeds, as FIRST-LAST or one."`
-	Before      string   `default:"plain" help:"The modules beside control that are compared with: plain, run, or names with commas between."`
-	With        string   `default:"run" help:"The modules beside control."`
-	PeerBytes   bool     `help:"Measure what controllers say to each other, for the JSON; it takes time."`
-	JSON        string   `name:"json" help:"Write a line for each run there." placeholder:"FILE"`
+	Scene       []string `default:"all" help:"Names of scenes, or all."`
+	Controllers int      `default:"300" help:"Number of session controllers, at most 1,000."`
+	Servers     int      `default:"24" help:"Number of session servers, at most 100."`
+	Planned     float64  `help:"Planned load of all servers together, in calls per second (default: 22 per server)."`
+	Seeds       string   `default:"1-8" help:"Seeds, as FIRST-LAST or a single number."`
+	Before      string   `default:"plain" help:"Decision modules to compare with: plain (none), run (as deployed), or names separated by commas."`
+	With        string   `default:"run" help:"Decision modules, in the same format."`
+	PeerBytes   bool     `help:"Count the bytes of messages between controllers, for the JSON output; this takes more time."`
+	JSON        string   `name:"json" help:"Write a JSON line for each run to this file." placeholder:"FILE"`
 }
 
 func (c scenesCmd) Run(ctx context.Context) error {
@@ -60,7 +60,7 @@
 		lines = json.NewEncoder(f)
 	}
 	fmt.Printf("%-11s %8s %8s %10s %22s %8s %8s %8s\n", "scene", "before", "with", "change", "95% interval", "worst", "worst", "late")
-	broken := 0
+	violatingRuns := 0
 	for _, s := range list {
 		off, on := make([]*model.Result, len(numbers)), make([]*model.Result, len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
@@ -86,7 +86,7 @@
 			a, b, late = append(a, off[k].ServedShare), append(b, on[k].ServedShare), append(late, on[k].LateShare)
 			for column, r := range map[string]*model.Result{c.Before: off[k], c.With: on[k]} {
 				if r.Any() {
-					broken++
+					violatingRuns++
 					fmt.Println(" ", s.Name, column, r.Seed, len(r.Descriptions), r.Descriptions[0])
 				}
 				if lines != nil {
@@ -104,8 +104,8 @@
 		fmt.Printf("%-11s %8.4f %8.4f %+10.4f  %+9.4f to %+.4f %8.4f %8.4f %8.4f\n", s.Name, stat.Mean(a, nil), stat.Mean(b, nil), mean, mean-half, mean+half, minimum(a), minimum(b),
 			stat.Mean(late, nil))
 	}
-	if broken > 0 {
-		return fmt.Errorf("a rule was broken in %d runs", broken)
+	if violatingRuns > 0 {
+		return fmt.Errorf("a rule was broken in %d runs", violatingRuns)
 	}
 	return nil
 }
--- a/cmd/masthill-lab/silent.go
+++ b/cmd/masthill-lab/silent.go
@@ -13,13 +13,13 @@
 
 // silentCmd simulates a server that goes silent without a change on the list, and shows how long set-ups are sent there.
 type silentCmd struct {
-	Controllers int     `default:"50" help:"Session controllers."`
-	Servers     int     `default:"21" help:"Session servers."`
-	Seeds       string  `default:"1-8" help:"Seeds, as FIRST-LAST or one."`
-	Load        float64 `default:"0.8" help:"Part of the planned load."`
+	Controllers int     `default:"50" help:"Number of session controllers."`
+	Servers     int     `default:"21" help:"Number of session servers."`
+	Seeds       string  `default:"1-8" help:"Seeds, as FIRST-LAST or a single number."`
+	Load        float64 `default:"0.8" help:"Offered load, as a fraction of the planned load."`
 	// Columns are lists of modules in the format of parseModules.
-	Columns []string `sep:";" default:"goodput;shared,goodput" help:"The modules beside control, a list for each column with semicolons between."`
-	Liar    bool     `help:"One controller tells the others all the time that every server is dead."`
+	Columns []string `sep:";" default:"goodput;shared,goodput" help:"Decision modules: one list per column, separated by semicolons."`
+	Liar    bool     `help:"Have one controller keep reporting to the others that every server is dead."`
 }
 
 // silentFrom and silentFor are the beginning and length of the silence; the list shows it some seconds later, unless the
@@ -57,18 +57,18 @@
 		if err := g.Wait(); err != nil {
 			return err
 		}
-		by := make([]float64, int(silentFor/time.Second))
+		sendsBySecond := make([]float64, int(silentFor/time.Second))
 		var served []float64
 		for _, r := range all {
 			if r.Any() {
 				return fmt.Errorf("seed %d: a rule was broken: %v", r.Seed, r.Descriptions)
 			}
 			for k, n := range r.SendsToSilentServers {
-				by[min(k, len(by)-1)] += float64(n) / float64(len(all))
+				sendsBySecond[min(k, len(sendsBySecond)-1)] += float64(n) / float64(len(all))
 			}
 			served = append(served, r.ServedShare)
 		}
-		fmt.Printf("%-22s set-ups to the silent server by second: %.1f; served %.4f", names, by, stat.Mean(served, nil))
+		fmt.Printf("%-22s set-ups to the silent server by second: %.1f; served %.4f", names, sendsBySecond, stat.Mean(served, nil))
 		if first == nil {
 			first = served
 			fmt.Println()
--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -15,10 +15,11 @@
 	"masthill/internal/sip"
 )
 
-// shrinkTimeout is how long clients may take to get within a smaller share, as their connections are closed gracefully.
+// shrinkTimeout is how long it may take until clients are within a smaller share, as their connections are closed
+// gracefully.
 const shrinkTimeout = 2 * time.Second
 
-// resizable is a front whose limit of connections can change.
+// resizable is a front whose maximum number of connections can change.
 type resizable interface{ SetMaxConnections(n int) }
 
 // allocation keeps each user of file descriptors within its share. It recomputes the shares when the list of servers
@@ -74,8 +75,8 @@
 	return f
 }
 
-// adminMaxConnections is how many connections the operators' address serves at once; one descriptor of its share is for the
-// connection that waits to be served.
+// adminMaxConnections is how many connections the operators' address serves at once; one descriptor of its share is for
+// the connection that waits to be served.
 func (a *allocation) adminMaxConnections() int { return max(a.budget.Operators-1, 1) }
 
 func (f sharedFront) apply(share descriptors.FrontShare) {
--- a/cmd/masthill/fleet.go
+++ b/cmd/masthill/fleet.go
@@ -21,16 +21,16 @@
 // fleetCmd has the commands that run and change many instances on one machine.
 type fleetCmd struct {
 	Up      fleetUp      `cmd:"" help:"Start the fleet and supervise it, until SIGTERM or 'fleet down'."`
-	Status  fleetStatus  `cmd:"" help:"Tell what the instances do."`
-	Reload  fleetReload  `cmd:"" help:"Write the instances' files anew and have them read."`
+	Status  fleetStatus  `cmd:"" help:"Print the status of the instances."`
+	Reload  fleetReload  `cmd:"" help:"Rewrite the instances' configuration files and have the instances reload them."`
 	Restart fleetRestart `cmd:"" help:"Restart all instances, batch by batch."`
-	Upgrade fleetUpgrade `cmd:"" help:"Replace all instances by another program, batch by batch; halt and turn back when it fails."`
-	Down    fleetDown    `cmd:"" help:"End all instances in order, and the supervisor."`
+	Upgrade fleetUpgrade `cmd:"" help:"Upgrade all instances to another program, batch by batch; halt and roll back on failure."`
+	Down    fleetDown    `cmd:"" help:"Shut down all instances, then the supervisor."`
 }
 
 // fleetFile is the argument that all fleet commands have.
 type fleetFile struct {
-	File string `arg:"" name:"FLEET.toml" help:"The fleet's file."`
+	File string `arg:"" name:"FLEET.toml" help:"File that describes the fleet."`
 }
 
 func (f fleetFile) load() (*fleet.Spec, error) {
@@ -168,15 +168,15 @@
 
 type fleetRestart struct {
 	fleetFile
-	NoWait bool `help:"Come back once it has begun."`
+	NoWait bool `help:"Return once the rollout has started, instead of waiting for its end."`
 }
 
 func (c fleetRestart) Run(out stdout) error { return runRollout(c.fleetFile, "", c.NoWait, out) }
 
 type fleetUpgrade struct {
 	fleetFile
-	Program string `arg:"" help:"The new program."`
-	NoWait  bool   `help:"Come back once it has begun."`
+	Program string `arg:"" help:"Path of the new program."`
+	NoWait  bool   `help:"Return once the rollout has started, instead of waiting for its end."`
 }
 
 func (c fleetUpgrade) Run(out stdout) error { return runRollout(c.fleetFile, c.Program, c.NoWait, out) }
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -52,7 +52,7 @@
 
 // statusCmd prints the status of an instance.
 type statusCmd struct {
-	Socket string `help:"The instance's control socket; else the one that the settings name." placeholder:"PATH"`
+	Socket string `help:"Control socket of the instance (default: the one in the settings)." placeholder:"PATH"`
 	JSON   bool   `help:"Print JSON."`
 }
 
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// queryStatus gets the status of the instance that the command line or else the settings name.
+// queryStatus queries the instance whose socket the command line names, or else the settings.
 func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// launchCmd replaces itself by another program. Before, it locks the instance's directory until the process ends, and
-// sets LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor starts
-// the instances by it.
+// launchCmd replaces itself by another program. Before that, it locks the instance's directory until the process ends,
+// and sets LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor
+// starts the instances by it.
 type launchCmd struct {
 	Dir        string   `required:""`
 	Generation string   `required:""`
--- a/cmd/masthill/levels.go
+++ b/cmd/masthill/levels.go
@@ -18,9 +18,9 @@
 
 // levelsCmd prints the last changes of the level of service, of one instance or of a fleet.
 type levelsCmd struct {
-	Socket string `help:"The instance's control socket; else the one that the settings name." placeholder:"PATH"`
-	Fleet  string `help:"A fleet's file: the history of all its instances, side by side." placeholder:"FLEET.toml"`
-	JSON   bool   `help:"Print a JSON line for each change."`
+	Socket string `help:"Control socket of the instance (default: the one in the settings)." placeholder:"PATH"`
+	Fleet  string `help:"File that describes a fleet; prints the changes of all its instances, side by side." placeholder:"FLEET.toml"`
+	JSON   bool   `help:"Print each change as a JSON line."`
 }
 
 // instanceChange is one change of the level of service at one instance.
--- a/cmd/masthill/main.go
+++ b/cmd/masthill/main.go
@@ -21,7 +21,7 @@
 	exitFailed   = 1 // the command failed
 	exitUsage    = 2 // the command line or a file is wrong; retrying does not help
 	exitNoAnswer = 3 // no instance, supervisor or configuration server answers
-	exitHalted   = 4 // a rollout or a release was halted; a rollout was rolled back if that was asked for
+	exitHalted   = 4 // a rollout or a release was halted; a rollout was rolled back if the fleet's file asks for that
 )
 
 // exitError is an error with the exit code to end with.
@@ -30,27 +30,27 @@
 	error
 }
 
-// Unwrap gives errors.Is and errors.As the error without its exit code.
+// Unwrap returns the error without its exit code, for errors.Is and errors.As.
 func (c exitError) Unwrap() error { return c.error }
 
 // cli is the command line.
 type cli struct {
-	Serve   serveCmd   `cmd:"" default:"1" help:"Serve calls, as the platform starts it. The default."`
-	Check   checkCmd   `cmd:"" help:"Check every file that the program reads, and name each fault with file, line and key."`
-	Status  statusCmd  `cmd:"" help:"Tell what an instance does, over its control socket."`
-	Levels  levelsCmd  `cmd:"" help:"Print the last changes of the level of service, of one instance or of a fleet side by side."`
-	Peers   peersCmd   `cmd:"" help:"Tell what an instance knows of the others: members, budgets held, counts, judgements."`
-	Config  configCmd  `cmd:"" help:"Make, publish and serve configuration releases, and follow them through a fleet."`
-	Fleet   fleetCmd   `cmd:"" help:"Run and change many instances on this machine."`
+	Serve   serveCmd   `cmd:"" default:"1" help:"Serve calls. This is the default command, which the platform runs."`
+	Check   checkCmd   `cmd:"" help:"Check all configuration files, and print each fault with file, line and key."`
+	Status  statusCmd  `cmd:"" help:"Print the status of an instance, queried over its control socket."`
+	Levels  levelsCmd  `cmd:"" help:"Print the latest changes of the level of service, of one instance or of all instances of a fleet."`
+	Peers   peersCmd   `cmd:"" help:"Print what an instance knows of its fleet: members, budgets held, counts and outlier decisions."`
+	Config  configCmd  `cmd:"" help:"Create, publish and serve configuration releases, and follow their rollout through a fleet."`
+	Fleet   fleetCmd   `cmd:"" help:"Run, restart and upgrade many instances on this machine."`
 	Version versionCmd `cmd:"" help:"Print the version."`
-	Help    helpCmd    `cmd:"" help:"Print this."`
-	Launch  launchCmd  `cmd:"" hidden:"" help:"Take over passed listening sockets and become the program."`
+	Help    helpCmd    `cmd:"" help:"Print this help, or that of a command."`
+	Launch  launchCmd  `cmd:"" hidden:"" help:"Lock the instance's directory, pass on the listening sockets and execute the program."`
 }
 
 // signals are the operating system's signals that a running program handles.
 type signals struct{ term, reload chan os.Signal }
 
-// kongExit is the exit code that kong asks for; run recovers it from a panic.
+// kongExit is the exit code with which kong wants to exit, passed to run as a panic.
 type kongExit int
 
 // stdout is the writer that commands print to; tests set another one.
@@ -80,8 +80,8 @@
 	}()
 	var c cli
 	parser, err := kong.New(&c, kong.Name("masthill"), kong.Writers(out, errOut),
-		kong.Description("A session controller. Exit codes: 0 done; 1 failed; 2 the command line or a file is wrong; "+
-			"3 no instance answers; 4 a rollout halted."),
+		kong.Description("A session controller. Exit codes: 0 success; 1 failure; 2 invalid command line or file; "+
+			"3 no instance, supervisor or configuration server answers; 4 a rollout or a release was halted."),
 		kong.Exit(func(code int) { panic(kongExit(code)) }), kong.Bind(s), kong.Bind(stdout{out}), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		panic(err) // the cli struct is invalid
@@ -111,7 +111,7 @@
 }
 
 type helpCmd struct {
-	Command []string `arg:"" optional:"" help:"The command to explain."`
+	Command []string `arg:"" optional:"" help:"The command to print the help of."`
 }
 
 // Run is never reached: the function run turns "help COMMAND" into "COMMAND --help" before parsing.
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -41,8 +41,8 @@
 	reload     func(*config.OperatorSettings) // applies those new settings that can change in a running program
 }
 
-// constructors make the subsystems, in this order. Decision modules come before the core, in the order in which it asks
-// them; what needs the core comes after it.
+// constructors make the subsystems, in this order. Decision modules come before the core, in the order in which they
+// decide; what needs the core comes after it.
 var constructors = []func(*instance) (subsystem, error){
 	newSnapshots, newDescriptorAllocation, newPeers, newRecovery, newLevels, newShares, newGoodput, newStore, newCore,
 	newCallerFront, newOfficePool, newJournalFeed, newCallWSFront, newReleaseMember, newAdmin, newControlSocket,
@@ -161,8 +161,8 @@
 		in.core.ReportGauge(levels.Memory, memory/float64(in.platform.MemoryMB))
 		in.core.ReportGauge(levels.Descriptors, float64(descriptors)/float64(in.platform.Sockets))
 		in.core.ReportGauge(levels.Inbox, in.core.InboxUsed())
-		if _, lastHeard := in.feed.Position(); !lastHeard.IsZero() {
-			in.core.ReportGauge(levels.ListAge, time.Since(lastHeard).Seconds()/10)
+		if _, lastReceived := in.feed.Position(); !lastReceived.IsZero() {
+			in.core.ReportGauge(levels.ListAge, time.Since(lastReceived).Seconds()/10)
 		}
 	}
 }
@@ -259,8 +259,8 @@
 	return subsystem{run: offices.Run}, nil
 }
 
-// newJournalFeed makes the client of the journal service, which keeps the list of offices. The core first gets the list
-// that the configuration holds, then what the previous process had learned of the offices.
+// newJournalFeed makes the client of the journal service, which keeps the list of offices. The core first receives the
+// list that the configuration holds, then what the previous process had learned of the offices.
 func newJournalFeed(in *instance) (subsystem, error) {
 	in.feed = &journal.Client{Addr: in.platform.Journal, Log: in.log.With(logs.PartKey, "list"), Dial: descriptors.Dialer(in.descriptors.onShortage),
 		OnChange: func(changed []exchange.Office, full bool) {
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -141,7 +141,8 @@
 	At    int64  `json:"at"`
 	Kind  string `json:"kind"` // start, claim, reign, verdict, look
 	Claim any    `json:"claim"`
-	// Of a look also: how many members are taken to be alive, and the bytes and datagrams sent so far.
+	// Only for the kind "look", a snapshot: how many members are considered alive, and the bytes and datagrams sent so
+	// far.
 	Alive     int   `json:"alive,omitempty"`
 	Bytes     int64 `json:"bytes,omitempty"`
 	Datagrams int64 `json:"datagrams,omitempty"`
@@ -181,17 +182,17 @@
 			return nil
 		case l = <-a.records:
 		case <-tick.C:
-			var look shared.Snapshot
+			var snapshot shared.Snapshot
 			at := int64(math.MinInt64)
 			in.core.Inspect(func() {
 				at = in.options.Now().UnixNano()
-				look = in.shared.Snapshot(at)
+				snapshot = in.shared.Snapshot(at)
 			})
 			if at == math.MinInt64 {
 				return nil // the core has ended
 			}
 			st := in.peers.Status()
-			record := auditRecord{At: at, Kind: "look", Claim: look, Bytes: st.SentBytes, Datagrams: st.SentDatagrams}
+			record := auditRecord{At: at, Kind: "look", Claim: snapshot, Bytes: st.SentBytes, Datagrams: st.SentDatagrams}
 			for _, m := range st.Members {
 				if m.State == peers.Alive || m.State == peers.Suspect {
 					record.Alive++
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -25,19 +25,19 @@
 
 // configCmd has the commands for configuration releases.
 type configCmd struct {
-	Keygen  configKeygen  `cmd:"" help:"Make a key to sign releases with, and print its public half."`
-	Check   configCheck   `cmd:"" help:"Check the content of a release, and name each fault with file, line and key."`
-	Serve   configServe   `cmd:"" help:"Keep releases and serve them to a fleet, beside other such servers."`
-	Publish configPublish `cmd:"" help:"Sign a release and give it to the servers."`
-	Halt    configHalt    `cmd:"" help:"Give the newest release up: everybody goes back to the last good one."`
-	Status  configStatus  `cmd:"" help:"Tell which instances run which release, and how old what they know is."`
+	Keygen  configKeygen  `cmd:"" help:"Generate a key pair for signing releases, and print the public key."`
+	Check   configCheck   `cmd:"" help:"Check the content of a release, and print each fault with file, line and key."`
+	Serve   configServe   `cmd:"" help:"Store releases and serve them to a fleet, together with the other configuration servers."`
+	Publish configPublish `cmd:"" help:"Sign a release and publish it to the configuration servers."`
+	Halt    configHalt    `cmd:"" help:"Halt the newest release: all instances go back to the last good one."`
+	Status  configStatus  `cmd:"" help:"Print which instances run which release, and how old that information is."`
 }
 
 // privateKeyMode is the mode of a file with a private key.
 const privateKeyMode = 0o600
 
 type configKeygen struct {
-	File string `arg:"" help:"Where the private key goes; the file must not be there yet."`
+	File string `arg:"" help:"File for the private key; it must not exist yet."`
 }
 
 func (c configKeygen) Run(out stdout) error {
@@ -88,7 +88,7 @@
 }
 
 // readContent reads and checks the content of a release. Values that refer to the environment are looked up by the
-// instance that applies the release; for the check each stands for a distinct text.
+// instance that applies the release; for the check each is replaced by a distinct text.
 func readContent(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -104,15 +104,15 @@
 // configFleet holds the flags that most of the commands share.
 type configFleet struct {
 	Servers []string `required:"" name:"servers" placeholder:"HOST:PORT" help:"All configuration servers of the fleet."`
-	Fleet   string   `required:"" help:"The fleet's name; releases of another one are refused."`
+	Fleet   string   `required:"" help:"Name of the fleet; releases for other fleets are refused."`
 }
 
 type configServe struct {
 	configFleet
-	Listen    string   `required:"" placeholder:"HOST:PORT" help:"This server's address, one of --servers."`
-	Dir       string   `required:"" type:"path" help:"Where releases are kept."`
+	Listen    string   `required:"" placeholder:"HOST:PORT" help:"Address of this server, one of --servers."`
+	Dir       string   `required:"" type:"path" help:"Directory in which releases are stored."`
 	Keys      []string `required:"" name:"keys" help:"The operators' public keys."`
-	HaltAfter int      `default:"1" help:"So many instances that cannot apply a release halt it."`
+	HaltAfter int      `default:"1" help:"Halt a release once this many instances cannot apply it."`
 }
 
 func (c configServe) Run(s signals) error {
@@ -171,7 +171,7 @@
 	return succeeded, errors.Join(failures...)
 }
 
-// overview gets the status of all servers and combines them. Servers that do not answer are named in err; if none
+// overview queries the status of all servers and combines them. Servers that do not answer are named in err; if none
 // answers, err has the exit code exitNoAnswer.
 func (c configFleet) overview() (distribution.Overview, error) {
 	var mu sync.Mutex
@@ -196,16 +196,16 @@
 
 type configPublish struct {
 	configFleet
-	KeyFile string        `required:"" type:"existingfile" help:"The private key that keygen made."`
-	Stage   []string      `sep:"none" placeholder:"ZONE,ZONE=AFTER" help:"Zones that take the release so long after its publication, as in a,b=2s; may be given more than once."`
-	Rest    time.Duration `default:"0s" help:"When all other zones take it."`
-	Version uint64        `help:"Its number; else the one after the newest."`
-	Wait    time.Duration `default:"30s" help:"How long to wait for the release before it, and for a majority of the servers."`
-	Follow  time.Duration `help:"Wait so long until every instance has taken it; a halted release is exit code 4."`
-	File    string        `arg:"" help:"The content, as TOML."`
+	KeyFile string        `required:"" type:"existingfile" help:"File with the private key, as written by keygen."`
+	Stage   []string      `sep:"none" placeholder:"ZONE,ZONE=AFTER" help:"Zones that apply the release this long after its publication, as in a,b=2s; may be repeated."`
+	Rest    time.Duration `default:"0s" help:"How long after its publication all other zones apply the release."`
+	Version uint64        `help:"Version of the release (default: the one after the newest)."`
+	Wait    time.Duration `default:"30s" help:"How long to retry until a majority of the servers accepts the release, as they refuse it while the previous one is rolled out."`
+	Follow  time.Duration `help:"How long to wait until every instance runs the release (default: not at all); exit code 4 if it is halted."`
+	File    string        `arg:"" help:"Content of the release, as TOML."`
 }
 
-// retryInterval is the pause before a release is sent again, or the servers are asked again for its state.
+// retryInterval is the pause before a release is sent again, or its state is queried again.
 const retryInterval = 500 * time.Millisecond
 
 func (c configPublish) Run(out stdout) error {
@@ -293,9 +293,9 @@
 
 type configHalt struct {
 	configFleet
-	KeyFile string `required:"" type:"existingfile" help:"The private key that keygen made."`
-	Version uint64 `required:"" help:"The release's number."`
-	Reason  string `help:"For the others on call."`
+	KeyFile string `required:"" type:"existingfile" help:"File with the private key, as written by keygen."`
+	Version uint64 `required:"" help:"Version of the release."`
+	Reason  string `help:"Reason, shown to other operators."`
 }
 
 func (c configHalt) Run(out stdout) error {
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -270,11 +270,11 @@
 // status is the answer to a status request on the control socket.
 func (in *instance) status() ctl.Status {
 	core := in.core.Status()
-	pos, lastHeard := in.feed.Position()
+	pos, lastReceived := in.feed.Position()
 	s := ctl.Status{Name: in.platform.Name, Version: version(), PID: os.Getpid(), Phase: ctl.Serving, StartedAt: in.startedAt, StartReason: in.startReason,
 		Snapshot: in.snapshotResult, Listen: in.listenAddr, ListPos: pos, ListAgeMS: -1, MemoryLimitMB: in.platform.MemoryMB, DescriptorLimit: in.platform.Sockets, Core: core}
-	if !lastHeard.IsZero() {
-		s.ListAgeMS = time.Since(lastHeard).Milliseconds()
+	if !lastReceived.IsZero() {
+		s.ListAgeMS = time.Since(lastReceived).Milliseconds()
 	}
 	for _, sub := range in.subsystems {
 		if sub.status != nil {
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -1,8 +1,8 @@
-// Package join defines the interface of decision modules that extend control: recovery after a start, levels of reduced
-// service, shares of tenants and others. Each module observes every event and every action, may admit, hold or refuse a
-// new call before control sees it, and may stop set-ups to a server. Which server takes a call, whether it is tried
-// again and when it is given up remain decisions of control, and modules do not weaken its guarantees. Modules are
-// pure: callers pass in the time, modules do no I/O, and the same events lead to the same decisions.
+// Package join defines the interface of decision modules, which extend package control: recovery after a start, levels
+// of reduced service, shares of tenants and others. Each module observes every event and every action, may admit, hold
+// or refuse a new call before control sees it, and may stop set-ups to a server. Which server takes a call, whether it
+// is tried again and when it is given up remain decisions of control, and modules do not weaken its guarantees. Modules
+// are pure: callers pass in the time, modules do no I/O, and the same events lead to the same decisions.
 package join
 
 import (
@@ -11,20 +11,21 @@
 	"masthill/control"
 )
 
-// Verdict is what a module decides to do with a new call.
+// DecisionKind is the kind of a decision on a new call.
 type DecisionKind int
 
-// The verdicts on a call.
+// The kinds of decisions.
 const (
-	Admit  DecisionKind = iota // control decides
-	Hold                       // the module is asked again after Wait
-	Refuse                     // the call is answered finally; Wait is the Retry-After of the answer
+	Admit  DecisionKind = iota // the call is passed on to the next module, and in the end to package control
+	Hold                       // Admit is called again for the call after Wait
+	Refuse                     // the call is refused for good; Wait is the Retry-After of the answer
 )
 
-// String returns the name of the verdict.
+// String returns the name of the kind.
 func (v DecisionKind) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
-// Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer names no wait.
+// Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer has no
+// Retry-After.
 type Decision struct {
 	Kind   DecisionKind
 	Wait   int64
@@ -34,7 +35,7 @@
 // Call is a new call as modules see it. Times are in Unix nanoseconds.
 type Call struct {
 	ID, Key, Tenant      string // Key is the dialled number
-	Class, FirstChoice   int    // FirstChoice is the preferred cell; -1: none
+	Class, FirstChoice   int    // FirstChoice is the cell that the caller prefers; -1: none
 	Redialed             bool   // a redial: the caller repeats a call that was not served
 	ReceivedAt, NotAfter int64
 	TimesHeld            int // how often the call has been held so far
@@ -49,10 +50,10 @@
 	OnAction(now int64, a control.Action)
 	// Admit decides on a call that no earlier module has refused.
 	Admit(now int64, c Call) Decision
-	// HasRoom tells whether one more set-up may go to a server now. It must not change any state, as it is called
-	// often.
+	// HasCapacity tells whether one more set-up may be sent to a server now. It must not change any state, as it is
+	// called often.
 	HasCapacity(now int64, server uint64) (ok bool, reason string)
-	// Status describes the state of the module and its reason to operators.
+	// Status describes the state of the module, and the reason for it, for operators.
 	Status(now int64) Status
 }
 
@@ -74,13 +75,13 @@
 // Status is a module's state for operators.
 type Status struct {
 	Module        string         `json:"module"`
-	State         string         `json:"state"`          // as the module names it
-	Reason        string         `json:"reason"`         // a code
+	State         string         `json:"state"`          // one of the module's own names
+	Reason        string         `json:"reason"`         // a code of the module
 	Since         int64          `json:"since_ns"`       // Unix nanoseconds
 	ExitCondition string         `json:"out,omitempty"`  // the condition for leaving the state
 	Held          int64          `json:"held_total"`     // calls held since the start
 	RefusedTotal  int64          `json:"refused_total"`  // calls refused since the start
-	Capped        int64          `json:"capped_offices"` // servers without room now
+	Capped        int64          `json:"capped_offices"` // servers for which HasCapacity is false now
 	Servers       []ServerStatus `json:"parts,omitempty"`
 }
 
@@ -91,7 +92,7 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Chain is a list of modules that are asked in turn. The zero Chain admits every call.
+// Chain is a list of modules that decide in turn. The zero Chain admits every call.
 type Chain []Module
 
 // OnEvent passes an event on to all modules.
@@ -118,8 +119,8 @@
 	return Decision{}, ""
 }
 
-// HasRoom tells whether all modules have room at a server; if not, it returns the name and the reason of the first that
-// has none.
+// HasCapacity tells whether all modules allow one more set-up to a server; if not, it returns the name and the reason of
+// the first that does not.
 func (c Chain) HasCapacity(now int64, server uint64) (ok bool, module, reason string) {
 	for _, m := range c {
 		if ok, reason := m.HasCapacity(now, server); !ok {
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -1,9 +1,9 @@
 // Package recovery paces what an instance sends in the first seconds after its start. A new instance has only its last
 // list of servers: it does not know which servers work well, which have just started and are cold, or how many other
-// instances started in the same seconds, and it cannot ask any of them. Until it has evidence of its own, this module
+// instances started in the same seconds, and it cannot query any of them. Until it has evidence of its own, this module
 // limits what the instance sends to each server: by a window of outstanding set-ups that grows with every answer in
 // time (slow start, as in RFC 5681, section 3.1) and, where the list says that a server is cold, by this instance's
-// planned part of the load that the server can bear at that time. Calls are held briefly while no server has room,
+// planned part of the load that the server can carry at that time. Calls are held briefly while no server has capacity,
 // redials beyond that are refused, and the module reports when recovery is over.
 //
 // The module is pure: callers pass in the time, and it takes part in decisions through package join.
@@ -26,7 +26,7 @@
 	Cold       = "cold"        // the budget of a cold server is used up for now
 	NoEvidence = "no-evidence" // some server is not yet proven
 	NoList     = "no-list"     // no server is listed
-	NoCapacity = "no-room"     // no server has room for a new call
+	NoCapacity = "no-room"     // no server has capacity for a new call
 	Redial     = "redial"      // a redial, while as many calls are held as can be served soon
 )
 
@@ -42,7 +42,7 @@
 	// windowDecrease for one that was late, lost or refused.
 	windowIncrease, windowDecrease = 1.0, 0.5
 	// coldLoadFactor times a cold server's planned load, scaled by its present capacity, is what all instances together
-	// may send to it. Servers are planned at 72 to 87% of what they can bear, so this is at most 1.4 times their
+	// may send to it. Servers are planned at 72 to 87% of their capacity, so this is at most 1.4 times their
 	// capacity and stays well under the multiple that the rules allow. At 1.0 and 1.2, cold servers were partly idle in
 	// an overload (a loss of 0.0005 to 0.001 of service, over 24 paired seeds of the model); without any limit the
 	// longest wait at them was a tenth longer.
@@ -50,7 +50,7 @@
 	// creditWindowPart is the part of CrashWindow for which unused credit is kept. minCreditLimit lets a
 	// server whose part is under one call in that time have one at all.
 	creditWindowPart, minCreditLimit = 0.25, 1.0
-	// maxHoldPart is the part of the shortest target delay for which a call may be held; the module is asked about it again
+	// maxHoldPart is the part of the shortest target delay for which a call may be held; Admit is called again for it
 	// every holdInterval.
 	maxHoldPart, holdInterval = 0.25, 20 * millisecond
 	// maxHeldPerServer limits the calls held at once, for each listed server.
@@ -224,7 +224,8 @@
 }
 
 // warmUpFraction is the part of its capacity that a server has reached according to the list: it grows linearly from
-// ColdFraction to 1 over WarmUpTime, as the rules define it. It is 1 for a server that is warm or whose start is not known.
+// ColdFraction to 1 over WarmUpTime, as the rules define it. It is 1 for a server that is warm or whose start is not
+// known.
 func (r *Recovery) warmUpFraction(now int64, s *server) float64 {
 	c := r.settings.Control
 	age := now - s.readyAt
@@ -252,7 +253,7 @@
 	return r.settings.Planned > 0 && r.warmUpFraction(now, s) < 1
 }
 
-// HasRoom implements join.Module.
+// HasCapacity implements join.Module.
 func (r *Recovery) HasCapacity(now int64, id uint64) (ok bool, reason string) {
 	s := r.find(id)
 	switch {
@@ -278,14 +279,14 @@
 	}
 }
 
-// Admit implements join.Module. A call is held while no server has room, at most for a part of the target delay; after
-// that, and where as many calls are held as can have room soon, control decides. A redial is refused at that point: its
-// caller has been refused before, and first calls take precedence.
+// Admit implements join.Module. A call is held while no server has capacity, at most for a part of the target delay;
+// after that, and where as many calls are held as can be served soon, it is admitted and control decides. A redial is
+// refused at that point: its caller has been refused before, and first calls take precedence.
 func (r *Recovery) Admit(now int64, c join.Call) join.Decision {
 	if r.done {
 		return join.Decision{}
 	}
-	if r.checkDone(now); r.done || r.listedCount == 0 || r.anyServerHasRoom(now) {
+	if r.checkDone(now); r.done || r.listedCount == 0 || r.anyServerHasCapacity(now) {
 		delete(r.held, c.ID)
 		return join.Decision{}
 	}
@@ -316,7 +317,7 @@
 	return limit/2 + r.rng.Int64N(limit/2+1)
 }
 
-func (r *Recovery) anyServerHasRoom(now int64) bool {
+func (r *Recovery) anyServerHasCapacity(now int64) bool {
 	return slices.ContainsFunc(r.servers, func(s *server) bool {
 		ok, _ := r.HasCapacity(now, s.id)
 		return s.isListed && ok
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -1,11 +1,11 @@
-// Package shares decides which tenants' calls take precedence while there is not room for all. Each tenant has a
-// fraction of the service. While calls are being turned away, a tenant's calls within its fraction of what this
+// Package shares decides which tenants' calls take precedence while not all can be placed. Each tenant has a
+// fraction of the service. While calls are being refused, a tenant's calls within its fraction of what this
 // instance can place are admitted; beyond that it may borrow what the others leave unused, and is otherwise refused at
-// once with a Retry-After. While there is room for all calls, nobody is limited.
+// once with a Retry-After. While all calls can be placed, no tenant is limited.
 //
 // The capacity of the instance, that is what it can place, is not known and cannot be queried. It is estimated from the
-// calls that were admitted and turned away nevertheless: a small share of such losses is the target; with fewer the
-// estimate grows, with more it shrinks, but never below what has just been placed.
+// calls that were admitted and then refused or failed by control: a small share of such losses is the target; with
+// fewer the estimate grows, with more it shrinks, but never below what has just been placed.
 //
 // The module is pure: callers pass in the time, and it takes part in decisions through package join.
 package shares
@@ -22,7 +22,7 @@
 
 // The codes of decisions and states.
 const (
-	Open      = "open"       // there is room for all calls
+	Open      = "open"       // all calls can be placed
 	Limiting  = "limiting"   // tenants are limited to their shares
 	OverShare = "over-share" // a call beyond its tenant's share, with nothing left to borrow
 )
@@ -32,7 +32,7 @@
 	// fadeTime is the time over which calls are counted: long enough for a few dozen calls of the smallest tenant on a
 	// busy instance, short against the tens of seconds that shortages last.
 	fadeTime = 4 * float64(second)
-	// Limiting begins when the part limitAtLoss of offered calls is turned away, and at least minLost calls are. It
+	// Limiting begins when the part limitAtLoss of offered calls is lost, and at least minLost calls are. It
 	// ends when the offered rate has exceeded the capacity by no more than the part endMargin for endAfter.
 	limitAtLoss, endMargin = 0.08, 0.02
 	minLost                = 4.0
@@ -107,7 +107,7 @@
 	names          []string // in the order of the settings, unnamed last
 	offered        fadingCount
 	placed         fadingCount
-	lost           fadingCount // admitted, but turned away or failed by control
+	lost           fadingCount // admitted, but refused or failed by control
 	recentLost     fadingCount // these, and all calls that were answered, counted over lossFadeTime
 	recentAnswered fadingCount
 	waiting        map[string]bool // admitted calls that are not yet answered
@@ -141,7 +141,7 @@
 const maxWaiting = 1 << 15
 
 // unnamed is the name under which all tenants that the settings do not name are counted: however many there are, they
-// share one count and what the others leave unused.
+// share one count, and the capacity that the others leave unused.
 const unnamed = ""
 
 // New creates the module at now, in Unix nanoseconds. planned is the load planned for all instances together, in calls
@@ -211,7 +211,7 @@
 	}
 }
 
-// HasRoom implements join.Module. It is always true, as shares limit callers, not servers.
+// HasCapacity implements join.Module. It is always true, as shares limit callers, not servers.
 func (m *Shares) HasCapacity(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
@@ -234,8 +234,9 @@
 	return join.Decision{}
 }
 
-// admits tells whether a call has room. With the totals of the fleet, the same part of a tenant's calls is admitted at
-// every instance: an instance that sees two calls per second cannot tell from these which tenant exceeds its share.
+// admits tells whether a call is within its tenant's share. With the totals of the fleet, the same part of a tenant's
+// calls is admitted at every instance: an instance that sees two calls per second cannot tell from these which tenant
+// exceeds its share.
 func (m *Shares) admits(now int64, tenant string, state *tenantState) bool {
 	if m.admitPart == nil {
 		return m.takeToken(now, state)
@@ -284,9 +285,9 @@
 }
 
 // By the totals of the fleet, limiting begins without waiting for losses, as soon as the offered rate exceeds
-// fleetLimitFrom times the planned load: servers are planned at 72 to 87% of what they can bear, so this is more than
-// that. The capacity does not fall below fleetMinCapacity times the planned load, as losses are reported seconds late
-// and it would oscillate otherwise; while more than fleetHighLoss is lost at that limit, the limit is lowered by
+// fleetLimitFrom times the planned load: servers are planned at 72 to 87% of their capacity, so this is more than they
+// can carry. The capacity does not fall below fleetMinCapacity times the planned load, as losses are reported seconds
+// late and it would oscillate otherwise; while more than fleetHighLoss is lost at that limit, the limit is lowered by
 // fleetFloorStep per step, and it is raised again once losses are under targetLoss. Above the planned load, the
 // capacity is at most fleetMaxCapacity times what is placed.
 const fleetLimitFrom, fleetMinCapacity, fleetMaxCapacity, fleetFloorStep, fleetHighLoss = 1.3, 0.85, 1.05, 0.01, 0.25
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -28,8 +28,8 @@
 		c.refuseAbsentClient(cl, a.Server)
 		return
 	}
-	hasRoom, module, reason := c.modules.HasCapacity(c.now, a.Server)
-	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !hasRoom {
+	hasCapacity, module, reason := c.modules.HasCapacity(c.now, a.Server)
+	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !hasCapacity {
 		c.log.Error("attempt kept back", "call", cl.ID, "server", a.Server, "out", cl.inFlight,
 			"clear_in_ms", (cl.notBefore-c.now)/1e6, "serving", c.isServing(a.Server), "capped_by", module, "why", reason)
 		if !cl.inFlight {
@@ -122,7 +122,7 @@
 
 // attemptEstablished handles an office's acceptance of attempt n.
 func (c *core) attemptEstablished(server uint64, id string, n int, description []byte) {
-	c.lastHeard[server] = c.now
+	c.lastReceivedAt[server] = c.now
 	cl := c.calls[id]
 	if cl != nil && cl.established && cl.server == server {
 		return // repeated
@@ -141,7 +141,7 @@
 // attemptEnded handles the end of attempt n without an acceptance.
 func (c *core) attemptEnded(server uint64, id string, n int, result Result) {
 	if result.Outcome == control.Errored || result.Outcome == control.Saturated {
-		c.lastHeard[server] = c.now
+		c.lastReceivedAt[server] = c.now
 	}
 	if cl := c.calls[id]; cl != nil && cl.inFlight && cl.server == server && cl.attempts == n+1 {
 		c.attemptReturned(cl, result)
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -69,8 +69,8 @@
 	c.admit(cl)
 }
 
-// admit asks the joined modules about a new call, and then the controller. A refusal is answered at once. A held call
-// is asked about again until the bounds on holding are reached.
+// admit has the joined modules decide on a new call, and then the controller. A refusal is answered at once. For a held
+// call they decide again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
 	waited := c.now - cl.ReceivedAt.UnixNano()
 	decision, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, FirstChoice: cl.FirstChoice,
@@ -219,7 +219,7 @@
 }
 
 func (c *core) callReleased(server uint64, id string, cut bool, report []float64) {
-	c.lastHeard[server] = c.now
+	c.lastReceivedAt[server] = c.now
 	cl := c.calls[id]
 	if cl == nil || !cl.established || cl.server != server {
 		if report != nil {
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -25,8 +25,8 @@
 	callMemoryDivisor, bytesPerCall = 4, 1 << 10
 	// maxDepartedServers bounds how many known servers there may be before those removed from the list are forgotten.
 	maxDepartedServers = 1024
-	// maxHold is how long joined modules may hold a call in all before package control gets it. minHoldInterval is the
-	// least wait until they are asked again. heldMemoryDivisor bounds the memory of held calls as a fraction of the
+	// maxHold is how long joined modules may hold a call in all before package control decides. minHoldInterval is the
+	// least wait until they decide again. heldMemoryDivisor bounds the memory of held calls as a fraction of the
 	// instance's, 1/16, counting bytesPerCall for each. Beyond any of these bounds control decides at once, so no
 	// module can withhold a call from it.
 	maxHold, minHoldInterval, heldMemoryDivisor = time.Second, 5 * time.Millisecond, 16
@@ -59,7 +59,7 @@
 	controller       *control.Controller
 	modules          join.Chain
 	heldByModules    int       // calls that joined modules hold
-	answersGiven     [3]uint64 // final answers by verdict
+	answersGiven     [3]uint64 // final answers by kind
 	settings         control.Settings
 	offices          Offices
 
@@ -73,7 +73,7 @@
 	loadBytes       int // memory that all present calls are counted with
 	memoryBytes     int // memory of the instance
 	knownOffices    map[uint64]Office
-	lastHeard       map[uint64]int64 // when each server last sent anything
+	lastReceivedAt  map[uint64]int64 // when each server last sent anything
 	silenceCheckSet bool             // the timer for the next check is set
 	answers         map[string]*recordedAnswer
 	answerQueue     []*recordedAnswer // oldest first
@@ -95,7 +95,7 @@
 		o.MemoryBytes = 192 << 20
 	}
 	c := &core{memoryBytes: o.MemoryBytes, modules: o.Join, clock: o.Now, log: o.Log, onRecord: o.Record, onUnknownRelease: o.OnUnknownRelease, controller: controller, settings: o.Settings,
-		calls: map[string]*call{}, knownOffices: map[uint64]Office{}, lastHeard: map[uint64]int64{}, answers: map[string]*recordedAnswer{}}
+		calls: map[string]*call{}, knownOffices: map[uint64]Office{}, lastReceivedAt: map[uint64]int64{}, answers: map[string]*recordedAnswer{}}
 	if len(o.Join) > 0 {
 		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.HasCapacity(c.now, server); return !ok })
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,5 @@
 // Package exchange is the core of an instance. It connects the callers' side with the offices' side, holds the call
-// table, the attempts and the timers, and asks the controller (package control) for decisions. It enforces what no
+// table, the attempts and the timers, and has the controller (package control) decide. It enforces what no
 // decision may break: one final answer per call, one attempt in flight at a time, the release wait between attempts, and
 // a release after a call has ended. It knows no wire protocol; callers and offices are interfaces.
 package exchange
@@ -36,7 +36,7 @@
 	// OnUnknownRelease is called for the release of a call that this process does not know: one from before its
 	// restart, which the caller still holds. It is called by the core and must not block.
 	OnUnknownRelease func(id string, cut bool)
-	// Join holds the decision modules that take part beside package control, in the order in which they are asked.
+	// Join holds the decision modules that take part beside package control, in the order in which they decide.
 	Join join.Chain
 }
 
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxPatience bounds the patience that a set-up may ask for: no caller waits longer than a day, and much larger figures
+// maxPatience bounds the patience that a set-up may specify: no caller waits longer than a day, and much larger figures
 // would overflow.
 const maxPatience = 24 * time.Hour
 
--- a/internal/exchange/servers.go
+++ b/internal/exchange/servers.go
@@ -11,7 +11,7 @@
 func (c *core) checkSilentOffices() {
 	c.silenceCheckSet = false
 	for _, cl := range c.calls {
-		if cl.established && c.now-c.lastHeard[cl.server] > int64(silenceLimit) {
+		if cl.established && c.now-c.lastReceivedAt[cl.server] > int64(silenceLimit) {
 			c.offices.ReportSilence(cl.server, time.Unix(0, c.now-int64(silenceLimit)), true)
 		}
 	}
@@ -41,7 +41,7 @@
 
 // reportReceived passes an office's load report to the controller.
 func (c *core) reportReceived(server uint64, report []float64) {
-	c.lastHeard[server] = c.now
+	c.lastReceivedAt[server] = c.now
 	c.log.Debug("state", "server", server, "report", report)
 	c.dispatch(control.Event{Kind: control.LoadReport, Server: server, Report: report})
 }
@@ -76,7 +76,7 @@
 	for id, o := range c.knownOffices {
 		if o.State == control.Removed && len(c.knownOffices) > maxDepartedServers {
 			delete(c.knownOffices, id)
-			delete(c.lastHeard, id)
+			delete(c.lastReceivedAt, id)
 		}
 	}
 	c.offices.UpdateList(changed, full)
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -28,7 +28,7 @@
 	HeldByModules    int           `json:"waiting"`  // of these, held by joined modules
 	EstablishedCalls int           `json:"standing"` // established calls
 	ReceivedTotal    uint64        `json:"taken"`    // calls submitted since the start
-	EstablishedTotal uint64        `json:"stands"`   // final answers since the start, by verdict
+	EstablishedTotal uint64        `json:"stands"`   // final answers since the start, by kind
 	Refused          uint64        `json:"refused"`
 	Failed           uint64        `json:"failed"`
 	LoadBytes        int           `json:"load_bytes"` // memory that all present calls are counted with
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -7,17 +7,17 @@
 	"masthill/control"
 )
 
-// Verdict is the kind of a final answer.
+// AnswerKind is the kind of a final answer.
 type AnswerKind int
 
-// The final answers.
+// The kinds of final answers.
 const (
 	Established AnswerKind = iota // an office accepted the call; it is established
 	Refused                       // not accepted; trying again is harmless
 	Failed                        // abandoned
 )
 
-// String returns the verdict as logs and records name it.
+// String returns the name of the kind in logs and records.
 func (v AnswerKind) String() string { return [...]string{"stands", "refused", "failed"}[v] }
 
 // FinalAnswer is the one final answer to a call.
@@ -75,7 +75,7 @@
 	Gone                         // it has closed its connection or cancelled the request
 )
 
-// PresenceChecker is a Caller that is asked about a call's client before each attempt, as the news that a client has
+// PresenceChecker is a Caller that is asked about a call's client before each attempt, as the event that a client has
 // gone may still be queued for the core or unread. Presence may be called from any goroutine and must not block.
 type PresenceChecker interface {
 	Presence(id string) Presence
@@ -140,7 +140,7 @@
 // has no end.
 type Record struct {
 	ID, Owner, Class, Tenant, Number string
-	AnswerKind                       string
+	AnswerKind                       string // the text of an AnswerKind, or "left" if the caller gave up
 	Attempts                         int
 	Server                           uint64
 	ReceivedAt, AnsweredAt, EndedAt  time.Time
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -22,19 +22,19 @@
 
 const (
 	// silenceTimeout is how long a stream may be silent; the service sends a comment every second. What a stopped service
-	// would have reported is taken as known 4 s later, and the reconnect takes part of that time.
+	// would have reported has to be known 4 s later, and the reconnect takes part of that time.
 	silenceTimeout = 2500 * time.Millisecond
 	// maxLiveAge is the greatest age of the last line for the list to count as up to date; a comment comes every second.
 	maxLiveAge = 1500 * time.Millisecond
 	// headTimeout is how long a connect and the response header may take at first. It doubles with each consecutive
 	// failure, up to silenceTimeout: after a silence, two connects may hang, and the third must still be in time for what
-	// is taken as known after 7 s.
+	// has to be known after 7 s.
 	headTimeout = time.Second
 	// lineTimeout bounds the transfer of one line: the longest event over a slow link.
 	lineTimeout = time.Minute
-	// initialBackoff and maxBackoff bound the time from the start of one connect to the start of the next; after a connect
-	// that took longer, the client waits up to minPause. A service that comes back must be followed at once, however long
-	// it was down.
+	// initialBackoff and maxBackoff bound the time from the start of one connect to the start of the next; after a
+	// connect that took longer, the client waits up to minPause. A service that comes back must be followed at once,
+	// however long it was down.
 	initialBackoff, maxBackoff, minPause = 100 * time.Millisecond, 500 * time.Millisecond, 50 * time.Millisecond
 )
 
@@ -48,8 +48,8 @@
 	// Dial opens a connection to the service; nil: over TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	position  atomic.Int64 // copy of Pos for other goroutines
-	lastHeard atomic.Int64 // when a line was last received, in Unix nanoseconds; 0: never
+	position       atomic.Int64 // copy of Pos for other goroutines
+	lastReceivedAt atomic.Int64 // when a line was last received, in Unix nanoseconds; 0: never
 
 	mu      sync.Mutex
 	newAddr string             // the address set by SetAddr; empty: none was
@@ -90,14 +90,15 @@
 
 // Position returns the number of the last event received, and when a line was last received from the service (zero:
 // never). If that is long ago, the list may be out of date, whatever its position.
-func (c *Client) Position() (pos int64, lastHeard time.Time) {
-	if at := c.lastHeard.Load(); at > 0 {
-		lastHeard = time.Unix(0, at)
+func (c *Client) Position() (pos int64, lastReceived time.Time) {
+	if at := c.lastReceivedAt.Load(); at > 0 {
+		lastReceived = time.Unix(0, at)
 	}
-	return c.position.Load(), lastHeard
+	return c.position.Load(), lastReceived
 }
 
-// IsLive tells whether the service was received so recently that the list is up to date, but for the last moment.
+// IsLive tells whether a line was received so recently that the list is up to date, except for changes in the last
+// maxLiveAge.
 func (c *Client) IsLive() bool {
 	_, at := c.Position()
 	return time.Since(at) < maxLiveAge
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -62,7 +62,7 @@
 	return changed, e.Hosts.Full, nil
 }
 
-// ServerNumber returns the number by which the control module knows a server: the hex digits after the dash of its id,
+// ServerNumber returns the number that identifies a server in package control: the hex digits after the dash of its id,
 // or a hash of an id of another form.
 func ServerNumber(id string) uint64 {
 	_, hex, _ := strings.Cut(id, "-")
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -11,8 +11,8 @@
 // maxLine bounds the size of an event, which may be a list of a few thousand offices.
 const maxLine = 1 << 20
 
-// activityReader calls onRead whenever something is received, even part of a line: a long event over a slow link is not
-// a silence, and after a reconnect it would only be sent again from its start.
+// activityReader calls onRead whenever something is received, even part of a line: a long event over a slow link does
+// not count as silence, as after a reconnect it would only be sent again from its start.
 type activityReader struct {
 	source io.Reader
 	onRead func()
@@ -36,7 +36,7 @@
 	for lines.Scan() {
 		onLine()
 		received = true
-		c.lastHeard.Store(time.Now().UnixNano())
+		c.lastReceivedAt.Store(time.Now().UnixNano())
 		line := bytes.TrimSuffix(lines.Bytes(), []byte("\r"))
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/sibling/sibling.go
+++ b/internal/sibling/sibling.go
@@ -18,21 +18,21 @@
 	LockFiles = 3
 	// pollInterval is how often the locks are checked.
 	pollInterval = 50 * time.Millisecond
-	// roomTimeout is how long a new process waits for the leader to make room for it.
-	roomTimeout = 2500 * time.Millisecond
+	// handoverTimeout is how long a new process waits for the leader to reduce its share of the machine's resources.
+	handoverTimeout = 2500 * time.Millisecond
 	// fileMode keeps other users from holding the locks.
 	fileMode = 0o600
 )
 
 // Watcher watches for another process at the same address. The process that was first holds the leader lock, the other
-// one the follower lock. While the leader has made room for a follower, it also holds the roomMade lock.
+// one the follower lock. While the leader has reduced its share for a follower, it also holds the shareReduced lock.
 type Watcher struct {
-	log      *slog.Logger
-	onChange func(present bool) // returns once this process has made room
-	leader   *flock.Flock
-	follower *flock.Flock
-	roomMade *flock.Flock
-	present  bool
+	log          *slog.Logger
+	onChange     func(present bool) // returns once this process has adapted its share
+	leader       *flock.Flock
+	follower     *flock.Flock
+	shareReduced *flock.Flock
+	present      bool
 }
 
 // Open checks whether another process serves an address, and calls onChange with the result, now and from Run whenever it
@@ -40,10 +40,10 @@
 func Open(dir, addr string, log *slog.Logger, onChange func(present bool)) *Watcher {
 	name := filepath.Join(dir, "masthill-"+strings.NewReplacer(":", "-", "/", "-").Replace(addr))
 	lock := func(suffix string) *flock.Flock { return flock.New(name+suffix, flock.SetPermissions(fileMode)) }
-	w := &Watcher{log: log, onChange: onChange, leader: lock(".leader"), follower: lock(".second"), roomMade: lock(".room")}
+	w := &Watcher{log: log, onChange: onChange, leader: lock(".leader"), follower: lock(".second"), shareReduced: lock(".room")}
 	w.present = !w.tryLock(w.leader)
 	if w.present {
-		w.waitForRoom()
+		w.waitForLeader()
 	}
 	onChange(w.present)
 	return w
@@ -67,10 +67,10 @@
 	return false
 }
 
-// waitForRoom acquires the follower lock and waits until the leader has made room, or for roomTimeout.
-func (w *Watcher) waitForRoom() {
-	for deadline := time.Now().Add(roomTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
-		if w.tryLock(w.follower) && w.heldByOther(w.roomMade) {
+// waitForLeader acquires the follower lock and waits until the leader has reduced its share, or for handoverTimeout.
+func (w *Watcher) waitForLeader() {
+	for deadline := time.Now().Add(handoverTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if w.tryLock(w.follower) && w.heldByOther(w.shareReduced) {
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 func (w *Watcher) Close() {
 	w.leader.Close()
 	w.follower.Close()
-	w.roomMade.Close()
+	w.shareReduced.Close()
 }
 
 // Run checks for changes until ctx ends. It keeps the locks after that, so that they are free only once the process has
@@ -112,8 +112,8 @@
 		w.onChange(present)
 	}
 	if w.present {
-		w.tryLock(w.roomMade)
+		w.tryLock(w.shareReduced)
 	} else {
-		w.roomMade.Unlock()
+		w.shareReduced.Unlock()
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -27,7 +27,8 @@
 )
 
 const (
-	// version is the version of the file format. A file of a newer version was written by a newer program and is rejected.
+	// version is the version of the file format. A file of a newer version was written by a newer program and is
+	// rejected.
 	version = 1
 	magic   = "masthill-state"
 	// maxFileBytes limits what is read; it is enough for some ten thousand offices.
@@ -72,7 +73,7 @@
 
 // Decode reads the text of a file and checks that it is intact, is of this instance and is neither too old nor from the
 // future. The error wraps one of this package's errors.
-func Decode(text []byte, instance string, now time.Time, mostAge time.Duration) (*Snapshot, error) {
+func Decode(text []byte, instance string, now time.Time, maxAge time.Duration) (*Snapshot, error) {
 	header, body, ok := bytes.Cut(text, []byte("\n"))
 	var v int
 	var sum string
@@ -94,7 +95,7 @@
 		return nil, fmt.Errorf("%w: %q", ErrOtherInstance, s.Instance)
 	case age < 0:
 		return nil, fmt.Errorf("%w by %v", ErrFutureTime, -age)
-	case age > mostAge:
+	case age > maxAge:
 		return nil, fmt.Errorf("%w: %v", ErrTooOld, age.Round(time.Millisecond))
 	}
 	if err := s.LearnedState.Check(now.UnixNano()); err != nil {
@@ -104,7 +105,7 @@
 }
 
 // Load reads the snapshot in a directory. The error is ErrNoSnapshot if there is none.
-func Load(dir, instance string, now time.Time, mostAge time.Duration) (*Snapshot, error) {
+func Load(dir, instance string, now time.Time, maxAge time.Duration) (*Snapshot, error) {
 	f, err := os.Open(filepath.Join(dir, fileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, ErrNoSnapshot
@@ -120,7 +121,7 @@
 	if len(text) > maxFileBytes {
 		return nil, ErrDamaged
 	}
-	return Decode(text, instance, now, mostAge)
+	return Decode(text, instance, now, maxAge)
 }
 
 // Evidence returns the servers that were known to work, for the recovery after a start.
@@ -138,15 +139,16 @@
 	Dir, Instance string
 	Interval      time.Duration
 	Log           *slog.Logger
-	LearnedState  func() control.LearnedState // asks the core; may block as long as the core is busy
-	Levels        func() []levels.Change      // as Learnt; nil: there are no levels
+	LearnedState  func() control.LearnedState // queries the core; may block as long as the core is busy
+	Levels        func() []levels.Change      // may block too; nil: there are no levels
 	WriteFile     func(path string, text []byte) error
 
 	started time.Time
 	failing atomic.Bool
 }
 
-// writeFile replaces a file atomically: a reader sees the old or the new content, and so does whoever reads after a crash.
+// writeFile replaces a file atomically: a reader sees the old or the new content, and so does whoever reads after a
+// crash.
 func writeFile(path string, text []byte) error {
 	if err := renameio.WriteFile(path, text, 0o600, renameio.WithTempDir(filepath.Dir(path))); err != nil {
 		return err
--- a/lab/check/check.go
+++ b/lab/check/check.go
@@ -1,6 +1,6 @@
-// Package check has the ledger in which stand-ins and callers record what they observe, and which checks the rules on it:
-// one final answer per call and in time, one outstanding attempt at a time, the release wait, and no new work to a draining
-// server. It uses no information from the program under test.
+// Package check has the ledger in which simulated servers and callers record what they observe, and which checks the
+// rules: one final answer per call and in time, one outstanding attempt at a time, the release wait, and no new work to
+// a draining server. It uses no information from the program under test.
 package check
 
 import (
@@ -12,7 +12,7 @@
 // Rules are the time limits of the rules.
 type Rules struct {
 	ReleaseWait time.Duration // between an attempt that was given up or cut and the next one
-	DrainGrace  time.Duration // how long an instance may still send after it was told of a drain
+	DrainGrace  time.Duration // how long an instance may still send after a drain was announced to it
 	Slack       time.Duration // tolerance added to every limit, for runs on real sockets
 }
 
@@ -21,7 +21,7 @@
 	rules          Rules
 	mu             sync.Mutex
 	calls          map[string]*callRecord
-	drainAnnounced map[string]time.Time // by instance and server: when the instance was told of the drain
+	drainAnnounced map[string]time.Time // by instance and server: when the drain was announced to the instance
 	Violations
 }
 
@@ -59,7 +59,7 @@
 	return &Ledger{rules: r, calls: map[string]*callRecord{}, drainAnnounced: map[string]time.Time{}}
 }
 
-// addViolation increments a count, and describes the violation if there is room.
+// addViolation increments a count, and describes the violation if fewer than maxDescriptions are described.
 func (l *Ledger) addViolation(n *int, format string, a ...any) {
 	*n++
 	if len(l.Descriptions) < maxDescriptions {
@@ -104,14 +104,14 @@
 	}
 }
 
-// DrainAnnounced records that an instance was told that a server drains or is gone.
+// DrainAnnounced records that an instance received the announcement that a server drains or is gone.
 func (l *Ledger) DrainAnnounced(instance, server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drainAnnounced[instance+" "+server] = at
 }
 
-// ServingAnnounced records that an instance was told that a server takes work again.
+// ServingAnnounced records that an instance received the announcement that a server accepts work again.
 func (l *Ledger) ServingAnnounced(instance, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,14 +133,15 @@
 	if at.Before(e.nextAttemptAt.Add(-l.rules.Slack)) {
 		l.addViolation(&l.TooSoon, "call %s sent again %v too soon after a given-up attempt", call, e.nextAttemptAt.Sub(at))
 	}
-	if told, ok := l.drainAnnounced[instance+" "+server]; ok && at.After(told.Add(l.rules.DrainGrace+l.rules.Slack)) {
-		l.addViolation(&l.SendsAfterDrain, "call %s sent to draining server %s, %v after %s was told", call, server, at.Sub(told), instance)
+	if announcedAt, ok := l.drainAnnounced[instance+" "+server]; ok && at.After(announcedAt.Add(l.rules.DrainGrace+l.rules.Slack)) {
+		l.addViolation(&l.SendsAfterDrain, "call %s sent to draining server %s, %v after the drain was announced to %s", call, server, at.Sub(announcedAt), instance)
 	}
 	e.attemptServer = server
 	e.attempts++
 }
 
-// AttemptEnded records that a server answered an attempt, or that the attempt was given up, which starts the release wait.
+// AttemptEnded records that a server answered an attempt, or that the attempt was given up, which starts the release
+// wait.
 func (l *Ledger) AttemptEnded(call, server string, givenUp bool, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -75,9 +75,9 @@
 	})
 }
 
-// worth is the value of the call to the caller: 0 if it was cut or never established, lateValue if it was established
+// value is the value of the call to the caller: 0 if it was cut or never established, lateValue if it was established
 // after targetDelay, else 1.
-func (c *caller) worth() float64 {
+func (c *caller) value() float64 {
 	switch {
 	case c.cut || c.establishedAt == 0:
 		return 0
@@ -87,7 +87,8 @@
 	return 1
 }
 
-// Answer implements exchange.Caller for all callers. An answer to a try that is no longer current only goes to the ledger.
+// Answer implements exchange.Caller for all callers. An answer to a try that is no longer current only goes to the
+// ledger.
 func (m *model) Answer(id string, f exchange.FinalAnswer) {
 	m.ledger.Answered(id)
 	c := m.callers[id]
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// ColdStart records the load that one server received from all controllers together while it was cold, compared with the
-// platform's rule: a cold server falls over when it receives more than N + 2 √N + 2 requests within the window, where N is
-// its budget at that time.
+// ColdStart records the load that one server received from all controllers together while it was cold, compared with
+// the platform's rule: a cold server falls over when it receives more than N + 2 √N + 2 requests within the window,
+// where N is its budget at that time.
 type ColdStart struct {
 	PeakLoad      float64 `json:"load"`      // the most sent in a window, divided by that bound
 	Sent          int     `json:"sent"`      // set-ups in the window of the peak load
 	Budget        float64 `json:"budget"`    // N at the end of that window
 	BoundExceeded bool    `json:"fell"`      // the bound was exceeded at least once
-	InformedShare float64 `json:"told"`      // share from controllers that knew of the start, when first exceeded
+	InformedShare float64 `json:"told"`      // share from controllers that had learned of the start, when first exceeded
 	InformedLoad  float64 `json:"told_load"` // peak load of the windows with over two thirds of the set-ups from such controllers
 	TotalSent     int     `json:"in_total"`  // all set-ups received while cold
 }
 
-// maxInformedShare is the share of set-ups from controllers that knew of the start, above which these controllers are held
-// responsible for exceeding the bound.
+// maxInformedShare is the share of set-ups from controllers that knew of the start, above which these controllers are
+// held responsible for exceeding the bound.
 const maxInformedShare = 2.0 / 3
 
 // BreaksRule tells whether the bound was exceeded with over two thirds of the set-ups from controllers that knew of the
@@ -46,7 +46,7 @@
 func (s *server) recordColdSend(from *controller) {
 	m := s.model
 	age := m.now - s.readyAt
-	if s.readyAt <= 0 || age >= m.coldSpan || s.silentSince > 0 {
+	if s.readyAt <= 0 || age >= m.warmUpTime || s.silentSince > 0 {
 		return
 	}
 	if s.coldStart == nil || s.coldStart.readyAt != s.readyAt {
@@ -55,11 +55,11 @@
 	}
 	tracker := s.coldStart
 	tracker.sends = append(tracker.sends, coldSend{m.now, from.offices[s.id].ReadyAt == s.readyAt})
-	for tracker.sends[0].at <= m.now-m.fallWindow {
+	for tracker.sends[0].at <= m.now-m.crashWindow {
 		tracker.sends = tracker.sends[1:]
 	}
-	warmth := m.params.ColdFraction + (1-m.params.ColdFraction)*float64(age)/float64(m.coldSpan)
-	budget := m.fallMultiple * warmth * m.params.Capacity() * float64(m.fallWindow) / 1e9
+	capacityFraction := m.params.ColdFraction + (1-m.params.ColdFraction)*float64(age)/float64(m.warmUpTime)
+	budget := m.crashMultiple * capacityFraction * m.params.Capacity() * float64(m.crashWindow) / 1e9
 	informedCount := 0
 	for _, send := range tracker.sends {
 		if send.informed {
@@ -80,7 +80,7 @@
 }
 
 // ColdScenes are scenes in which many servers start under difficult traffic: some controllers receive several times the
-// mean rate, and processes of the fleet itself restart. Only the load on cold servers is judged in them.
+// mean rate, and processes of the fleet itself restart. Only the load on cold servers is evaluated in them.
 var ColdScenes = []Scene{
 	{"replace", "six servers of ten replaced within 7 s", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}}
--- a/lab/model/cold_test.go
+++ b/lab/model/cold_test.go
@@ -13,7 +13,7 @@
 // newColdServer makes a server that can take 10 calls a second when warm, two seconds after its start, and a controller
 // that knows of the start if informed.
 func newColdServer(informed bool) (*server, *controller) {
-	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFraction: 0.4}, fallMultiple: 2, fallWindow: 1e9, coldSpan: 10e9}
+	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFraction: 0.4}, crashMultiple: 2, crashWindow: 1e9, warmUpTime: 10e9}
 	c := &controller{model: m, offices: map[uint64]exchange.Office{}}
 	if informed {
 		c.offices[0] = exchange.Office{Entry: control.Entry{ReadyAt: start}}
@@ -45,7 +45,8 @@
 	}
 }
 
-// Exceeding the bound breaks no rule if the controllers did not know of the start, and sends to a warm server don't count.
+// Exceeding the bound breaks no rule if the controllers did not know of the start, and sends to a warm server don't
+// count.
 func TestUninformedControllersBreakNoRule(t *testing.T) {
 	s, untold := newColdServer(false)
 	for range 30 {
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -39,7 +39,8 @@
 	// messages encoded to count their bytes, which slows the run down.
 	PeersPartitioned func(at time.Duration, from, to int) bool
 	PeerBytes        bool
-	// FalseReporter is a controller, counted from 1, that keeps reporting to the others that every server is dead; 0: none.
+	// FalseReporter is a controller, counted from 1, that keeps reporting to the others that every server is dead; 0:
+	// none.
 	FalseReporter int
 	// Skew is the spread of the controllers' shares of the traffic, as the standard deviation of their logarithms; 0: all
 	// shares are equal.
@@ -128,27 +129,27 @@
 type model struct {
 	clock
 	Scenario
-	params               processor.Params
-	ledger               *check.Ledger
-	servers              []*server // all that ever ran, by ID from 0x1000
-	current              []*server // the present server of each cell
-	controllers          []*controller
-	rng                  *rand.Rand         // of the callers and the traffic shares
-	callers              map[string]*caller // by ID of the current try
-	lastID               uint64
-	allCallers           []*caller
-	restarts             int
-	unreachableUntil     []int64 // by cell: nothing reaches or leaves it before
-	utilization          float64 // share of the processors' time that the planned load takes
-	answerLoss           float64 // present probability that an answer is lost
-	logger               *slog.Logger
-	sendsToSilent        []int     // set-ups sent to silent servers, by second since the server went silent
-	peerMessages         int64     // messages between controllers, counted once for each receiver
-	peerBytes            int64     // of these messages, each message counted once
-	cumulativeTraffic    []float64 // cumulative traffic shares of the controllers; nil: equal shares
-	coldStarts           []*coldStartTracker
-	fallMultiple         float64
-	fallWindow, coldSpan int64
+	params                  processor.Params
+	ledger                  *check.Ledger
+	servers                 []*server // all that ever ran, by ID from 0x1000
+	current                 []*server // the present server of each cell
+	controllers             []*controller
+	rng                     *rand.Rand         // of the callers and the traffic shares
+	callers                 map[string]*caller // by ID of the current try
+	lastID                  uint64
+	allCallers              []*caller
+	restarts                int
+	unreachableUntil        []int64 // by cell: nothing reaches or leaves it before
+	utilization             float64 // share of the processors' time that the planned load takes
+	answerLoss              float64 // present probability that an answer is lost
+	logger                  *slog.Logger
+	sendsToSilent           []int     // set-ups sent to silent servers, by second since the server went silent
+	peerMessages            int64     // messages between controllers, counted once for each receiver
+	peerBytes               int64     // of these messages, each message counted once
+	cumulativeTraffic       []float64 // cumulative traffic shares of the controllers; nil: equal shares
+	coldStarts              []*coldStartTracker
+	crashMultiple           float64
+	crashWindow, warmUpTime int64
 }
 
 // Run runs a scenario to its end and gives the result.
@@ -175,7 +176,7 @@
 			ColdFraction: 0.31, WarmUpTime: 15e9, CrashMultiple: 2, CrashWindow: 1e9,
 			QueueOrder: sc.QueueOrder, DropAnswers: sc.DropAnswers}}
 	m.utilization = utilization
-	m.fallMultiple, m.fallWindow, m.coldSpan = m.params.CrashMultiple, m.params.CrashWindow, m.params.WarmUpTime
+	m.crashMultiple, m.crashWindow, m.warmUpTime = m.params.CrashMultiple, m.params.CrashWindow, m.params.WarmUpTime
 	if sc.TrackColdStarts {
 		m.params.CrashMultiple = math.MaxFloat64
 	}
@@ -207,7 +208,7 @@
 	}
 	m.run(start + int64(sc.Duration))
 	end := m.now
-	m.run(end + deadline) // open calls still get their answers; no new ones arrive
+	m.run(end + deadline) // open calls are still answered; no new ones arrive
 	return m.result(time.Since(wallStart)), nil
 }
 
@@ -389,8 +390,8 @@
 	callsByTenant := map[string]float64{}
 	lateCalls := 0
 	for _, c := range m.allCallers {
-		worth := c.worth()
-		r.ServedShare += worth
+		value := c.value()
+		r.ServedShare += value
 		r.Tries += c.tries
 		if c.cut {
 			r.CutCalls++
@@ -399,9 +400,9 @@
 			lateCalls++
 		}
 		callsByTenant[c.tenant]++
-		r.ServedByTenant[c.tenant] += worth
+		r.ServedByTenant[c.tenant] += value
 		k := int((c.firstTryAt - start) / 1e9)
-		r.ServedBySecond[k] += worth
+		r.ServedBySecond[k] += value
 		r.OfferedBySecond[k]++
 	}
 	calls := float64(max(len(m.allCallers), 1))
@@ -414,7 +415,7 @@
 		offered := map[string]float64{}
 		for _, c := range m.allCallers {
 			if at := time.Duration(c.firstTryAt - start); at >= f.At && at < f.At+f.Duration {
-				r.ServedInFlood[c.tenant] += c.worth()
+				r.ServedInFlood[c.tenant] += c.value()
 				offered[c.tenant]++
 			}
 		}
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -12,7 +12,7 @@
 // peerTickInterval is the interval of an instance's ticks, as in internal/peers.
 const peerTickInterval = int64(100e6)
 
-// peersPartitioned tells whether messages from one controller to another are lost now.
+// arePartitioned tells whether messages from one controller to another are lost now.
 func (m *model) arePartitioned(from, to int) bool {
 	return m.PeersPartitioned != nil && m.PeersPartitioned(time.Duration(m.now-start), from, to)
 }
--- a/lab/model/server.go
+++ b/lab/model/server.go
@@ -197,7 +197,7 @@
 			c := a.controller
 			c.deliver(a.generation, s.cell, func() { c.exchange.ServerLost(s.id) })
 		}
-		if a.established && (a.controller.exchange == nil || a.generation != a.controller.generation) { // only its caller is left to tell
+		if a.established && (a.controller.exchange == nil || a.generation != a.controller.generation) { // only its caller has to be informed
 			s.model.endCall(id, true)
 		}
 	}
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -1,8 +1,8 @@
 // Package processor models the processor of a session server as the operators describe it. It has one queue, in which
-// answers and releases wait behind new set-ups (other orders can be tried). It refuses set-ups, which costs work too, once
-// the wait is too long. It starts cold, and while cold falls over, that is stops for good, when it is sent far more than it
-// can do. Callers pass in the time (nanoseconds) and the package does no I/O, so that sockets and a simulated clock drive
-// the same code.
+// answers and releases wait behind new set-ups (other orders can be tried). It refuses set-ups, which costs work too,
+// once the wait is too long. It starts cold, and while cold falls over, that is stops for good, when it is sent far
+// more than it can handle. Callers pass in the time (nanoseconds) and the package does no I/O, so that sockets and a
+// simulated clock drive the same code.
 package processor
 
 import (
@@ -96,11 +96,11 @@
 	if p.silent || p.fellOver {
 		return 0
 	}
-	return p.warmth(now) / p.slowdown
+	return p.capacityFraction(now) / p.slowdown
 }
 
-// warmth is the share of the full capacity at now.
-func (p *Processor) warmth(now int64) float64 {
+// capacityFraction is the share of the full capacity at now.
+func (p *Processor) capacityFraction(now int64) float64 {
 	if p.startedAt <= 0 || now >= p.startedAt+p.params.WarmUpTime {
 		return 1
 	}
@@ -167,7 +167,7 @@
 // utilizationWindow is the time constant of the decaying busy time.
 const utilizationWindow = 1e9
 
-// Offer adds a set-up. Where it is refused, wait is how long the caller is told to wait.
+// Offer adds a set-up. Where it is refused, wait is the time that the refusal gives the caller to wait.
 func (p *Processor) Offer(now int64, call string) (taken bool, wait int64, done []Completed) {
 	done = p.Advance(now)
 	p.setUpsOffered++
@@ -193,17 +193,17 @@
 	p.startNext()
 }
 
-// recordArrival counts a set-up, and has a cold processor fall over that gets too many.
+// recordArrival counts a set-up, and makes a cold processor fall over if too many arrive.
 func (p *Processor) recordArrival(now int64) {
 	p.arrivals = append(p.arrivals, now)
 	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.CrashWindow {
 		p.arrivals = p.arrivals[1:]
 	}
-	w := p.warmth(now)
-	if w >= 1 {
+	fraction := p.capacityFraction(now)
+	if fraction >= 1 {
 		return
 	}
-	budget := p.params.CrashMultiple * w * p.params.Capacity() * float64(p.params.CrashWindow) / 1e9
+	budget := p.params.CrashMultiple * fraction * p.params.Capacity() * float64(p.params.CrashWindow) / 1e9
 	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // allows for random variation
 		p.fellOver = true
 		p.current, p.setUps, p.otherWork = nil, nil, nil
