--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -18,7 +18,8 @@
 	"masthill/lab/model"
 )
 
-// borderCmd simulates load jumps of several heights at several sizes and shows after which a fleet does not recover.
+// borderCmd simulates load jumps of several heights at several sizes and shows after which of them a fleet does not
+// recover.
 type borderCmd struct {
 	Sizes   []string      `default:"7/3,50/8,100/24,150/24,200/24,250/24,300/24,400/24" help:"Fleet sizes, as CONTROLLERS/SERVERS."`
 	Times   []float64     `default:"1.2,1.4,1.6,1.8,2" help:"Load during the jump, as multiples of the usual load."`
--- a/cmd/masthill-lab/modules.go
+++ b/cmd/masthill-lab/modules.go
@@ -26,8 +26,8 @@
 	return join.Chain{goodput.New(goodput.Settings{Control: s}, seed, now, nil)}
 }
 
-// parseModules returns the factory for a list of module names, such as "recovery,goodput". "plain" is none, "run" those of
-// deployedModules.
+// parseModules returns the factory for a list of module names, such as "recovery,goodput". "plain" means no modules,
+// "run" those of deployedModules.
 func parseModules(list string) (moduleFactory, error) {
 	switch list {
 	case "plain":
@@ -40,7 +40,7 @@
 		switch name {
 		case "recovery", "levels", "shares", "goodput", "shared":
 		default:
-			return nil, fmt.Errorf("no module %q: there are recovery, levels, shares, goodput and shared, or plain, or run", name)
+			return nil, fmt.Errorf("unknown module %q: expected plain, run, or a list of recovery, levels, shares, goodput and shared", name)
 		}
 	}
 	return func(s control.Settings, planned float64, seed uint64, now int64) (chain join.Chain) {
@@ -53,7 +53,7 @@
 				chain = append(chain, levels.New(s, seed, now, nil, nil))
 			case "shares":
 				own := shares.New(s, model.Tenants(), planned, seed, now)
-				if fleet != nil { // shared comes earlier in the list
+				if fleet != nil { // if "shared" precedes "shares" in the list
 					own.UseFleetTotals(fleet)
 				}
 				chain = append(chain, own)
--- a/cmd/masthill/operation_test.go
+++ b/cmd/masthill/operation_test.go
@@ -115,7 +115,7 @@
 }
 
 // An upgrade while 500 connections arrive, each with one request. The new process listens beside the old one, which is
-// then told to end, and every request is answered by one of them.
+// then signalled to end, and every request is answered by one of them.
 func TestUpgradeUnderConnections(t *testing.T) {
 	office := sipOffice(t, newProcessor(newAttemptLog(), "office"))
 	journal, listen := newJournal(t), freeAddr(t)
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -139,9 +139,9 @@
 // auditRecord is one line of the audit file. Times are by the core's clock, in Unix nanoseconds.
 type auditRecord struct {
 	At    int64  `json:"at"`
-	Kind  string `json:"kind"` // start, claim, reign, verdict, look
+	Kind  string `json:"kind"` // start, claim, reign (leadership), verdict (outlier decision) or look (snapshot)
 	Claim any    `json:"claim"`
-	// Only for the kind "look", a snapshot: how many members are considered alive, and the bytes and datagrams sent so
+	// Only for the kind "look": how many members are considered alive, and the bytes and datagrams sent so
 	// far.
 	Alive     int   `json:"alive,omitempty"`
 	Bytes     int64 `json:"bytes,omitempty"`
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -18,7 +18,7 @@
 // The keys of a fleet, each 16 bytes in base64.
 const oldKey, newKey = "MDEyMzQ1Njc4OWFiY2RlZg==", "ZmVkY2JhOTg3NjU0MzIxMA=="
 
-// queryPeers asks a process what it knows of the other members; nil: no answer.
+// queryPeers queries what a process knows of the other members; nil: no answer.
 func queryPeers(socket string) *ctl.Peers {
 	var out bytes.Buffer
 	if run([]string{"peers", "--socket", socket, "--json"}, signals{}, &out, &out) != exitOK {
@@ -31,8 +31,9 @@
 	return p
 }
 
-// allHeard tells whether a process counts exactly that many members as alive and has heard from each within 1.5 s.
-func allHeard(socket string, members int) bool {
+// allReceived tells whether a process counts exactly that many members as alive and has received something from each
+// within 1.5 s.
+func allReceived(socket string, members int) bool {
 	p := queryPeers(socket)
 	if p == nil {
 		return false
@@ -86,7 +87,7 @@
 	allHeardBy := func(n int, of ...string) func() bool {
 		return func() bool {
 			for _, name := range of {
-				if !allHeard(filepath.Join(dir, name), n) {
+				if !allReceived(filepath.Join(dir, name), n) {
 					return false
 				}
 			}
@@ -113,7 +114,7 @@
 	}
 	rotate(quoted(oldKey, newKey), names...)
 	rotate(quoted(newKey, oldKey), "a", "b") // half of them now encrypt with the new key
-	time.Sleep(1500 * time.Millisecond)      // until what was heard before is too old to count
+	time.Sleep(1500 * time.Millisecond)      // until what was received before is too old to count
 	until("they still hear each other", allHeardBy(4, names...))
 
 	duplicate := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
--- a/cmd/masthill/releases.go
+++ b/cmd/masthill/releases.go
@@ -311,7 +311,7 @@
 	if succeeded == 0 {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "version %d: halted at %d of %d servers; they tell the others\n", c.Version, succeeded, len(c.Servers))
+	_, err = fmt.Fprintf(out, "version %d: halted at %d of %d servers; they forward the halt to the others\n", c.Version, succeeded, len(c.Servers))
 	return err
 }
 
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// A redial is refused only when as many calls are held as can have room soon, with a wait from the upper half of the
+// A redial is refused only when as many calls are held as can be served soon, with a wait from the upper half of the
 // range.
 func TestRedialsAreRefused(t *testing.T) {
 	r, now := New(settings(), 1, 100*second, nil), 100*second
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -285,8 +285,8 @@
 }
 
 // By the totals of the fleet, limiting begins without waiting for losses, as soon as the offered rate exceeds
-// fleetLimitFrom times the planned load: servers are planned at 72 to 87% of their capacity, so this is more than they
-// can carry. The capacity does not fall below fleetMinCapacity times the planned load, as losses are reported seconds
+// fleetLimitFrom times the planned load: servers are planned at 72 to 87% of their capacity, so this is 94 to 113%
+// of it. The capacity does not fall below fleetMinCapacity times the planned load, as losses are reported seconds
 // late and it would oscillate otherwise; while more than fleetHighLoss is lost at that limit, the limit is lowered by
 // fleetFloorStep per step, and it is raised again once losses are under targetLoss. Above the planned load, the
 // capacity is at most fleetMaxCapacity times what is placed.
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -20,9 +20,9 @@
 
 var threeTenants = []Tenant{{"slaney-vines", 0.55}, {"barrow-estate", 0.33}, {"suir-growers", 0.12}}
 
-// play offers each tenant's calls at the given rate per second to servers that can place capacity calls per second. It
+// runLoad offers each tenant's calls at the given rate per second to servers that can place capacity calls per second. It
 // returns, for each tenant, the share of its calls that were placed in the second half of the time.
-func play(m *Shares, offered map[string]float64, capacity float64, seconds int) map[string]float64 {
+func runLoad(m *Shares, offered map[string]float64, capacity float64, seconds int) map[string]float64 {
 	rng := rand.New(rand.NewPCG(5, 5))
 	now, tokens := second, 0.0
 	offeredCalls, placedCalls := map[string]float64{}, map[string]float64{}
@@ -68,20 +68,20 @@
 
 func TestOverloadByOneTenantSparesTheOthers(t *testing.T) {
 	normalLoad := map[string]float64{"slaney-vines": 22, "barrow-estate": 13, "suir-growers": 5}
-	if got := play(New(settings(), threeTenants, 42, 1, second), normalLoad, 50, 40); got["slaney-vines"] < 0.99 || got["suir-growers"] < 0.99 {
+	if got := runLoad(New(settings(), threeTenants, 42, 1, second), normalLoad, 50, 40); got["slaney-vines"] < 0.99 || got["suir-growers"] < 0.99 {
 		t.Errorf("with room for all: %v", got)
 	}
 	overload := map[string]float64{"slaney-vines": 22, "barrow-estate": 100, "suir-growers": 5}
-	got := play(New(settings(), threeTenants, 42, 1, second), overload, 50, 60)
+	got := runLoad(New(settings(), threeTenants, 42, 1, second), overload, 50, 60)
 	if got["slaney-vines"] < 0.88 || got["suir-growers"] < 0.88 || got["barrow-estate"] < 0.15 {
 		t.Errorf("overload by one tenant: %v", got)
 	}
-	unshared := play(New(settings(), nil, 42, 1, second), overload, 50, 60) // one count for all tenants, as without shares
+	unshared := runLoad(New(settings(), nil, 42, 1, second), overload, 50, 60) // one count for all tenants, as without shares
 	if unshared["slaney-vines"] > 0.6 {
 		t.Errorf("the overload has no effect without shares: %v", unshared)
 	}
 	unnamedOverload := map[string]float64{"slaney-vines": 22, "barrow-estate": 13, "suir-growers": 5, "x": 100}
-	if got := play(New(settings(), threeTenants, 42, 1, second), unnamedOverload, 50, 60); got["slaney-vines"] < 0.88 || got["barrow-estate"] < 0.88 {
+	if got := runLoad(New(settings(), threeTenants, 42, 1, second), unnamedOverload, 50, 60); got["slaney-vines"] < 0.88 || got["barrow-estate"] < 0.88 {
 		t.Errorf("overload by a tenant that the settings do not name: %v", got)
 	}
 }
@@ -89,7 +89,7 @@
 // A tenant may borrow what two others leave unused, and returns it within a second.
 func TestBorrowedSharesAreReturned(t *testing.T) {
 	m := New(settings(), threeTenants, 42, 1, second)
-	play(m, map[string]float64{"barrow-estate": 100}, 50, 30)
+	runLoad(m, map[string]float64{"barrow-estate": 100}, 50, 30)
 	if !m.Limiting() || m.capacity < 40 {
 		t.Fatalf("capacity %v", m.capacity)
 	}
@@ -118,7 +118,7 @@
 }
 
 // In random sequences of events, the kept state is limited, the same events lead to the same decisions, nobody is
-// refused while there is room for all, and limiting ends once there is room again.
+// refused while all calls can be placed, and limiting ends once that is so again.
 func TestRandomHistories(t *testing.T) {
 	flag.Set("rapid.seed", "9")
 	flag.Set("rapid.checks", "2000")
@@ -216,7 +216,7 @@
 	if !m.Limiting() || admitted["slaney-vines"] != 400 || admitted["suir-growers"] != 400 {
 		t.Errorf("limiting %v; admitted: %v", m.Limiting(), admitted)
 	}
-	// The capacity is 85 to 95 per second, and the others use 60 of it: 25 to 35 of 300 calls have room.
+	// The capacity is 85 to 95 per second, and the others use 60 of it: 25 to 35 of 300 calls can be placed.
 	if n := admitted["barrow-estate"]; n < 20 || n > 70 {
 		t.Errorf("%d of 400 calls of the overloading tenant admitted", n)
 	}
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -12,7 +12,7 @@
 	firstPresenceRecheck, maxPresenceWait = time.Millisecond, 200 * time.Millisecond
 )
 
-// presence returns what the front end knows of a call's client; Connected where it can't tell.
+// presence returns the state of a call's client as the front end knows it; Connected if it can't tell.
 func presence(caller Caller, id string) Presence {
 	if checker, ok := caller.(PresenceChecker); ok {
 		return checker.Presence(id)
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -21,8 +21,8 @@
 	b.submit(Setup{ID: id, Owner: "o", ClassName: "open-log", Number: "17", ReceivedAt: b.testTime, ExpiresAt: b.testTime.Add(3 * time.Second)}, from)
 }
 
-// A client that has gone gets no attempt, neither a first nor a later one, even if the core has not been told. The
-// refusal is recorded.
+// A client that has gone gets no attempt, neither a first nor a later one, even if that has not been reported to the
+// core. The refusal is recorded.
 func TestNoAttemptForDepartedClient(t *testing.T) {
 	b := newHarness(t)
 	from := &clientStub{b, Gone}
@@ -70,7 +70,7 @@
 	from.presence = InputPending
 	b.submitFrom(from, "d")
 	b.advance(20 * ms)
-	from.presence = Gone // and the core has not been told
+	from.presence = Gone // which has not been reported to the core
 	b.advance(100 * ms)
 	b.expect("answer d refused  2000ms")
 	b.advance(10 * time.Second)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -26,12 +26,12 @@
 			LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
-// harness is a core with a simulated clock, between a caller and offices that record what they are told.
+// harness is a core with a simulated clock, between a caller and offices that record what is sent to them.
 type harness struct {
 	*core
 	t               *testing.T
 	testTime        time.Time
-	outputs         []string // what offices and callers were told, one line each
+	outputs         []string // what was sent to offices and callers, one line each
 	unknownReleases []string
 	records         []Record
 }
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -45,7 +45,7 @@
 	b.expect("answer a refused  2000ms") // a repeated set-up gets the recorded answer
 }
 
-// A held call is asked about again. Whatever the module says, package control decides after maxHold at the latest.
+// The module decides again on a held call. Whatever it decides, package control decides after maxHold at the latest.
 func TestHeldCallReachesControl(t *testing.T) {
 	b, g := newHarnessWithModule(t)
 	g.decision = join.Decision{Kind: join.Hold, Wait: int64(20 * ms), Reason: "r"}
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -65,7 +65,7 @@
 	Release(id string, cut bool)
 }
 
-// Presence is what a front end knows of the client of a call that waits for its answer.
+// Presence is the state, as far as a front end knows, of the client of a call that waits for its answer.
 type Presence int
 
 // The states of a client.
@@ -75,7 +75,7 @@
 	Gone                         // it has closed its connection or cancelled the request
 )
 
-// PresenceChecker is a Caller that is asked about a call's client before each attempt, as the event that a client has
+// PresenceChecker is a Caller whose Presence is called before each attempt, as the event that a client has
 // gone may still be queued for the core or unread. Presence may be called from any goroutine and must not block.
 type PresenceChecker interface {
 	Presence(id string) Presence
--- a/internal/sibling/sibling_test.go
+++ b/internal/sibling/sibling_test.go
@@ -10,7 +10,7 @@
 	"masthill/internal/netcase"
 )
 
-// process stands for a process with a running Watcher.
+// process represents a process with a running Watcher.
 type process struct {
 	present chan bool
 	stop    func()
@@ -85,7 +85,7 @@
 	dir := t.TempDir()
 	first := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {})
 	defer first.Close()
-	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits for room until the timeout, as Run does not run
+	second := Open(dir, "127.0.0.1:1", netcase.DiscardLogger(), func(bool) {}) // waits until the timeout, as the first one's Run does not run
 	defer second.Close()
 	first.poll()
 	second.poll()
@@ -120,13 +120,13 @@
 	return open
 }
 
-// Open returns in the second process only once the first has made room.
+// Open returns in the second process only once the first has reduced its share.
 func TestFollowerWaitsForRoom(t *testing.T) {
 	dir, addr := t.TempDir(), netcase.Listen(t).Addr().String()
-	room := make(chan bool)
+	shareReduced := make(chan bool)
 	w := Open(dir, addr, netcase.DiscardLogger(), func(present bool) {
 		if present {
-			<-room
+			<-shareReduced
 		}
 	})
 	ran := make(chan error, 1)
@@ -145,8 +145,8 @@
 	}()
 	select {
 	case <-opened:
-		t.Error("the second process did not wait for room")
-	case room <- true:
+		t.Error("the second process did not wait for the first to reduce its share")
+	case shareReduced <- true:
 	}
 	<-opened
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -44,10 +44,10 @@
 	ErrNoSnapshot    = errors.New("none")
 	ErrDamaged       = errors.New("damaged")
 	ErrNewerVersion  = errors.New("of a newer version")
-	ErrOtherInstance = errors.New("another instance's")
+	ErrOtherInstance = errors.New("of another instance")
 	ErrTooOld        = errors.New("too old")
 	ErrFutureTime    = errors.New("from the future: the clock went back")
-	ErrInvalid       = errors.New("makes no sense")
+	ErrInvalid       = errors.New("invalid content")
 )
 
 // Snapshot is the content of the file.
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -85,13 +85,13 @@
 	{"replace", "six servers of ten replaced within 7 s", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}}
 	}},
-	{"return", "three servers of ten away for 3 s and back cold", func(sc *Scenario) {
+	{"return", "three servers of ten down for 3 s, then cold", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "down", At: sceneStart, Duration: 3 * time.Second, Share: 0.3}}
 	}},
-	{"silent", "three servers of ten silent for 6 s and back cold", func(sc *Scenario) {
+	{"silent", "three servers of ten silent for 6 s, then cold", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "silent", At: sceneStart, Duration: 6 * time.Second, Share: 0.3}}
 	}},
-	{"killed", "six servers of ten replaced within 7 s, seven in ten controllers killed amid it", func(sc *Scenario) {
+	{"killed", "six servers of ten replaced within 7 s, seven in ten controllers killed meanwhile", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "replace", At: sceneStart, Duration: 7 * time.Second, Share: 0.6}, {Kind: "kill", At: sceneStart + 4*time.Second, Share: 0.7}}
 	}},
 	{"rolled", "half of the servers replaced while all controllers are restarted, a tenth at a time", func(sc *Scenario) {
--- a/lab/model/scenes.go
+++ b/lab/model/scenes.go
@@ -29,9 +29,9 @@
 }
 
 var scenes = []Scene{
-	{"calm", "no trouble, at 0.7 of plan", func(sc *Scenario) { sc.Load = 0.7 }},
-	{"busy", "no trouble, at 0.93 of plan", func(*Scenario) {}},
-	{"swing", "between 0.9 and 1.2 of plan every 4 s", func(sc *Scenario) {
+	{"calm", "no faults, at 0.7 of the planned load", func(sc *Scenario) { sc.Load = 0.7 }},
+	{"busy", "no faults, at 0.93 of the planned load", func(*Scenario) {}},
+	{"swing", "between 0.9 and 1.2 of the planned load, changing every 4 s", func(sc *Scenario) {
 		sc.Load = 1
 		sc.RateFactor = func(at time.Duration) float64 {
 			if at > 10*time.Second && at/swingHalfPeriod%2 == 1 {
@@ -46,14 +46,14 @@
 	{"slow", "a third of the servers 2.5 times slower for 20 s", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.34, Magnitude: 2.5}}
 	}},
-	{"silent", "a seventh of the servers silent for 15 s, and back cold", func(sc *Scenario) {
+	{"silent", "a seventh of the servers silent for 15 s, then cold", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "silent", At: sceneStart, Duration: 15 * time.Second, Share: 0.14}}
 	}},
-	{"overload", "1.15 of plan for 40 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.15/0.93, 40*time.Second) }},
+	{"overload", "1.15 of the planned load for 40 s", func(sc *Scenario) { sc.RateFactor = rateJump(1.15/0.93, 40*time.Second) }},
 	{"herd", "seven in ten controllers killed at once, one server of eight slow", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "kill", At: sceneStart, Share: 0.7}, {Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.125, Magnitude: 3}}
 	}},
-	{"zone", "three servers of ten away for 5 s and back cold, one of eight of all slow", func(sc *Scenario) {
+	{"zone", "three servers of ten down for 5 s, then cold; one of eight slow", func(sc *Scenario) {
 		sc.Faults = []Fault{{Kind: "down", At: sceneStart, Duration: 5 * time.Second, Share: 0.3},
 			{Kind: "slow", At: sceneStart, Duration: 20 * time.Second, Share: 0.125, Magnitude: 2.5}}
 	}},
@@ -86,7 +86,8 @@
 	return Scene{}, fmt.Errorf("unknown scene %q; known scenes: %v", name, names)
 }
 
-// Scenario makes the scene's scenario for a fleet of the given size. The load is 0.93 of plan unless the scene sets another.
+// Scenario makes the scene's scenario for a fleet of the given size. The load is 0.93 of plan unless the scene sets
+// another.
 func (s Scene) Scenario(seed uint64, controllers, servers int) Scenario {
 	sc := Scenario{Seed: seed, Controllers: controllers, Servers: servers, Load: 0.93, Duration: sceneDuration, Redials: 2}
 	s.configure(&sc)
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -19,7 +19,7 @@
 	RefusalWait            int64   // expected wait above which set-ups are refused
 	ColdFraction           float64 // share of the full capacity at the start
 	WarmUpTime             int64   // time until it is warm; the capacity grows linearly in between
-	CrashMultiple          float64 // a cold processor falls over above this multiple of its present capacity over FallWindow
+	CrashMultiple          float64 // a cold processor falls over above this multiple of its present capacity over CrashWindow
 	CrashWindow            int64
 	QueueOrder             QueueOrder // the zero value is the order that the operators describe
 	DropAnswers            bool       // dropping a call removes its queued answer, not only its set-up
--- a/lab/processor/processor_test.go
+++ b/lab/processor/processor_test.go
@@ -13,9 +13,9 @@
 		CrashMultiple: 2, CrashWindow: 1000 * ms}
 }
 
-// play offers set-ups at a rate and has each call answered and released. It gives the number of calls that were established
-// and that were refused.
-func play(p *Processor, from, to int64, rate float64) (established, refused int) {
+// runLoad offers set-ups at a rate and has each call answered and released. It gives the number of calls that were
+// established and that were refused.
+func runLoad(p *Processor, from, to int64, rate float64) (established, refused int) {
 	process := func(completed []Completed) {
 		for len(completed) > 0 {
 			d := completed[0]
@@ -50,11 +50,11 @@
 		t.Fatal(c)
 	}
 	p := New(params(), 0)
-	if established, refused := play(p, 1, 20_000*ms, 30); refused > 0 || established < 590 {
+	if established, refused := runLoad(p, 1, 20_000*ms, 30); refused > 0 || established < 590 {
 		t.Errorf("below its capacity: %d established, %d refused", established, refused)
 	}
 	p = New(params(), 0)
-	if _, refused := play(p, 1, 20_000*ms, 60); refused == 0 || p.MaxWait() < 200*ms || p.MaxWait() > 250*ms {
+	if _, refused := runLoad(p, 1, 20_000*ms, 60); refused == 0 || p.MaxWait() < 200*ms || p.MaxWait() > 250*ms {
 		t.Errorf("far beyond its capacity: %d refused, longest wait %d ms", refused, p.MaxWait()/ms)
 	}
 	if p.Utilization() < 0.95 {
@@ -65,7 +65,7 @@
 // Answers wait behind new set-ups, so that under a flood of set-ups hardly any call is established.
 func TestAnswersWaitBehindSetUps(t *testing.T) {
 	p := New(params(), 0)
-	established, _ := play(p, 1, 10_000*ms, 100)
+	established, _ := runLoad(p, 1, 10_000*ms, 100)
 	if established > 60 { // 333 without the flood
 		t.Errorf("%d calls established", established)
 	}
@@ -78,15 +78,15 @@
 	if p.Speed(now) != 0.25 || math.Abs(p.Speed(now+5000*ms)-0.625) > 1e-9 || p.Speed(now+10_000*ms) != 1 {
 		t.Error(p.Speed(now), p.Speed(now+5000*ms))
 	}
-	if play(p, now, now+3000*ms, 8); p.FellOver() {
+	if runLoad(p, now, now+3000*ms, 8); p.FellOver() {
 		t.Error("fell over at its present capacity")
 	}
 	p = New(params(), now)
-	if play(p, now, now+3000*ms, 40); !p.FellOver() || p.Speed(now+9000*ms) != 0 {
+	if runLoad(p, now, now+3000*ms, 40); !p.FellOver() || p.Speed(now+9000*ms) != 0 {
 		t.Error("did not fall over at five times its present capacity")
 	}
 	p = New(params(), 0)
-	if play(p, now, now+3000*ms, 200); p.FellOver() {
+	if runLoad(p, now, now+3000*ms, 200); p.FellOver() {
 		t.Error("a warm processor fell over")
 	}
 }
