--- a/cmd/masthill-lab/rig.go
+++ b/cmd/masthill-lab/rig.go
@@ -39,7 +39,7 @@
 	} else if dir, err = filepath.Abs(dir); err != nil {
 		return err
 	}
-	o := rig.Options{Plan: plan, Seed: c.Seed, Program: program, Dir: dir, Plain: c.Plain}
+	o := rig.Options{Plan: plan, Seed: c.Seed, Program: program, Dir: dir, WithoutPeers: c.Plain}
 	if c.Without != "" {
 		o.Env = []string{"MASTHILL_WITHOUT=" + c.Without}
 	}
@@ -58,15 +58,15 @@
 		}
 	}
 	fmt.Printf("seed %d: %d instances, %d processes, %d faults; %d calls, served %.4f; answers missing %d, twice %d, attempts overlapping %d, too soon %d\n", r.Seed,
-		r.Instances, r.Processes, len(r.Faults), r.Calls, r.Served, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.TooSoon)
+		r.Instances, r.Processes, len(r.Faults), r.Calls, r.ServedShare, r.MissingAnswers, r.DuplicateAnswers, r.OverlappingAttempts, r.TooSoon)
 	fmt.Printf("  budgets: %d claims, overspent %d (most in use %.3f of a pool), overused %d of %d units, two allocators %d; counts: %d checked, out of bounds %d; verdicts %d, unfounded %d\n",
-		r.Claims, r.Overspent, r.MaxInUse, r.Overused, r.Used, r.ConcurrentLeaders, r.Counts, r.OutOfBound, r.Decisions, r.Unfounded)
+		r.Claims, r.Overspent, r.MaxInUse, r.Overused, r.UsedUnits, r.ConcurrentLeaders, r.Counts, r.OutOfBounds, r.Decisions, r.Unfounded)
 	fmt.Printf("  all knew of all %.1f s after the last fault; %.0f bytes and %.1f datagrams a second from each; cold wait %.0f of %.0f ms, fell over %v; %.0f us of processor a call; late %.0f ms\n",
-		r.Converged, r.BytesPerSecond, r.DatagramsPerSecond, r.ColdWait, r.Refusal, r.FellOver, r.CPUCall, r.LateMS)
-	for _, text := range append(append(r.Violations.Descriptions, r.Findings.Texts...), r.Errors...) {
+		r.ConvergedS, r.BytesPerSecond, r.DatagramsPerSecond, r.MaxColdWaitMS, r.RefusalPointMS, r.FellOver, r.CPUPerCall, r.MaxDelayMS)
+	for _, text := range append(append(r.Violations.Descriptions, r.Findings.Descriptions...), r.Errors...) {
 		fmt.Println(" ", text)
 	}
-	if r.Bad() {
+	if r.Failed() {
 		return fmt.Errorf("something did not hold")
 	}
 	return nil
--- a/cmd/masthill/peers_test.go
+++ b/cmd/masthill/peers_test.go
@@ -117,7 +117,7 @@
 	until("they still hear each other", everyone(4, names...))
 
 	twin := start(t, feed, nil, strings.Replace(settings("d", quoted(newKey, oldKey)), filepath.Join(dir, "d"), filepath.Join(dir, "twin"), 1))
-	until("the second d holds its tongue", func() bool { p := knows(filepath.Join(dir, "twin")); return p != nil && p.Taken != "" })
+	until("the second d holds its tongue", func() bool { p := knows(filepath.Join(dir, "twin")); return p != nil && p.NameTakenBy != "" })
 	twin.Process.Kill()
 
 	all["d"].Process.Kill()
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/talking.go
@@ -81,8 +81,8 @@
 	}}
 	var err error
 	in.peers, err = peers.New(peers.Options{Name: name, Site: s.Site, Machine: s.Machine, Version: version(), Epoch: epoch, Listen: s.Listen,
-		Advertise: s.Advertise, Seeds: s.Seeds, Via: s.AddrOverrides, Keys: s.DecodedKeys, Remember: remember(in.own), Log: log, Module: in.shared,
-		Do: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
+		Advertise: s.Advertise, Seeds: s.Seeds, AddrOverrides: s.AddrOverrides, Keys: s.DecodedKeys, MembersFile: remember(in.own), Log: log, Module: in.shared,
+		TryRun: func(f func(int64)) bool { return in.core.TryRun(f) }, Handlers: handlers})
 	if err != nil {
 		return part{}, err
 	}
@@ -101,7 +101,7 @@
 		status: func(st *ctl.Status) { st.Peers = in.talks() },
 		reload: func(p *config.OperatorSettings) {
 			if len(p.Peers.DecodedKeys) > 0 && !slices.EqualFunc(p.Peers.DecodedKeys, s.DecodedKeys, slices.Equal) {
-				if err := in.peers.Keys(p.Peers.DecodedKeys); err != nil {
+				if err := in.peers.SetKeys(p.Peers.DecodedKeys); err != nil {
 					log.Error("keys kept", "reason", "unfit", "err", err)
 				}
 			}
@@ -190,7 +190,7 @@
 				return nil // the core has ended
 			}
 			st := in.peers.Status()
-			one := line{At: at, Kind: "look", Claim: look, Bytes: st.SentByte, Datagrams: st.SentN}
+			one := line{At: at, Kind: "look", Claim: look, Bytes: st.SentBytes, Datagrams: st.SentDatagrams}
 			for _, m := range st.Members {
 				if m.State == peers.Alive || m.State == peers.Suspect {
 					one.Alive++
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -25,11 +25,11 @@
 	defer t.Flush()
 	fmt.Fprintf(t, "%s\t%s, epoch %s, health %d, %s for %s\n", p.Name, p.Addr, p.Epoch, p.Health, p.Shared.State,
 		time.Since(time.Unix(0, p.Shared.SinceNS)).Round(time.Second))
-	if p.Taken != "" {
-		fmt.Fprintf(t, "NAME TAKEN\tby the process at %s: this one says nothing until that ends\n", p.Taken)
+	if p.NameTakenBy != "" {
+		fmt.Fprintf(t, "NAME TAKEN\tby the process at %s: this one says nothing until that ends\n", p.NameTakenBy)
 	}
 	fmt.Fprintf(t, "allocator\t%s\n", cmp.Or(p.Shared.Leader, "none known"))
-	fmt.Fprintf(t, "messages\t%d heard, %d dropped, %d unreadable; %d datagrams of %d bytes sent\n", p.Heard, p.Dropped, p.Unread, p.SentN, p.SentByte)
+	fmt.Fprintf(t, "messages\t%d heard, %d dropped, %d unreadable; %d datagrams of %d bytes sent\n", p.Received, p.Dropped, p.Undecodable, p.SentDatagrams, p.SentBytes)
 	t.Flush()
 	fmt.Fprintln(t, "\nmember\tstate\tsince\tsite\tmachine\taddress\tstarts\tversion")
 	for _, m := range p.Members {
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	own := p.self
 	p.mu.Unlock()
-	otherIsFirst := info.Started < own.Started || info.Started == own.Started && info.Epoch < own.Epoch
+	otherIsFirst := info.StartedAt < own.StartedAt || info.StartedAt == own.StartedAt && info.Epoch < own.Epoch
 	if otherIsFirst {
 		p.mu.Lock()
 		p.nameTakenBy = other.Address()
--- a/internal/peers/end_test.go
+++ b/internal/peers/end_test.go
@@ -13,7 +13,7 @@
 func TestEventsAfterTheEndStartNothing(t *testing.T) {
 	a := begin(t, Options{Name: "a"})
 	until(t, "it runs", func() bool { return a.list.Load() != nil })
-	about, err := Encode(memberInfo{Epoch: 7, Started: 1})
+	about, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 func TestAConflictWhileLeaving(t *testing.T) {
 	a := begin(t, Options{Name: "a"})
 	until(t, "it runs", func() bool { return a.list.Load() != nil })
-	about, err := Encode(memberInfo{Epoch: 7, Started: 1})
+	about, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peers/events.go
+++ b/internal/peers/events.go
@@ -31,17 +31,17 @@
 		p.evictOldestLost()
 	}
 	now := &Member{
-		Name:    n.Name,
-		Addr:    n.Address(),
-		Site:    info.Site,
-		Machine: info.Machine,
-		Epoch:   info.Epoch,
-		Started: time.UnixMilli(info.Started),
-		Version: info.Version,
-		State:   state,
-		Since:   time.Now(),
-		Starts:  1,
-		Self:    n.Name == p.options.Name,
+		Name:      n.Name,
+		Addr:      n.Address(),
+		Site:      info.Site,
+		Machine:   info.Machine,
+		Epoch:     info.Epoch,
+		StartedAt: time.UnixMilli(info.StartedAt),
+		Version:   info.Version,
+		State:     state,
+		Since:     time.Now(),
+		Starts:    1,
+		Self:      n.Name == p.options.Name,
 	}
 	reason := changeReason(before, now)
 	if before != nil {
--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Keys replaces the encryption keys while the fleet runs: from now on the first one encrypts, and all of them decrypt.
-func (p *Peers) Keys(keys [][]byte) error {
+func (p *Peers) SetKeys(keys [][]byte) error {
 	for _, key := range keys {
 		if err := p.ring.AddKey(key); err != nil {
 			return err
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -32,17 +32,17 @@
 
 // Member is an instance as this one sees it.
 type Member struct {
-	Name    string    `json:"name"`
-	Addr    string    `json:"addr"`
-	Site    string    `json:"site"`
-	Machine string    `json:"machine"`
-	Epoch   uint64    `json:"epoch"` // of its process
-	Started time.Time `json:"started"`
-	Version string    `json:"version"`
-	State   string    `json:"state"`
-	Since   time.Time `json:"since"`
-	Starts  int       `json:"starts"` // processes of it that have been seen
-	Self    bool      `json:"self,omitempty"`
+	Name      string    `json:"name"`
+	Addr      string    `json:"addr"`
+	Site      string    `json:"site"`
+	Machine   string    `json:"machine"`
+	Epoch     uint64    `json:"epoch"` // of its process
+	StartedAt time.Time `json:"started"`
+	Version   string    `json:"version"`
+	State     string    `json:"state"`
+	Since     time.Time `json:"since"`
+	Starts    int       `json:"starts"` // processes of it that have been seen
+	Self      bool      `json:"self,omitempty"`
 }
 
 // Change is a change of a member's state.
@@ -55,12 +55,12 @@
 
 // memberInfo is what a member publishes about itself, as the membership library's node metadata.
 type memberInfo struct {
-	Site    string `codec:"s"`
-	Machine string `codec:"m"`
-	Epoch   uint64 `codec:"e"`
-	Started int64  `codec:"t"` // Unix milliseconds
-	Version string `codec:"v"`
-	Leaving bool   `codec:"l"` // the library's events do not tell a member that leaves from one that dies
+	Site      string `codec:"s"`
+	Machine   string `codec:"m"`
+	Epoch     uint64 `codec:"e"`
+	StartedAt int64  `codec:"t"` // Unix milliseconds
+	Version   string `codec:"v"`
+	Leaving   bool   `codec:"l"` // the library's events do not tell a member that leaves from one that dies
 }
 
 // Members lists all known members by name, those that have left or gone too.
--- a/internal/peers/options.go
+++ b/internal/peers/options.go
@@ -21,15 +21,15 @@
 	Listen                       string            // host:port for datagrams and streams
 	Advertise                    string            // the address that other members are told; empty: Listen
 	Seeds                        []string          // host:port, or name/host:port
-	Via                          map[string]string // addresses that replace the advertised ones of some members, by name
+	AddrOverrides                map[string]string // addresses that replace the advertised ones of some members, by name
 	Keys                         [][]byte          // of 16, 24 or 32 bytes; the first one encrypts, all of them decrypt
-	Remember                     string            // the file that keeps the members' addresses; empty: none is kept
+	MembersFile                  string            // the file that keeps the members' addresses; empty: none is kept
 	Log                          *slog.Logger      // nil: nothing is logged
 	Module                       Module
 	// Do runs a function on the core's goroutine without waiting for it. It returns false if the core is too busy, and then
 	// drops the function.
-	Do       func(f func(now int64)) bool
-	Handlers map[string]Handler // of the streams that other members open, by kind
-	Reach    Reach              // nil: all addresses can be reached
-	Slow     float64            // stretches all intervals, for a lab; up to 1: not at all
+	TryRun        func(f func(now int64)) bool
+	Handlers      map[string]Handler // of the streams that other members open, by kind
+	Reachable     Reachable          // nil: all addresses can be reached
+	ClockSlowdown float64            // stretches all intervals, for a lab; up to 1: not at all
 }
--- a/internal/peers/ordered.go
+++ b/internal/peers/ordered.go
@@ -18,7 +18,7 @@
 
 // Ordered is a stream of messages to a member whose writer never blocks. Messages are sent in order. If the peer reads too
 // slowly the stream ends, and the messages that wait for it are dropped.
-type Ordered struct {
+type OrderedStream struct {
 	mu    sync.Mutex
 	queue [][]byte
 	bytes int
@@ -28,7 +28,7 @@
 
 // Put queues a message; it never blocks. An error means that the stream has ended: messages that were put before may not
 // have arrived, and must be sent again over another stream if they are needed.
-func (o *Ordered) Put(b []byte) error {
+func (o *OrderedStream) Put(b []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err == nil && (len(b) > MaxMessageSize || o.bytes+len(b) > maxQueuedBytes) {
@@ -47,7 +47,7 @@
 }
 
 // run sends the queued messages until the stream or ctx ends.
-func (o *Ordered) run(ctx context.Context, open func() (net.Conn, error)) error {
+func (o *OrderedStream) run(ctx context.Context, open func() (net.Conn, error)) error {
 	c, err := open()
 	if err == nil {
 		defer c.Close()
@@ -76,7 +76,7 @@
 }
 
 // takeQueue takes all queued messages. Their bytes count as queued until they are released.
-func (o *Ordered) takeQueue() ([][]byte, error) {
+func (o *OrderedStream) takeQueue() ([][]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	batch := o.queue
@@ -85,14 +85,14 @@
 }
 
 // release gives the room of a message back that was sent or dropped.
-func (o *Ordered) release(bytes int) {
+func (o *OrderedStream) release(bytes int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.bytes -= bytes
 }
 
 // end drops the queue and keeps the first error, which it returns. A write timeout counts as ErrSlowPeer.
-func (o *Ordered) end(err error) error {
+func (o *OrderedStream) end(err error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.err == nil {
@@ -107,8 +107,8 @@
 }
 
 // Ordered opens an ordered stream of a kind to a member. Put returns an error once it has ended.
-func (p *Peers) Ordered(name, kind string) *Ordered {
-	o := &Ordered{wake: make(chan struct{}, 1)}
+func (p *Peers) OpenOrdered(name, kind string) *OrderedStream {
+	o := &OrderedStream{wake: make(chan struct{}, 1)}
 	if p.list.Load() == nil {
 		o.err = ErrNoMember
 		return o
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	t, err := listen(o.Listen, o.Via, o.Log)
+	t, err := listen(o.Listen, o.AddrOverrides, o.Log)
 	if err != nil {
 		return nil, err
 	}
@@ -77,11 +77,11 @@
 		members:   map[string]*Member{},
 		lastHeard: map[string]time.Time{},
 		self: memberInfo{
-			Site:    o.Site,
-			Machine: o.Machine,
-			Epoch:   o.Epoch,
-			Started: time.Now().UnixMilli(),
-			Version: o.Version,
+			Site:      o.Site,
+			Machine:   o.Machine,
+			Epoch:     o.Epoch,
+			StartedAt: time.Now().UnixMilli(),
+			Version:   o.Version,
 		},
 	}
 	p.sessions = &sessionPool{
@@ -93,7 +93,7 @@
 		byMember: map[string]*yamux.Session{},
 	}
 	t.handleStream = p.sessions.accept
-	t.reach = o.Reach
+	t.reach = o.Reachable
 	return p, nil
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -85,7 +85,7 @@
 	}
 	m := &module{name: o.Name, heard: map[string]int{}, tells: true}
 	var mu sync.Mutex
-	o.Module, o.Do = m, func(f func(int64)) bool {
+	o.Module, o.TryRun = m, func(f func(int64)) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		f(time.Now().UnixNano())
@@ -162,15 +162,15 @@
 func TestAMemberThatRemembersNeedsNoSeeds(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "members.json")
 	a := begin(t, Options{Name: "a"})
-	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}, Remember: file})
+	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}, MembersFile: file})
 	until(t, "they meet", func() bool { return a.sees("b", Alive) && b.sees("a", Alive) })
 	b.end()
 	if err := os.WriteFile(file+".copy", []byte("]["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b = begin(t, Options{Name: "b", Remember: file})
+	b = begin(t, Options{Name: "b", MembersFile: file})
 	until(t, "b comes back without a seed", func() bool { return b.sees("a", Alive) })
-	begin(t, Options{Name: "x", Remember: file + ".copy"}) // a spoilt file is no reason not to start
+	begin(t, Options{Name: "x", MembersFile: file + ".copy"}) // a spoilt file is no reason not to start
 }
 
 func TestTwoProcessesOfOneName(t *testing.T) {
@@ -179,8 +179,8 @@
 	until(t, "the first is known", func() bool { return a.sees("twin", Alive) })
 	time.Sleep(5 * time.Millisecond) // its start is a millisecond's later at least
 	second := begin(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
-	until(t, "the second notices", func() bool { return second.Status().Taken == first.Addr() })
-	if first.Status().Taken != "" {
+	until(t, "the second notices", func() bool { return second.Status().NameTakenBy == first.Addr() })
+	if first.Status().NameTakenBy != "" {
 		t.Error("the first gives way, too")
 	}
 	time.Sleep(2 * tickInterval) // what was under way
@@ -190,7 +190,7 @@
 		t.Error("the second goes on to say and hear things")
 	}
 	first.end()
-	until(t, "the name is free", func() bool { return second.Status().Taken == "" && a.sees("twin", Alive) })
+	until(t, "the name is free", func() bool { return second.Status().NameTakenBy == "" && a.sees("twin", Alive) })
 }
 
 func TestKeysAreRotatedWhileHalfOfTheMembersHaveTheNewOne(t *testing.T) {
@@ -198,13 +198,13 @@
 	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
 	until(t, "they meet", func() bool { return a.m.from() == 1 && b.m.from() == 1 })
 	for _, keys := range [][][]byte{{keyA, keyB}, {keyB, keyA}, {keyB}} { // known, used, the only one
-		if err := b.Keys(keys); err != nil {
+		if err := b.SetKeys(keys); err != nil {
 			t.Fatal(err)
 		}
 		if len(keys) == 1 {
 			break
 		}
-		if err := a.Keys(keys[:2]); err != nil {
+		if err := a.SetKeys(keys[:2]); err != nil {
 			t.Fatal(err)
 		}
 		before := a.m.count("b")
@@ -308,7 +308,7 @@
 	a := begin(t, Options{Name: "a", Handlers: handlers})
 	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
 	until(t, "they meet", func() bool { return b.sees("a", Alive) })
-	slow, o := b.Ordered("a", "slow"), b.Ordered("a", "take")
+	slow, o := b.OpenOrdered("a", "slow"), b.OpenOrdered("a", "take")
 	big := make([]byte, MaxMessageSize)
 	var err error
 	for range 10_000 { // it never blocks, and ends
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -44,7 +44,7 @@
 	if m.Count != nil {
 		p.markHeard(m.Count.From.Name)
 	}
-	if !p.options.Do(func(now int64) { p.enqueue(p.options.Module.Receive(now, m)) }) {
+	if !p.options.TryRun(func(now int64) { p.enqueue(p.options.Module.Receive(now, m)) }) {
 		p.dropped.Add(1)
 	}
 }
--- a/internal/peers/slow.go
+++ b/internal/peers/slow.go
@@ -8,10 +8,10 @@
 
 // slowed stretches a time by Options.Slow: a lab runs fleets that its machine could not hold at their own pace.
 func (o *Options) slowed(d time.Duration) time.Duration {
-	if o.Slow <= 1 {
+	if o.ClockSlowdown <= 1 {
 		return d
 	}
-	return time.Duration(float64(d) * o.Slow)
+	return time.Duration(float64(d) * o.ClockSlowdown)
 }
 
 // slow stretches all times of the membership library.
--- a/internal/peers/snapshot.go
+++ b/internal/peers/snapshot.go
@@ -9,7 +9,7 @@
 
 // saveMembers writes the addresses of the other members to a file, for a start at which no seed answers.
 func (p *Peers) saveMembers() {
-	if p.options.Remember == "" {
+	if p.options.MembersFile == "" {
 		return
 	}
 	var addrs []string
@@ -23,7 +23,7 @@
 	}
 	b, err := json.Marshal(addrs)
 	if err == nil {
-		err = renameio.WriteFile(p.options.Remember, b, 0o600)
+		err = renameio.WriteFile(p.options.MembersFile, b, 0o600)
 	}
 	if err != nil {
 		p.log.Warn("members not remembered", "reason", "disk", "err", err)
@@ -32,15 +32,15 @@
 
 // loadMembers reads the addresses that saveMembers wrote. A file that is missing or damaged counts as empty.
 func (p *Peers) loadMembers() (addrs []string) {
-	if p.options.Remember == "" {
+	if p.options.MembersFile == "" {
 		return nil
 	}
-	b, err := os.ReadFile(p.options.Remember)
+	b, err := os.ReadFile(p.options.MembersFile)
 	if err != nil {
 		return nil
 	}
 	if json.Unmarshal(b, &addrs) != nil {
-		p.log.Warn("remembered members left out", "reason", "unreadable", "file", p.options.Remember)
+		p.log.Warn("remembered members left out", "reason", "unreadable", "file", p.options.MembersFile)
 		return nil
 	}
 	return addrs[:min(len(addrs), maxMembers)]
--- a/internal/peers/tick.go
+++ b/internal/peers/tick.go
@@ -32,7 +32,7 @@
 		return
 	}
 	members := p.aliveMembers()
-	p.options.Do(func(now int64) { p.enqueue(p.options.Module.Tick(now, members)) })
+	p.options.TryRun(func(now int64) { p.enqueue(p.options.Module.Tick(now, members)) })
 }
 
 // justResumed tells whether this process has just continued after a pause, so that what it reads may have waited for it.
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -12,13 +12,13 @@
 
 // Traffic is what a member has sent and received since its start: payload bytes, without the headers of UDP, TCP and IP.
 type Traffic struct {
-	SentDatagrams     int64 `json:"sent_datagrams"`
-	SentDatagramBytes int64 `json:"sent_datagram_bytes"`
-	GotDatagrams      int64 `json:"got_datagrams"`
-	GotDatagramBytes  int64 `json:"got_datagram_bytes"`
-	SentStreamBytes   int64 `json:"sent_stream_bytes"`
-	GotStreamBytes    int64 `json:"got_stream_bytes"`
-	Streams           int64 `json:"streams"` // opened and accepted
+	SentDatagrams         int64 `json:"sent_datagrams"`
+	SentDatagramBytes     int64 `json:"sent_datagram_bytes"`
+	ReceivedDatagrams     int64 `json:"got_datagrams"`
+	ReceivedDatagramBytes int64 `json:"got_datagram_bytes"`
+	SentStreamBytes       int64 `json:"sent_stream_bytes"`
+	ReceivedStreamBytes   int64 `json:"got_stream_bytes"`
+	Streams               int64 `json:"streams"` // opened and accepted
 }
 
 // meter counts a transport's traffic, beside the sent datagrams that the transport itself counts.
@@ -62,15 +62,15 @@
 func (p *Peers) Traffic() Traffic {
 	t := p.transport
 	return Traffic{SentDatagrams: t.sentPackets.Load(), SentDatagramBytes: t.sentBytes.Load(),
-		GotDatagrams: t.meter.gotDatagrams.Load(), GotDatagramBytes: t.meter.gotDatagramBytes.Load(),
-		SentStreamBytes: t.meter.sentStream.Load(), GotStreamBytes: t.meter.gotStream.Load(), Streams: t.meter.streams.Load()}
+		ReceivedDatagrams: t.meter.gotDatagrams.Load(), ReceivedDatagramBytes: t.meter.gotDatagramBytes.Load(),
+		SentStreamBytes: t.meter.sentStream.Load(), ReceivedStreamBytes: t.meter.gotStream.Load(), Streams: t.meter.streams.Load()}
 }
 
 // Reach tells whether an address can be reached now, and be heard from. A lab cuts networks by it; nil reaches all.
-type Reach func(addr netip.AddrPort) bool
+type Reachable func(addr netip.AddrPort) bool
 
 // cut tells whether an address is out of reach.
-func (r Reach) cut(addr netip.AddrPort) bool {
+func (r Reachable) cut(addr netip.AddrPort) bool {
 	return r != nil && !r(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()))
 }
 
--- a/internal/peers/traffic_test.go
+++ b/internal/peers/traffic_test.go
@@ -15,13 +15,13 @@
 	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
 	until(t, "they have talked", func() bool {
 		ta, tb := a.Traffic(), b.Traffic()
-		return ta.GotDatagrams > 10 && tb.GotDatagrams > 10 && ta.GotStreamBytes > 0 && tb.GotStreamBytes > 0
+		return ta.ReceivedDatagrams > 10 && tb.ReceivedDatagrams > 10 && ta.ReceivedStreamBytes > 0 && tb.ReceivedStreamBytes > 0
 	})
 	b.end()
 	a.end()
 	ta, tb := a.Status().Traffic, b.Status().Traffic
-	if ta.GotDatagrams > tb.SentDatagrams || tb.GotDatagrams > ta.SentDatagrams || ta.GotDatagramBytes > tb.SentDatagramBytes ||
-		ta.GotStreamBytes > tb.SentStreamBytes || tb.GotStreamBytes > ta.SentStreamBytes {
+	if ta.ReceivedDatagrams > tb.SentDatagrams || tb.ReceivedDatagrams > ta.SentDatagrams || ta.ReceivedDatagramBytes > tb.SentDatagramBytes ||
+		ta.ReceivedStreamBytes > tb.SentStreamBytes || tb.ReceivedStreamBytes > ta.SentStreamBytes {
 		t.Errorf("more was received than sent: %+v, %+v", ta, tb)
 	}
 	if ta.Streams < 1 || tb.Streams < 1 || ta.SentDatagramBytes < ta.SentDatagrams {
@@ -36,8 +36,8 @@
 func TestACutByReachParts(t *testing.T) {
 	var cut atomic.Bool
 	reach := func(netip.AddrPort) bool { return !cut.Load() }
-	a := begin(t, Options{Name: "a", Reach: reach})
-	b := begin(t, Options{Name: "b", Reach: reach, Seeds: []string{a.Addr()}})
+	a := begin(t, Options{Name: "a", Reachable: reach})
+	b := begin(t, Options{Name: "b", Reachable: reach, Seeds: []string{a.Addr()}})
 	until(t, "they meet", func() bool { return a.sees("b", Alive) && b.sees("a", Alive) })
 	cut.Store(true)
 	until(t, "they part", func() bool { return a.sees("b", Gone) && b.sees("a", Gone) })
@@ -50,15 +50,15 @@
 
 // An IPv4 address reads the same from a socket of either family.
 func TestReachSeesPlainAddresses(t *testing.T) {
-	r := Reach(func(a netip.AddrPort) bool { return a.String() != "127.0.0.1:9" })
-	if !r.cut(netip.MustParseAddrPort("[::ffff:127.0.0.1]:9")) || r.cut(netip.MustParseAddrPort("127.0.0.2:9")) || Reach(nil).cut(netip.AddrPort{}) {
+	r := Reachable(func(a netip.AddrPort) bool { return a.String() != "127.0.0.1:9" })
+	if !r.cut(netip.MustParseAddrPort("[::ffff:127.0.0.1]:9")) || r.cut(netip.MustParseAddrPort("127.0.0.2:9")) || Reachable(nil).cut(netip.AddrPort{}) {
 		t.Error("the wrong ones are cut")
 	}
 }
 
 // A slower clock stretches the library's times alike, and changes nothing where it is off.
 func TestASlowerClock(t *testing.T) {
-	usual, slow := Options{}, Options{Slow: 4}
+	usual, slow := Options{}, Options{ClockSlowdown: 4}
 	c, d := usual.slow(memberlist.DefaultLANConfig()), slow.slow(memberlist.DefaultLANConfig())
 	if d.ProbeInterval != 4*c.ProbeInterval || d.GossipInterval != 4*c.GossipInterval || d.PushPullInterval != 4*c.PushPullInterval {
 		t.Errorf("%v and %v", c, d)
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -41,7 +41,7 @@
 	sentPackets      atomic.Int64
 	sentBytes        atomic.Int64
 	meter            meter
-	reach            Reach
+	reach            Reachable
 }
 
 // listen opens a transport. Port 0 stands for any port that is free for both TCP and UDP.
--- a/lab/rig/budgets.go
+++ b/lab/rig/budgets.go
@@ -88,7 +88,7 @@
 	uses := budgetUses(all, budget)
 	sum, first := int64(0), 0
 	for k, u := range uses {
-		f.Used += u.units
+		f.UsedUnits += u.units
 		sum += u.units
 		for ; uses[first].at < u.at-useWindow; first++ {
 			sum -= uses[first].units
--- a/lab/rig/counts.go
+++ b/lab/rig/counts.go
@@ -38,10 +38,10 @@
 		for key, value := range known.Counts {
 			f.Counts++
 			if _, after, ok := source.counted(s.at, key); ok && value > after {
-				f.report(&f.OutOfBound, "%s says that %s counted %d of %s, and it was %d", p.name, known.Name, value, key, after)
+				f.report(&f.OutOfBounds, "%s says that %s counted %d of %s, and it was %d", p.name, known.Name, value, key, after)
 			}
 			if before, _, _ := source.counted(s.at-known.AgeMS*1e6-maxDelay, key); value < before {
-				f.report(&f.OutOfBound, "%s says that %s counted %d of %s, and it had been %d", p.name, known.Name, value, key, before)
+				f.report(&f.OutOfBounds, "%s says that %s counted %d of %s, and it had been %d", p.name, known.Name, value, key, before)
 			}
 		}
 	}
@@ -53,10 +53,10 @@
 		f.Counts++
 		least, most, certain := countedInWindow(bySource, s, reading.Key)
 		if certain && reading.LowerBound > most {
-			f.report(&f.OutOfBound, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, most)
+			f.report(&f.OutOfBounds, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, most)
 		}
 		if certain && reading.UpperBound < least {
-			f.report(&f.OutOfBound, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, least)
+			f.report(&f.OutOfBounds, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, least)
 		}
 	}
 }
--- a/lab/rig/fault.go
+++ b/lab/rig/fault.go
@@ -34,7 +34,7 @@
 		targets.Go(func() { w.strike(f, k) })
 	}
 	if f.Kind != "restart" {
-		w.sleepUntil(f.At + f.For)
+		w.sleepUntil(f.At + f.Duration)
 	}
 	targets.Wait()
 	w.mu.Lock()
@@ -50,12 +50,12 @@
 	switch f.Kind {
 	case "silent":
 		w.servers[k].SetSilent(true)
-		w.sleepUntil(f.At + f.For)
+		w.sleepUntil(f.At + f.Duration)
 		w.servers[k].SetSilent(false)
 		w.announceStart(k, time.Now())
 	case "slow":
 		w.servers[k].SetSlowdown(f.Slowdown)
-		w.sleepUntil(f.At + f.For)
+		w.sleepUntil(f.At + f.Duration)
 		w.servers[k].SetSlowdown(1)
 	case "freeze":
 		w.interrupt(k, func() { w.pause(f, k) })
@@ -86,9 +86,9 @@
 	i := w.instances[k]
 	w.callers.InstanceFrozen(i.Name)
 	i.Signal(syscall.SIGSTOP)
-	w.sleepUntil(f.At + f.For)
+	w.sleepUntil(f.At + f.Duration)
 	i.Signal(syscall.SIGCONT)
-	if w.sleepUntil(f.At + f.For + thawTime) {
+	if w.sleepUntil(f.At + f.Duration + thawTime) {
 		w.callers.InstanceResumed(i.Name)
 	}
 }
@@ -102,7 +102,7 @@
 	if f.Kind == "oldcopy" {
 		os.RemoveAll(oldCopy)
 		os.CopyFS(oldCopy, os.DirFS(i.Dir))
-		w.sleepUntil(f.At + f.For/2)
+		w.sleepUntil(f.At + f.Duration/2)
 	}
 	if graceful {
 		time.AfterFunc(leaveNotice, func() { w.callers.RemoveInstance(i.Name) })
@@ -119,7 +119,7 @@
 		os.CopyFS(i.Dir, os.DirFS(oldCopy))
 	}
 	if !graceful {
-		w.sleepUntil(f.At + f.For)
+		w.sleepUntil(f.At + f.Duration)
 	}
 	if err == nil && w.ctx.Err() == nil {
 		err = w.startInstance(k)
@@ -144,7 +144,7 @@
 // crashServers has servers crash and start anew, one after the other.
 func (w *run) crashServers() {
 	for n := 0; ; n++ {
-		if !w.sleepUntil(firstCrash + time.Duration(n)*w.Plan.Cold) {
+		if !w.sleepUntil(firstCrash + time.Duration(n)*w.Plan.CrashInterval) {
 			return
 		}
 		k := n % w.Plan.Servers
--- a/lab/rig/findings.go
+++ b/lab/rig/findings.go
@@ -13,27 +13,27 @@
 	MaxInUse           float64  `json:"most_in_use"`       // the greatest part of a pool that was in use
 	ConcurrentLeaders  int      `json:"two_allocators"`    // moments at which two processes were leader
 	Overused           int      `json:"budgets_overused"`  // windows of 5 s in which more was used than a budget and its allowance
-	Used               int64    `json:"used"`              // units of all budgets
+	UsedUnits          int64    `json:"used"`              // units of all budgets
 	Counts             int      `json:"counts_checked"`
-	OutOfBound         int      `json:"counts_out_of_bounds"`
+	OutOfBounds        int      `json:"counts_out_of_bounds"`
 	Decisions          int      `json:"verdicts"` // by which a server was avoided
 	Unfounded          int      `json:"verdicts_unfounded"`
-	Converged          float64  `json:"converged_s"` // from the last fault's end until all members knew all; -1: they never did
+	ConvergedS         float64  `json:"converged_s"` // from the last fault's end until all members knew all; -1: they never did
 	BytesPerSecond     float64  `json:"bytes_per_member_s"`
 	DatagramsPerSecond float64  `json:"datagrams_per_member_s"`
-	Texts              []string `json:"found,omitempty"`
+	Descriptions       []string `json:"found,omitempty"`
 }
 
 // Any tells whether any claim was wrong.
 func (f *Findings) Any() bool {
-	return f.Overspent+f.ConcurrentLeaders+f.Overused+f.OutOfBound+f.Unfounded > 0
+	return f.Overspent+f.ConcurrentLeaders+f.Overused+f.OutOfBounds+f.Unfounded > 0
 }
 
 // report counts a wrong claim in one of the fields, and describes the first few.
 func (f *Findings) report(count *int, format string, args ...any) {
 	*count++
-	if len(f.Texts) < maxTexts {
-		f.Texts = append(f.Texts, fmt.Sprintf(format, args...))
+	if len(f.Descriptions) < maxTexts {
+		f.Descriptions = append(f.Descriptions, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -49,7 +49,7 @@
 
 // checkClaims compares all claims with each other.
 func checkClaims(all []*process, b bounds) *Findings {
-	f := &Findings{Processes: len(all), Converged: -1}
+	f := &Findings{Processes: len(all), ConvergedS: -1}
 	checkBudgets(f, all, b)
 	checkCounts(f, all, b)
 	checkLeaders(f, all)
--- a/lab/rig/network.go
+++ b/lab/rig/network.go
@@ -17,7 +17,7 @@
 		}
 		now := time.Since(w.startedAt)
 		w.mu.Lock()
-		w.result.LateMS = max(w.result.LateMS, float64((now-due).Microseconds())/1000)
+		w.result.MaxDelayMS = max(w.result.MaxDelayMS, float64((now-due).Microseconds())/1000)
 		w.mu.Unlock()
 		for pair, l := range w.links {
 			l.setState(w.linkState(now, pair[0], pair[1]))
@@ -28,7 +28,7 @@
 // linkState adds up the faults of a link at a time.
 func (w *run) linkState(now time.Duration, from, to int) (state LinkState) {
 	for _, f := range w.faults {
-		if now < f.At || now >= f.At+f.For {
+		if now < f.At || now >= f.At+f.Duration {
 			continue
 		}
 		fromHit, toHit := slices.Contains(f.Targets, from), slices.Contains(f.Targets, to)
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -29,29 +29,29 @@
 
 // Plan is what a run plays: a fleet, its load and its faults.
 type Plan struct {
-	Instances  int           `toml:"instances"`
-	Sites      int           `toml:"sites"`    // the instances are spread over them in turn
-	Machines   int           `toml:"machines"` // and over these; 0: each has its own
-	Servers    int           `toml:"servers"`
-	Voters     int           `toml:"keepers"` // the first instances
-	Planned    float64       `toml:"planned"` // calls per second
-	Load       float64       `toml:"load"`    // as a part of Planned
-	For        time.Duration `toml:"for"`
-	Budgets    bool          `toml:"budgets"`
-	Judgements bool          `toml:"judgements"`
-	Shares     bool          `toml:"shares"`
-	Term       time.Duration `toml:"term"`
-	Cold       time.Duration `toml:"cold_every"` // how often a server crashes and starts again; 0: never
-	Random     int           `toml:"random"`     // how many faults are drawn from the seed, beside Faults
-	Faults     []Fault       `toml:"fault"`
-	Quiet      time.Duration `toml:"quiet"` // the time at the end without random faults
+	Instances      int           `toml:"instances"`
+	Sites          int           `toml:"sites"`    // the instances are spread over them in turn
+	Machines       int           `toml:"machines"` // and over these; 0: each has its own
+	Servers        int           `toml:"servers"`
+	Voters         int           `toml:"keepers"` // the first instances
+	PlannedRate    float64       `toml:"planned"` // calls per second
+	LoadFactor     float64       `toml:"load"`    // as a part of Planned
+	Duration       time.Duration `toml:"for"`
+	Budgets        bool          `toml:"budgets"`
+	DetectOutliers bool          `toml:"judgements"`
+	Shares         bool          `toml:"shares"`
+	Term           time.Duration `toml:"term"`
+	CrashInterval  time.Duration `toml:"cold_every"` // how often a server crashes and starts again; 0: never
+	RandomFaults   int           `toml:"random"`     // how many faults are drawn from the seed, beside Faults
+	Faults         []Fault       `toml:"fault"`
+	QuietPeriod    time.Duration `toml:"quiet"` // the time at the end without random faults
 }
 
 // Fault is one thing that fails for a while.
 type Fault struct {
-	Kind string        `toml:"kind" json:"kind"`
-	At   time.Duration `toml:"at" json:"at"`
-	For  time.Duration `toml:"for" json:"for"`
+	Kind     string        `toml:"kind" json:"kind"`
+	At       time.Duration `toml:"at" json:"at"`
+	Duration time.Duration `toml:"for" json:"for"`
 	// Targets are the numbers of what fails:
 	//   - cut separates these instances from all others, flap does so for half of every second, between separates them from
 	//     each other alone, and oneway keeps them from receiving what the others send;
@@ -97,9 +97,9 @@
 					Text: fmt.Sprintf("%d: there are %d, from 0", target, count)})
 			}
 		}
-		if f.At+f.For > p.For {
+		if f.At+f.Duration > p.Duration {
 			faults = append(faults, config.Fault{File: file, Line: at, Key: key + ".for",
-				Text: fmt.Sprintf("it lasts until %v, and the run %v", f.At+f.For, p.For)})
+				Text: fmt.Sprintf("it lasts until %v, and the run %v", f.At+f.Duration, p.Duration)})
 		}
 	}
 	if p.Voters > p.Instances || p.Voters%2 == 0 {
@@ -126,10 +126,10 @@
 	setDefault(&p.Sites, 3)
 	setDefault(&p.Servers, 4)
 	setDefault(&p.Voters, 3)
-	setDefault(&p.For, 60*time.Second)
+	setDefault(&p.Duration, 60*time.Second)
 	setDefault(&p.Term, 2*time.Second)
-	setDefault(&p.Planned, 66)
-	setDefault(&p.Load, 0.9)
+	setDefault(&p.PlannedRate, 66)
+	setDefault(&p.LoadFactor, 0.9)
 }
 
 func setDefault[T comparable](value *T, fallback T) {
@@ -143,16 +143,16 @@
 func (p *Plan) drawFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	all := slices.Clone(p.Faults)
-	span := p.For - p.Quiet - firstFault
+	span := p.Duration - p.QuietPeriod - firstFault
 	busyUntil := map[int]time.Duration{} // of processes: each has one fault at a time
-	for n := range p.Random {
+	for n := range p.RandomFaults {
 		f := Fault{
-			At:  firstFault + span*time.Duration(n)/time.Duration(p.Random),
-			For: time.Second + time.Duration(rng.Int64N(int64(9*time.Second))),
+			At:       firstFault + span*time.Duration(n)/time.Duration(p.RandomFaults),
+			Duration: time.Second + time.Duration(rng.Int64N(int64(9*time.Second))),
 		}
-		f.For = min(f.For, p.For-p.Quiet-f.At)
+		f.Duration = min(f.Duration, p.Duration-p.QuietPeriod-f.At)
 		p.drawFault(rng, &f, busyUntil)
-		if f.For > 0 && len(f.Targets) > 0 {
+		if f.Duration > 0 && len(f.Targets) > 0 {
 			all = append(all, f)
 		}
 	}
@@ -177,12 +177,12 @@
 		f.BytesPerSecond = 20_000 + rng.IntN(100_000)
 	case "silent", "slow":
 		f.Targets = drawTargets(rng, p.Servers, 1)
-		f.For, f.Slowdown = min(f.For, maxServerFault), 2
+		f.Duration, f.Slowdown = min(f.Duration, maxServerFault), 2
 	default:
 		f.Targets = drawTargets(rng, p.Instances, 3)
 		f.Targets = slices.DeleteFunc(f.Targets, func(k int) bool { return busyUntil[k] > f.At })
 		for _, k := range f.Targets {
-			busyUntil[k] = f.At + f.For + recoveryTime
+			busyUntil[k] = f.At + f.Duration + recoveryTime
 		}
 	}
 }
--- a/lab/rig/plot.go
+++ b/lab/rig/plot.go
@@ -14,7 +14,7 @@
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "served, and what went wrong", "s", "served share"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	var points plotter.XYs
-	for k, v := range r.BySecond {
+	for k, v := range r.ServedBySecond {
 		points = append(points, plotter.XY{X: float64(k), Y: v})
 	}
 	l, err := plotter.NewLine(points)
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -16,26 +16,26 @@
 
 // Result is what a run showed.
 type Result struct {
-	Seed      uint64  `json:"seed"`
-	Instances int     `json:"instances"`
-	Servers   int     `json:"servers"`
-	Plain     bool    `json:"plain,omitempty"`
-	Calls     int     `json:"calls"`
-	Served    float64 `json:"served_share"`
+	Seed         uint64  `json:"seed"`
+	Instances    int     `json:"instances"`
+	Servers      int     `json:"servers"`
+	WithoutPeers bool    `json:"plain,omitempty"`
+	Calls        int     `json:"calls"`
+	ServedShare  float64 `json:"served_share"`
 	check.Violations
 	Findings
-	CPUCall  float64       `json:"cpu_us_per_call"` // processor time of all instances
-	ColdWait float64       `json:"cold_wait_max_ms"`
-	Refusal  float64       `json:"refusal_point_ms"` // the wait at which servers begin to reject calls
-	FellOver bool          `json:"fell_over"`        // a server was overloaded for good
-	BySecond []float64     `json:"served_by_second"`
-	Faults   []FaultRecord `json:"faults"`
-	Errors   []string      `json:"errors,omitempty"`
-	LateMS   float64       `json:"ran_late_ms"` // by how much the rig itself was late at most
+	CPUPerCall     float64       `json:"cpu_us_per_call"` // processor time of all instances
+	MaxColdWaitMS  float64       `json:"cold_wait_max_ms"`
+	RefusalPointMS float64       `json:"refusal_point_ms"` // the wait at which servers begin to reject calls
+	FellOver       bool          `json:"fell_over"`        // a server was overloaded for good
+	ServedBySecond []float64     `json:"served_by_second"`
+	Faults         []FaultRecord `json:"faults"`
+	Errors         []string      `json:"errors,omitempty"`
+	MaxDelayMS     float64       `json:"ran_late_ms"` // by how much the rig itself was late at most
 }
 
 // Bad tells whether the run showed any fault of the program.
-func (r *Result) Bad() bool { return r.Violations.Any() || r.Findings.Any() || len(r.Errors) > 0 }
+func (r *Result) Failed() bool { return r.Violations.Any() || r.Findings.Any() || len(r.Errors) > 0 }
 
 // FaultRecord is a fault and when it happened.
 type FaultRecord struct {
@@ -50,16 +50,16 @@
 	r.Violations, _, _ = w.ledger.Result()
 	w.sumCalls()
 	for _, i := range w.instances {
-		r.CPUCall += float64(i.CPU().Microseconds()) / float64(max(r.Calls, 1))
+		r.CPUPerCall += float64(i.CPU().Microseconds()) / float64(max(r.Calls, 1))
 	}
 	for _, s := range w.servers {
 		longestWait, fallen, _, _ := s.Stats()
 		r.FellOver = r.FellOver || fallen
 		if slices.Contains(w.coldServers, s.ID) {
-			r.ColdWait = max(r.ColdWait, float64(longestWait.Microseconds())/1000)
+			r.MaxColdWaitMS = max(r.MaxColdWaitMS, float64(longestWait.Microseconds())/1000)
 		}
 	}
-	if w.Plain {
+	if w.WithoutPeers {
 		return nil
 	}
 	processes, err := w.readProcesses()
@@ -84,18 +84,18 @@
 	r := w.result
 	calls := w.callers.Results()
 	r.Calls = len(calls)
-	seconds := int(w.Plan.For/time.Second) + 1
-	r.BySecond = make([]float64, seconds)
+	seconds := int(w.Plan.Duration/time.Second) + 1
+	r.ServedBySecond = make([]float64, seconds)
 	count := make([]int, seconds)
 	for _, call := range calls {
-		r.Served += call.Worth / float64(r.Calls)
+		r.ServedShare += call.Worth / float64(r.Calls)
 		if k := int(call.At / time.Second); k < seconds {
-			r.BySecond[k] += call.Worth
+			r.ServedBySecond[k] += call.Worth
 			count[k]++
 		}
 	}
 	for k := range count {
-		r.BySecond[k] /= float64(max(count[k], 1))
+		r.ServedBySecond[k] /= float64(max(count[k], 1))
 	}
 }
 
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -23,12 +23,12 @@
 
 // Options is what Run needs to know.
 type Options struct {
-	Plan    *Plan
-	Seed    uint64
-	Program string
-	Dir     string   // for the instances' directories and claims
-	Env     []string // for the processes, such as the check that a mutant leaves out
-	Plain   bool     // the instances know nothing of each other, for comparison
+	Plan         *Plan
+	Seed         uint64
+	Program      string
+	Dir          string   // for the instances' directories and claims
+	Env          []string // for the processes, such as the check that a mutant leaves out
+	WithoutPeers bool     // the instances know nothing of each other, for comparison
 }
 
 // run is a run in progress.
@@ -90,7 +90,7 @@
 		ctx:         ctx,
 		group:       g,
 		rng:         rand.New(rand.NewPCG(o.Seed, 0x726967)),
-		result:      &Result{Seed: o.Seed, Instances: o.Plan.Instances, Servers: o.Plan.Servers, Plain: o.Plain},
+		result:      &Result{Seed: o.Seed, Instances: o.Plan.Instances, Servers: o.Plan.Servers, WithoutPeers: o.WithoutPeers},
 		ledger:      check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond}),
 		machines:    map[string]string{},
 		links:       map[[2]int]*link{},
@@ -115,10 +115,10 @@
 	for _, f := range w.faults {
 		w.group.Go(func() error { w.playFault(f); return nil })
 	}
-	if w.Plan.Cold > 0 {
+	if w.Plan.CrashInterval > 0 {
 		w.group.Go(func() error { w.crashServers(); return nil })
 	}
-	return w.callers.Run(w.ctx, w.Plan.For)
+	return w.callers.Run(w.ctx, w.Plan.Duration)
 }
 
 // sleepUntil waits until a time after the start; false when the run ends before.
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -103,10 +103,10 @@
 func TestAFleetUnderFaultsKeepsItsWord(t *testing.T) {
 	t.Parallel()
 	r := play(t, short+faults, Options{})
-	if r.Bad() {
+	if r.Failed() {
 		t.Errorf("%v %v %v", r.Violations, r.Findings, r.Errors)
 	}
-	if r.Calls < 300 || r.Processes != 7 || r.MaxInUse < 0.5 || r.Counts < 500 || len(r.Faults) != 6 || r.Converged < 0 {
+	if r.Calls < 300 || r.Processes != 7 || r.MaxInUse < 0.5 || r.Counts < 500 || len(r.Faults) != 6 || r.ConvergedS < 0 {
 		t.Errorf("too little was seen to say so: %d calls, %+v, %d faults", r.Calls, r.Findings, len(r.Faults))
 	}
 	file := filepath.Join(t.TempDir(), "rig.svg")
@@ -120,7 +120,7 @@
 	t.Parallel()
 	for guard, found := range map[string]func(*Result) int{
 		lease.CheckReservations: func(r *Result) int { return r.Overspent },
-		count.CheckMerge:        func(r *Result) int { return r.OutOfBound },
+		count.CheckMerge:        func(r *Result) int { return r.OutOfBounds },
 		outlier.CheckObservers:  func(r *Result) int { return r.Unfounded },
 	} {
 		t.Run(guard, func(t *testing.T) {
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	a, b, c := p.drawFaults(7), p.drawFaults(7), p.drawFaults(8)
-	if len(a) < p.Random/2 || len(a) != len(b) || len(a) > 0 && a[0].At != b[0].At || len(c) == len(a) && c[0].For == a[0].For {
+	if len(a) < p.RandomFaults/2 || len(a) != len(b) || len(a) > 0 && a[0].At != b[0].At || len(c) == len(a) && c[0].Duration == a[0].Duration {
 		t.Errorf("%d, %d and %d faults", len(a), len(b), len(c))
 	}
 }
@@ -233,11 +233,11 @@
 		return p
 	}
 	for said, want := range map[[2]int64]int{{100, 0}: 0, {110, 0}: 0, {120, 0}: 1, {70, 0}: 1, {70, 1500}: 0} {
-		if f := checkClaims([]*process{counted("a", map[string]int64{"o/": said[0]}, said[1]), counted("b", nil, 0)}, r); f.OutOfBound != want {
+		if f := checkClaims([]*process{counted("a", map[string]int64{"o/": said[0]}, said[1]), counted("b", nil, 0)}, r); f.OutOfBounds != want {
 			t.Errorf("%v: %+v", said, f)
 		}
 	}
-	if f := checkClaims([]*process{counted("a", map[string]int64{"o/": 100, "least": 900}, 0), counted("b", nil, 0)}, r); f.OutOfBound == 0 {
+	if f := checkClaims([]*process{counted("a", map[string]int64{"o/": 100, "least": 900}, 0), counted("b", nil, 0)}, r); f.OutOfBounds == 0 {
 		t.Error("a least beyond all that was counted is not found")
 	}
 	judged := func(witnesses ...string) *process {
--- a/lab/rig/settings.go
+++ b/lab/rig/settings.go
@@ -11,7 +11,7 @@
 	p := w.Plan
 	var b strings.Builder
 	fmt.Fprintf(&b, "[goodput]\nenabled = true\n[state]\ndir = %q\nevery = \"1s\"\n[shares]\nenabled = %v\n", dir, p.Shares)
-	if w.Plain {
+	if w.WithoutPeers {
 		return b.String()
 	}
 	machine := fmt.Sprintf("m%d", k)
@@ -35,7 +35,7 @@
 	fmt.Fprintf(&b, "keepers = [%s]\n", strings.Join(voters, ", "))
 	fmt.Fprintf(&b, "term = %q\n", p.Term)
 	fmt.Fprintf(&b, "budgets = %v\n", p.Budgets)
-	fmt.Fprintf(&b, "judgements = %v\n", p.Judgements)
+	fmt.Fprintf(&b, "judgements = %v\n", p.DetectOutliers)
 	fmt.Fprintf(&b, "audit = %q\n", w.claimsFile(k))
 	if len(w.links) == 0 {
 		return b.String()
--- a/lab/rig/setup.go
+++ b/lab/rig/setup.go
@@ -35,8 +35,8 @@
 		return err
 	}
 	context.AfterFunc(w.ctx, func() { held.Close() })
-	w.params = processor.DrawParams(p.Planned, p.Servers, w.rng)
-	w.result.Refusal = float64(w.params.RefusalWait) / 1e6
+	w.params = processor.DrawParams(p.PlannedRate, p.Servers, w.rng)
+	w.result.RefusalPointMS = float64(w.params.RefusalWait) / 1e6
 	for k := range p.Instances {
 		w.names = append(w.names, fmt.Sprintf("n%d", k))
 	}
@@ -44,7 +44,7 @@
 		return err
 	}
 	addr := func(k int) string { return fmt.Sprintf("%s.%d.1:2908", network, k+1) }
-	if p.Instances <= maxLinkedInstances && !w.Plain {
+	if p.Instances <= maxLinkedInstances && !w.WithoutPeers {
 		if err := w.openLinks(network, addr); err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 // demand is the load that the callers offer.
 func demand(p *Plan) standin.Demand {
 	return standin.Demand{
-		Rate:      p.Load * p.Planned,
+		Rate:      p.LoadFactor * p.PlannedRate,
 		Class:     "open-log",
 		Tenants:   map[string]float64{"slaney-vines": 0.55, "barrow-estate": 0.33, "suir-growers": 0.12},
 		Aim:       1200 * time.Millisecond,
@@ -140,7 +140,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	site := host.Site{Instances: p.Instances, Servers: p.Servers, Planned: p.Planned}
+	site := host.Site{Instances: p.Instances, Servers: p.Servers, Planned: p.PlannedRate}
 	w.instances = append(w.instances, &host.Instance{
 		Name:     name,
 		Dir:      dir,
--- a/lab/rig/traffic.go
+++ b/lab/rig/traffic.go
@@ -2,7 +2,7 @@
 
 // measureTraffic finds when all members knew all after the last fault, and how much a member sends.
 func measureTraffic(f *Findings, all []*process, b bounds) {
-	f.Converged = 0
+	f.ConvergedS = 0
 	bytes, datagrams, measured := 0.0, 0.0, 0
 	for _, p := range all {
 		if len(p.snapshots) > 1 {
@@ -17,9 +17,9 @@
 		at := p.convergedAt(b)
 		switch {
 		case at < 0:
-			f.Converged = -1
-		case f.Converged >= 0:
-			f.Converged = max(f.Converged, float64(at-b.lastFaultEnd)/1e9)
+			f.ConvergedS = -1
+		case f.ConvergedS >= 0:
+			f.ConvergedS = max(f.ConvergedS, float64(at-b.lastFaultEnd)/1e9)
 		}
 	}
 	f.BytesPerSecond = bytes / float64(max(measured, 1))
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -188,7 +188,7 @@
 // sight looks at one member.
 func (m *Member) sight() MemberStatus {
 	st := m.peers.Status()
-	s := MemberStatus{Number: m.k, Name: st.Name, Received: st.Heard, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
+	s := MemberStatus{Number: m.k, Name: st.Name, Received: st.Received, Dropped: st.Dropped, Deaths: st.Deaths, Traffic: st.Traffic}
 	for _, one := range st.Members {
 		switch one.State {
 		case peers.Alive:
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -200,7 +200,7 @@
 	m.list.LoadInitial(p.Known)
 	m.ear = &ear{Shared: m.shared, without: s.OmitCheck, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
-		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, Do: m.core.TryRun, Reach: m.reach, Slow: s.ClockSlowdown})
+		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, TryRun: m.core.TryRun, Reachable: m.reach, ClockSlowdown: s.ClockSlowdown})
 	return m, err
 }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -162,7 +162,7 @@
 			all = append(all, l)
 			continue
 		}
-		l.sight = MemberStatus{Number: r.k, Name: r.Name, Received: s.Peers.Heard, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
+		l.sight = MemberStatus{Number: r.k, Name: r.Name, Received: s.Peers.Received, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
 		for _, m := range s.Peers.Members {
 			if m.State == "alive" || m.State == "suspect" {
 				l.sight.Alive++
--- a/lab/scale/steady.go
+++ b/lab/scale/steady.go
@@ -255,9 +255,9 @@
 	c.SentDatagrams += rate(func(t peers.Traffic) int64 { return t.SentDatagrams })
 	c.SentBytes += rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes })
 	c.SentStream += rate(func(t peers.Traffic) int64 { return t.SentStreamBytes })
-	c.ReceivedDatagrams += rate(func(t peers.Traffic) int64 { return t.GotDatagrams })
-	c.ReceivedBytes += rate(func(t peers.Traffic) int64 { return t.GotDatagramBytes })
-	c.ReceivedStream += rate(func(t peers.Traffic) int64 { return t.GotStreamBytes })
+	c.ReceivedDatagrams += rate(func(t peers.Traffic) int64 { return t.ReceivedDatagrams })
+	c.ReceivedBytes += rate(func(t peers.Traffic) int64 { return t.ReceivedDatagramBytes })
+	c.ReceivedStream += rate(func(t peers.Traffic) int64 { return t.ReceivedStreamBytes })
 	c.Dropped += float64(b.Dropped-a.Dropped) / seconds
 	c.MaxSentWire = max(c.MaxSentWire, rate(func(t peers.Traffic) int64 { return t.SentDatagramBytes + t.SentStreamBytes + headers*t.SentDatagrams }))
 }
