--- a/internal/peers/events.go
+++ b/internal/peers/events.go
@@ -58,7 +58,7 @@
 		return
 	}
 	p.recordChange(n.Name, state, reason)
-	if (state != Alive || reason == Restarted) && !p.ended {
+	if (state != Alive || reason == Restarted) && !p.stopping {
 		// Closing sockets may take time, and the library must not wait for it.
 		p.group.Go(func() error { p.sessions.closeMember(n.Name); return nil })
 	}
--- a/internal/peers/join.go
+++ b/internal/peers/join.go
@@ -17,9 +17,9 @@
 	rejoinInterval = 3 * time.Second
 	rejoinAttempts = 3
 	// firstRejoin is the first interval while no other member is found; it grows to rejoinInterval.
-	firstRejoin = 200 * time.Millisecond
+	initialRejoinInterval = 200 * time.Millisecond
 	// retention is for how long lost members are tried.
-	retention = time.Hour
+	lostRetention = time.Hour
 	// lostTries is how many members of a fleet try each lost member in a rejoinInterval: one that comes back exchanges the whole
 	// list of members with each of them. Where many are lost, as in a partition, no member tries more than rejoinAttempts.
 	lostTries = 16.0
@@ -38,17 +38,17 @@
 	rng := rand.New(rand.NewPCG(p.options.Epoch, 0x6a6f696e))
 	saved := p.loadMembers()
 	savedAt := time.Now()
-	settledAt := savedAt.Add(p.options.slowed(settlingTime))
+	settledAt := savedAt.Add(p.options.stretched(settlingTime))
 	interval := backoff.NewExponentialBackOff()
-	interval.InitialInterval, interval.MaxInterval = firstRejoin, rejoinInterval
+	interval.InitialInterval, interval.MaxInterval = initialRejoinInterval, rejoinInterval
 	for {
 		alive, lost := p.rejoinCandidates()
 		nameTaken := p.nameTaken()
 		known := addresses{lost: lost, seeds: p.options.Seeds, saved: saved}
 		if alive <= 1 || nameTaken {
-			p.join(ctx, known.any(rng))
+			p.join(ctx, known.sample(rng))
 		} else {
-			p.join(ctx, known.dueShare(rng, alive, time.Now().Before(settledAt)))
+			p.join(ctx, known.sampleShare(rng, alive, time.Now().Before(settledAt)))
 		}
 		if ctx.Err() != nil {
 			return
@@ -66,7 +66,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(p.options.slowed(wait)):
+		case <-time.After(p.options.stretched(wait)):
 		}
 		if nameTaken {
 			p.recheckName()
@@ -82,7 +82,7 @@
 }
 
 // any draws from all addresses: nobody else is heard.
-func (a addresses) any(rng *rand.Rand) []string {
+func (a addresses) sample(rng *rand.Rand) []string {
 	all := slices.Concat(a.lost, a.seeds, a.saved)
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), rejoinAttempts)]
@@ -90,17 +90,17 @@
 
 // dueShare draws what one of so many members that hear each other tries in a rejoinInterval. settling is for one that has
 // just started.
-func (a addresses) dueShare(rng *rand.Rand, alive int, settling bool) (tried []string) {
+func (a addresses) sampleShare(rng *rand.Rand, alive int, settling bool) (tried []string) {
 	due := min(lostTries*float64(len(a.lost))/float64(alive), rejoinAttempts)
 	attempts := int(due)
 	if rng.Float64() < due-float64(attempts) {
 		attempts++
 	}
-	tried = addresses{lost: a.lost}.any(rng)
+	tried = addresses{lost: a.lost}.sample(rng)
 	tried = tried[:min(len(tried), attempts)]
 	switch {
 	case settling && rng.Float64() < maxSeedShare:
-		tried = append(tried, addresses{seeds: a.seeds}.any(rng)...)
+		tried = append(tried, addresses{seeds: a.seeds}.sample(rng)...)
 	case !settling && len(a.seeds) > 0 && rng.Float64() < min(seedTries/float64(alive), maxSeedShare):
 		tried = append(tried, a.seeds[rng.IntN(len(a.seeds))])
 	}
@@ -115,7 +115,7 @@
 		switch {
 		case m.State == Alive:
 			alive++
-		case m.State == Gone && time.Since(m.Since) < retention:
+		case m.State == Gone && time.Since(m.Since) < lostRetention:
 			lost = append(lost, name+"/"+m.Addr)
 		}
 	}
--- a/internal/peers/join_test.go
+++ b/internal/peers/join_test.go
@@ -7,7 +7,7 @@
 )
 
 // However large the fleet, about as many of its members try the seeds, and each lost member, in a round.
-func TestTriesDoNotGrowWithTheFleet(t *testing.T) {
+func TestJoinAttemptsDoNotGrowWithFleet(t *testing.T) {
 	const rounds = 400
 	for _, alive := range []int{2, 4, 16, 64, 470, 940} {
 		for _, lost := range []int{0, 1, 12, 156} {
@@ -18,7 +18,7 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			seedTried, lostTried := 0, 0
 			for range rounds * alive {
-				for _, addr := range known.dueShare(rng, alive, false) {
+				for _, addr := range known.sampleShare(rng, alive, false) {
 					switch addr[0] {
 					case 's':
 						seedTried++
@@ -32,35 +32,35 @@
 			if perRound := float64(seedTried) / rounds; perRound > 1.3*seedTries || alive >= 4 && perRound < 0.7*seedTries || seedTried == 0 {
 				t.Errorf("%d members: %v tries of seeds a round", alive, perRound)
 			}
-			wanted := min(lostTries*float64(lost), float64(min(rejoinAttempts, lost)*alive))
-			if perRound := float64(lostTried) / rounds; perRound > 1.1*wanted || perRound < 0.9*wanted {
-				t.Errorf("%d members, %d lost: %v tries of lost members a round, wanted %v", alive, lost, perRound, wanted)
+			want := min(lostTries*float64(lost), float64(min(rejoinAttempts, lost)*alive))
+			if perRound := float64(lostTried) / rounds; perRound > 1.1*want || perRound < 0.9*want {
+				t.Errorf("%d members, %d lost: %v tries of lost members a round, wanted %v", alive, lost, perRound, want)
 			}
 		}
 	}
 }
 
 // A member that has just started tries the seeds as often as in a small fleet, for as long as that takes.
-func TestAYoungMemberTriesTheSeeds(t *testing.T) {
+func TestNewMemberTriesSeedsMoreOften(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	known := addresses{seeds: []string{"s1", "s2", "s3"}}
-	rounds, tries := 4000, 0
+	rounds, attempts := 4000, 0
 	for range rounds {
-		tries += len(known.dueShare(rng, 470, true))
+		attempts += len(known.sampleShare(rng, 470, true))
 	}
-	if perRound := float64(tries) / float64(rounds); perRound < 0.9*maxSeedShare*rejoinAttempts || perRound > 1.1*maxSeedShare*rejoinAttempts {
+	if perRound := float64(attempts) / float64(rounds); perRound < 0.9*maxSeedShare*rejoinAttempts || perRound > 1.1*maxSeedShare*rejoinAttempts {
 		t.Errorf("%v seeds a round", perRound)
 	}
 }
 
 // A member that hears nobody tries whatever it knows.
-func TestAloneEverythingIsTried(t *testing.T) {
+func TestAllAddressesAreSampledWhenAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	known := addresses{lost: []string{"l"}, seeds: []string{"s"}, saved: []string{"x"}}
-	if got := known.any(rng); len(got) != rejoinAttempts {
+	if got := known.sample(rng); len(got) != rejoinAttempts {
 		t.Error(got)
 	}
-	if got := (addresses{}).any(rng); len(got) != 0 {
+	if got := (addresses{}).sample(rng); len(got) != 0 {
 		t.Error(got)
 	}
 }
--- a/internal/peers/memberlist.go
+++ b/internal/peers/memberlist.go
@@ -20,7 +20,7 @@
 	c.Name = p.options.Name
 	c.Label = clusterLabel
 	c.Transport = p.transport
-	c.Keyring = p.ring
+	c.Keyring = p.keyring
 	c.GossipVerifyIncoming = true
 	c.GossipVerifyOutgoing = true
 
@@ -47,7 +47,7 @@
 	c.Conflict = callbacks
 	c.Alive = callbacks
 	c.Logger = stdlog.New(logWriter{p.log}, "", 0)
-	return p.options.slow(c)
+	return p.options.stretchConfig(c)
 }
 
 // logWriter passes the library's log lines on: its errors at level info, as they are no faults of this program, and the
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -27,7 +27,7 @@
 type Peers struct {
 	options   Options
 	log       *slog.Logger
-	ring      *memberlist.Keyring
+	keyring   *memberlist.Keyring
 	transport *transport
 	sessions  *sessionPool
 	inbound   chan envelope
@@ -44,7 +44,7 @@
 	changes     []Change
 	self        memberInfo
 	nameTakenBy string // the address of another process with this instance's name; empty: there is none
-	ended       bool   // Run waits for its last goroutines: events that the library still brings start no more
+	stopping    bool   // Run waits for its last goroutines: events that the library still brings start no more
 
 	received    atomic.Int64
 	dropped     atomic.Int64
@@ -59,7 +59,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	ring, err := memberlist.NewKeyring(o.Keys, o.Keys[0])
+	keyring, err := memberlist.NewKeyring(o.Keys, o.Keys[0])
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
@@ -70,7 +70,7 @@
 	p := &Peers{
 		options:   o,
 		log:       o.Log,
-		ring:      ring,
+		keyring:   keyring,
 		transport: t,
 		inbound:   make(chan envelope, inboundQueueSize),
 		outbound:  make(chan []envelope, outboundQueueSize),
@@ -86,14 +86,14 @@
 	}
 	p.sessions = &sessionPool{
 		name:     o.Name,
-		ring:     ring,
+		keyring:  keyring,
 		log:      o.Log,
 		handlers: o.Handlers,
 		dial:     p.dial,
 		byMember: map[string]*yamux.Session{},
 	}
 	t.handleStream = p.sessions.accept
-	t.reach = o.Reachable
+	t.reachable = o.Reachable
 	return p, nil
 }
 
@@ -137,6 +137,6 @@
 	p.saveMembers()
 	list.Shutdown()
 	p.mu.Lock()
-	p.ended = true
+	p.stopping = true
 	p.mu.Unlock()
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -20,59 +20,59 @@
 )
 
 // module is one that only keeps what it hears.
-type module struct {
-	mu    sync.Mutex
-	name  string
-	heard map[string]int
-	ticks int
-	tells bool
+type recordingModule struct {
+	mu       sync.Mutex
+	name     string
+	received map[string]int
+	ticks    int
+	sends    bool
 }
 
 // done counts what the module was called for.
-func (m *module) done() (ticks, heard int) {
+func (m *recordingModule) counts() (ticks, received int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, n := range m.heard {
-		heard += n
+	for _, n := range m.received {
+		received += n
 	}
-	return m.ticks, heard
+	return m.ticks, received
 }
 
-func (m *module) Tick(int64, int) []shared.Outgoing {
+func (m *recordingModule) Tick(int64, int) []shared.Outgoing {
 	m.mu.Lock()
 	m.ticks++
 	m.mu.Unlock()
-	if !m.tells {
+	if !m.sends {
 		return nil
 	}
 	return []shared.Outgoing{{Message: shared.Message{Count: &count.Message{From: count.Source{Name: m.name, Epoch: 1}, UptimeMS: 1}}}}
 }
 
-func (m *module) Receive(_ int64, msg shared.Message) []shared.Outgoing {
+func (m *recordingModule) Receive(_ int64, msg shared.Message) []shared.Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if msg.Count != nil {
-		m.heard[msg.Count.From.Name]++
+		m.received[msg.Count.From.Name]++
 	}
 	return nil
 }
 
-func (m *module) from() int {
+func (m *recordingModule) senderCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.heard)
+	return len(m.received)
 }
 
 type member struct {
 	*Peers
-	m   *module
-	end func()
+	module *recordingModule
+	stop   func()
 }
 
 var keyA, keyB = []byte("0123456789abcdef"), []byte("fedcba9876543210")
 
 // begin starts a member; its core does everything at once.
-func begin(t *testing.T, o Options) *member {
+func startMember(t *testing.T, o Options) *member {
 	t.Helper()
 	if o.Listen == "" {
 		o.Listen = "127.0.0.1:0"
@@ -83,9 +83,9 @@
 	if o.Epoch == 0 {
 		o.Epoch = rand.Uint64() | 1
 	}
-	m := &module{name: o.Name, heard: map[string]int{}, tells: true}
+	recorder := &recordingModule{name: o.Name, received: map[string]int{}, sends: true}
 	var mu sync.Mutex
-	o.Module, o.TryRun = m, func(f func(int64)) bool {
+	o.Module, o.TryRun = recorder, func(f func(int64)) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		f(time.Now().UnixNano())
@@ -99,7 +99,7 @@
 	done := make(chan error, 1)
 	go func() { done <- p.Run(ctx) }()
 	var once sync.Once
-	one := &member{p, m, func() {
+	started := &member{p, recorder, func() {
 		once.Do(func() {
 			cancel()
 			if err := <-done; err != nil {
@@ -107,44 +107,46 @@
 			}
 		})
 	}}
-	t.Cleanup(one.end)
-	return one
+	t.Cleanup(started.stop)
+	return started
 }
 
 // until waits for something to become true, long enough for a machine that has other things to do.
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("not in time: " + what)
 		}
 	}
 }
 
-func (m *member) sees(name, state string) bool {
-	for _, one := range m.Members() {
-		if one.Name == name {
-			return one.State == state
+func (m *member) hasMember(name, state string) bool {
+	for _, other := range m.Members() {
+		if other.Name == name {
+			return other.State == state
 		}
 	}
 	return false
 }
 
 func TestMembersFindEachOtherLeaveAndReturn(t *testing.T) {
-	a := begin(t, Options{Name: "a", Site: "cork", Machine: "m1"})
-	b := begin(t, Options{Name: "b", Site: "galway", Seeds: []string{a.Addr()}})
-	c := begin(t, Options{Name: "c", Seeds: []string{a.Addr()}})
-	until(t, "c and b meet", func() bool { return b.sees("c", Alive) && c.sees("b", Alive) && a.m.from() == 2 && b.m.from() == 2 })
+	a := startMember(t, Options{Name: "a", Site: "cork", Machine: "m1"})
+	b := startMember(t, Options{Name: "b", Site: "galway", Seeds: []string{a.Addr()}})
+	c := startMember(t, Options{Name: "c", Seeds: []string{a.Addr()}})
+	waitUntil(t, "c and b meet", func() bool {
+		return b.hasMember("c", Alive) && c.hasMember("b", Alive) && a.module.senderCount() == 2 && b.module.senderCount() == 2
+	})
 	for _, m := range b.Members() {
 		if m.Name == "a" && (m.Site != "cork" || m.Machine != "m1") {
 			t.Errorf("%+v", m)
 		}
 	}
-	c.end()
-	until(t, "c has left", func() bool { return a.sees("c", Left) && b.sees("c", Left) })
-	a.end() // the seed is gone: what is left goes on
-	begin(t, Options{Name: "c", Seeds: []string{b.Addr()}})
-	until(t, "a new process of c", func() bool { return b.sees("c", Alive) })
+	c.stop()
+	waitUntil(t, "c has left", func() bool { return a.hasMember("c", Left) && b.hasMember("c", Left) })
+	a.stop() // the seed is gone: what is left goes on
+	startMember(t, Options{Name: "c", Seeds: []string{b.Addr()}})
+	waitUntil(t, "a new process of c", func() bool { return b.hasMember("c", Alive) })
 	for _, m := range b.Members() {
 		if m.Name == "c" && m.Starts != 2 {
 			t.Errorf("%d starts of c", m.Starts)
@@ -159,44 +161,44 @@
 	}
 }
 
-func TestAMemberThatRemembersNeedsNoSeeds(t *testing.T) {
+func TestSavedMembersReplaceSeeds(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "members.json")
-	a := begin(t, Options{Name: "a"})
-	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}, MembersFile: file})
-	until(t, "they meet", func() bool { return a.sees("b", Alive) && b.sees("a", Alive) })
-	b.end()
+	a := startMember(t, Options{Name: "a"})
+	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}, MembersFile: file})
+	waitUntil(t, "they meet", func() bool { return a.hasMember("b", Alive) && b.hasMember("a", Alive) })
+	b.stop()
 	if err := os.WriteFile(file+".copy", []byte("]["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b = begin(t, Options{Name: "b", MembersFile: file})
-	until(t, "b comes back without a seed", func() bool { return b.sees("a", Alive) })
-	begin(t, Options{Name: "x", MembersFile: file + ".copy"}) // a spoilt file is no reason not to start
+	b = startMember(t, Options{Name: "b", MembersFile: file})
+	waitUntil(t, "b comes back without a seed", func() bool { return b.hasMember("a", Alive) })
+	startMember(t, Options{Name: "x", MembersFile: file + ".copy"}) // a spoilt file is no reason not to start
 }
 
-func TestTwoProcessesOfOneName(t *testing.T) {
-	a := begin(t, Options{Name: "a"})
-	first := begin(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
-	until(t, "the first is known", func() bool { return a.sees("twin", Alive) })
+func TestLaterProcessOfSameNameGivesWay(t *testing.T) {
+	a := startMember(t, Options{Name: "a"})
+	first := startMember(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
+	waitUntil(t, "the first is known", func() bool { return a.hasMember("twin", Alive) })
 	time.Sleep(5 * time.Millisecond) // its start is a millisecond's later at least
-	second := begin(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
-	until(t, "the second notices", func() bool { return second.Status().NameTakenBy == first.Addr() })
+	second := startMember(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
+	waitUntil(t, "the second notices", func() bool { return second.Status().NameTakenBy == first.Addr() })
 	if first.Status().NameTakenBy != "" {
 		t.Error("the first gives way, too")
 	}
 	time.Sleep(2 * tickInterval) // what was under way
-	ticks, heard := second.m.done()
+	ticks, received := second.module.counts()
 	time.Sleep(5 * tickInterval)
-	if t2, h2 := second.m.done(); t2 != ticks || h2 != heard {
+	if ticksNow, receivedNow := second.module.counts(); ticksNow != ticks || receivedNow != received {
 		t.Error("the second goes on to say and hear things")
 	}
-	first.end()
-	until(t, "the name is free", func() bool { return second.Status().NameTakenBy == "" && a.sees("twin", Alive) })
+	first.stop()
+	waitUntil(t, "the name is free", func() bool { return second.Status().NameTakenBy == "" && a.hasMember("twin", Alive) })
 }
 
-func TestKeysAreRotatedWhileHalfOfTheMembersHaveTheNewOne(t *testing.T) {
-	a := begin(t, Options{Name: "a"})
-	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	until(t, "they meet", func() bool { return a.m.from() == 1 && b.m.from() == 1 })
+func TestKeyRotationOneMemberAtATime(t *testing.T) {
+	a := startMember(t, Options{Name: "a"})
+	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
+	waitUntil(t, "they meet", func() bool { return a.module.senderCount() == 1 && b.module.senderCount() == 1 })
 	for _, keys := range [][][]byte{{keyA, keyB}, {keyB, keyA}, {keyB}} { // known, used, the only one
 		if err := b.SetKeys(keys); err != nil {
 			t.Fatal(err)
@@ -207,47 +209,47 @@
 		if err := a.SetKeys(keys[:2]); err != nil {
 			t.Fatal(err)
 		}
-		before := a.m.count("b")
-		until(t, "a hears b", func() bool { return a.m.count("b") > before+3 })
+		before := a.module.receivedFrom("b")
+		waitUntil(t, "a hears b", func() bool { return a.module.receivedFrom("b") > before+3 })
 	}
-	before, was := a.m.count("b"), b.m.count("a") // a seals with B already, and opens both
-	until(t, "they go on", func() bool { return a.m.count("b") > before+3 && b.m.count("a") > was+3 })
-	stranger := begin(t, Options{Name: "s", Seeds: []string{b.Addr()}, Keys: [][]byte{keyA}})
+	fromB, fromA := a.module.receivedFrom("b"), b.module.receivedFrom("a") // a seals with B already, and opens both
+	waitUntil(t, "they go on", func() bool { return a.module.receivedFrom("b") > fromB+3 && b.module.receivedFrom("a") > fromA+3 })
+	outsider := startMember(t, Options{Name: "s", Seeds: []string{b.Addr()}, Keys: [][]byte{keyA}})
 	time.Sleep(time.Second)
-	if stranger.m.from() > 0 || b.sees("s", Alive) {
+	if outsider.module.senderCount() > 0 || b.hasMember("s", Alive) {
 		t.Error("one without the key is a member")
 	}
 }
 
-func (m *module) count(from string) int {
+func (m *recordingModule) receivedFrom(from string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heard[from]
+	return m.received[from]
 }
 
-func TestGarbageAtThePortChangesNothing(t *testing.T) {
-	a := begin(t, Options{Name: "a"})
-	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	until(t, "they meet", func() bool { return a.m.from() == 1 })
+func TestGarbageIsIgnored(t *testing.T) {
+	a := startMember(t, Options{Name: "a"})
+	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
+	waitUntil(t, "they meet", func() bool { return a.module.senderCount() == 1 })
 	rng := rand.New(rand.NewPCG(1, 2))
 	u, err := net.Dial("udp", a.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer u.Close()
-	for n := range 2000 {
-		g := make([]byte, rng.IntN(2000))
-		for k := range g {
-			g[k] = byte(rng.Uint32())
+	for k := range 2000 {
+		garbage := make([]byte, rng.IntN(2000))
+		for i := range garbage {
+			garbage[i] = byte(rng.Uint32())
 		}
-		if n%100 == 0 {
-			g = make([]byte, 60_000) // as large as a datagram can be
+		if k%100 == 0 {
+			garbage = make([]byte, 60_000) // as large as a datagram can be
 		}
-		u.Write(g)
+		u.Write(garbage)
 	}
-	var all sync.WaitGroup
+	var connections sync.WaitGroup
 	for n := range 20 {
-		all.Go(func() {
+		connections.Go(func() {
 			c, err := net.Dial("tcp", a.Addr())
 			if err != nil {
 				t.Error(err)
@@ -273,18 +275,18 @@
 			c.Close()
 		})
 	}
-	all.Wait()
-	before := a.m.count("b")
-	until(t, "a still hears b", func() bool { return a.m.count("b") > before+3 })
-	if !b.sees("a", Alive) || len(a.Members()) != 2 {
+	connections.Wait()
+	before := a.module.receivedFrom("b")
+	waitUntil(t, "a still hears b", func() bool { return a.module.receivedFrom("b") > before+3 })
+	if !b.hasMember("a", Alive) || len(a.Members()) != 2 {
 		t.Errorf("%+v", a.Members())
 	}
 }
 
-func TestStreamsAreOrderedAndASlowPeerIsLetGo(t *testing.T) {
+func TestStreamsAreOrderedAndSlowPeerEndsStream(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
-	hold := make(chan struct{})
+	released := make(chan struct{})
 	handlers := map[string]Handler{
 		"take": func(_ context.Context, from string, c net.Conn) {
 			for {
@@ -299,16 +301,16 @@
 		},
 		"slow": func(ctx context.Context, _ string, _ net.Conn) {
 			select {
-			case <-hold:
+			case <-released:
 			case <-ctx.Done():
 			}
 		},
 	}
-	defer close(hold)
-	a := begin(t, Options{Name: "a", Handlers: handlers})
-	b := begin(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	until(t, "they meet", func() bool { return b.sees("a", Alive) })
-	slow, o := b.OpenOrdered("a", "slow"), b.OpenOrdered("a", "take")
+	defer close(released)
+	a := startMember(t, Options{Name: "a", Handlers: handlers})
+	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
+	waitUntil(t, "they meet", func() bool { return b.hasMember("a", Alive) })
+	slow, ordered := b.OpenOrdered("a", "slow"), b.OpenOrdered("a", "take")
 	big := make([]byte, MaxMessageSize)
 	var err error
 	for range 10_000 { // it never blocks, and ends
@@ -320,11 +322,11 @@
 		t.Errorf("the slow one: %v", err)
 	}
 	for n := range 500 {
-		if err := o.Put(fmt.Append(nil, n)); err != nil {
+		if err := ordered.Put(fmt.Append(nil, n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	until(t, "all have come", func() bool { mu.Lock(); defer mu.Unlock(); return len(got) == 500 })
+	waitUntil(t, "all have come", func() bool { mu.Lock(); defer mu.Unlock(); return len(got) == 500 })
 	for n, s := range got {
 		if s != fmt.Sprint("b", n) {
 			t.Fatalf("number %d is %q", n, s)
@@ -333,12 +335,12 @@
 	if _, err := b.Open(t.Context(), "nobody", "take"); !errors.Is(err, ErrNoMember) {
 		t.Errorf("%v", err)
 	}
-	a.end()
-	until(t, "the stream is over", func() bool { return o.Put(nil) != nil })
+	a.stop()
+	waitUntil(t, "the stream is over", func() bool { return ordered.Put(nil) != nil })
 }
 
 // What a process reads just after it stood still may have waited for it, and is no news.
-func TestWhatWaitedIsNoNews(t *testing.T) {
+func TestJustResumed(t *testing.T) {
 	p, err := New(Options{Name: "a", Listen: "127.0.0.1:0", Keys: [][]byte{keyA}, Epoch: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -346,11 +348,11 @@
 	defer p.transport.Shutdown()
 	now := time.Now()
 	for _, c := range []struct {
-		beat, woke time.Time
-		want       bool
+		lastTickAt, resumedAt time.Time
+		want                  bool
 	}{{now, now.Add(-time.Minute), false}, {now.Add(-2 * maxMessageAge), now.Add(-time.Minute), true}, {now, now, true}} {
-		p.lastTickAt.Store(c.beat.UnixNano())
-		p.resumedAt.Store(c.woke.UnixNano())
+		p.lastTickAt.Store(c.lastTickAt.UnixNano())
+		p.resumedAt.Store(c.resumedAt.UnixNano())
 		if p.justResumed() != c.want {
 			t.Errorf("%+v", c)
 		}
@@ -358,18 +360,18 @@
 }
 
 // What a connection carries can't be changed, nor begun without a key.
-func TestSealedRecords(t *testing.T) {
-	a := begin(t, Options{Name: "a", Handlers: map[string]Handler{}})
-	for _, change := range []func(b []byte){func(b []byte) { b[len(b)-1] ^= 1 }, func(b []byte) { b[0] = 0xff }} {
+func TestInvalidRecordsEndConnection(t *testing.T) {
+	a := startMember(t, Options{Name: "a", Handlers: map[string]Handler{}})
+	for _, tamper := range []func(b []byte){func(b []byte) { b[len(b)-1] ^= 1 }, func(b []byte) { b[0] = 0xff }} {
 		c, err := net.Dial("tcp", a.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := seal(c, a.ring, true)
+		s, err := seal(c, a.keyring, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Conn = &spoiler{c, change}
+		s.Conn = &tamperingConn{c, tamper}
 		writeText(s, "b")
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -379,19 +381,19 @@
 	}
 }
 
-type spoiler struct {
+type tamperingConn struct {
 	net.Conn
-	change func([]byte)
+	tamper func([]byte)
 }
 
-func (s *spoiler) Write(b []byte) (int, error) {
-	s.change(b)
+func (s *tamperingConn) Write(b []byte) (int, error) {
+	s.tamper(b)
 	return s.Conn.Write(b)
 }
 
 // A message of 200 bytes over an ordered stream, sealed, between two members.
 func BenchmarkOrdered(b *testing.B) {
-	ring := func() *memberlist.Keyring {
+	newKeyring := func() *memberlist.Keyring {
 		r, err := memberlist.NewKeyring([][]byte{keyA}, keyA)
 		if err != nil {
 			b.Fatal(err)
@@ -408,9 +410,9 @@
 		if err != nil {
 			return
 		}
-		var mark [1]byte
-		c.Read(mark[:])
-		s, err := seal(c, ring(), false)
+		var firstByte [1]byte
+		c.Read(firstByte[:])
+		s, err := seal(c, newKeyring(), false)
 		if err != nil {
 			return
 		}
@@ -418,16 +420,16 @@
 		if err != nil {
 			return
 		}
-		st, err := ses.Accept()
+		stream, err := ses.Accept()
 		for err == nil {
-			_, err = ReadMessage(st)
+			_, err = ReadMessage(stream)
 		}
 	}()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, err := seal(c, ring(), true)
+	s, err := seal(c, newKeyring(), true)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -436,14 +438,14 @@
 		b.Fatal(err)
 	}
 	defer ses.Close()
-	st, err := ses.Open()
+	stream, err := ses.Open()
 	if err != nil {
 		b.Fatal(err)
 	}
 	msg := make([]byte, 200)
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := WriteMessage(st, msg); err != nil {
+		if err := WriteMessage(stream, msg); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -37,7 +37,7 @@
 // all of them decrypt, so keys can change while a connection is open.
 type sealedConn struct {
 	net.Conn
-	ring *memberlist.Keyring
+	keyring *memberlist.Keyring
 
 	writeMu      sync.Mutex
 	sendBinding  []byte // the additional data, with room for the record's number
@@ -72,16 +72,16 @@
 }
 
 // seal exchanges salts with the other side, and makes a sealed connection.
-func seal(c net.Conn, ring *memberlist.Keyring, dialled bool) (*sealedConn, error) {
+func seal(c net.Conn, keyring *memberlist.Keyring, dialled bool) (*sealedConn, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer c.SetDeadline(time.Time{})
 	mine, theirs := make([]byte, saltSize), make([]byte, saltSize)
 	rand.Read(mine)
-	hello := mine
+	greeting := mine
 	if dialled {
-		hello = append([]byte{streamMark}, mine...)
+		greeting = append([]byte{streamMark}, mine...)
 	}
-	if _, err := c.Write(hello); err != nil {
+	if _, err := c.Write(greeting); err != nil {
 		return nil, err
 	}
 	if _, err := io.ReadFull(c, theirs); err != nil {
@@ -90,7 +90,7 @@
 	number := make([]byte, 8)
 	return &sealedConn{
 		Conn:           c,
-		ring:           ring,
+		keyring:        keyring,
 		sendBinding:    slices.Concat(mine, theirs, number),
 		receiveBinding: slices.Concat(theirs, mine, number),
 	}, nil
@@ -109,22 +109,22 @@
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	for len(b) > 0 {
-		part := b[:min(len(b), maxRecordSize)]
-		a, err := s.writeCiphers.get(s.ring.GetPrimaryKey())
+		chunk := b[:min(len(b), maxRecordSize)]
+		a, err := s.writeCiphers.get(s.keyring.GetPrimaryKey())
 		if err != nil {
 			return n, err
 		}
 		binary.BigEndian.PutUint64(s.sendBinding[2*saltSize:], s.sentRecords)
 		s.sentRecords++
-		record := make([]byte, 4+a.NonceSize(), 4+a.NonceSize()+len(part)+a.Overhead())
+		record := make([]byte, 4+a.NonceSize(), 4+a.NonceSize()+len(chunk)+a.Overhead())
 		rand.Read(record[4:])
-		record = a.Seal(record, record[4:], part, s.sendBinding)
+		record = a.Seal(record, record[4:], chunk, s.sendBinding)
 		binary.BigEndian.PutUint32(record, uint32(len(record)-4))
 		if _, err := s.Conn.Write(record); err != nil {
 			return n, err
 		}
-		n += len(part)
-		b = b[len(part):]
+		n += len(chunk)
+		b = b[len(chunk):]
 	}
 	return n, nil
 }
@@ -156,14 +156,14 @@
 		return err
 	}
 	binary.BigEndian.PutUint64(s.receiveBinding[2*saltSize:], s.receivedRecords)
-	for _, key := range s.ring.GetKeys() {
+	for _, key := range s.keyring.GetKeys() {
 		a, err := s.readCiphers.get(key)
 		if err != nil || len(record) < a.NonceSize()+a.Overhead() {
 			return errUnauthenticated
 		}
-		if text, err := a.Open(nil, record[:a.NonceSize()], record[a.NonceSize():], s.receiveBinding); err == nil {
+		if plaintext, err := a.Open(nil, record[:a.NonceSize()], record[a.NonceSize():], s.receiveBinding); err == nil {
 			s.receivedRecords++
-			s.unread = text
+			s.unread = plaintext
 			return nil
 		}
 	}
--- a/internal/peers/session.go
+++ b/internal/peers/session.go
@@ -40,7 +40,7 @@
 // session, each with a window of its own, so that a slow stream does not delay the others.
 type sessionPool struct {
 	name     string
-	ring     *memberlist.Keyring
+	keyring  *memberlist.Keyring
 	log      *slog.Logger
 	dial     func(ctx context.Context, name string) (net.Conn, error)
 	handlers map[string]Handler
@@ -70,7 +70,7 @@
 
 // accept takes a connection that another member has opened, and serves its session.
 func (pool *sessionPool) accept(c net.Conn) {
-	s, err := seal(c, pool.ring, false)
+	s, err := seal(c, pool.keyring, false)
 	if err != nil {
 		pool.log.Warn("peer stream refused", "reason", "greeting", "peer", c.RemoteAddr().String(), "err", err)
 		c.Close()
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := seal(c, pool.ring, true)
+	s, err := seal(c, pool.keyring, true)
 	if err == nil {
 		c.SetWriteDeadline(time.Now().Add(handshakeTimeout))
 		err = writeText(s, pool.name)
--- a/internal/peers/end_test.go
+++ b/internal/peers/shutdown_test.go
@@ -10,14 +10,14 @@
 
 // The library's goroutines outlive its Shutdown for a moment, and what they still bring must not start anything that Run no
 // longer waits for. The race detector sees it.
-func TestEventsAfterTheEndStartNothing(t *testing.T) {
-	a := begin(t, Options{Name: "a"})
-	until(t, "it runs", func() bool { return a.list.Load() != nil })
-	about, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
+func TestEventsAfterShutdownStartNoGoroutines(t *testing.T) {
+	a := startMember(t, Options{Name: "a"})
+	waitUntil(t, "it runs", func() bool { return a.list.Load() != nil })
+	meta, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &memberlist.Node{Name: "b", Meta: about}
+	n := &memberlist.Node{Name: "b", Meta: meta}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -28,26 +28,26 @@
 			time.Sleep(100 * time.Microsecond)
 		}
 	}()
-	a.end()
+	a.stop()
 	time.Sleep(20 * time.Millisecond)
 	cancel()
 	<-done
 }
 
 // A conflict of names is looked at while the member leaves. The race detector sees what is read without the lock.
-func TestAConflictWhileLeaving(t *testing.T) {
-	a := begin(t, Options{Name: "a"})
-	until(t, "it runs", func() bool { return a.list.Load() != nil })
-	about, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
+func TestNameConflictWhileLeaving(t *testing.T) {
+	a := startMember(t, Options{Name: "a"})
+	waitUntil(t, "it runs", func() bool { return a.list.Load() != nil })
+	meta, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, other := &memberlist.Node{Name: "a"}, &memberlist.Node{Name: "a", Meta: about}
+	known, other := &memberlist.Node{Name: "a"}, &memberlist.Node{Name: "a", Meta: meta}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		(*delegate)(a.Peers).NotifyConflict(known, other)
 	}()
-	a.end()
+	a.stop()
 	<-done
 }
--- a/internal/peers/slow.go
+++ b/internal/peers/slowdown.go
@@ -7,7 +7,7 @@
 )
 
 // slowed stretches a time by Options.Slow: a lab runs fleets that its machine could not hold at their own pace.
-func (o *Options) slowed(d time.Duration) time.Duration {
+func (o *Options) stretched(d time.Duration) time.Duration {
 	if o.ClockSlowdown <= 1 {
 		return d
 	}
@@ -15,10 +15,10 @@
 }
 
 // slow stretches all times of the membership library.
-func (o *Options) slow(c *memberlist.Config) *memberlist.Config {
+func (o *Options) stretchConfig(c *memberlist.Config) *memberlist.Config {
 	for _, d := range []*time.Duration{&c.ProbeInterval, &c.ProbeTimeout, &c.GossipInterval, &c.PushPullInterval, &c.TCPTimeout,
 		&c.GossipToTheDeadTime, &c.DeadNodeReclaimTime} {
-		*d = o.slowed(*d)
+		*d = o.stretched(*d)
 	}
 	return c
 }
--- a/internal/peers/tick.go
+++ b/internal/peers/tick.go
@@ -10,7 +10,7 @@
 
 // tickLoop has the module do what is due until ctx ends.
 func (p *Peers) tickLoop(ctx context.Context) {
-	ticker := time.NewTicker(p.options.slowed(tickInterval))
+	ticker := time.NewTicker(p.options.stretched(tickInterval))
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -23,38 +23,38 @@
 
 // meter counts a transport's traffic, beside the sent datagrams that the transport itself counts.
 type meter struct {
-	gotDatagrams, gotDatagramBytes atomic.Int64
-	sentStream, gotStream, streams atomic.Int64
-	deaths                         atomic.Int64 // of others, as this member took it
+	receivedDatagrams, receivedDatagramBytes      atomic.Int64
+	sentStreamBytes, receivedStreamBytes, streams atomic.Int64
+	deaths                                        atomic.Int64 // of others, as this member took it
 }
 
 // datagram counts one that was received.
-func (m *meter) datagram(n int) {
-	m.gotDatagrams.Add(1)
-	m.gotDatagramBytes.Add(int64(n))
+func (m *meter) countDatagram(n int) {
+	m.receivedDatagrams.Add(1)
+	m.receivedDatagramBytes.Add(int64(n))
 }
 
 // stream counts what goes over a connection from now on.
-func (m *meter) stream(c net.Conn) net.Conn {
+func (m *meter) countStream(c net.Conn) net.Conn {
 	m.streams.Add(1)
-	return &metered{c, m}
+	return &meteredConn{c, m}
 }
 
 // metered is a connection whose bytes are counted.
-type metered struct {
+type meteredConn struct {
 	net.Conn
-	m *meter
+	meter *meter
 }
 
-func (c *metered) Read(b []byte) (int, error) {
+func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.gotStream.Add(int64(n))
+	c.meter.receivedStreamBytes.Add(int64(n))
 	return n, err
 }
 
-func (c *metered) Write(b []byte) (int, error) {
+func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.sentStream.Add(int64(n))
+	c.meter.sentStreamBytes.Add(int64(n))
 	return n, err
 }
 
@@ -62,22 +62,22 @@
 func (p *Peers) Traffic() Traffic {
 	t := p.transport
 	return Traffic{SentDatagrams: t.sentPackets.Load(), SentDatagramBytes: t.sentBytes.Load(),
-		ReceivedDatagrams: t.meter.gotDatagrams.Load(), ReceivedDatagramBytes: t.meter.gotDatagramBytes.Load(),
-		SentStreamBytes: t.meter.sentStream.Load(), ReceivedStreamBytes: t.meter.gotStream.Load(), Streams: t.meter.streams.Load()}
+		ReceivedDatagrams: t.meter.receivedDatagrams.Load(), ReceivedDatagramBytes: t.meter.receivedDatagramBytes.Load(),
+		SentStreamBytes: t.meter.sentStreamBytes.Load(), ReceivedStreamBytes: t.meter.receivedStreamBytes.Load(), Streams: t.meter.streams.Load()}
 }
 
 // Reach tells whether an address can be reached now, and be heard from. A lab cuts networks by it; nil reaches all.
 type Reachable func(addr netip.AddrPort) bool
 
 // cut tells whether an address is out of reach.
-func (r Reachable) cut(addr netip.AddrPort) bool {
+func (r Reachable) blocks(addr netip.AddrPort) bool {
 	return r != nil && !r(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()))
 }
 
 // dial connects to a member. An address out of reach takes as long as a network that answers nothing.
 func (t *transport) dial(ctx context.Context, a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	addr := t.addressOf(a)
-	if to, err := netip.ParseAddrPort(addr); err == nil && t.reach.cut(to) {
+	if to, err := netip.ParseAddrPort(addr); err == nil && t.reachable.blocks(to) {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -91,5 +91,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.meter.stream(c), nil
+	return t.meter.countStream(c), nil
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -29,24 +29,24 @@
 
 // transport carries the membership library's datagrams and streams, and this package's own streams, over one address.
 type transport struct {
-	udp              *net.UDPConn
-	tcp              *net.TCPListener
-	addressOverrides map[string]string // of members, by name; they replace the advertised ones
-	packets          chan *memberlist.Packet
-	streams          chan net.Conn
-	handleStream     func(net.Conn) // takes this package's own streams, after streamMark
-	log              *slog.Logger
-	pending          atomic.Int32
-	dropped          atomic.Int64 // datagrams
-	sentPackets      atomic.Int64
-	sentBytes        atomic.Int64
-	meter            meter
-	reach            Reachable
+	udp           *net.UDPConn
+	tcp           *net.TCPListener
+	addrOverrides map[string]string // of members, by name; they replace the advertised ones
+	packets       chan *memberlist.Packet
+	streams       chan net.Conn
+	handleStream  func(net.Conn) // takes this package's own streams, after streamMark
+	log           *slog.Logger
+	pending       atomic.Int32
+	dropped       atomic.Int64 // datagrams
+	sentPackets   atomic.Int64
+	sentBytes     atomic.Int64
+	meter         meter
+	reachable     Reachable
 }
 
 // listen opens a transport. Port 0 stands for any port that is free for both TCP and UDP.
-func listen(addr string, via map[string]string, log *slog.Logger) (*transport, error) {
-	var last error
+func listen(addr string, addrOverrides map[string]string, log *slog.Logger) (*transport, error) {
+	var lastErr error
 	for range listenAttempts {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -55,18 +55,18 @@
 		u, err := net.ListenPacket("udp", l.Addr().String())
 		if err == nil {
 			return &transport{
-				udp:              u.(*net.UDPConn),
-				tcp:              l.(*net.TCPListener),
-				addressOverrides: via,
-				packets:          make(chan *memberlist.Packet, packetQueueSize),
-				streams:          make(chan net.Conn),
-				log:              log,
+				udp:           u.(*net.UDPConn),
+				tcp:           l.(*net.TCPListener),
+				addrOverrides: addrOverrides,
+				packets:       make(chan *memberlist.Packet, packetQueueSize),
+				streams:       make(chan net.Conn),
+				log:           log,
 			}, nil
 		}
 		l.Close()
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 func (t *transport) addr() *net.TCPAddr { return t.tcp.Addr().(*net.TCPAddr) }
@@ -85,7 +85,7 @@
 		t.acceptStreams(func(c net.Conn) {
 			g.Go(func() error {
 				defer t.pending.Add(-1)
-				t.dispatch(ctx, t.meter.stream(c))
+				t.dispatch(ctx, t.meter.countStream(c))
 				return nil
 			})
 		})
@@ -105,8 +105,8 @@
 		if err != nil || n < 1 {
 			continue
 		}
-		t.meter.datagram(n)
-		if t.reach.cut(from.AddrPort()) {
+		t.meter.countDatagram(n)
+		if t.reachable.blocks(from.AddrPort()) {
 			continue
 		}
 		select {
@@ -184,8 +184,8 @@
 
 // addressOf is the address at which a member is reached.
 func (t *transport) addressOf(a memberlist.Address) string {
-	if via := t.addressOverrides[a.Name]; via != "" {
-		return via
+	if override := t.addrOverrides[a.Name]; override != "" {
+		return override
 	}
 	return a.Addr
 }
@@ -219,7 +219,7 @@
 	}
 	t.sentBytes.Add(int64(len(b)))
 	t.sentPackets.Add(1)
-	if t.reach.cut(to.AddrPort()) {
+	if t.reachable.blocks(to.AddrPort()) {
 		return time.Now(), nil
 	}
 	_, err = t.udp.WriteToUDP(b, to)
--- a/lab/rig/counts.go
+++ b/lab/rig/counts.go
@@ -51,19 +51,19 @@
 func checkReadings(f *Findings, bySource processes, p *process, s *snapshot) {
 	for _, reading := range s.Counts {
 		f.Counts++
-		least, most, certain := countedInWindow(bySource, s, reading.Key)
-		if certain && reading.LowerBound > most {
-			f.report(&f.OutOfBounds, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, most)
+		lowest, highest, certain := countedInWindow(bySource, s, reading.Key)
+		if certain && reading.LowerBound > highest {
+			f.report(&f.OutOfBounds, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, highest)
 		}
-		if certain && reading.UpperBound < least {
-			f.report(&f.OutOfBounds, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, least)
+		if certain && reading.UpperBound < lowest {
+			f.report(&f.OutOfBounds, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, lowest)
 		}
 	}
 }
 
 // countedInWindow gives bounds of what the processes that a snapshot knows really counted in its window. It is not certain
 // if one of them left no snapshot of its own after it.
-func countedInWindow(bySource processes, s *snapshot, key string) (least, most int64, certain bool) {
+func countedInWindow(bySource processes, s *snapshot, key string) (lowest, highest int64, certain bool) {
 	certain = true
 	for _, known := range s.KnownCounts {
 		source := bySource[known.Source]
@@ -76,10 +76,10 @@
 		if !ok {
 			certain = false
 		}
-		least += max(beforeEnd-afterStart, 0)
-		most += afterEnd - beforeStart
+		lowest += max(beforeEnd-afterStart, 0)
+		highest += afterEnd - beforeStart
 	}
-	return least, most, certain
+	return lowest, highest, certain
 }
 
 // counted gives what a process had counted itself at its last snapshot before a time and at its first one after it. The
--- a/lab/rig/fault.go
+++ b/lab/rig/fault.go
@@ -13,25 +13,25 @@
 
 const (
 	// thawTime is how long a process that was paused gets before callers may expect answers.
-	thawTime = 500 * time.Millisecond
+	resumeTime = 500 * time.Millisecond
 	// leaveNotice is how long after a restart begins its callers notice that the instance leaves.
-	leaveNotice = 200 * time.Millisecond
+	leaveNoticeDelay = 200 * time.Millisecond
 	// firstCrash is when the first server crashes, if servers do.
-	firstCrash = 2 * time.Second
+	firstCrashAt = 2 * time.Second
 	// A server's start shows in an instance's list after minListDelay, and a random time up to listJitter more.
 	minListDelay = 200 * time.Millisecond
 	listJitter   = 800 * time.Millisecond
 )
 
 // playFault has one fault happen to its targets, and records it. Faults of links happen in driveLinks.
-func (w *run) playFault(f Fault) {
+func (w *run) runFault(f Fault) {
 	if !w.sleepUntil(f.At) {
 		return
 	}
 	from := time.Since(w.startedAt)
 	var targets sync.WaitGroup
 	for _, k := range f.Targets {
-		targets.Go(func() { w.strike(f, k) })
+		targets.Go(func() { w.applyFault(f, k) })
 	}
 	if f.Kind != "restart" {
 		w.sleepUntil(f.At + f.Duration)
@@ -46,7 +46,7 @@
 }
 
 // strike has a fault happen to one server or instance.
-func (w *run) strike(f Fault, k int) {
+func (w *run) applyFault(f Fault, k int) {
 	switch f.Kind {
 	case "silent":
 		w.servers[k].SetSilent(true)
@@ -88,7 +88,7 @@
 	i.Signal(syscall.SIGSTOP)
 	w.sleepUntil(f.At + f.Duration)
 	i.Signal(syscall.SIGCONT)
-	if w.sleepUntil(f.At + f.Duration + thawTime) {
+	if w.sleepUntil(f.At + f.Duration + resumeTime) {
 		w.callers.InstanceResumed(i.Name)
 	}
 }
@@ -105,7 +105,7 @@
 		w.sleepUntil(f.At + f.Duration/2)
 	}
 	if graceful {
-		time.AfterFunc(leaveNotice, func() { w.callers.RemoveInstance(i.Name) })
+		time.AfterFunc(leaveNoticeDelay, func() { w.callers.RemoveInstance(i.Name) })
 	} else {
 		w.callers.InstanceKilled(i.Name)
 	}
@@ -144,7 +144,7 @@
 // crashServers has servers crash and start anew, one after the other.
 func (w *run) crashServers() {
 	for n := 0; ; n++ {
-		if !w.sleepUntil(firstCrash + time.Duration(n)*w.Plan.CrashInterval) {
+		if !w.sleepUntil(firstCrashAt + time.Duration(n)*w.Plan.CrashInterval) {
 			return
 		}
 		k := n % w.Plan.Servers
@@ -158,7 +158,7 @@
 	defer w.mu.Unlock()
 	for n, name := range w.names {
 		delay := minListDelay + time.Duration(w.rng.Int64N(int64(listJitter)))
-		w.lists[n].AnnounceChange(standin.NewEntry(w.servers[k], name, "SERVING", startedAt), delay)
+		w.listServices[n].AnnounceChange(standin.NewEntry(w.servers[k], name, "SERVING", startedAt), delay)
 	}
 	w.coldServers = append(w.coldServers, w.servers[k].ID)
 }
--- a/lab/rig/findings.go
+++ b/lab/rig/findings.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // maxTexts bounds the texts of Findings.
-const maxTexts = 20
+const maxDescriptions = 20
 
 // Findings is what the checker found in the claims of all processes.
 type Findings struct {
@@ -32,7 +32,7 @@
 // report counts a wrong claim in one of the fields, and describes the first few.
 func (f *Findings) report(count *int, format string, args ...any) {
 	*count++
-	if len(f.Descriptions) < maxTexts {
+	if len(f.Descriptions) < maxDescriptions {
 		f.Descriptions = append(f.Descriptions, fmt.Sprintf(format, args...))
 	}
 }
--- a/lab/rig/network.go
+++ b/lab/rig/network.go
@@ -6,12 +6,12 @@
 )
 
 // driveInterval is how often the links are set by the faults of the moment.
-const driveInterval = 50 * time.Millisecond
+const linkUpdateInterval = 50 * time.Millisecond
 
 // driveLinks sets the links until the run ends, and records how late the rig itself runs.
-func (w *run) driveLinks() {
+func (w *run) updateLinks() {
 	for n := 1; ; n++ {
-		due := time.Duration(n) * driveInterval
+		due := time.Duration(n) * linkUpdateInterval
 		if !w.sleepUntil(due) {
 			return
 		}
@@ -31,20 +31,20 @@
 		if now < f.At || now >= f.At+f.Duration {
 			continue
 		}
-		fromHit, toHit := slices.Contains(f.Targets, from), slices.Contains(f.Targets, to)
+		fromAffected, toAffected := slices.Contains(f.Targets, from), slices.Contains(f.Targets, to)
 		switch f.Kind {
 		case "cut":
-			state.Cut = state.Cut || fromHit != toHit
+			state.Cut = state.Cut || fromAffected != toAffected
 		case "flap":
-			state.Cut = state.Cut || fromHit != toHit && now%time.Second < time.Second/2
+			state.Cut = state.Cut || fromAffected != toAffected && now%time.Second < time.Second/2
 		case "between":
-			state.Cut = state.Cut || fromHit && toHit
+			state.Cut = state.Cut || fromAffected && toAffected
 		case "oneway":
-			state.Cut = state.Cut || toHit && !fromHit
+			state.Cut = state.Cut || toAffected && !fromAffected
 		case "halfopen":
-			state.HalfOpen = state.HalfOpen || toHit
+			state.HalfOpen = state.HalfOpen || toAffected
 		case "noise":
-			if fromHit || toHit {
+			if fromAffected || toAffected {
 				state.addNoise(f)
 			}
 		}
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -20,9 +20,9 @@
 
 const (
 	// firstFault is when the first random fault begins.
-	firstFault = 3 * time.Second
+	firstRandomFaultAt = 3 * time.Second
 	// maxServerFault is how long a random fault of a server lasts at most.
-	maxServerFault = 4 * time.Second
+	maxServerFaultDuration = 4 * time.Second
 	// recoveryTime is how long after a random fault of a process no other one is drawn for it.
 	recoveryTime = 4 * time.Second
 )
@@ -143,11 +143,11 @@
 func (p *Plan) drawFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	all := slices.Clone(p.Faults)
-	span := p.Duration - p.QuietPeriod - firstFault
+	span := p.Duration - p.QuietPeriod - firstRandomFaultAt
 	busyUntil := map[int]time.Duration{} // of processes: each has one fault at a time
 	for n := range p.RandomFaults {
 		f := Fault{
-			At:       firstFault + span*time.Duration(n)/time.Duration(p.RandomFaults),
+			At:       firstRandomFaultAt + span*time.Duration(n)/time.Duration(p.RandomFaults),
 			Duration: time.Second + time.Duration(rng.Int64N(int64(9*time.Second))),
 		}
 		f.Duration = min(f.Duration, p.Duration-p.QuietPeriod-f.At)
@@ -177,7 +177,7 @@
 		f.BytesPerSecond = 20_000 + rng.IntN(100_000)
 	case "silent", "slow":
 		f.Targets = drawTargets(rng, p.Servers, 1)
-		f.Duration, f.Slowdown = min(f.Duration, maxServerFault), 2
+		f.Duration, f.Slowdown = min(f.Duration, maxServerFaultDuration), 2
 	default:
 		f.Targets = drawTargets(rng, p.Instances, 3)
 		f.Targets = slices.DeleteFunc(f.Targets, func(k int) bool { return busyUntil[k] > f.At })
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -53,8 +53,8 @@
 		r.CPUPerCall += float64(i.CPU().Microseconds()) / float64(max(r.Calls, 1))
 	}
 	for _, s := range w.servers {
-		longestWait, fallen, _, _ := s.Stats()
-		r.FellOver = r.FellOver || fallen
+		longestWait, fellOver, _, _ := s.Stats()
+		r.FellOver = r.FellOver || fellOver
 		if slices.Contains(w.coldServers, s.ID) {
 			r.MaxColdWaitMS = max(r.MaxColdWaitMS, float64(longestWait.Microseconds())/1000)
 		}
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -34,21 +34,21 @@
 // run is a run in progress.
 type run struct {
 	Options
-	ctx       context.Context
-	group     *errgroup.Group
-	rng       *rand.Rand
-	result    *Result
-	ledger    *check.Ledger
-	params    processor.Params
-	startedAt time.Time
-	names     []string
-	instances []*host.Instance
-	machines  map[string]string // by instance
-	lists     []*standin.ListService
-	servers   []*standin.Server
-	callers   *standin.CallerPool
-	links     map[[2]int]*link // by the numbers of the two instances
-	faults    []Fault
+	ctx          context.Context
+	group        *errgroup.Group
+	rng          *rand.Rand
+	result       *Result
+	ledger       *check.Ledger
+	params       processor.Params
+	startedAt    time.Time
+	names        []string
+	instances    []*host.Instance
+	machines     map[string]string // by instance
+	listServices []*standin.ListService
+	servers      []*standin.Server
+	callers      *standin.CallerPool
+	links        map[[2]int]*link // by the numbers of the two instances
+	faults       []Fault
 
 	mu           sync.Mutex
 	processEnds  map[string][]int64 // when the processes of an instance ended, in their order
@@ -67,7 +67,7 @@
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	w := newRun(ctx, g, o)
-	err := w.play()
+	err := w.runPlan()
 	end := time.Now()
 	for k, i := range w.instances {
 		i.Signal(syscall.SIGCONT)
@@ -101,7 +101,7 @@
 }
 
 // play sets everything up, and plays the calls and faults of the plan.
-func (w *run) play() error {
+func (w *run) runPlan() error {
 	if err := w.setUp(); err != nil {
 		return err
 	}
@@ -111,9 +111,9 @@
 	}
 	w.startedAt = time.Now()
 	w.lastFaultEnd = w.startedAt
-	w.group.Go(func() error { w.driveLinks(); return nil })
+	w.group.Go(func() error { w.updateLinks(); return nil })
 	for _, f := range w.faults {
-		w.group.Go(func() error { w.playFault(f); return nil })
+		w.group.Go(func() error { w.runFault(f); return nil })
 	}
 	if w.Plan.CrashInterval > 0 {
 		w.group.Go(func() error { w.crashServers(); return nil })
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -16,15 +16,15 @@
 )
 
 // program is the program under test, broken a build of it that can leave a guard out.
-var program, broken string
+var program, brokenProgram string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		panic(err)
 	}
-	program, broken = filepath.Join(dir, "masthill"), filepath.Join(dir, "broken")
-	for _, args := range [][]string{{"build", "-o", program, "masthill/cmd/masthill"}, {"build", "-tags", "broken", "-o", broken, "masthill/cmd/masthill"}} {
+	program, brokenProgram = filepath.Join(dir, "masthill"), filepath.Join(dir, "broken")
+	for _, args := range [][]string{{"build", "-o", program, "masthill/cmd/masthill"}, {"build", "-tags", "broken", "-o", brokenProgram, "masthill/cmd/masthill"}} {
 		if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 			os.Stderr.Write(out)
 			os.Exit(1)
@@ -35,7 +35,7 @@
 	os.Exit(code)
 }
 
-const short = `
+const shortPlan = `
 instances = 6
 servers = 3
 for = "16s"
@@ -47,7 +47,7 @@
 cold_every = "4s"
 `
 
-const faults = `
+const shortPlanFaults = `
 [[fault]]
 kind = "cut"
 at = "3s"
@@ -84,7 +84,7 @@
 jitter = "200ms"
 `
 
-func play(t *testing.T, text string, o Options) *Result {
+func runPlan(t *testing.T, text string, o Options) *Result {
 	t.Helper()
 	p, err := Parse("test", text)
 	if err != nil {
@@ -100,9 +100,9 @@
 	return r
 }
 
-func TestAFleetUnderFaultsKeepsItsWord(t *testing.T) {
+func TestFleetUnderFaultsHasNoFindings(t *testing.T) {
 	t.Parallel()
-	r := play(t, short+faults, Options{})
+	r := runPlan(t, shortPlan+shortPlanFaults, Options{})
 	if r.Failed() {
 		t.Errorf("%v %v %v", r.Violations, r.Findings, r.Errors)
 	}
@@ -116,32 +116,32 @@
 }
 
 // Each guard that is left out shows in the claims.
-func TestBrokenProgramsAreCaught(t *testing.T) {
+func TestOmittedChecksAreFound(t *testing.T) {
 	t.Parallel()
-	for guard, found := range map[string]func(*Result) int{
+	for omitted, findingCount := range map[string]func(*Result) int{
 		lease.CheckReservations: func(r *Result) int { return r.Overspent },
 		count.CheckMerge:        func(r *Result) int { return r.OutOfBounds },
 		outlier.CheckObservers:  func(r *Result) int { return r.Unfounded },
 	} {
-		t.Run(guard, func(t *testing.T) {
+		t.Run(omitted, func(t *testing.T) {
 			t.Parallel()
-			text := short
-			if guard == outlier.CheckObservers { // one that has its servers' answers late, for the others to hear of
+			text := shortPlan
+			if omitted == outlier.CheckObservers { // one that has its servers' answers late, for the others to hear of
 				// One such fault shows it or not, by whose calls come then, so there are four.
 				text = strings.Replace(text, `for = "16s"`, `for = "28s"`, 1)
-				for who, at := range []string{"3s", "9s", "15s", "21s"} {
-					text += fmt.Sprintf("[[fault]]\nkind = \"silent\"\nat = %q\nfor = \"3s\"\nwho = [%d]\n", at, who%3)
+				for k, at := range []string{"3s", "9s", "15s", "21s"} {
+					text += fmt.Sprintf("[[fault]]\nkind = \"silent\"\nat = %q\nfor = \"3s\"\nwho = [%d]\n", at, k%3)
 				}
 			}
-			r := play(t, text, Options{Program: broken, Env: []string{"MASTHILL_WITHOUT=" + guard}})
-			if found(r) == 0 {
+			r := runPlan(t, text, Options{Program: brokenProgram, Env: []string{"MASTHILL_WITHOUT=" + omitted}})
+			if findingCount(r) == 0 {
 				t.Errorf("nothing found: %+v", r.Findings)
 			}
 		})
 	}
 }
 
-func TestThePlansRead(t *testing.T) {
+func TestPlansAreReadAndChecked(t *testing.T) {
 	files, _ := filepath.Glob("plans/*.toml")
 	if len(files) < 4 {
 		t.Fatalf("%v", files)
@@ -172,8 +172,8 @@
 	}
 }
 
-func TestAProgramThatIsMissingIsAClearError(t *testing.T) {
-	p, err := Parse("x", short)
+func TestProgramThatDoesNotStartIsAnError(t *testing.T) {
+	p, err := Parse("x", shortPlan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,76 +190,76 @@
 }
 
 // The checker itself, on claims that are made up.
-func TestTheCheckerFindsWhatIsWrong(t *testing.T) {
-	at := func(s float64) int64 { return int64(s * 1e9) }
-	holds := func(from, until float64, rate int64) claim {
+func TestCheckClaims(t *testing.T) {
+	at := func(seconds float64) int64 { return int64(seconds * 1e9) }
+	newClaim := func(from, until float64, rate int64) claim {
 		return claim{at(from), lease.Claim{Budget: "b", Floor: 1000, Rate: rate, Until: at(until), Size: 10_000}}
 	}
-	fresh := func(name string, claims ...claim) *process {
+	newProcess := func(name string, claims ...claim) *process {
 		return &process{name: name, epoch: 1, to: math.MaxInt64, claims: claims}
 	}
-	r := bounds{instances: 2, servers: 8, machineOf: map[string]string{"a": "m1", "b": "m2", "c": "m1"}, maxDelay: 2e9, burst: 0.5, maxAvoidedShare: 0.25}
+	limits := bounds{instances: 2, servers: 8, machineOf: map[string]string{"a": "m1", "b": "m2", "c": "m1"}, maxDelay: 2e9, burst: 0.5, maxAvoidedShare: 0.25}
 	for _, c := range []struct {
-		what string
+		name string
 		all  []*process
 		want int
 	}{
-		{"within the pool", []*process{fresh("a", holds(1, 3, 4000)), fresh("b", holds(2, 4, 4000))}, 0},
-		{"one after the other", []*process{fresh("a", holds(1, 3, 8000)), fresh("b", holds(3, 5, 8000))}, 0},
-		{"cut down before", []*process{fresh("a", holds(1, 9, 8000), holds(2, 9, 2000)), fresh("b", holds(3, 5, 6000))}, 0},
-		{"both", []*process{fresh("a", holds(1, 3, 8000)), fresh("b", holds(2.9, 5, 1000))}, 1},
-		{"renewed over its end", []*process{fresh("a", holds(1, 3, 8000), holds(2, 4, 8000)), fresh("b", holds(3.5, 5, 1000))}, 1},
+		{"within the pool", []*process{newProcess("a", newClaim(1, 3, 4000)), newProcess("b", newClaim(2, 4, 4000))}, 0},
+		{"one after the other", []*process{newProcess("a", newClaim(1, 3, 8000)), newProcess("b", newClaim(3, 5, 8000))}, 0},
+		{"cut down before", []*process{newProcess("a", newClaim(1, 9, 8000), newClaim(2, 9, 2000)), newProcess("b", newClaim(3, 5, 6000))}, 0},
+		{"both", []*process{newProcess("a", newClaim(1, 3, 8000)), newProcess("b", newClaim(2.9, 5, 1000))}, 1},
+		{"renewed over its end", []*process{newProcess("a", newClaim(1, 3, 8000), newClaim(2, 4, 8000)), newProcess("b", newClaim(3.5, 5, 1000))}, 1},
 	} {
-		if f := checkClaims(c.all, r); f.Overspent != c.want {
-			t.Errorf("%s: %+v", c.what, f)
+		if f := checkClaims(c.all, limits); f.Overspent != c.want {
+			t.Errorf("%s: %+v", c.name, f)
 		}
 	}
-	killed := fresh("a", holds(1, 9, 8000))
+	killed := newProcess("a", newClaim(1, 9, 8000))
 	killed.to = at(2)
-	if f := checkClaims([]*process{killed, fresh("b", holds(3, 5, 8000))}, r); f.Overspent != 0 {
+	if f := checkClaims([]*process{killed, newProcess("b", newClaim(3, 5, 8000))}, limits); f.Overspent != 0 {
 		t.Errorf("a dead one is taken to use its part: %+v", f)
 	}
-	counted := func(name string, said map[string]int64, age int64) *process {
-		p := fresh(name)
+	newCounting := func(name string, reported map[string]int64, age int64) *process {
+		p := newProcess(name)
 		for n := range 12 {
-			k := snapshot{at: at(float64(n)), alive: 2}
-			k.KnownCounts = []count.KnownCounts{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
-			if said != nil && n == 10 {
-				k.KnownCounts = append(k.KnownCounts, count.KnownCounts{Source: count.Source{Name: "b", Epoch: 1}, Counts: said, AgeMS: age})
-				k.Look.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: said["least"], UpperBound: 1000}}}
+			s := snapshot{at: at(float64(n)), alive: 2}
+			s.KnownCounts = []count.KnownCounts{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
+			if reported != nil && n == 10 {
+				s.KnownCounts = append(s.KnownCounts, count.KnownCounts{Source: count.Source{Name: "b", Epoch: 1}, Counts: reported, AgeMS: age})
+				s.Look.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: reported["least"], UpperBound: 1000}}}
 			}
-			p.snapshots = append(p.snapshots, k)
+			p.snapshots = append(p.snapshots, s)
 		}
 		return p
 	}
-	for said, want := range map[[2]int64]int{{100, 0}: 0, {110, 0}: 0, {120, 0}: 1, {70, 0}: 1, {70, 1500}: 0} {
-		if f := checkClaims([]*process{counted("a", map[string]int64{"o/": said[0]}, said[1]), counted("b", nil, 0)}, r); f.OutOfBounds != want {
-			t.Errorf("%v: %+v", said, f)
+	for reported, want := range map[[2]int64]int{{100, 0}: 0, {110, 0}: 0, {120, 0}: 1, {70, 0}: 1, {70, 1500}: 0} {
+		if f := checkClaims([]*process{newCounting("a", map[string]int64{"o/": reported[0]}, reported[1]), newCounting("b", nil, 0)}, limits); f.OutOfBounds != want {
+			t.Errorf("%v: %+v", reported, f)
 		}
 	}
-	if f := checkClaims([]*process{counted("a", map[string]int64{"o/": 100, "least": 900}, 0), counted("b", nil, 0)}, r); f.OutOfBounds == 0 {
+	if f := checkClaims([]*process{newCounting("a", map[string]int64{"o/": 100, "least": 900}, 0), newCounting("b", nil, 0)}, limits); f.OutOfBounds == 0 {
 		t.Error("a least beyond all that was counted is not found")
 	}
-	judged := func(witnesses ...string) *process {
-		p := fresh("a")
-		p.decisions = []outlier.Decision{{Server: 1, Avoided: true, Observers: witnesses}}
+	newDeciding := func(observers ...string) *process {
+		p := newProcess("a")
+		p.decisions = []outlier.Decision{{Server: 1, Avoided: true, Observers: observers}}
 		return p
 	}
-	if f := checkClaims([]*process{judged("a", "b")}, r); f.Unfounded != 0 || f.Decisions != 1 {
+	if f := checkClaims([]*process{newDeciding("a", "b")}, limits); f.Unfounded != 0 || f.Decisions != 1 {
 		t.Errorf("%+v", f)
 	}
-	if f := checkClaims([]*process{judged("a", "c")}, r); f.Unfounded != 1 {
+	if f := checkClaims([]*process{newDeciding("a", "c")}, limits); f.Unfounded != 1 {
 		t.Errorf("two instances on one machine pass for two witnesses: %+v", f)
 	}
-	rival := func(name string, from, until float64) *process {
-		p := fresh(name)
+	newLeader := func(name string, from, until float64) *process {
+		p := newProcess(name)
 		p.leaderTerms = [][2]int64{{at(from), at(until)}}
 		return p
 	}
-	if f := checkClaims([]*process{rival("a", 1, 3), rival("b", 3, 5)}, r); f.ConcurrentLeaders != 0 {
+	if f := checkClaims([]*process{newLeader("a", 1, 3), newLeader("b", 3, 5)}, limits); f.ConcurrentLeaders != 0 {
 		t.Errorf("%+v", f)
 	}
-	if f := checkClaims([]*process{rival("a", 1, 3), rival("b", 2.9, 5)}, r); f.ConcurrentLeaders != 1 {
+	if f := checkClaims([]*process{newLeader("a", 1, 3), newLeader("b", 2.9, 5)}, limits); f.ConcurrentLeaders != 1 {
 		t.Errorf("two allocators at once are not found: %+v", f)
 	}
 }
--- a/lab/rig/setup.go
+++ b/lab/rig/setup.go
@@ -30,11 +30,11 @@
 // setUp prepares everything but the instances' processes.
 func (w *run) setUp() error {
 	p := w.Plan
-	network, held, err := reserveNetwork(w.Seed)
+	network, reservation, err := reserveNetwork(w.Seed)
 	if err != nil {
 		return err
 	}
-	context.AfterFunc(w.ctx, func() { held.Close() })
+	context.AfterFunc(w.ctx, func() { reservation.Close() })
 	w.params = processor.DrawParams(p.PlannedRate, p.Servers, w.rng)
 	w.result.RefusalPointMS = float64(w.params.RefusalWait) / 1e6
 	for k := range p.Instances {
@@ -61,11 +61,11 @@
 
 // reserveNetwork finds a loopback network that no other rig uses, in which each instance gets an address of its own. The
 // network belongs to this rig until the listener is closed.
-func reserveNetwork(seed uint64) (network string, held net.Listener, err error) {
+func reserveNetwork(seed uint64) (network string, reservation net.Listener, err error) {
 	for n := range uint64(100) {
 		network = fmt.Sprintf("127.%d", 20+(seed+n*7)%100)
-		if held, err = net.Listen("tcp", network+".255.1:2908"); err == nil {
-			return network, held, nil
+		if reservation, err = net.Listen("tcp", network+".255.1:2908"); err == nil {
+			return network, reservation, nil
 		}
 	}
 	return "", nil, err
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	w.lists = append(w.lists, list)
+	w.listServices = append(w.listServices, list)
 	w.group.Go(func() error { return list.Run(w.ctx) })
 	dir := filepath.Join(w.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -165,7 +165,7 @@
 // startInstance starts the process of an instance, and sends it calls once it is ready.
 func (w *run) startInstance(k int) error {
 	i := w.instances[k]
-	addr, err := i.Start(w.ctx, w.lists[k].KnownList())
+	addr, err := i.Start(w.ctx, w.listServices[k].KnownList())
 	if err != nil {
 		return err
 	}
