--- a/internal/peers/broadcast.go
+++ b/internal/peers/broadcast.go
@@ -12,7 +12,7 @@
 // outboundQueueSize bounds the batches of messages that wait to be sent.
 const outboundQueueSize = 2048
 
-// envelope is an encoded message on its way to or from the module.
+// envelope is an encoded message that waits to be sent or to be handed to the module.
 type envelope struct {
 	to        string // the receiver; empty: all members
 	payload   []byte
@@ -51,7 +51,7 @@
 	}
 }
 
-// sendBatch sends each message as a datagram to its receiver, or to all members. Messages that waited for too long are
+// sendBatch sends each message as a datagram to its receiver, or to all members. Messages older than maxMessageAge are
 // dropped.
 func (p *Peers) sendBatch(batch []envelope) {
 	peers := p.peerAddresses()
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -19,4 +19,5 @@
 	return b, err
 }
 
+// decode decodes a message into v, which is a pointer.
 func decode(b []byte, v any) error { return codec.NewDecoderBytes(b, handle).Decode(v) }
--- a/internal/peers/delegate.go
+++ b/internal/peers/delegate.go
@@ -7,10 +7,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate has the callbacks of the membership library. None of them may block.
+// delegate implements the callbacks of the membership library. None of them may block.
 type delegate Peers
 
-// NodeMeta implements memberlist.Delegate: what this member publishes about itself.
+// NodeMeta implements memberlist.Delegate. It returns the metadata that this member publishes about itself.
 func (d *delegate) NodeMeta(int) []byte {
 	d.mu.Lock()
 	info := d.self
@@ -19,7 +19,7 @@
 	return b
 }
 
-// NotifyMsg implements memberlist.Delegate: a message of another member.
+// NotifyMsg implements memberlist.Delegate. It queues a message of another member.
 func (d *delegate) NotifyMsg(b []byte) {
 	d.received.Add(1)
 	select {
@@ -38,11 +38,11 @@
 // MergeRemoteState implements memberlist.Delegate.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// NotifyAlive implements memberlist.AliveDelegate: it rejects nodes that are no instances of this program.
+// NotifyAlive implements memberlist.AliveDelegate: it rejects nodes that are not instances of this program.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	var info memberInfo
 	if err := decode(n.Meta, &info); err != nil || info.Epoch == 0 || len(n.Name) > MaxNameLength {
-		return errors.New("no member's description")
+		return errors.New("node metadata is missing, invalid or has no epoch, or the name is too long")
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 func (d *delegate) NotifyLeave(n *memberlist.Node) { (*Peers)(d).memberChanged(n, Gone) }
 
 // NotifyConflict implements memberlist.ConflictDelegate: two processes use the same name. The one that started later gives
-// way. It sends nothing and takes part in no decision until the name is free.
+// way: it sends nothing and takes no part in decisions until the name is free.
 func (d *delegate) NotifyConflict(known, other *memberlist.Node) {
 	p := (*Peers)(d)
 	var info memberInfo
--- a/internal/peers/events.go
+++ b/internal/peers/events.go
@@ -8,11 +8,11 @@
 
 const (
 	maxMembers     = 1024
-	maxLostMembers = 1024 // that are remembered after they have left or gone
-	maxChanges     = 64   // that are kept for operators
+	maxLostMembers = 1024 // members that have left or gone and are still listed
+	maxChanges     = 64   // recent state changes that are kept for operators
 )
 
-// memberChanged takes an event of the membership library: a member is alive with the published metadata, or gone.
+// memberChanged handles an event of the membership library: a member is alive with the published metadata, or gone.
 func (p *Peers) memberChanged(n *memberlist.Node, state string) {
 	var info memberInfo
 	if decode(n.Meta, &info) != nil {
@@ -64,10 +64,10 @@
 	}
 }
 
-// unchanged is the reason code of an event that changes no state; it is never shown.
+// unchanged stands for the reason code of an event that changes no state. It is never logged.
 const unchanged = ""
 
-// changeReason tells why a member's state changes.
+// changeReason returns the reason code of a change of a member's state.
 func changeReason(before, now *Member) string {
 	switch {
 	case before == nil:
@@ -92,7 +92,7 @@
 	}
 }
 
-// evictOldestLost forgets the member that has not been alive for the longest time. The caller holds the lock.
+// evictOldestLost removes the member that has not been alive for the longest time. The caller holds the lock.
 func (p *Peers) evictOldestLost() {
 	oldest := ""
 	for name, m := range p.members {
--- a/internal/peers/join.go
+++ b/internal/peers/join.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// rejoinInterval is how often rejoinAttempts of the lost members and seeds are tried: after a partition its sides do not
-	// find each other by themselves.
+	// rejoinInterval is how often up to rejoinAttempts of the lost members and seeds are tried. The sides of a partition do not
+	// find each other again by themselves.
 	rejoinInterval = 3 * time.Second
 	rejoinAttempts = 3
-	// firstRejoin is the first interval while no other member is found; it grows to rejoinInterval.
+	// initialRejoinInterval is the first interval while no other member is found; it grows to rejoinInterval.
 	initialRejoinInterval = 200 * time.Millisecond
-	// retention is for how long lost members are tried.
+	// lostRetention is how long lost members are tried.
 	lostRetention = time.Hour
-	// lostTries is how many members of a fleet try each lost member in a rejoinInterval: one that comes back exchanges the whole
-	// list of members with each of them. Where many are lost, as in a partition, no member tries more than rejoinAttempts.
+	// lostTries is how many members of a fleet try each lost member in a rejoinInterval. It is bounded because a member that
+	// returns exchanges the whole list of members with each of them. Where many are lost, as in a partition, no member tries
+	// more than rejoinAttempts.
 	lostTries = 16.0
-	// seedTries is how many members of a fleet try one of the seeds in a rejoinInterval, for two fleets that never met. One
-	// that succeeds is enough for all. maxSeedShare bounds the part of a small fleet that does.
+	// seedTries is how many members of a fleet try one of the seeds in a rejoinInterval, so that two fleets that never
+	// connected find each other. One success is enough for all. maxSeedShare bounds the share of a small fleet that tries.
 	seedTries    = 0.5
 	maxSeedShare = 1.0 / 8
-	// settlingTime is how long after its start a member tries the seeds more often, in the share of a small fleet: in a fleet
-	// that starts, or restarts, whole lists are exchanged until gossip has caught up.
+	// settlingTime is how long after its start a member tries the seeds with probability maxSeedShare, whatever the size of
+	// the fleet: while a fleet starts or restarts, members exchange whole lists until gossip has caught up.
 	settlingTime = 30 * time.Second
 )
 
-// joinLoop looks for other members until ctx ends: first by the seeds and the saved addresses, and again while there are
-// lost members or no others.
+// joinLoop looks for other members until ctx ends. While no other member is known it tries all addresses that it has;
+// afterwards it tries its share of the lost members and the seeds.
 func (p *Peers) joinLoop(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(p.options.Epoch, 0x6a6f696e))
 	saved := p.loadMembers()
@@ -74,22 +75,22 @@
 	}
 }
 
-// addresses are those by which other members may be found.
+// addresses are those at which other members may be found.
 type addresses struct {
 	lost  []string // members that were lost recently
 	seeds []string
-	saved []string // members of the process before
+	saved []string // members that were saved by the previous process
 }
 
-// any draws from all addresses: nobody else is heard.
+// sample draws at most rejoinAttempts of all addresses, for a member that knows no other.
 func (a addresses) sample(rng *rand.Rand) []string {
 	all := slices.Concat(a.lost, a.seeds, a.saved)
 	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(len(all), rejoinAttempts)]
 }
 
-// dueShare draws what one of so many members that hear each other tries in a rejoinInterval. settling is for one that has
-// just started.
+// sampleShare draws the addresses that one member of a fleet with so many alive members tries in a rejoinInterval. settling
+// tells whether the member has just started.
 func (a addresses) sampleShare(rng *rand.Rand, alive int, settling bool) (tried []string) {
 	due := min(lostTries*float64(len(a.lost))/float64(alive), rejoinAttempts)
 	attempts := int(due)
@@ -107,7 +108,7 @@
 	return tried
 }
 
-// rejoinCandidates counts the members that are alive, this one too, and lists those that were lost recently.
+// rejoinCandidates counts the members that are alive, including this one, and lists those that were lost recently.
 func (p *Peers) rejoinCandidates() (alive int, lost []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +124,7 @@
 	return alive, lost
 }
 
-// join tries addresses one after the other. What comes of it is seen in the members.
+// join tries addresses one after the other. Success shows in the list of members.
 func (p *Peers) join(ctx context.Context, addrs []string) {
 	for _, addr := range addrs {
 		if ctx.Err() != nil {
@@ -135,7 +136,7 @@
 	}
 }
 
-// isOther tells whether an address, with or without a name, is not this instance's own.
+// isOther tells whether an address, with or without a name, is that of another instance.
 func (p *Peers) isOther(addr string) bool {
 	if _, bare, ok := strings.Cut(addr, "/"); ok {
 		addr = bare
--- a/internal/peers/join_test.go
+++ b/internal/peers/join_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// However large the fleet, about as many of its members try the seeds, and each lost member, in a round.
+// The number of attempts to join a seed, or a lost member, in a round must not grow with the fleet.
 func TestJoinAttemptsDoNotGrowWithFleet(t *testing.T) {
 	const rounds = 400
 	for _, alive := range []int{2, 4, 16, 64, 470, 940} {
@@ -25,22 +25,22 @@
 					case 'l':
 						lostTried++
 					default:
-						t.Fatalf("%q is tried", addr)
+						t.Fatalf("unexpected address %q", addr)
 					}
 				}
 			}
 			if perRound := float64(seedTried) / rounds; perRound > 1.3*seedTries || alive >= 4 && perRound < 0.7*seedTries || seedTried == 0 {
-				t.Errorf("%d members: %v tries of seeds a round", alive, perRound)
+				t.Errorf("%d members: %v attempts to join seeds per round", alive, perRound)
 			}
 			want := min(lostTries*float64(lost), float64(min(rejoinAttempts, lost)*alive))
 			if perRound := float64(lostTried) / rounds; perRound > 1.1*want || perRound < 0.9*want {
-				t.Errorf("%d members, %d lost: %v tries of lost members a round, wanted %v", alive, lost, perRound, want)
+				t.Errorf("%d members, %d lost: got %v attempts to join lost members per round, want %v", alive, lost, perRound, want)
 			}
 		}
 	}
 }
 
-// A member that has just started tries the seeds as often as in a small fleet, for as long as that takes.
+// A member that has just started tries the seeds as often as in a small fleet, however large its fleet is.
 func TestNewMemberTriesSeedsMoreOften(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	known := addresses{seeds: []string{"s1", "s2", "s3"}}
@@ -49,11 +49,11 @@
 		attempts += len(known.sampleShare(rng, 470, true))
 	}
 	if perRound := float64(attempts) / float64(rounds); perRound < 0.9*maxSeedShare*rejoinAttempts || perRound > 1.1*maxSeedShare*rejoinAttempts {
-		t.Errorf("%v seeds a round", perRound)
+		t.Errorf("%v attempts to join seeds per round", perRound)
 	}
 }
 
-// A member that hears nobody tries whatever it knows.
+// A member that knows no other draws from all addresses that it has.
 func TestAllAddressesAreSampledWhenAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	known := addresses{lost: []string{"l"}, seeds: []string{"s"}, saved: []string{"x"}}
--- a/internal/peers/keyring.go
+++ b/internal/peers/keyring.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Keys replaces the encryption keys while the fleet runs: from now on the first one encrypts, and all of them decrypt.
+// SetKeys replaces the encryption keys while the fleet runs. From then on the first one encrypts, and all of them decrypt.
 func (p *Peers) SetKeys(keys [][]byte) error {
 	for _, key := range keys {
 		if err := p.keyring.AddKey(key); err != nil {
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// suspectTimeout is how long an alive member may be silent. Members broadcast their counts twice a second in a fleet of
-	// fullRateMembers at most, and less often in larger ones.
+	// suspectTimeout is how long an alive member may be silent before it is suspect. Members broadcast their counts twice a
+	// second in a fleet of at most fullRateMembers, and less often in larger ones, where the timeout grows too.
 	suspectTimeout  = 3 * time.Second
 	fullRateMembers = 64
 )
@@ -24,13 +24,13 @@
 // Reason codes of changes.
 const (
 	Joined    = "joined"
-	Returned  = "returned"   // the same process is back after it had left or gone
+	Returned  = "returned"   // the same process is alive again after it had left or gone
 	Restarted = "restarted"  // a new process of the same name
 	NameTaken = "name-taken" // another process uses this instance's name
 	NameFree  = "name-free"
 )
 
-// Member is an instance as this one sees it.
+// Member is an instance of the fleet, as this instance sees it.
 type Member struct {
 	Name      string    `json:"name"`
 	Addr      string    `json:"addr"`
@@ -41,7 +41,7 @@
 	Version   string    `json:"version"`
 	State     string    `json:"state"`
 	Since     time.Time `json:"since"`
-	Starts    int       `json:"starts"` // processes of it that have been seen
+	Starts    int       `json:"starts"` // number of its processes that have been seen
 	Self      bool      `json:"self,omitempty"`
 }
 
@@ -63,7 +63,7 @@
 	Leaving   bool   `codec:"l"` // the library's events do not tell a member that leaves from one that dies
 }
 
-// Members lists all known members by name, those that have left or gone too.
+// Members lists all known members in the order of their names, including those that have left or gone.
 func (p *Peers) Members() (all []Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/memberlist.go
+++ b/internal/peers/memberlist.go
@@ -14,7 +14,7 @@
 // clusterLabel marks all datagrams and streams of the membership library. It must not be empty: see streamMark.
 const clusterLabel = "masthill"
 
-// memberlistConfig is the configuration of the membership library.
+// memberlistConfig returns the configuration of the membership library.
 func (p *Peers) memberlistConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = p.options.Name
@@ -50,8 +50,8 @@
 	return p.options.stretchConfig(c)
 }
 
-// logWriter passes the library's log lines on: its errors at level info, as they are no faults of this program, and the
-// rest at level debug.
+// logWriter forwards the library's log lines: errors at level info, as they are not errors of this program, and the rest at
+// level debug.
 type logWriter struct{ log *slog.Logger }
 
 // Write implements io.Writer.
--- a/internal/peers/ordered.go
+++ b/internal/peers/ordered.go
@@ -10,14 +10,14 @@
 	"masthill/internal/logs"
 )
 
-// maxQueuedBytes bounds the bytes that wait for one peer.
+// maxQueuedBytes bounds the bytes that wait to be sent on one stream.
 const maxQueuedBytes = 1 << 20
 
-// ErrSlowPeer means that a peer read too slowly, so that its stream was ended.
-var ErrSlowPeer = errors.New("peer let go")
+// ErrSlowPeer means that a stream was ended because the peer read too slowly.
+var ErrSlowPeer = errors.New("peer reads too slowly")
 
-// Ordered is a stream of messages to a member whose writer never blocks. Messages are sent in order. If the peer reads too
-// slowly the stream ends, and the messages that wait for it are dropped.
+// OrderedStream is a stream of messages to a member whose writer never blocks. Messages are sent in order. If the peer reads
+// too slowly the stream ends, and the queued messages are dropped.
 type OrderedStream struct {
 	mu    sync.Mutex
 	queue [][]byte
@@ -26,7 +26,7 @@
 	err   error
 }
 
-// Put queues a message; it never blocks. An error means that the stream has ended: messages that were put before may not
+// Put queues a message; it never blocks. An error means that the stream has ended: messages that were queued before may not
 // have arrived, and must be sent again over another stream if they are needed.
 func (o *OrderedStream) Put(b []byte) error {
 	o.mu.Lock()
@@ -75,7 +75,7 @@
 	return o.end(err)
 }
 
-// takeQueue takes all queued messages. Their bytes count as queued until they are released.
+// takeQueue removes all messages from the queue. Their bytes count as queued until they are released.
 func (o *OrderedStream) takeQueue() ([][]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -84,14 +84,14 @@
 	return batch, o.err
 }
 
-// release gives the room of a message back that was sent or dropped.
+// release frees the queue space of a message that was sent or dropped.
 func (o *OrderedStream) release(bytes int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.bytes -= bytes
 }
 
-// end drops the queue and keeps the first error, which it returns. A write timeout counts as ErrSlowPeer.
+// end drops the queue, and keeps and returns the first error. A write timeout counts as ErrSlowPeer.
 func (o *OrderedStream) end(err error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,7 +106,7 @@
 	return o.err
 }
 
-// Ordered opens an ordered stream of a kind to a member. Put returns an error once it has ended.
+// OpenOrdered opens an ordered stream of the given kind to a member. Its Put returns an error once it has ended.
 func (p *Peers) OpenOrdered(name, kind string) *OrderedStream {
 	o := &OrderedStream{wake: make(chan struct{}, 1)}
 	if p.list.Load() == nil {
@@ -121,7 +121,7 @@
 	return o
 }
 
-// endReason is the reason code of a stream's end.
+// endReason returns the reason code of a stream's end.
 func endReason(err error) string {
 	switch {
 	case errors.Is(err, ErrSlowPeer):
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,9 +1,9 @@
-// Package peers makes an instance a member of its fleet. It keeps the list of members, carries the messages of package
-// control/shared between them as datagrams, and offers ordered streams between two members.
+// Package peers makes an instance a member of its fleet. It keeps the list of members, exchanges the messages of package
+// control/shared with them as datagrams, and provides ordered streams between two members.
 //
 // Membership is that of the memberlist library (SWIM with Lifeguard), with datagrams and streams encrypted by the fleet's
-// keys. The core never waits for a peer: messages pass through bounded queues, and what does not fit is dropped, as a
-// network drops it.
+// keys. The core never waits for a peer: messages pass through bounded queues, and those that do not fit are
+// dropped, as on a lossy network.
 package peers
 
 import (
@@ -33,7 +33,7 @@
 	inbound   chan envelope
 	outbound  chan []envelope
 
-	// list is nil until Run has started. Whoever finds it set may use group and ctx, which Run sets before.
+	// list is nil until Run has started. Once it is set, group and ctx may be used, which Run sets before.
 	list  atomic.Pointer[memberlist.Memberlist]
 	group *errgroup.Group
 	ctx   context.Context
@@ -44,17 +44,17 @@
 	changes     []Change
 	self        memberInfo
 	nameTakenBy string // the address of another process with this instance's name; empty: there is none
-	stopping    bool   // Run waits for its last goroutines: events that the library still brings start no more
+	stopping    bool   // Run waits for its last goroutines, so later events of the library must not start others
 
 	received    atomic.Int64
 	dropped     atomic.Int64
 	undecodable atomic.Int64
 
-	lastTickAt atomic.Int64 // Unix nanoseconds, as is resumedAt
-	resumedAt  atomic.Int64 // the first tick after a pause of this process
+	lastTickAt atomic.Int64 // in Unix nanoseconds, as is resumedAt
+	resumedAt  atomic.Int64 // when the first tick after a pause of this process was
 }
 
-// New opens the address. Nothing is sent before Run.
+// New makes a member and opens its address. Nothing is sent before Run.
 func New(o Options) (*Peers, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -100,7 +100,7 @@
 // Addr is the address on which this member listens.
 func (p *Peers) Addr() string { return p.transport.addr().String() }
 
-// Run is a member of the fleet until ctx ends, and then leaves it.
+// Run takes part in the fleet until ctx ends, and then leaves it.
 func (p *Peers) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -119,7 +119,7 @@
 	for _, loop := range []func(context.Context){p.receiveLoop, p.sendLoop, p.tickLoop, p.joinLoop} {
 		g.Go(func() error { loop(work); return nil })
 	}
-	p.log.Info("member of the fleet", "addr", p.Addr(), "site", p.options.Site, "machine", p.options.Machine, "epoch", strconv.FormatUint(p.options.Epoch, 16))
+	p.log.Info("joined the fleet", "addr", p.Addr(), "site", p.options.Site, "machine", p.options.Machine, "epoch", strconv.FormatUint(p.options.Epoch, 16))
 	<-ctx.Done()
 	p.leave(list)
 	stop()
@@ -127,7 +127,7 @@
 	return g.Wait()
 }
 
-// leave tells the others that this member leaves on purpose, and ends the membership.
+// leave announces that this member leaves on purpose, and ends the membership.
 func (p *Peers) leave(list *memberlist.Memberlist) {
 	p.mu.Lock()
 	p.self.Leaving = true
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,7 +19,7 @@
 	"masthill/control/shared/count"
 )
 
-// module is one that only keeps what it hears.
+// recordingModule is a Module that counts its calls and the received messages by sender.
 type recordingModule struct {
 	mu       sync.Mutex
 	name     string
@@ -28,7 +28,7 @@
 	sends    bool
 }
 
-// done counts what the module was called for.
+// counts returns the number of ticks and of received messages.
 func (m *recordingModule) counts() (ticks, received int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,12 +57,14 @@
 	return nil
 }
 
+// senderCount returns how many members messages were received from.
 func (m *recordingModule) senderCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.received)
 }
 
+// member is a running member and its module.
 type member struct {
 	*Peers
 	module *recordingModule
@@ -71,7 +73,7 @@
 
 var keyA, keyB = []byte("0123456789abcdef"), []byte("fedcba9876543210")
 
-// begin starts a member; its core does everything at once.
+// startMember starts a member whose TryRun runs functions at once.
 func startMember(t *testing.T, o Options) *member {
 	t.Helper()
 	if o.Listen == "" {
@@ -111,16 +113,17 @@
 	return started
 }
 
-// until waits for something to become true, long enough for a machine that has other things to do.
+// waitUntil waits until a condition is true. The timeout allows for a machine under load.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time: " + what)
+			t.Fatal("timeout while waiting until " + what)
 		}
 	}
 }
 
+// hasMember tells whether m sees the named member in a state.
 func (m *member) hasMember(name, state string) bool {
 	for _, other := range m.Members() {
 		if other.Name == name {
@@ -134,7 +137,7 @@
 	a := startMember(t, Options{Name: "a", Site: "cork", Machine: "m1"})
 	b := startMember(t, Options{Name: "b", Site: "galway", Seeds: []string{a.Addr()}})
 	c := startMember(t, Options{Name: "c", Seeds: []string{a.Addr()}})
-	waitUntil(t, "c and b meet", func() bool {
+	waitUntil(t, "b and c see each other", func() bool {
 		return b.hasMember("c", Alive) && c.hasMember("b", Alive) && a.module.senderCount() == 2 && b.module.senderCount() == 2
 	})
 	for _, m := range b.Members() {
@@ -143,10 +146,10 @@
 		}
 	}
 	c.stop()
-	waitUntil(t, "c has left", func() bool { return a.hasMember("c", Left) && b.hasMember("c", Left) })
-	a.stop() // the seed is gone: what is left goes on
+	waitUntil(t, "a and b see that c has left", func() bool { return a.hasMember("c", Left) && b.hasMember("c", Left) })
+	a.stop() // b must go on without its seed
 	startMember(t, Options{Name: "c", Seeds: []string{b.Addr()}})
-	waitUntil(t, "a new process of c", func() bool { return b.hasMember("c", Alive) })
+	waitUntil(t, "b sees the new process of c", func() bool { return b.hasMember("c", Alive) })
 	for _, m := range b.Members() {
 		if m.Name == "c" && m.Starts != 2 {
 			t.Errorf("%d starts of c", m.Starts)
@@ -157,7 +160,7 @@
 		reasons = append(reasons, ch.Name+" "+ch.Reason)
 	}
 	if want := "c " + Restarted; reasons[len(reasons)-1] != want {
-		t.Errorf("%v, and the last is to be %q", reasons, want)
+		t.Errorf("changes are %v, the last should be %q", reasons, want)
 	}
 }
 
@@ -165,41 +168,41 @@
 	file := filepath.Join(t.TempDir(), "members.json")
 	a := startMember(t, Options{Name: "a"})
 	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}, MembersFile: file})
-	waitUntil(t, "they meet", func() bool { return a.hasMember("b", Alive) && b.hasMember("a", Alive) })
+	waitUntil(t, "a and b see each other", func() bool { return a.hasMember("b", Alive) && b.hasMember("a", Alive) })
 	b.stop()
 	if err := os.WriteFile(file+".copy", []byte("]["), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	b = startMember(t, Options{Name: "b", MembersFile: file})
-	waitUntil(t, "b comes back without a seed", func() bool { return b.hasMember("a", Alive) })
-	startMember(t, Options{Name: "x", MembersFile: file + ".copy"}) // a spoilt file is no reason not to start
+	waitUntil(t, "b finds a without a seed", func() bool { return b.hasMember("a", Alive) })
+	startMember(t, Options{Name: "x", MembersFile: file + ".copy"}) // a damaged file must not prevent the start
 }
 
 func TestLaterProcessOfSameNameGivesWay(t *testing.T) {
 	a := startMember(t, Options{Name: "a"})
 	first := startMember(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
-	waitUntil(t, "the first is known", func() bool { return a.hasMember("twin", Alive) })
-	time.Sleep(5 * time.Millisecond) // its start is a millisecond's later at least
+	waitUntil(t, "a sees the first process", func() bool { return a.hasMember("twin", Alive) })
+	time.Sleep(5 * time.Millisecond) // so that its start time, in milliseconds, is later
 	second := startMember(t, Options{Name: "twin", Seeds: []string{a.Addr()}})
-	waitUntil(t, "the second notices", func() bool { return second.Status().NameTakenBy == first.Addr() })
+	waitUntil(t, "the second process sees the conflict", func() bool { return second.Status().NameTakenBy == first.Addr() })
 	if first.Status().NameTakenBy != "" {
-		t.Error("the first gives way, too")
+		t.Error("the first process gives way too")
 	}
-	time.Sleep(2 * tickInterval) // what was under way
+	time.Sleep(2 * tickInterval) // for messages in flight
 	ticks, received := second.module.counts()
 	time.Sleep(5 * tickInterval)
 	if ticksNow, receivedNow := second.module.counts(); ticksNow != ticks || receivedNow != received {
-		t.Error("the second goes on to say and hear things")
+		t.Error("the second process still ticks or receives")
 	}
 	first.stop()
-	waitUntil(t, "the name is free", func() bool { return second.Status().NameTakenBy == "" && a.hasMember("twin", Alive) })
+	waitUntil(t, "the name is free again", func() bool { return second.Status().NameTakenBy == "" && a.hasMember("twin", Alive) })
 }
 
 func TestKeyRotationOneMemberAtATime(t *testing.T) {
 	a := startMember(t, Options{Name: "a"})
 	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	waitUntil(t, "they meet", func() bool { return a.module.senderCount() == 1 && b.module.senderCount() == 1 })
-	for _, keys := range [][][]byte{{keyA, keyB}, {keyB, keyA}, {keyB}} { // known, used, the only one
+	waitUntil(t, "a and b see each other", func() bool { return a.module.senderCount() == 1 && b.module.senderCount() == 1 })
+	for _, keys := range [][][]byte{{keyA, keyB}, {keyB, keyA}, {keyB}} { // added, then used for encryption, then the only one
 		if err := b.SetKeys(keys); err != nil {
 			t.Fatal(err)
 		}
@@ -210,17 +213,18 @@
 			t.Fatal(err)
 		}
 		before := a.module.receivedFrom("b")
-		waitUntil(t, "a hears b", func() bool { return a.module.receivedFrom("b") > before+3 })
+		waitUntil(t, "a receives messages of b", func() bool { return a.module.receivedFrom("b") > before+3 })
 	}
-	fromB, fromA := a.module.receivedFrom("b"), b.module.receivedFrom("a") // a seals with B already, and opens both
-	waitUntil(t, "they go on", func() bool { return a.module.receivedFrom("b") > fromB+3 && b.module.receivedFrom("a") > fromA+3 })
+	fromB, fromA := a.module.receivedFrom("b"), b.module.receivedFrom("a") // a encrypts with keyB already, and decrypts with both
+	waitUntil(t, "a and b still receive messages of each other", func() bool { return a.module.receivedFrom("b") > fromB+3 && b.module.receivedFrom("a") > fromA+3 })
 	outsider := startMember(t, Options{Name: "s", Seeds: []string{b.Addr()}, Keys: [][]byte{keyA}})
 	time.Sleep(time.Second)
 	if outsider.module.senderCount() > 0 || b.hasMember("s", Alive) {
-		t.Error("one without the key is a member")
+		t.Error("a process without the key is a member")
 	}
 }
 
+// receivedFrom returns how many messages of a member were received.
 func (m *recordingModule) receivedFrom(from string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,7 +234,7 @@
 func TestGarbageIsIgnored(t *testing.T) {
 	a := startMember(t, Options{Name: "a"})
 	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	waitUntil(t, "they meet", func() bool { return a.module.senderCount() == 1 })
+	waitUntil(t, "a and b see each other", func() bool { return a.module.senderCount() == 1 })
 	rng := rand.New(rand.NewPCG(1, 2))
 	u, err := net.Dial("udp", a.Addr())
 	if err != nil {
@@ -243,7 +247,7 @@
 			garbage[i] = byte(rng.Uint32())
 		}
 		if k%100 == 0 {
-			garbage = make([]byte, 60_000) // as large as a datagram can be
+			garbage = make([]byte, 60_000) // close to the largest datagram
 		}
 		u.Write(garbage)
 	}
@@ -270,14 +274,14 @@
 				_, err = c.Read(buf)
 			}
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("kind %d is not closed", n%4)
+				t.Errorf("connection of kind %d is not closed", n%4)
 			}
 			c.Close()
 		})
 	}
 	connections.Wait()
 	before := a.module.receivedFrom("b")
-	waitUntil(t, "a still hears b", func() bool { return a.module.receivedFrom("b") > before+3 })
+	waitUntil(t, "a still receives messages of b", func() bool { return a.module.receivedFrom("b") > before+3 })
 	if !b.hasMember("a", Alive) || len(a.Members()) != 2 {
 		t.Errorf("%+v", a.Members())
 	}
@@ -309,37 +313,37 @@
 	defer close(released)
 	a := startMember(t, Options{Name: "a", Handlers: handlers})
 	b := startMember(t, Options{Name: "b", Seeds: []string{a.Addr()}})
-	waitUntil(t, "they meet", func() bool { return b.hasMember("a", Alive) })
+	waitUntil(t, "a and b see each other", func() bool { return b.hasMember("a", Alive) })
 	slow, ordered := b.OpenOrdered("a", "slow"), b.OpenOrdered("a", "take")
 	big := make([]byte, MaxMessageSize)
 	var err error
-	for range 10_000 { // it never blocks, and ends
+	for range 10_000 { // Put never blocks, and the stream ends
 		if err = slow.Put(big); err != nil {
 			break
 		}
 	}
 	if !errors.Is(err, ErrSlowPeer) {
-		t.Errorf("the slow one: %v", err)
+		t.Errorf("slow stream: got error %v, want ErrSlowPeer", err)
 	}
 	for n := range 500 {
 		if err := ordered.Put(fmt.Append(nil, n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitUntil(t, "all have come", func() bool { mu.Lock(); defer mu.Unlock(); return len(got) == 500 })
+	waitUntil(t, "all messages have arrived", func() bool { mu.Lock(); defer mu.Unlock(); return len(got) == 500 })
 	for n, s := range got {
 		if s != fmt.Sprint("b", n) {
-			t.Fatalf("number %d is %q", n, s)
+			t.Fatalf("message %d is %q", n, s)
 		}
 	}
 	if _, err := b.Open(t.Context(), "nobody", "take"); !errors.Is(err, ErrNoMember) {
 		t.Errorf("%v", err)
 	}
 	a.stop()
-	waitUntil(t, "the stream is over", func() bool { return ordered.Put(nil) != nil })
+	waitUntil(t, "the stream has ended", func() bool { return ordered.Put(nil) != nil })
 }
 
-// What a process reads just after it stood still may have waited for it, and is no news.
+// Messages that a process reads just after a pause may be old, so justResumed must recognize a pause.
 func TestJustResumed(t *testing.T) {
 	p, err := New(Options{Name: "a", Listen: "127.0.0.1:0", Keys: [][]byte{keyA}, Epoch: 1})
 	if err != nil {
@@ -359,7 +363,7 @@
 	}
 }
 
-// What a connection carries can't be changed, nor begun without a key.
+// A connection is closed when its first record is altered or has an invalid size.
 func TestInvalidRecordsEndConnection(t *testing.T) {
 	a := startMember(t, Options{Name: "a", Handlers: map[string]Handler{}})
 	for _, tamper := range []func(b []byte){func(b []byte) { b[len(b)-1] ^= 1 }, func(b []byte) { b[0] = 0xff }} {
@@ -375,12 +379,13 @@
 		writeText(s, "b")
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a spoilt record: %v", err)
+			t.Errorf("altered record: connection not closed: %v", err)
 		}
 		c.Close()
 	}
 }
 
+// tamperingConn alters what is written to it.
 type tamperingConn struct {
 	net.Conn
 	tamper func([]byte)
@@ -391,7 +396,7 @@
 	return s.Conn.Write(b)
 }
 
-// A message of 200 bytes over an ordered stream, sealed, between two members.
+// BenchmarkOrdered measures how fast messages of 200 bytes are sent over an encrypted stream between two members.
 func BenchmarkOrdered(b *testing.B) {
 	newKeyring := func() *memberlist.Keyring {
 		r, err := memberlist.NewKeyring([][]byte{keyA}, keyA)
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -10,8 +10,9 @@
 const (
 	// inboundQueueSize bounds the messages that wait for the module.
 	inboundQueueSize = 512
-	// maxMessageAge is how old a message may be when it is sent or handed to the module. It is also for how long this process
-	// may have been paused: messages that waited for a paused process describe a time long past as if it were now.
+	// maxMessageAge is how old a message may be when it is sent or handed to the module. It is also the longest time between
+	// two ticks that does not count as a pause of this process: messages that waited for a paused process would pass off an
+	// old state as the current one.
 	maxMessageAge = time.Second
 )
 
@@ -49,7 +50,7 @@
 	}
 }
 
-// markHeard notes that a member is being heard.
+// markHeard records that a message of a member has just been received.
 func (p *Peers) markHeard(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -19,9 +19,9 @@
 	// streamMark is the first byte of this package's own streams. Streams of the membership library begin with another byte,
 	// because they have a label (clusterLabel).
 	streamMark = 'M'
-	// maxRecordSize bounds the plain text of one record.
+	// maxRecordSize bounds the plaintext of one record.
 	maxRecordSize = 16 << 10
-	// maxRecordOverhead bounds what encryption adds to it.
+	// maxRecordOverhead bounds what encryption adds to a record.
 	maxRecordOverhead = 64
 	// saltSize is the length of each side's salt.
 	saltSize = 16
@@ -29,18 +29,18 @@
 	handshakeTimeout = 2 * time.Second
 )
 
-var errUnauthenticated = errors.New("a record that no key opens")
+var errUnauthenticated = errors.New("record cannot be decrypted with any key")
 
 // sealedConn is a connection whose records are encrypted and authenticated with the fleet's keys: AES-GCM with random
 // nonces, as in the membership library's datagrams. Each record is bound to its connection, direction and position by
-// additional data (both sides' salts and the record's number), so none can be replayed. The ring's first key encrypts and
+// additional data (both sides' salts and the record's number), so none can be replayed. The keyring's first key encrypts and
 // all of them decrypt, so keys can change while a connection is open.
 type sealedConn struct {
 	net.Conn
 	keyring *memberlist.Keyring
 
 	writeMu      sync.Mutex
-	sendBinding  []byte // the additional data, with room for the record's number
+	sendBinding  []byte // the additional data, which ends with the record's number
 	sentRecords  uint64
 	writeCiphers cipherCache
 
@@ -53,9 +53,10 @@
 // cipherCache keeps the ciphers of the keys in use, because making one costs more than encrypting a short record.
 type cipherCache map[string]cipher.AEAD
 
-// maxCiphers bounds a cipherCache, as keys change. A ring has eight keys at most.
+// maxCiphers bounds a cipherCache while keys change. A keyring has at most eight keys.
 const maxCiphers = 16
 
+// get returns the cipher of a key, and makes it if necessary.
 func (c *cipherCache) get(key []byte) (cipher.AEAD, error) {
 	if a := (*c)[string(key)]; a != nil {
 		return a, nil
@@ -71,7 +72,7 @@
 	return a, nil
 }
 
-// seal exchanges salts with the other side, and makes a sealed connection.
+// seal exchanges salts with the other side and returns an encrypted connection.
 func seal(c net.Conn, keyring *memberlist.Keyring, dialled bool) (*sealedConn, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer c.SetDeadline(time.Time{})
@@ -96,6 +97,7 @@
 	}, nil
 }
 
+// newGCM makes an AES-GCM cipher for a key.
 func newGCM(key []byte) (cipher.AEAD, error) {
 	b, err := aes.NewCipher(key)
 	if err != nil {
--- a/internal/peers/session.go
+++ b/internal/peers/session.go
@@ -22,15 +22,15 @@
 	maxKindLength = 32
 	// maxStreamsPerPeer bounds the streams that one peer may have open here.
 	maxStreamsPerPeer = 32
-	// maxStreamWindow bounds the bytes that a stream may have under way.
+	// maxStreamWindow bounds the bytes of a stream that are in flight.
 	maxStreamWindow = 256 << 10
 	// writeTimeout is how long a peer may take to accept a write.
 	writeTimeout = 3 * time.Second
-	// keepAliveInterval is how often an idle session is checked.
+	// keepAliveInterval is how often a session is checked.
 	keepAliveInterval = 5 * time.Second
 )
 
-// ErrNoMember means that no member of that name is alive.
+// ErrNoMember means that no member of the given name is alive.
 var ErrNoMember = errors.New("no such member")
 
 // Handler serves a stream that another member has opened. The stream is closed when it returns.
@@ -68,7 +68,7 @@
 	return yamux.Server(c, cfg)
 }
 
-// accept takes a connection that another member has opened, and serves its session.
+// accept authenticates a connection that another member has opened, and serves its session.
 func (pool *sessionPool) accept(c net.Conn) {
 	s, err := seal(c, pool.keyring, false)
 	if err != nil {
@@ -95,7 +95,7 @@
 	})
 }
 
-// serve takes the streams of a session until it ends. from is the name of the member that opened it.
+// serve accepts the streams of a session until it ends. from is the name of the member that opened it.
 func (pool *sessionPool) serve(ses *yamux.Session, from string) {
 	g, ctx := errgroup.WithContext(pool.ctx)
 	g.SetLimit(maxStreamsPerPeer)
@@ -186,7 +186,7 @@
 	return pool.add(name, ses), nil
 }
 
-// add keeps a new session. If another stream has started one meanwhile, that one is kept and returned.
+// add stores and returns a new session. If there is another one by now, the new one is closed and the other one returned.
 func (pool *sessionPool) add(name string, ses *yamux.Session) *yamux.Session {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -198,7 +198,7 @@
 	return ses
 }
 
-// remove ends a session with a member, and keeps a newer one.
+// remove ends a session with a member. If a newer one is stored, that one stays.
 func (pool *sessionPool) remove(name string, ses *yamux.Session) {
 	pool.mu.Lock()
 	if pool.byMember[name] == ses {
@@ -239,7 +239,7 @@
 	return nil, ErrNoMember
 }
 
-// Open opens a stream of a kind to a member. What it carries arrives in order or not at all.
+// Open opens a stream of the given kind to a member. Its data arrives in order or not at all.
 func (p *Peers) Open(ctx context.Context, name, kind string) (net.Conn, error) {
 	return p.sessions.open(ctx, name, kind)
 }
--- a/internal/peers/shutdown_test.go
+++ b/internal/peers/shutdown_test.go
@@ -8,11 +8,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// The library's goroutines outlive its Shutdown for a moment, and what they still bring must not start anything that Run no
-// longer waits for. The race detector sees it.
+// The library's goroutines outlive its Shutdown for a moment. Their events must not start goroutines that Run no longer
+// waits for; the race detector reports it if they do.
 func TestEventsAfterShutdownStartNoGoroutines(t *testing.T) {
 	a := startMember(t, Options{Name: "a"})
-	waitUntil(t, "it runs", func() bool { return a.list.Load() != nil })
+	waitUntil(t, "a is running", func() bool { return a.list.Load() != nil })
 	meta, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -34,10 +34,10 @@
 	<-done
 }
 
-// A conflict of names is looked at while the member leaves. The race detector sees what is read without the lock.
+// A name conflict is handled while the member leaves. The race detector reports fields that are read without the lock.
 func TestNameConflictWhileLeaving(t *testing.T) {
 	a := startMember(t, Options{Name: "a"})
-	waitUntil(t, "it runs", func() bool { return a.list.Load() != nil })
+	waitUntil(t, "a is running", func() bool { return a.list.Load() != nil })
 	meta, err := Encode(memberInfo{Epoch: 7, StartedAt: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/peers/slowdown.go
+++ b/internal/peers/slowdown.go
@@ -6,7 +6,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// slowed stretches a time by Options.Slow: a lab runs fleets that its machine could not hold at their own pace.
+// stretched multiplies a time by Options.ClockSlowdown, so that a machine can run fleets that are too large for it at full
+// speed.
 func (o *Options) stretched(d time.Duration) time.Duration {
 	if o.ClockSlowdown <= 1 {
 		return d
@@ -14,7 +15,7 @@
 	return time.Duration(float64(d) * o.ClockSlowdown)
 }
 
-// slow stretches all times of the membership library.
+// stretchConfig stretches all times of the membership library by Options.ClockSlowdown.
 func (o *Options) stretchConfig(c *memberlist.Config) *memberlist.Config {
 	for _, d := range []*time.Duration{&c.ProbeInterval, &c.ProbeTimeout, &c.GossipInterval, &c.PushPullInterval, &c.TCPTimeout,
 		&c.GossipToTheDeadTime, &c.DeadNodeReclaimTime} {
--- a/internal/peers/snapshot.go
+++ b/internal/peers/snapshot.go
@@ -7,7 +7,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// saveMembers writes the addresses of the other members to a file, for a start at which no seed answers.
+// saveMembers writes the addresses of the other members to a file, so that a later process finds them even if no seed
+// answers.
 func (p *Peers) saveMembers() {
 	if p.options.MembersFile == "" {
 		return
@@ -19,7 +20,7 @@
 		}
 	}
 	if len(addrs) == 0 {
-		return // an older list is worth more than an empty one
+		return // an older list is more useful than an empty one
 	}
 	b, err := json.Marshal(addrs)
 	if err == nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// loadMembers reads the addresses that saveMembers wrote. A file that is missing or damaged counts as empty.
+// loadMembers reads the addresses that saveMembers wrote. A missing or damaged file counts as empty.
 func (p *Peers) loadMembers() (addrs []string) {
 	if p.options.MembersFile == "" {
 		return nil
@@ -40,7 +41,7 @@
 		return nil
 	}
 	if json.Unmarshal(b, &addrs) != nil {
-		p.log.Warn("remembered members left out", "reason", "unreadable", "file", p.options.MembersFile)
+		p.log.Warn("saved members ignored", "reason", "unreadable", "file", p.options.MembersFile)
 		return nil
 	}
 	return addrs[:min(len(addrs), maxMembers)]
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -13,7 +13,7 @@
 	NameTakenBy   string   `json:"name_taken_by,omitempty"`
 	Members       []Member `json:"members"`
 	Changes       []Change `json:"changes"`
-	Health        int      `json:"health"` // Lifeguard's local health: 0 is good, more means that this instance itself receives late
+	Health        int      `json:"health"` // Lifeguard's local health score: 0 is good, more means that this instance is slow
 	Received      int64    `json:"heard"`  // messages received
 	Dropped       int64    `json:"dropped"`
 	Undecodable   int64    `json:"unreadable"`
@@ -23,7 +23,7 @@
 	Deaths        int64    `json:"deaths"` // changes of other members to gone
 }
 
-// Status describes the membership now.
+// Status returns the present state of the membership.
 func (p *Peers) Status() Status {
 	s := Status{
 		Name:          p.options.Name,
@@ -47,7 +47,7 @@
 	return s
 }
 
-// aliveMembers is the number of members that are alive, this one among them.
+// aliveMembers returns the number of members that are alive, including this one.
 func (p *Peers) aliveMembers() int {
 	if list := p.list.Load(); list != nil {
 		return list.NumMembers()
--- a/internal/peers/tick.go
+++ b/internal/peers/tick.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// tickInterval is how often the module does what is due.
+// tickInterval is how often Module.Tick is called.
 const tickInterval = 100 * time.Millisecond
 
-// tickLoop has the module do what is due until ctx ends.
+// tickLoop calls the module's Tick at every tickInterval until ctx ends.
 func (p *Peers) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(p.options.stretched(tickInterval))
 	defer ticker.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// tick notes that this process is running, and has the module do what is due.
+// tick records that this process is running, and calls the module's Tick.
 func (p *Peers) tick() {
 	if sinceNano(p.lastTickAt.Load()) > maxMessageAge {
 		p.resumedAt.Store(time.Now().UnixNano())
@@ -35,8 +35,8 @@
 	p.options.TryRun(func(now int64) { p.enqueue(p.options.Module.Tick(now, members)) })
 }
 
-// justResumed tells whether this process has just continued after a pause, so that what it reads may have waited for it.
-// A paused process has no ticks, and what the kernel has queued for it is read within moments.
+// justResumed tells whether this process has just continued after a pause, so that the messages that it reads may be
+// old. A paused process has no ticks, and after it the messages that the kernel has queued are read within moments.
 func (p *Peers) justResumed() bool {
 	return sinceNano(p.lastTickAt.Load()) > maxMessageAge || sinceNano(p.resumedAt.Load()) < 2*tickInterval
 }
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -10,7 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic is what a member has sent and received since its start: payload bytes, without the headers of UDP, TCP and IP.
+// Traffic counts what a member has sent and received since its start. Bytes are payload, without the headers of UDP, TCP
+// and IP.
 type Traffic struct {
 	SentDatagrams         int64 `json:"sent_datagrams"`
 	SentDatagramBytes     int64 `json:"sent_datagram_bytes"`
@@ -21,26 +22,26 @@
 	Streams               int64 `json:"streams"` // opened and accepted
 }
 
-// meter counts a transport's traffic, beside the sent datagrams that the transport itself counts.
+// meter counts a transport's traffic, except for the sent datagrams, which the transport itself counts.
 type meter struct {
 	receivedDatagrams, receivedDatagramBytes      atomic.Int64
 	sentStreamBytes, receivedStreamBytes, streams atomic.Int64
-	deaths                                        atomic.Int64 // of others, as this member took it
+	deaths                                        atomic.Int64 // of other members, as this one saw them
 }
 
-// datagram counts one that was received.
+// countDatagram counts a received datagram of n bytes.
 func (m *meter) countDatagram(n int) {
 	m.receivedDatagrams.Add(1)
 	m.receivedDatagramBytes.Add(int64(n))
 }
 
-// stream counts what goes over a connection from now on.
+// countStream counts a stream, and returns its connection wrapped so that its bytes are counted too.
 func (m *meter) countStream(c net.Conn) net.Conn {
 	m.streams.Add(1)
 	return &meteredConn{c, m}
 }
 
-// metered is a connection whose bytes are counted.
+// meteredConn is a connection whose bytes are counted.
 type meteredConn struct {
 	net.Conn
 	meter *meter
@@ -58,7 +59,7 @@
 	return n, err
 }
 
-// Traffic tells what this member has sent and received.
+// Traffic returns what this member has sent and received.
 func (p *Peers) Traffic() Traffic {
 	t := p.transport
 	return Traffic{SentDatagrams: t.sentPackets.Load(), SentDatagramBytes: t.sentBytes.Load(),
@@ -66,15 +67,17 @@
 		SentStreamBytes: t.meter.sentStreamBytes.Load(), ReceivedStreamBytes: t.meter.receivedStreamBytes.Load(), Streams: t.meter.streams.Load()}
 }
 
-// Reach tells whether an address can be reached now, and be heard from. A lab cuts networks by it; nil reaches all.
+// Reachable tells whether datagrams and connections can pass between this member and an address now. Tests use it to
+// simulate partitions. With nil all addresses are reachable.
 type Reachable func(addr netip.AddrPort) bool
 
-// cut tells whether an address is out of reach.
+// blocks tells whether an address cannot be reached.
 func (r Reachable) blocks(addr netip.AddrPort) bool {
 	return r != nil && !r(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()))
 }
 
-// dial connects to a member. An address out of reach takes as long as a network that answers nothing.
+// dial connects to a member. With an unreachable address it fails after the whole timeout, as on a network that drops
+// everything.
 func (t *transport) dial(ctx context.Context, a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	addr := t.addressOf(a)
 	if to, err := netip.ParseAddrPort(addr); err == nil && t.reachable.blocks(to) {
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -14,16 +14,15 @@
 )
 
 const (
-	// maxPacketSize is the longest datagram that is read.
+	// maxPacketSize is the size of the longest datagram that is read.
 	maxPacketSize = 64 << 10
-	// packetQueueSize bounds the datagrams that wait for the membership library. Further ones are dropped, as a network drops
-	// them.
+	// packetQueueSize bounds the datagrams that wait for the membership library. Further ones are dropped.
 	packetQueueSize = 256
 	// maxPendingStreams bounds the incoming connections whose peer has not yet shown that it knows a key.
 	maxPendingStreams = 64
 	// acceptPause is how long after a failed accept the next one is tried.
 	acceptPause = 50 * time.Millisecond
-	// listenAttempts is how often a port is drawn that must be free for both TCP and UDP.
+	// listenAttempts is how many ports are tried until one is free for both TCP and UDP.
 	listenAttempts = 8
 )
 
@@ -69,6 +68,7 @@
 	return nil, lastErr
 }
 
+// addr is the address of both listeners.
 func (t *transport) addr() *net.TCPAddr { return t.tcp.Addr().(*net.TCPAddr) }
 
 // run receives datagrams and accepts streams until ctx ends.
@@ -117,8 +117,8 @@
 	}
 }
 
-// acceptStreams hands incoming connections to serve until the listener is closed. Each counts as pending, and serve must
-// take it off again. Connections beyond maxPendingStreams are closed.
+// acceptStreams hands incoming connections to serve until the listener is closed. Each counts as pending until serve
+// subtracts it from pending. Connections beyond maxPendingStreams are closed.
 func (t *transport) acceptStreams(serve func(net.Conn)) {
 	for {
 		c, err := t.tcp.Accept()
@@ -144,7 +144,7 @@
 	c.Close()
 }
 
-// dispatch hands a stream to this package or to the membership library, by its first byte.
+// dispatch hands a stream to this package or to the membership library, depending on its first byte.
 func (t *transport) dispatch(ctx context.Context, c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	var first [1]byte
@@ -198,7 +198,7 @@
 	}
 	parsed := net.ParseIP(ip)
 	if parsed == nil {
-		return nil, 0, fmt.Errorf("%q is no IP address", ip)
+		return nil, 0, fmt.Errorf("%q is not an IP address", ip)
 	}
 	if port == 0 {
 		port = own.Port
