--- a/lab/rig/budgets.go
+++ b/lab/rig/budgets.go
@@ -14,12 +14,12 @@
 // claimChange is the beginning or the end of a claim on a budget.
 type claimChange struct {
 	at      int64
-	process int // its number
+	process int // the index of the process
 	claim   lease.Claim
 	ends    bool
 }
 
-// checkBudgets adds up what may be used of each budget's pool at every moment at which a claim changes.
+// checkBudgets checks the claims on each budget's pool whenever one of them changes, and the use of each budget.
 func checkBudgets(f *Findings, all []*process, b bounds) {
 	for budget, changes := range claimChanges(all) {
 		sort.SliceStable(changes, func(i, j int) bool {
@@ -37,8 +37,8 @@
 	}
 }
 
-// claimChanges lists the changes of claims by budget. A claim ends when the next one replaces it, at its own end or with
-// its process.
+// claimChanges lists the changes of claims by budget. A claim ends when the next one of its process replaces it, when it
+// expires or when its process ends.
 func claimChanges(all []*process) map[string][]claimChange {
 	changes := map[string][]claimChange{}
 	for k, p := range all {
@@ -74,7 +74,7 @@
 	}
 	f.MaxInUse = max(f.MaxInUse, float64(sum)/float64(pool))
 	if sum > pool {
-		f.report(&f.Overspent, "%s: %d of %d in use at %d by %d", budget, sum, pool, at, len(inUse))
+		f.report(&f.Overspent, "%s: %d of %d in use at %d ns by %d processes", budget, sum, pool, at, len(inUse))
 	}
 }
 
@@ -83,7 +83,7 @@
 	at, units, size int64
 }
 
-// checkUse checks what was used of a budget in each window.
+// checkUse checks how much was used of a budget in each useWindow.
 func checkUse(f *Findings, all []*process, b bounds, budget string) {
 	uses := budgetUses(all, budget)
 	sum, first := int64(0), 0
@@ -98,12 +98,12 @@
 			size = max(size, one.size)
 		}
 		if limit := useLimit(all, b, size, u.at); float64(sum) > limit {
-			f.report(&f.Overused, "%s: %d used in 5 s, and %.1f are the most", budget, sum, limit)
+			f.report(&f.Overused, "%s: %d used in 5 s, the limit is %.1f", budget, sum, limit)
 		}
 	}
 }
 
-// budgetUses lists the uses of a budget by all processes, in the order of time.
+// budgetUses lists the uses of a budget by all processes in the order of time.
 func budgetUses(all []*process, budget string) (uses []use) {
 	for _, p := range all {
 		before := int64(0)
@@ -113,7 +113,7 @@
 					continue
 				}
 				units := h.Used - before
-				if units < 0 { // the budget had expired and was requested again
+				if units < 0 { // the budget had expired and was requested again, so the count started at 0
 					units = h.Used
 				}
 				before = h.Used
@@ -125,9 +125,9 @@
 	return uses
 }
 
-// useLimit is the most that can be used of a budget in the window that ends at a time. Snapshots are half a second apart,
-// so what they show in the window can have been used in that much more. Each process may have accumulated a unit, and
-// starts with a part of one.
+// useLimit is the most that may be used of a budget in the window that ends at a time. Snapshots are half a second apart, so
+// the use that they show in a window may have taken half a second longer. Each process may have accumulated a unit, and
+// starts with part of one.
 func useLimit(all []*process, b bounds, size, at int64) float64 {
 	starts := 0
 	for _, p := range all {
--- a/lab/rig/claims.go
+++ b/lab/rig/claims.go
@@ -12,8 +12,8 @@
 	"masthill/control/shared/outlier"
 )
 
-// claimLine is one line of a claims file. It was written when the claim was made, with the time of the process's own steady
-// clock; the processes of one machine agree on it.
+// claimLine is one line of a claims file, written when the claim was made. Its time is that of a steady clock on which all
+// processes of a machine agree.
 type claimLine struct {
 	At        int64           `json:"at"`
 	Kind      string          `json:"kind"`
@@ -23,24 +23,24 @@
 	Datagrams int64           `json:"datagrams"`
 }
 
-// process is one process and what it claimed.
+// process is one process of an instance, with everything that it claimed.
 type process struct {
 	name        string
 	epoch       uint64
-	from, to    int64 // to is when the rig saw it end
+	from, to    int64 // to is when the rig saw the process end
 	claims      []claim
-	leaderTerms [][2]int64 // from and until
+	leaderTerms [][2]int64 // from and until, for each term as the leader
 	snapshots   []snapshot
 	decisions   []outlier.Decision
 }
 
-// claim is what a process may use of a budget from a time on.
+// claim is a process's claim on a budget and when it was made.
 type claim struct {
 	at int64
 	lease.Claim
 }
 
-// snapshot is all that a process knew at a time.
+// snapshot is everything that a process knew at a time.
 type snapshot struct {
 	at        int64
 	alive     int
@@ -78,7 +78,7 @@
 	}
 }
 
-// startedProcess makes a process from its first line.
+// startedProcess makes a process from the first line that it wrote.
 func startedProcess(name string, l claimLine) *process {
 	var start struct {
 		Epoch uint64 `json:"epoch"`
--- a/lab/rig/counts.go
+++ b/lab/rig/counts.go
@@ -6,13 +6,13 @@
 	"masthill/control/shared/count"
 )
 
-// readingWindow is the window of the readings that processes write down, in nanoseconds.
+// readingWindow is the window of the readings in the claims files, in nanoseconds.
 const readingWindow = int64(2e9)
 
-// processes finds the process that a count is of.
+// processes maps the source of a count to its process.
 type processes map[count.Source]*process
 
-// checkCounts compares what each process said of another's counts with what that process itself had counted by then.
+// checkCounts compares what each process reported about the counts of others with what those had counted by then.
 func checkCounts(f *Findings, all []*process, b bounds) {
 	bySource := processes{}
 	for _, p := range all {
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkKnown checks the counts that a process knew of others: no more than they had counted, and no less than they had
-// counted when the news was sent.
+// checkKnown checks the counts that a process knew of others: they must be no more than those had counted, and no less than
+// they had counted when the message with the count was sent.
 func checkKnown(f *Findings, bySource processes, p *process, s *snapshot, maxDelay int64) {
 	for _, known := range s.KnownCounts {
 		source := bySource[known.Source]
@@ -38,31 +38,31 @@
 		for key, value := range known.Counts {
 			f.Counts++
 			if _, after, ok := source.counted(s.at, key); ok && value > after {
-				f.report(&f.OutOfBounds, "%s says that %s counted %d of %s, and it was %d", p.name, known.Name, value, key, after)
+				f.report(&f.OutOfBounds, "%s reports that %s counted %d of %s, but it was at most %d", p.name, known.Name, value, key, after)
 			}
 			if before, _, _ := source.counted(s.at-known.AgeMS*1e6-maxDelay, key); value < before {
-				f.report(&f.OutOfBounds, "%s says that %s counted %d of %s, and it had been %d", p.name, known.Name, value, key, before)
+				f.report(&f.OutOfBounds, "%s reports that %s counted %d of %s, but it was at least %d", p.name, known.Name, value, key, before)
 			}
 		}
 	}
 }
 
-// checkReadings checks the bounds that a process gave for the whole fleet's counts over a window.
+// checkReadings checks the bounds that a process gave for the counts of the whole fleet in a window.
 func checkReadings(f *Findings, bySource processes, p *process, s *snapshot) {
 	for _, reading := range s.Counts {
 		f.Counts++
 		lowest, highest, certain := countedInWindow(bySource, s, reading.Key)
 		if certain && reading.LowerBound > highest {
-			f.report(&f.OutOfBounds, "%s: %s at least %d, and it was %d at most", p.name, reading.Key, reading.LowerBound, highest)
+			f.report(&f.OutOfBounds, "%s: the lower bound of %s is %d, but at most %d were counted", p.name, reading.Key, reading.LowerBound, highest)
 		}
 		if certain && reading.UpperBound < lowest {
-			f.report(&f.OutOfBounds, "%s: %s at most %d, and it was %d at least", p.name, reading.Key, reading.UpperBound, lowest)
+			f.report(&f.OutOfBounds, "%s: the upper bound of %s is %d, but at least %d were counted", p.name, reading.Key, reading.UpperBound, lowest)
 		}
 	}
 }
 
-// countedInWindow gives bounds of what the processes that a snapshot knows really counted in its window. It is not certain
-// if one of them left no snapshot of its own after it.
+// countedInWindow returns bounds of what the processes that a snapshot knows counted in its window. The bounds are not
+// certain if one of them has no later snapshot of its own.
 func countedInWindow(bySource processes, s *snapshot, key string) (lowest, highest int64, certain bool) {
 	certain = true
 	for _, known := range s.KnownCounts {
@@ -82,8 +82,8 @@
 	return lowest, highest, certain
 }
 
-// counted gives what a process had counted itself at its last snapshot before a time and at its first one after it. The
-// latter is not ok if the process has ended before.
+// counted returns what a process itself had counted at its last snapshot up to a time and at its first one after it. ok is
+// false if there is no later one.
 func (p *process) counted(at int64, key string) (before, after int64, ok bool) {
 	next := sort.Search(len(p.snapshots), func(k int) bool { return p.snapshots[k].at > at })
 	if next > 0 {
@@ -95,7 +95,7 @@
 	return before, 0, false
 }
 
-// ownCount is what a snapshot of a process says of its own count.
+// ownCount returns a process's own count in one of its snapshots.
 func (p *process) ownCount(s *snapshot, key string) int64 {
 	for _, known := range s.KnownCounts {
 		if known.Name == p.name && known.Epoch == p.epoch {
--- a/lab/rig/decisions.go
+++ b/lab/rig/decisions.go
@@ -2,7 +2,8 @@
 
 import "masthill/control/shared/outlier"
 
-// checkDecisions finds decisions that rest on the reports of one machine, and processes that avoid too many servers.
+// checkDecisions finds decisions that are based on the reports of a single machine, and processes that avoid too many
+// servers.
 func checkDecisions(f *Findings, all []*process, b bounds) {
 	for _, p := range all {
 		f.Claims += len(p.claims)
@@ -15,7 +16,7 @@
 			f.Decisions++
 			avoided[v.Server] = true
 			if machinesOf(v, b) < 2 {
-				f.report(&f.Unfounded, "%s avoids %x on the word of %v", p.name, v.Server, v.Observers)
+				f.report(&f.Unfounded, "%s avoids %x on reports of fewer than two machines: %v", p.name, v.Server, v.Observers)
 			}
 			if limit := max(int(b.maxAvoidedShare*float64(b.servers)), 1); len(avoided) > limit {
 				f.report(&f.Unfounded, "%s avoids %d of %d servers", p.name, len(avoided), b.servers)
--- a/lab/rig/fault.go
+++ b/lab/rig/fault.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// thawTime is how long a process that was paused gets before callers may expect answers.
+	// resumeTime is how long after a process resumes callers count on it again.
 	resumeTime = 500 * time.Millisecond
-	// leaveNotice is how long after a restart begins its callers notice that the instance leaves.
+	// leaveNoticeDelay is how long after the beginning of a restart callers notice that the instance leaves.
 	leaveNoticeDelay = 200 * time.Millisecond
-	// firstCrash is when the first server crashes, if servers do.
+	// firstCrashAt is when the first server crashes, if the plan has crashes.
 	firstCrashAt = 2 * time.Second
-	// A server's start shows in an instance's list after minListDelay, and a random time up to listJitter more.
+	// A server's start shows in an instance's list after minListDelay and a random time of at most listJitter.
 	minListDelay = 200 * time.Millisecond
 	listJitter   = 800 * time.Millisecond
 )
 
-// playFault has one fault happen to its targets, and records it. Faults of links happen in driveLinks.
+// runFault applies one fault to its targets and records it. Faults of links are applied by updateLinks.
 func (w *run) runFault(f Fault) {
 	if !w.sleepUntil(f.At) {
 		return
@@ -45,7 +45,7 @@
 	w.result.Faults = append(w.result.Faults, FaultRecord{f, from.Seconds(), time.Since(w.startedAt).Seconds()})
 }
 
-// strike has a fault happen to one server or instance.
+// applyFault applies a fault to one server or instance.
 func (w *run) applyFault(f Fault, k int) {
 	switch f.Kind {
 	case "silent":
@@ -64,7 +64,7 @@
 	}
 }
 
-// interrupt runs a fault of an instance's process, unless another one is under way there.
+// interrupt runs a fault of an instance's process, unless another fault of that process is in progress.
 func (w *run) interrupt(k int, fault func()) {
 	w.mu.Lock()
 	busy := w.interrupted[k]
@@ -81,7 +81,7 @@
 	fault()
 }
 
-// pause stops a process for a while.
+// pause stops a process with SIGSTOP for the duration of a fault.
 func (w *run) pause(f Fault, k int) {
 	i := w.instances[k]
 	w.callers.InstanceFrozen(i.Name)
@@ -93,8 +93,8 @@
 	}
 }
 
-// restart ends a process, by request or by force, and starts another with the directory as it is, an empty one or an old
-// copy.
+// restart ends a process, by request or by force, and starts another one. The directory stays as it is, is emptied or is
+// replaced by an old copy.
 func (w *run) restart(f Fault, k int) {
 	i := w.instances[k]
 	graceful := f.Kind == "restart"
@@ -141,7 +141,7 @@
 	}
 }
 
-// crashServers has servers crash and start anew, one after the other.
+// crashServers crashes and restarts the servers in turn.
 func (w *run) crashServers() {
 	for n := 0; ; n++ {
 		if !w.sleepUntil(firstCrashAt + time.Duration(n)*w.Plan.CrashInterval) {
@@ -152,7 +152,7 @@
 	}
 }
 
-// announceStart has the lists show that a server has started anew.
+// announceStart makes the lists show that a server has restarted.
 func (w *run) announceStart(k int, startedAt time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/rig/findings.go
+++ b/lab/rig/findings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// maxTexts bounds the texts of Findings.
+// maxDescriptions bounds Findings.Descriptions.
 const maxDescriptions = 20
 
 // Findings is what the checker found in the claims of all processes.
@@ -10,15 +10,15 @@
 	Processes          int      `json:"processes"`
 	Claims             int      `json:"claims"`
 	Overspent          int      `json:"budgets_overspent"` // moments at which the leases in use added up to more than the pool
-	MaxInUse           float64  `json:"most_in_use"`       // the greatest part of a pool that was in use
+	MaxInUse           float64  `json:"most_in_use"`       // the greatest share of a pool that was in use
 	ConcurrentLeaders  int      `json:"two_allocators"`    // moments at which two processes were leader
-	Overused           int      `json:"budgets_overused"`  // windows of 5 s in which more was used than a budget and its allowance
+	Overused           int      `json:"budgets_overused"`  // windows of 5 s in which more was used than a budget allows
 	UsedUnits          int64    `json:"used"`              // units of all budgets
 	Counts             int      `json:"counts_checked"`
 	OutOfBounds        int      `json:"counts_out_of_bounds"`
-	Decisions          int      `json:"verdicts"` // by which a server was avoided
+	Decisions          int      `json:"verdicts"` // to avoid a server
 	Unfounded          int      `json:"verdicts_unfounded"`
-	ConvergedS         float64  `json:"converged_s"` // from the last fault's end until all members knew all; -1: they never did
+	ConvergedS         float64  `json:"converged_s"` // from the last fault's end until all members knew each other; -1: never
 	BytesPerSecond     float64  `json:"bytes_per_member_s"`
 	DatagramsPerSecond float64  `json:"datagrams_per_member_s"`
 	Descriptions       []string `json:"found,omitempty"`
@@ -29,7 +29,7 @@
 	return f.Overspent+f.ConcurrentLeaders+f.Overused+f.OutOfBounds+f.Unfounded > 0
 }
 
-// report counts a wrong claim in one of the fields, and describes the first few.
+// report counts a wrong claim in one of the fields, and describes it unless there are too many.
 func (f *Findings) report(count *int, format string, args ...any) {
 	*count++
 	if len(f.Descriptions) < maxDescriptions {
@@ -37,7 +37,7 @@
 	}
 }
 
-// bounds is what claims are checked against: the settings of the run.
+// bounds holds the parameters of the run that the claims are checked against.
 type bounds struct {
 	instances, servers int
 	machineOf          map[string]string // by instance
@@ -47,7 +47,7 @@
 	lastFaultEnd, end  int64
 }
 
-// checkClaims compares all claims with each other.
+// checkClaims checks the claims of all processes against each other and against the bounds.
 func checkClaims(all []*process, b bounds) *Findings {
 	f := &Findings{Processes: len(all), ConvergedS: -1}
 	checkBudgets(f, all, b)
--- a/lab/rig/leaders.go
+++ b/lab/rig/leaders.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// checkLeaders finds two processes that were leader at the same time.
+// checkLeaders finds processes that were leader at the same time.
 func checkLeaders(f *Findings, all []*process) {
 	type term struct {
 		from, until int64
@@ -19,7 +19,7 @@
 	for _, t := range terms {
 		for other, until := range leaderUntil {
 			if other != t.leader && until > t.from {
-				f.report(&f.ConcurrentLeaders, "%s and %s both hand budgets out at %d", t.leader.name, other.name, t.from)
+				f.report(&f.ConcurrentLeaders, "%s and %s are both leader at %d ns", t.leader.name, other.name, t.from)
 			}
 		}
 		leaderUntil[t.leader] = max(leaderUntil[t.leader], t.until)
--- a/lab/rig/link.go
+++ b/lab/rig/link.go
@@ -11,33 +11,33 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// LinkState is what is wrong with a link from one instance to another. The zero state is a good link.
+// LinkState describes the present faults of a link from one instance to another. The zero value has none.
 type LinkState struct {
-	Cut            bool          // nothing passes; connections stay open and silent
+	Cut            bool          // nothing passes; connections stay open but transfer nothing
 	HalfOpen       bool          // connections are accepted and never served
-	Loss           float64       // the part of the datagrams that is lost
-	Duplicate      float64       // the part of the others that arrives twice
-	Delay          time.Duration // of each datagram, and of each piece of a stream
-	Jitter         time.Duration // the most that is added to it, drawn for each datagram, so that they are reordered
+	Loss           float64       // the share of the datagrams that is lost
+	Duplicate      float64       // the share of the others that arrives twice
+	Delay          time.Duration // of each datagram, and of each chunk of a stream
+	Jitter         time.Duration // the most that is added to Delay, drawn for each datagram, so that they are reordered
 	BytesPerSecond int           // of a stream; 0: unlimited
 }
 
 const (
 	// maxInFlight bounds the delayed datagrams of one link.
 	maxInFlight = 4096
-	// maxChunk bounds one piece of a stream.
+	// maxChunk bounds one chunk of a stream.
 	maxChunk = 16 << 10
 	// stallInterval is how often a stream checks whether a cut has ended.
 	stallInterval = 20 * time.Millisecond
 )
 
-// link is the way from one instance to another. It has an address of its own, and forwards datagrams and streams.
+// link is the connection from one instance to another. It has an address of its own, and forwards datagrams and streams.
 type link struct {
 	from, to string
 	udp      *net.UDPConn
 	tcp      net.Listener
 	target   string // the address of the instance that it leads to
-	reverse  *link  // the other direction, by which the answers of a stream go
+	reverse  *link  // the other direction, for the answers on a stream
 
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -61,6 +61,7 @@
 	return &link{from: from, to: to, tcp: l, udp: u.(*net.UDPConn), target: target, rng: rand.New(rand.NewPCG(seed, 0x6c696e6b))}, nil
 }
 
+// addr is the address at which the link accepts datagrams and connections.
 func (l *link) addr() string { return l.tcp.Addr().String() }
 
 func (l *link) setState(s LinkState) {
@@ -75,7 +76,7 @@
 	return l.current
 }
 
-// schedule decides what happens to one datagram: it is forwarded once after each of the delays.
+// schedule decides what happens to one datagram. It is forwarded once after each of the returned delays.
 func (l *link) schedule() (delays []time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +100,7 @@
 	return delays
 }
 
-// run forwards until ctx ends.
+// run forwards datagrams and streams until ctx ends.
 func (l *link) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	target, err := net.ResolveUDPAddr("udp", l.target)
@@ -164,8 +165,8 @@
 	l.inFlight += n
 }
 
-// forwardStream forwards a connection in both directions. While the link is cut the connection is accepted and stays silent,
-// as on a network that drops everything.
+// forwardStream forwards a connection in both directions. While the link is cut, the connection is accepted but nothing
+// is transferred, as on a network that drops everything.
 func (l *link) forwardStream(ctx context.Context, near net.Conn) {
 	defer near.Close()
 	stopNear := context.AfterFunc(ctx, func() { near.Close() })
@@ -187,7 +188,7 @@
 	both.Wait()
 }
 
-// waitUntilOpen waits until the link is not cut; false when ctx ends before.
+// waitUntilOpen waits until streams can pass the link. It returns false if ctx ends before.
 func (l *link) waitUntilOpen(ctx context.Context) bool {
 	for {
 		if s := l.state(); !s.Cut && !s.HalfOpen {
@@ -221,7 +222,7 @@
 	}
 }
 
-// chunkDelay is how long a piece of a stream is under way.
+// chunkDelay is how long a chunk of a stream takes to pass.
 func (s LinkState) chunkDelay(bytes int) time.Duration {
 	delay := s.Delay
 	if s.BytesPerSecond > 0 {
@@ -230,7 +231,7 @@
 	return delay
 }
 
-// sleep waits; false when ctx ends before.
+// sleep waits for d. It returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/lab/rig/network.go
+++ b/lab/rig/network.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// driveInterval is how often the links are set by the faults of the moment.
+// linkUpdateInterval is how often the states of the links are updated from the present faults.
 const linkUpdateInterval = 50 * time.Millisecond
 
-// driveLinks sets the links until the run ends, and records how late the rig itself runs.
+// updateLinks updates the states of the links until the run ends, and records how late the rig itself runs.
 func (w *run) updateLinks() {
 	for n := 1; ; n++ {
 		due := time.Duration(n) * linkUpdateInterval
@@ -25,7 +25,7 @@
 	}
 }
 
-// linkState adds up the faults of a link at a time.
+// linkState combines the faults of a link at a time.
 func (w *run) linkState(now time.Duration, from, to int) (state LinkState) {
 	for _, f := range w.faults {
 		if now < f.At || now >= f.At+f.Duration {
@@ -52,7 +52,8 @@
 	return state
 }
 
-// addNoise adds a fault of kind noise: the worse of two values counts.
+// addNoise adds a fault of kind noise. Of several faults the worst values count, except for BytesPerSecond, where the last
+// fault counts.
 func (s *LinkState) addNoise(f Fault) {
 	s.Loss = max(s.Loss, f.Loss)
 	s.Duplicate = max(s.Duplicate, f.Duplicate)
--- a/lab/rig/plan.go
+++ b/lab/rig/plan.go
@@ -13,46 +13,46 @@
 	"masthill/internal/config"
 )
 
-// schema is the JSON schema of a plan's file.
+// schema is the JSON schema of plan files.
 //
 //go:embed rig.schema.json
 var schema []byte
 
 const (
-	// firstFault is when the first random fault begins.
+	// firstRandomFaultAt is when the first random fault begins.
 	firstRandomFaultAt = 3 * time.Second
-	// maxServerFault is how long a random fault of a server lasts at most.
+	// maxServerFaultDuration bounds the duration of a random fault of a server.
 	maxServerFaultDuration = 4 * time.Second
-	// recoveryTime is how long after a random fault of a process no other one is drawn for it.
+	// recoveryTime is the least time from the end of a random fault of a process to its next one.
 	recoveryTime = 4 * time.Second
 )
 
-// Plan is what a run plays: a fleet, its load and its faults.
+// Plan describes a run: a fleet, its load and its faults.
 type Plan struct {
 	Instances      int           `toml:"instances"`
 	Sites          int           `toml:"sites"`    // the instances are spread over them in turn
-	Machines       int           `toml:"machines"` // and over these; 0: each has its own
+	Machines       int           `toml:"machines"` // as above; 0: each instance has its own
 	Servers        int           `toml:"servers"`
 	Voters         int           `toml:"keepers"` // the first instances
 	PlannedRate    float64       `toml:"planned"` // calls per second
-	LoadFactor     float64       `toml:"load"`    // as a part of Planned
+	LoadFactor     float64       `toml:"load"`    // as a multiple of PlannedRate
 	Duration       time.Duration `toml:"for"`
 	Budgets        bool          `toml:"budgets"`
 	DetectOutliers bool          `toml:"judgements"`
 	Shares         bool          `toml:"shares"`
 	Term           time.Duration `toml:"term"`
-	CrashInterval  time.Duration `toml:"cold_every"` // how often a server crashes and starts again; 0: never
-	RandomFaults   int           `toml:"random"`     // how many faults are drawn from the seed, beside Faults
+	CrashInterval  time.Duration `toml:"cold_every"` // how often a server crashes and restarts; 0: never
+	RandomFaults   int           `toml:"random"`     // how many faults are drawn from the seed, in addition to Faults
 	Faults         []Fault       `toml:"fault"`
-	QuietPeriod    time.Duration `toml:"quiet"` // the time at the end without random faults
+	QuietPeriod    time.Duration `toml:"quiet"` // at the end of the run, without random faults
 }
 
-// Fault is one thing that fails for a while.
+// Fault is a temporary fault of some instances, their links or some servers.
 type Fault struct {
 	Kind     string        `toml:"kind" json:"kind"`
 	At       time.Duration `toml:"at" json:"at"`
 	Duration time.Duration `toml:"for" json:"for"`
-	// Targets are the numbers of what fails:
+	// Targets are the numbers of the instances or servers, from 0. Their meaning depends on Kind:
 	//   - cut separates these instances from all others, flap does so for half of every second, between separates them from
 	//     each other alone, and oneway keeps them from receiving what the others send;
 	//   - halfopen has them accept connections and never serve them, and noise disturbs their links;
@@ -71,7 +71,7 @@
 // faultKinds are the values of Fault.Kind.
 var faultKinds = []string{"cut", "oneway", "flap", "noise", "halfopen", "between", "freeze", "kill", "wipe", "oldcopy", "restart", "silent", "slow"}
 
-// Load reads a plan's file. The error names each fault of the file with its line.
+// Load reads a plan file. The error lists all errors of the file with their lines.
 func Load(file string) (*Plan, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return Parse(file, string(text))
 }
 
-// Parse reads the text of a plan's file.
+// Parse reads the text of a plan file.
 func Parse(file, text string) (*Plan, error) {
 	p := &Plan{}
 	line, faults := config.DecodeTOML(file, text, schema, p)
@@ -94,17 +94,17 @@
 		for _, target := range f.Targets {
 			if count := p.targetCount(f.Kind); target < 0 || target >= count {
 				faults = append(faults, config.Fault{File: file, Line: at, Key: key + ".who",
-					Text: fmt.Sprintf("%d: there are %d, from 0", target, count)})
+					Text: fmt.Sprintf("%d is out of range: there are %d, numbered from 0", target, count)})
 			}
 		}
 		if f.At+f.Duration > p.Duration {
 			faults = append(faults, config.Fault{File: file, Line: at, Key: key + ".for",
-				Text: fmt.Sprintf("it lasts until %v, and the run %v", f.At+f.Duration, p.Duration)})
+				Text: fmt.Sprintf("the fault lasts until %v, but the run ends at %v", f.At+f.Duration, p.Duration)})
 		}
 	}
 	if p.Voters > p.Instances || p.Voters%2 == 0 {
 		faults = append(faults, config.Fault{File: file, Line: line([]string{"keepers"}), Key: "keepers",
-			Text: fmt.Sprintf("%d: an odd number, of %d instances", p.Voters, p.Instances)})
+			Text: fmt.Sprintf("%d: must be odd, and at most the number of instances, %d", p.Voters, p.Instances)})
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -112,7 +112,7 @@
 	return p, nil
 }
 
-// targetCount is how many targets there are for a kind of fault.
+// targetCount is the number of instances or servers that a fault of the given kind may have as targets.
 func (p *Plan) targetCount(kind string) int {
 	if kind == "silent" || kind == "slow" {
 		return p.Servers
@@ -120,7 +120,7 @@
 	return p.Instances
 }
 
-// setDefaults sets the values that the file leaves out.
+// setDefaults sets the values that are missing in the file.
 func (p *Plan) setDefaults() {
 	setDefault(&p.Instances, 12)
 	setDefault(&p.Sites, 3)
@@ -132,6 +132,7 @@
 	setDefault(&p.LoadFactor, 0.9)
 }
 
+// setDefault sets a value that is zero to its default.
 func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
@@ -139,12 +140,12 @@
 	}
 }
 
-// drawFaults gives the faults of the file and the random ones of a seed, in the order of time.
+// drawFaults returns the faults of the file and random ones drawn from the seed, in the order of time.
 func (p *Plan) drawFaults(seed uint64) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 0x706c616e))
 	all := slices.Clone(p.Faults)
 	span := p.Duration - p.QuietPeriod - firstRandomFaultAt
-	busyUntil := map[int]time.Duration{} // of processes: each has one fault at a time
+	busyUntil := map[int]time.Duration{} // by process, as each has one random fault at a time
 	for n := range p.RandomFaults {
 		f := Fault{
 			At:       firstRandomFaultAt + span*time.Duration(n)/time.Duration(p.RandomFaults),
--- a/lab/rig/plot.go
+++ b/lab/rig/plot.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws the served share by second, and a bar for each fault, into a file.
+// Plot writes a plot of the served share by second, with a bar for each fault, to a file.
 func Plot(r *Result, file string) error {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "served, and what went wrong", "s", "served share"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "served share and faults", "s", "served share"
 	p.Y.Min, p.Y.Max = 0, 1.05
 	var points plotter.XYs
 	for k, v := range r.ServedBySecond {
--- a/lab/rig/result.go
+++ b/lab/rig/result.go
@@ -7,14 +7,14 @@
 	"masthill/lab/check"
 )
 
-// The bounds that claims are checked with. They are the defaults of the settings that the rig leaves out.
+// The bounds that claims are checked against. They are the defaults of settings that the rig does not set.
 const (
 	maxMessageDelay = 2 * time.Second
 	leaseBurst      = 0.5
 	maxAvoidedShare = 0.25
 )
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
 	Seed         uint64  `json:"seed"`
 	Instances    int     `json:"instances"`
@@ -24,20 +24,20 @@
 	ServedShare  float64 `json:"served_share"`
 	check.Violations
 	Findings
-	CPUPerCall     float64       `json:"cpu_us_per_call"` // processor time of all instances
+	CPUPerCall     float64       `json:"cpu_us_per_call"` // CPU time of all instances
 	MaxColdWaitMS  float64       `json:"cold_wait_max_ms"`
-	RefusalPointMS float64       `json:"refusal_point_ms"` // the wait at which servers begin to reject calls
-	FellOver       bool          `json:"fell_over"`        // a server was overloaded for good
+	RefusalPointMS float64       `json:"refusal_point_ms"` // the waiting time from which servers reject calls
+	FellOver       bool          `json:"fell_over"`        // a server was overloaded and did not recover
 	ServedBySecond []float64     `json:"served_by_second"`
 	Faults         []FaultRecord `json:"faults"`
 	Errors         []string      `json:"errors,omitempty"`
-	MaxDelayMS     float64       `json:"ran_late_ms"` // by how much the rig itself was late at most
+	MaxDelayMS     float64       `json:"ran_late_ms"` // by which the rig itself ran late
 }
 
-// Bad tells whether the run showed any fault of the program.
+// Failed tells whether the run showed any error of the program.
 func (r *Result) Failed() bool { return r.Violations.Any() || r.Findings.Any() || len(r.Errors) > 0 }
 
-// FaultRecord is a fault and when it happened.
+// FaultRecord is a fault and when it took place.
 type FaultRecord struct {
 	Fault
 	FromS float64 `json:"from_s"`
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// sumCalls counts the calls and the share that was served, of all and by second.
+// sumCalls counts the calls and computes the served share, in total and by second.
 func (w *run) sumCalls() {
 	r := w.result
 	calls := w.callers.Results()
@@ -99,7 +99,7 @@
 	}
 }
 
-// readProcesses reads the claims of all processes, and adds when each process ended.
+// readProcesses reads the claims of all processes, and sets when each process ended.
 func (w *run) readProcesses() (all []*process, err error) {
 	for k, name := range w.names {
 		processes, err := readClaims(name, w.claimsFile(k))
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -1,7 +1,8 @@
-// Package rig tests a fleet of real processes of the program on loopback while things fail: the links between any two of
-// them by direction, the processes, their directories and the servers. The faults are read from a file or drawn from a
-// seed, and each is recorded. Every process writes down what it claims, a checker compares the claims with each other, and
-// callers and servers keep a ledger of the calls.
+// Package rig tests a fleet of real processes of the program on loopback under faults of the links between them (each
+// direction by itself), the processes, their directories and the servers. The faults are read from a file or drawn from a
+// seed, and each is recorded. Every process writes its claims to a file: which rates it may use, which counts it knows,
+// when it is leader and which servers it avoids. A checker compares the claims with each other, and callers and servers
+// keep a ledger of the calls.
 package rig
 
 import (
@@ -21,17 +22,17 @@
 	"masthill/lab/standin"
 )
 
-// Options is what Run needs to know.
+// Options configures Run.
 type Options struct {
 	Plan         *Plan
 	Seed         uint64
 	Program      string
-	Dir          string   // for the instances' directories and claims
-	Env          []string // for the processes, such as the check that a mutant leaves out
-	WithoutPeers bool     // the instances know nothing of each other, for comparison
+	Dir          string   // for the instances' directories and claims files
+	Env          []string // for the processes, such as the name of the check that a broken build omits
+	WithoutPeers bool     // the instances do not know each other, for comparison
 }
 
-// run is a run in progress.
+// run is the state of a run.
 type run struct {
 	Options
 	ctx          context.Context
@@ -52,13 +53,13 @@
 
 	mu           sync.Mutex
 	processEnds  map[string][]int64 // when the processes of an instance ended, in their order
-	interrupted  map[int]bool       // instances that a fault has paused or stopped
+	interrupted  map[int]bool       // the instances that a fault has paused or stopped, by number
 	lastFaultEnd time.Time
-	coldServers  []string // that have started anew
+	coldServers  []string // the servers that have restarted
 }
 
-// Run plays a plan. An error means that the rig failed or an instance did not start; what the program did wrong is in the
-// result.
+// Run runs a plan. An error means that the rig failed or that an instance did not start at the beginning. Errors of the
+// program during the run are in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if _, err := os.Stat(o.Program); err != nil {
 		return nil, fmt.Errorf("the program to run: %w", err)
@@ -100,7 +101,7 @@
 	}
 }
 
-// play sets everything up, and plays the calls and faults of the plan.
+// runPlan sets everything up, and runs the calls and faults of the plan.
 func (w *run) runPlan() error {
 	if err := w.setUp(); err != nil {
 		return err
@@ -121,7 +122,7 @@
 	return w.callers.Run(w.ctx, w.Plan.Duration)
 }
 
-// sleepUntil waits until a time after the start; false when the run ends before.
+// sleepUntil waits until a time after the start. It returns false if the run ends before.
 func (w *run) sleepUntil(at time.Duration) bool {
 	select {
 	case <-w.ctx.Done():
@@ -131,7 +132,7 @@
 	}
 }
 
-// recordEnd notes when the process of an instance ended.
+// recordEnd records when the process of an instance ended.
 func (w *run) recordEnd(k int, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -15,7 +15,7 @@
 	"masthill/control/shared/outlier"
 )
 
-// program is the program under test, broken a build of it that can leave a guard out.
+// program is the program under test, brokenProgram a build of it that can omit a check.
 var program, brokenProgram string
 
 func TestMain(m *testing.M) {
@@ -84,6 +84,7 @@
 jitter = "200ms"
 `
 
+// runPlan runs a plan with a fixed seed.
 func runPlan(t *testing.T, text string, o Options) *Result {
 	t.Helper()
 	p, err := Parse("test", text)
@@ -107,7 +108,7 @@
 		t.Errorf("%v %v %v", r.Violations, r.Findings, r.Errors)
 	}
 	if r.Calls < 300 || r.Processes != 7 || r.MaxInUse < 0.5 || r.Counts < 500 || len(r.Faults) != 6 || r.ConvergedS < 0 {
-		t.Errorf("too little was seen to say so: %d calls, %+v, %d faults", r.Calls, r.Findings, len(r.Faults))
+		t.Errorf("too little activity, or no convergence after the faults: %d calls, %+v, %d faults", r.Calls, r.Findings, len(r.Faults))
 	}
 	file := filepath.Join(t.TempDir(), "rig.svg")
 	if err := Plot(r, file); err != nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// Each guard that is left out shows in the claims.
+// Each check that the program omits leads to wrong claims, which the checker must find.
 func TestOmittedChecksAreFound(t *testing.T) {
 	t.Parallel()
 	for omitted, findingCount := range map[string]func(*Result) int{
@@ -126,8 +127,8 @@
 		t.Run(omitted, func(t *testing.T) {
 			t.Parallel()
 			text := shortPlan
-			if omitted == outlier.CheckObservers { // one that has its servers' answers late, for the others to hear of
-				// One such fault shows it or not, by whose calls come then, so there are four.
+			if omitted == outlier.CheckObservers { // needs silent servers, which instances then report
+				// Whether one such fault shows the omission depends on which instances get calls then, so there are four.
 				text = strings.Replace(text, `for = "16s"`, `for = "28s"`, 1)
 				for k, at := range []string{"3s", "9s", "15s", "21s"} {
 					text += fmt.Sprintf("[[fault]]\nkind = \"silent\"\nat = %q\nfor = \"3s\"\nwho = [%d]\n", at, k%3)
@@ -135,7 +136,7 @@
 			}
 			r := runPlan(t, text, Options{Program: brokenProgram, Env: []string{"MASTHILL_WITHOUT=" + omitted}})
 			if findingCount(r) == 0 {
-				t.Errorf("nothing found: %+v", r.Findings)
+				t.Errorf("no findings: %+v", r.Findings)
 			}
 		})
 	}
@@ -189,7 +190,7 @@
 	}
 }
 
-// The checker itself, on claims that are made up.
+// The checker must find wrong claims among made-up ones, and accept the others.
 func TestCheckClaims(t *testing.T) {
 	at := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	newClaim := func(from, until float64, rate int64) claim {
@@ -206,9 +207,9 @@
 	}{
 		{"within the pool", []*process{newProcess("a", newClaim(1, 3, 4000)), newProcess("b", newClaim(2, 4, 4000))}, 0},
 		{"one after the other", []*process{newProcess("a", newClaim(1, 3, 8000)), newProcess("b", newClaim(3, 5, 8000))}, 0},
-		{"cut down before", []*process{newProcess("a", newClaim(1, 9, 8000), newClaim(2, 9, 2000)), newProcess("b", newClaim(3, 5, 6000))}, 0},
-		{"both", []*process{newProcess("a", newClaim(1, 3, 8000)), newProcess("b", newClaim(2.9, 5, 1000))}, 1},
-		{"renewed over its end", []*process{newProcess("a", newClaim(1, 3, 8000), newClaim(2, 4, 8000)), newProcess("b", newClaim(3.5, 5, 1000))}, 1},
+		{"reduced before", []*process{newProcess("a", newClaim(1, 9, 8000), newClaim(2, 9, 2000)), newProcess("b", newClaim(3, 5, 6000))}, 0},
+		{"overlapping", []*process{newProcess("a", newClaim(1, 3, 8000)), newProcess("b", newClaim(2.9, 5, 1000))}, 1},
+		{"renewed before its end", []*process{newProcess("a", newClaim(1, 3, 8000), newClaim(2, 4, 8000)), newProcess("b", newClaim(3.5, 5, 1000))}, 1},
 	} {
 		if f := checkClaims(c.all, limits); f.Overspent != c.want {
 			t.Errorf("%s: %+v", c.name, f)
@@ -217,7 +218,7 @@
 	killed := newProcess("a", newClaim(1, 9, 8000))
 	killed.to = at(2)
 	if f := checkClaims([]*process{killed, newProcess("b", newClaim(3, 5, 8000))}, limits); f.Overspent != 0 {
-		t.Errorf("a dead one is taken to use its part: %+v", f)
+		t.Errorf("the claim of a process that has ended still counts: %+v", f)
 	}
 	newCounting := func(name string, reported map[string]int64, age int64) *process {
 		p := newProcess(name)
@@ -238,7 +239,7 @@
 		}
 	}
 	if f := checkClaims([]*process{newCounting("a", map[string]int64{"o/": 100, "least": 900}, 0), newCounting("b", nil, 0)}, limits); f.OutOfBounds == 0 {
-		t.Error("a least beyond all that was counted is not found")
+		t.Error("a lower bound above the true count is not found")
 	}
 	newDeciding := func(observers ...string) *process {
 		p := newProcess("a")
@@ -249,7 +250,7 @@
 		t.Errorf("%+v", f)
 	}
 	if f := checkClaims([]*process{newDeciding("a", "c")}, limits); f.Unfounded != 1 {
-		t.Errorf("two instances on one machine pass for two witnesses: %+v", f)
+		t.Errorf("two instances on one machine count as two observers: %+v", f)
 	}
 	newLeader := func(name string, from, until float64) *process {
 		p := newProcess(name)
@@ -260,6 +261,6 @@
 		t.Errorf("%+v", f)
 	}
 	if f := checkClaims([]*process{newLeader("a", 1, 3), newLeader("b", 2.9, 5)}, limits); f.ConcurrentLeaders != 1 {
-		t.Errorf("two allocators at once are not found: %+v", f)
+		t.Errorf("two leaders at the same time are not found: %+v", f)
 	}
 }
--- a/lab/rig/settings.go
+++ b/lab/rig/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// settings is the operators' settings file of an instance.
+// settings returns the content of an instance's settings file for operators.
 func (w *run) settings(k int, dir string, addr func(int) string) string {
 	p := w.Plan
 	var b strings.Builder
@@ -49,5 +49,5 @@
 	return b.String()
 }
 
-// claimsFile names the file of an instance's claims. It is outside the instance's directory, which may get lost.
+// claimsFile is the path of an instance's claims file. It is outside the instance's directory, which faults may empty.
 func (w *run) claimsFile(k int) string { return filepath.Join(w.Dir, w.names[k]+".claims") }
--- a/lab/rig/setup.go
+++ b/lab/rig/setup.go
@@ -21,9 +21,9 @@
 	maxLinkedInstances = 24
 	// maxParallelStarts bounds the instances that start at the same time.
 	maxParallelStarts = 8
-	// fleetKey encrypts what the instances of a run send each other. It protects nothing.
+	// fleetKey encrypts the messages between the instances of a run. It need not be secret.
 	fleetKey = "bWFzdGhpbGwtbGFiLWtleQ=="
-	// deadline is how long the platform lets a call take.
+	// deadline is the time limit of a call.
 	deadline = 9 * time.Second
 )
 
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// demand is the load that the callers offer.
+// demand returns the load that the callers generate.
 func demand(p *Plan) standin.Demand {
 	return standin.Demand{
 		Rate:      p.LoadFactor * p.PlannedRate,
@@ -123,7 +123,7 @@
 	}
 }
 
-// prepareInstance starts an instance's list of servers, and makes its directory and settings.
+// prepareInstance starts an instance's list service, and makes its directory and settings.
 func (w *run) prepareInstance(k int, name string, addr func(int) string) error {
 	p := w.Plan
 	var entries []standin.Entry
@@ -162,7 +162,7 @@
 	return starts.Wait()
 }
 
-// startInstance starts the process of an instance, and sends it calls once it is ready.
+// startInstance starts the process of an instance, and adds it to the callers' instances once it is ready.
 func (w *run) startInstance(k int) error {
 	i := w.instances[k]
 	addr, err := i.Start(w.ctx, w.listServices[k].KnownList())
--- a/lab/rig/traffic.go
+++ b/lab/rig/traffic.go
@@ -1,6 +1,6 @@
 package rig
 
-// measureTraffic finds when all members knew all after the last fault, and how much a member sends.
+// measureTraffic finds out when all members knew each other after the last fault, and how much a member sends.
 func measureTraffic(f *Findings, all []*process, b bounds) {
 	f.ConvergedS = 0
 	bytes, datagrams, measured := 0.0, 0.0, 0
@@ -11,7 +11,7 @@
 			datagrams += float64(last.datagrams-first.datagrams) / float64(last.at-first.at) * 1e9
 			measured++
 		}
-		if p.to < b.end { // it ended before the run
+		if p.to < b.end { // the process ended before the run did
 			continue
 		}
 		at := p.convergedAt(b)
@@ -26,7 +26,7 @@
 	f.DatagramsPerSecond = datagrams / float64(max(measured, 1))
 }
 
-// convergedAt is when a process knew all members for good; -1 if it did not.
+// convergedAt is the time from which a process knew all members until its last snapshot; -1 if it did not.
 func (p *process) convergedAt(b bounds) int64 {
 	at := int64(-1)
 	for _, s := range p.snapshots {
