--- a/cmd/masthill-lab/asrun.go
+++ b/cmd/masthill-lab/asrun.go
@@ -43,7 +43,7 @@
 		}
 	}
 	return func(s control.Settings, planned float64, seed uint64, now int64) (chain join.Chain) {
-		var fleet *shared.Shared
+		var fleet *shared.Module
 		for _, name := range names {
 			switch name {
 			case "recovery":
--- a/cmd/masthill-lab/main_test.go
+++ b/cmd/masthill-lab/main_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	slices.Sort(want)
-	got, twice := asRun(control.Settings{Classes: []control.Class{{Aim: 1e9, Deadline: 9e9}}}, 66, 1, 0).Names()
+	got, twice := asRun(control.Settings{Classes: []control.Class{{TargetDelay: 1e9, Deadline: 9e9}}}, 66, 1, 0).Names()
 	if slices.Sort(got); twice || !slices.Equal(got, want) {
 		t.Errorf("the settings turn on %v, experiments play %v", want, got)
 	}
--- a/cmd/masthill/configuring.go
+++ b/cmd/masthill/configuring.go
@@ -58,7 +58,7 @@
 	}
 	in.logLevels.Set(general, parts)
 	if in.shares != nil {
-		in.core.Look(func() { in.shares.SetFractions(tenants) })
+		in.core.Inspect(func() { in.shares.SetFractions(tenants) })
 	}
 	if in.controls != nil {
 		callers := in.own.CallWS.Callers
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -68,7 +68,7 @@
 	var known *state.Snapshot
 	if dir := in.own.State.Dir; dir != "" {
 		in.keeper = &state.SnapshotWriter{Dir: dir, Instance: in.p.Name, Interval: in.own.State.Interval, Log: in.log.With(logs.PartKey, "state"),
-			Learnt: func() (l control.Learnt) { return in.core.Learnt() }}
+			Learnt: func() (l control.LearnedState) { return in.core.LearnedState() }}
 		s, err := state.Load(dir, in.p.Name, time.Now(), in.own.State.MaxAge)
 		switch {
 		case errors.Is(err, state.ErrNoSnapshot):
@@ -157,11 +157,11 @@
 		case <-tick.C:
 		}
 		memory, descriptors := ctl.Usage()
-		in.core.Gauge(levels.Memory, memory/float64(in.p.MemoryMB))
-		in.core.Gauge(levels.Descriptors, float64(descriptors)/float64(in.p.Sockets))
-		in.core.Gauge(levels.Inbox, in.core.InboxUsed())
+		in.core.ReportGauge(levels.Memory, memory/float64(in.p.MemoryMB))
+		in.core.ReportGauge(levels.Descriptors, float64(descriptors)/float64(in.p.Sockets))
+		in.core.ReportGauge(levels.Inbox, in.core.InboxUsed())
 		if _, heard := in.feed.Position(); !heard.IsZero() {
-			in.core.Gauge(levels.ListAge, time.Since(heard).Seconds()/10)
+			in.core.ReportGauge(levels.ListAge, time.Since(heard).Seconds()/10)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 // history are the last changes of the level of service, also after the core's end.
 func (in *instance) history() (all []levels.Change) {
 	looked := false
-	in.core.Look(func() { all, looked = in.levels.History(), true })
+	in.core.Inspect(func() { all, looked = in.levels.History(), true })
 	if !looked {
 		all = in.levels.History() // nothing changes it any more
 	}
@@ -249,10 +249,10 @@
 
 // placing is the offices' side.
 func placing(in *instance) (part, error) {
-	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectWait: in.p.ConnectTimeout,
+	offices := office.NewPool(office.Options{Core: in.core, Log: in.log.With(logs.PartKey, "offices"), ConnectTimeout: in.p.ConnectTimeout,
 		ListLive: func() bool { return in.feed.IsLive() },
-		Dials: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.Fields)),
-			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.Fields))}})
+		Dialers: map[string]office.Dial{"": in.descriptors.dial(office.DialSIP(in.p.Name, in.p.Settings.ReportFields)),
+			"ws": in.descriptors.dial(callws.Dial(in.p.Settings.ReportFields))}})
 	in.core.SetOffices(offices)
 	return part{run: offices.Run}, nil
 }
--- a/cmd/masthill/serve.go
+++ b/cmd/masthill/serve.go
@@ -132,7 +132,7 @@
 	keeper      *state.SnapshotWriter   // nil: nothing is kept
 	recovery    *recovery.Recovery      // nil: off
 	levels      *levels.Levels          // nil: off
-	shared      *shared.Shared          // nil: off
+	shared      *shared.Module          // nil: off
 	shares      *shares.Shares          // nil: off
 	controls    *callws.Front           // nil: off
 	peers       *peers.Peers            // nil: off
--- a/cmd/masthill/talking.go
+++ b/cmd/masthill/talking.go
@@ -123,7 +123,7 @@
 // talks is what this instance knows of its fleet.
 func (in *instance) talks() *ctl.Peers {
 	t := &ctl.Peers{Status: in.peers.Status()}
-	in.core.Look(func() { t.Shared = in.shared.Look(in.options.Now().UnixNano()) })
+	in.core.Inspect(func() { t.Shared = in.shared.Snapshot(in.options.Now().UnixNano()) })
 	return t
 }
 
@@ -180,11 +180,11 @@
 			return nil
 		case l = <-a.lines:
 		case <-tick.C:
-			var look shared.Look
+			var look shared.Snapshot
 			at := int64(math.MinInt64)
-			in.core.Look(func() {
+			in.core.Inspect(func() {
 				at = in.options.Now().UnixNano()
-				look = in.shared.Look(at)
+				look = in.shared.Snapshot(at)
 			})
 			if at == math.MinInt64 {
 				return nil // the core has ended
--- a/control/calls.go
+++ b/control/calls.go
@@ -24,7 +24,7 @@
 	if c.calls[ev.Call] != nil {
 		return
 	}
-	cl := &call{id: ev.Call, class: min(max(ev.Class, 0), len(c.cfg.Classes)-1), key: ev.Key, firstChoice: ev.FarEnd,
+	cl := &call{id: ev.Call, class: min(max(ev.Class, 0), len(c.cfg.Classes)-1), key: ev.Key, firstChoice: ev.FirstChoice,
 		inTransit: ev.InTransit, firstAt: c.now - ev.Waited, notAfter: ev.NotAfter, threshold: c.rng.Float64()}
 	c.calls[cl.id] = cl
 	// A call to a number that was refused recently is a redial, and its caller first called then. This handles redial
@@ -59,7 +59,7 @@
 // none. It refuses the call if it was held before or would be given up first, or if as many calls are held as spacings
 // fit into the longest hold.
 func (c *Controller) hold(cl *call) {
-	maxHold := holdFraction * float64(c.cfg.Classes[cl.class].Aim)
+	maxHold := holdFraction * float64(c.cfg.Classes[cl.class].TargetDelay)
 	spacing := min(c.spacing, maxHold)
 	at := c.now
 	if c.held > 0 {
@@ -128,7 +128,7 @@
 		// A caller that can still be served in time is asked back soon: its redial is one more deferral. Others are
 		// asked to wait as long as allowed.
 		a.Wait = c.cfg.MaxRetryAfter
-		if left := cl.firstAt + c.cfg.Classes[cl.class].Aim - c.now; left > minRetryTime {
+		if left := cl.firstAt + c.cfg.Classes[cl.class].TargetDelay - c.now; left > minRetryTime {
 			a.Wait = min(a.Wait, shortRetryAfter)
 		}
 	}
@@ -201,7 +201,7 @@
 	switch ev.Outcome {
 	case TimedOut, ConnectionLost, Canceled:
 		cl.mayHaveRun = true
-		cl.releasedAt = c.now + c.cfg.ClearWait
+		cl.releasedAt = c.now + c.cfg.ReleaseWait
 		c.hold(cl)
 	case Saturated:
 		c.hold(cl)
--- a/control/cold.go
+++ b/control/cold.go
@@ -11,10 +11,10 @@
 func (c *Controller) capacityFraction(s *server) float64 {
 	start := max(s.readyAt, s.downAt)
 	age := c.now - start
-	if start <= 0 || age >= c.cfg.ColdSpan {
+	if start <= 0 || age >= c.cfg.WarmUpTime {
 		return 1
 	}
-	return c.cfg.ColdFrom + (1-c.cfg.ColdFrom)*float64(max(age, 0))/float64(c.cfg.ColdSpan)
+	return c.cfg.ColdFraction + (1-c.cfg.ColdFraction)*float64(max(age, 0))/float64(c.cfg.WarmUpTime)
 }
 
 // hasColdCredit tells whether a cold server may get another send from this instance. Each instance earns credit at its
@@ -29,9 +29,9 @@
 		return true
 	}
 	// The peak load bounds the rate whatever the server reports.
-	rate := min(coldPace, coldBudgetPart*c.cfg.FallMultiple) * min(c.fairRate(s), fraction*c.peakLoad)
+	rate := min(coldPace, coldBudgetPart*c.cfg.CrashMultiple) * min(c.fairRate(s), fraction*c.peakLoad)
 	rate = max(rate, coldOfferedPart*fraction*c.perSecond(&c.offered)/max(c.available, 1))
-	window := float64(c.cfg.FallWindow) / float64(second)
+	window := float64(c.cfg.CrashWindow) / float64(second)
 	s.credit, s.creditAt = s.credit+rate*float64(c.now-s.creditAt)/float64(second), c.now
 	if margin := coldCreditMargin * (fraction + rate*window); margin < 1 && rate*window > coldSparse {
 		s.credit -= max(math.Ceil(s.credit-1-margin), 0)
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -44,8 +44,8 @@
 func newColdFleet(t *testing.T, c coldCase, seed uint64) *coldFleet {
 	t.Helper()
 	set := testSettings()
-	set.GroupSize, set.FallMultiple, set.ColdFrom = c.controllers, 2, 0.31
-	f := &coldFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 5)), capacity: c.budget / (set.FallMultiple * set.ColdFrom), restartedAt: 200 * second}
+	set.GroupSize, set.CrashMultiple, set.ColdFraction = c.controllers, 2, 0.31
+	f := &coldFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 5)), capacity: c.budget / (set.CrashMultiple * set.ColdFraction), restartedAt: 200 * second}
 	total := 0.0
 	for range c.controllers {
 		f.rates = append(f.rates, math.Exp(c.skew*f.rng.NormFloat64()))
@@ -94,11 +94,11 @@
 				wanted = c.demand == 0
 			}
 		}
-		for len(sends) > 0 && sends[0] <= now-f.settings.FallWindow {
+		for len(sends) > 0 && sends[0] <= now-f.settings.CrashWindow {
 			sends = sends[1:]
 		}
-		warmth := f.settings.ColdFrom + (1-f.settings.ColdFrom)*float64(now-f.restartedAt)/float64(f.settings.ColdSpan)
-		n := f.settings.FallMultiple * warmth * f.capacity * float64(f.settings.FallWindow) / float64(second)
+		warmth := f.settings.ColdFraction + (1-f.settings.ColdFraction)*float64(now-f.restartedAt)/float64(f.settings.WarmUpTime)
+		n := f.settings.CrashMultiple * warmth * f.capacity * float64(f.settings.CrashWindow) / float64(second)
 		worst = max(worst, float64(len(sends))/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
--- a/control/control.go
+++ b/control/control.go
@@ -151,8 +151,8 @@
 		excluded: func(uint64) bool { return false }, minValue: math.Inf(1)}
 	target := int64(math.MaxInt64)
 	for _, class := range s.Classes {
-		if target = min(target, class.Aim); class.Worth > 0 {
-			c.minValue = min(c.minValue, class.Worth)
+		if target = min(target, class.TargetDelay); class.Value > 0 {
+			c.minValue = min(c.minValue, class.Value)
 		}
 	}
 	c.timeScale = min(float64(target)/baseTarget, 1)
@@ -161,7 +161,7 @@
 		c.refDelay = min(c.refDelay, float64(s.T1))
 	}
 	c.spacing = float64(target) * holdFraction
-	c.spareField, c.rateField = slices.Index(s.Fields, "spare"), slices.Index(s.Fields, "allowed")
+	c.spareField, c.rateField = slices.Index(s.ReportFields, "spare"), slices.Index(s.ReportFields, "allowed")
 	return c, nil
 }
 
@@ -187,7 +187,7 @@
 		c.onArrival(ev)
 	case Aborted:
 		c.forget(c.calls[ev.Call])
-	case Stands:
+	case Established:
 		c.onEstablished(ev)
 	case AttemptEnded:
 		c.onAttemptEnded(ev)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -18,13 +18,13 @@
 const ms = second / 1000
 
 func testSettings() Settings {
-	return Settings{GroupSize: 4, ThisNode: -1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 2 * second, Fields: []string{"spare", "total"}, Resolution: 5 * ms, T1: 500 * ms,
-		ClearWait: 300 * ms, DrainGrace: second, FallMultiple: 3, FallWindow: second, ColdFrom: 0.3,
-		ColdSpan: 15 * second,
+	return Settings{GroupSize: 4, OwnCell: -1, MaxAttempts: 3, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: 2 * second, ReportFields: []string{"spare", "total"}, Resolution: 5 * ms, T1: 500 * ms,
+		ReleaseWait: 300 * ms, DrainGrace: second, CrashMultiple: 3, CrashWindow: second, ColdFraction: 0.3,
+		WarmUpTime: 15 * second,
 		Classes: []Class{
-			{Aim: 1200 * ms, Deadline: 9 * second, Worth: 1, LateValue: 0.25, Cells: []int{0, 1}},
-			{Aim: 1200 * ms, Deadline: 9 * second, Worth: 3, LateValue: 0.25, Cells: []int{0, 1}},
+			{TargetDelay: 1200 * ms, Deadline: 9 * second, Value: 1, LateValue: 0.25, Cells: []int{0, 1}},
+			{TargetDelay: 1200 * ms, Deadline: 9 * second, Value: 3, LateValue: 0.25, Cells: []int{0, 1}},
 		}}
 }
 
@@ -77,7 +77,7 @@
 func (b *fixture) call(far, class int) (string, []Action) {
 	b.callCount++
 	id := fmt.Sprintf("c%d", b.callCount)
-	return id, b.handle(Event{Kind: Arrival, Call: id, Class: class, NotAfter: b.now + 3*second, FarEnd: far})
+	return id, b.handle(Event{Kind: Arrival, Call: id, Class: class, NotAfter: b.now + 3*second, FirstChoice: far})
 }
 
 // coldSends counts the sends that a cold server gets in its first crash window when there is always a call.
@@ -87,7 +87,7 @@
 		for b.c.now = b.now; n < 10000 && b.c.hasColdCredit(s); n++ {
 			s.credit--
 		}
-		b.now += b.c.cfg.FallWindow / 1000
+		b.now += b.c.cfg.CrashWindow / 1000
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 
 func (b *fixture) establish(id string, server uint64, d int64) {
 	b.now += d
-	b.handle(Event{Kind: Stands, Call: id, Server: server, Elapsed: d})
+	b.handle(Event{Kind: Established, Call: id, Server: server, Elapsed: d})
 }
 
 func wantOnly(t *testing.T, acts []Action, kind ActionKind) Action {
@@ -140,20 +140,20 @@
 		spoil func(*Settings)
 	}{
 		{"grades", func(s *Settings) { s.Classes = nil }},
-		{"grades[1].aim_ns", func(s *Settings) { s.Classes[1].Aim = 0 }},
+		{"grades[1].aim_ns", func(s *Settings) { s.Classes[1].TargetDelay = 0 }},
 		{"grades[0].deadline_ns", func(s *Settings) { s.Classes[0].Deadline = -1 }},
-		{"grades[0].worth", func(s *Settings) { s.Classes[0].Worth = -2 }},
+		{"grades[0].worth", func(s *Settings) { s.Classes[0].Value = -2 }},
 		{"group_size", func(s *Settings) { s.GroupSize = 0 }},
 		{"ordinal", func(s *Settings) { s.Ordinal = s.GroupSize }},
 		{"ordinal", func(s *Settings) { s.Ordinal = -1 }},
-		{"rules.fall_multiple", func(s *Settings) { s.FallMultiple = 0 }},
-		{"rules.fall_ns", func(s *Settings) { s.FallWindow = 0 }},
-		{"rules.cold_from", func(s *Settings) { s.ColdFrom = math.NaN() }},
-		{"rules.cold_from", func(s *Settings) { s.ColdFrom = 1.5 }},
+		{"rules.fall_multiple", func(s *Settings) { s.CrashMultiple = 0 }},
+		{"rules.fall_ns", func(s *Settings) { s.CrashWindow = 0 }},
+		{"rules.cold_from", func(s *Settings) { s.ColdFraction = math.NaN() }},
+		{"rules.cold_from", func(s *Settings) { s.ColdFraction = 1.5 }},
 		{"grades[1].late_value", func(s *Settings) { s.Classes[1].LateValue = math.NaN() }},
 		{"limits.max_attempts", func(s *Settings) { s.MaxAttempts = 0 }},
 		{"extra.t1_ns", func(s *Settings) { s.T1 = -1 }},
-		{"rules.cold_ns", func(s *Settings) { s.ColdSpan = -5 }},
+		{"rules.cold_ns", func(s *Settings) { s.WarmUpTime = -5 }},
 	} {
 		s := testSettings()
 		tc.spoil(&s)
@@ -228,7 +228,7 @@
 		}
 	}
 	b.c.spacing = float64(200 * ms)
-	maxHold := holdFraction * float64(testSettings().Classes[0].Aim)
+	maxHold := holdFraction * float64(testSettings().Classes[0].TargetDelay)
 	maxHeld := int(maxHold / b.c.spacing)
 	for k := range maxHeld {
 		_, acts := b.call(0, 0)
@@ -393,12 +393,12 @@
 	b.now += reorderMargin - 1
 	id, _ := b.call(0, 0)
 	b.now += 10 * ms
-	if acts := b.handle(Event{Kind: Stands, Call: id, Server: 10, Elapsed: 10 * ms}); len(acts) != 0 {
+	if acts := b.handle(Event{Kind: Established, Call: id, Server: 10, Elapsed: 10 * ms}); len(acts) != 0 {
 		t.Fatalf("jitter counted as a loss: %+v", acts)
 	}
 	id, _ = b.call(0, 0)
 	b.now += 10 * ms
-	a := wantOnly(t, b.handle(Event{Kind: Stands, Call: id, Server: 10, Elapsed: 10 * ms}), Cancel)
+	a := wantOnly(t, b.handle(Event{Kind: Established, Call: id, Server: 10, Elapsed: 10 * ms}), Cancel)
 	if a.Call != lost || a.Attempt != 0 {
 		t.Fatalf("canceled %+v", a)
 	}
@@ -406,7 +406,7 @@
 	_, acts := b.call(0, 0)
 	wantOnly(t, acts, Send)
 	held := wantOnly(t, b.endAttempt(lost, 10, Canceled, 0), StartTimer)
-	if held.Wait < testSettings().ClearWait {
+	if held.Wait < testSettings().ReleaseWait {
 		t.Fatalf("held attempt after %d", held.Wait)
 	}
 	b.now += held.Wait
@@ -431,7 +431,7 @@
 
 func TestReportedRateIsCapacityWhileValid(t *testing.T) {
 	set := testSettings()
-	set.Fields = []string{"spare", "total", "allowed"}
+	set.ReportFields = []string{"spare", "total", "allowed"}
 	b := newFixture(t, set, 2)
 	s, o := b.c.server(10), b.c.server(11)
 	s.share, o.share = 100, 200
@@ -539,7 +539,7 @@
 
 func TestWrongReportDoesNotRaiseColdBudget(t *testing.T) {
 	set := testSettings()
-	set.Fields = []string{"spare", "total", "allowed"}
+	set.ReportFields = []string{"spare", "total", "allowed"}
 	b := newFixture(t, set, 2)
 	b.c.startedAt, b.c.carried = 1, decayingCount{20 * loadAveraging / float64(second), b.now}
 	b.c.refreshedAt = 0
@@ -655,7 +655,7 @@
 // closed.
 func TestLongPathIsNotOverload(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].Aim = 400 * ms
+	s.Classes[0].TargetDelay = 400 * ms
 	b := newFixture(t, s, 2)
 	b.establishMany(60 * ms)
 	id, _ := b.call(0, 0)
@@ -778,7 +778,7 @@
 		b.c.spacing = float64(10 * ms)
 		id, _ := b.call(0, 0)
 		a := wantOnly(t, b.endAttempt(id, 10, o, 0), StartTimer)
-		if a.Wait < testSettings().ClearWait {
+		if a.Wait < testSettings().ReleaseWait {
 			t.Errorf("outcome %d: held attempt after %d", o, a.Wait)
 		}
 		cl := b.c.calls[id]
@@ -876,7 +876,7 @@
 
 func TestUnknownIdsAreIgnored(t *testing.T) {
 	b := newFixture(t, testSettings(), 2)
-	for _, ev := range []Event{{Kind: TimerFired, Tag: 99}, {Kind: Aborted, Call: "no"}, {Kind: Stands, Call: "no", Server: 5},
+	for _, ev := range []Event{{Kind: TimerFired, Tag: 99}, {Kind: Aborted, Call: "no"}, {Kind: Established, Call: "no", Server: 5},
 		{Kind: AttemptEnded, Call: "no", Server: 5}, {Kind: LoadReport, Server: 5}, {Kind: ListError}} {
 		for _, a := range b.handle(ev) {
 			if a.Kind != StartTimer {
@@ -940,7 +940,7 @@
 				}
 				st.inProgress, st.server, st.sentAt = true, a.Server, now
 				st.attempts++
-				if now-ready[a.Server] < set.ColdSpan && ready[a.Server] > 0 {
+				if now-ready[a.Server] < set.WarmUpTime && ready[a.Server] > 0 {
 					coldLog[a.Server] = append(coldLog[a.Server], now)
 				}
 			case Refuse, Fail:
@@ -976,7 +976,7 @@
 		}
 		for _, id := range ids { // the attempts that time out
 			if st := calls[id]; st.inProgress && now >= st.notAfter-2*set.Resolution {
-				st.inProgress, st.clearAt = false, now+set.ClearWait
+				st.inProgress, st.clearAt = false, now+set.ReleaseWait
 				run(Event{Kind: AttemptEnded, Call: id, Server: st.server, Outcome: TimedOut, Elapsed: now - st.sentAt})
 			}
 		}
@@ -989,7 +989,7 @@
 			}
 			ids = append(ids, id)
 			run(Event{Kind: Arrival, Call: id, Class: rng.IntN(2), Key: fmt.Sprint(rng.IntN(50)),
-				NotAfter: calls[id].notAfter, FarEnd: rng.IntN(2), Redialed: rng.IntN(3) == 0})
+				NotAfter: calls[id].notAfter, FirstChoice: rng.IntN(2), Redialed: rng.IntN(3) == 0})
 		case roll < 38:
 			var open []string
 			for _, id := range ids {
@@ -1007,11 +1007,11 @@
 			switch rng.IntN(12) {
 			default:
 				st.established = true
-				ev.Kind = Stands
+				ev.Kind = Established
 			case 2:
 				ev.Outcome, ev.Note, ev.WaitMS = Saturated, 3, int64(rng.IntN(500))
 			case 3:
-				ev.Outcome, st.clearAt = ConnectionLost, now+set.ClearWait
+				ev.Outcome, st.clearAt = ConnectionLost, now+set.ReleaseWait
 			case 4:
 				ev.Outcome = ConnectionRefused
 			case 5:
@@ -1034,12 +1034,12 @@
 		for k, at := range log {
 			n := 0
 			for _, o := range log[k:] {
-				if o-at < set.FallWindow {
+				if o-at < set.CrashWindow {
 					n++
 				}
 			}
 			// 100 calls a second, of which at most 3/4 were carried by one warm server of the same capacity
-			if limit := int(coldBudgetPart*set.FallMultiple*100) + 1; n > limit {
+			if limit := int(coldBudgetPart*set.CrashMultiple*100) + 1; n > limit {
 				t.Fatalf("seed %d: %d sends in one window to cold server %d", seed, n, id)
 			}
 		}
@@ -1147,21 +1147,21 @@
 						acts = b.endAttempt(id, a.Server, ConnectionRefused, 0)
 						continue
 					}
-					b.handle(Event{Kind: Stands, Call: id, Server: a.Server, Elapsed: 20 * ms})
+					b.handle(Event{Kind: Established, Call: id, Server: a.Server, Elapsed: 20 * ms})
 					b.handle(Event{Kind: AttemptEnded, Call: id, Server: a.Server, CallEnded: true})
 				}
 			}
 		}
 		worst, first := 0.0, 0
 		for k, at := range sends {
-			for sends[first] <= at-s.FallWindow {
+			for sends[first] <= at-s.CrashWindow {
 				first++
 			}
-			fraction := s.ColdFrom + (1-s.ColdFrom)*float64(at-s.FallWindow-restart)/float64(s.ColdSpan)
-			worst = max(worst, float64(k-first+1)/(capacity*max(fraction, s.ColdFrom)))
+			fraction := s.ColdFraction + (1-s.ColdFraction)*float64(at-s.CrashWindow-restart)/float64(s.WarmUpTime)
+			worst = max(worst, float64(k-first+1)/(capacity*max(fraction, s.ColdFraction)))
 		}
 		t.Logf("%s: %d sends, at most %.2f times the present capacity in a window", tc.name, len(sends), worst)
-		if worst > 0.8*s.FallMultiple {
+		if worst > 0.8*s.CrashMultiple {
 			t.Errorf("%s: %.2f times the present capacity within a window", tc.name, worst)
 		}
 		if len(sends) == 0 {
@@ -1256,7 +1256,7 @@
 		b.call(1, 1)
 		b.stalled = stalled
 		b.now += 1500 * ms
-		b.handle(Event{Kind: Stands, Call: answered, Server: 10, Elapsed: 1500 * ms})
+		b.handle(Event{Kind: Established, Call: answered, Server: 10, Elapsed: 1500 * ms})
 		quick := b.c.server(10).delay < float64(200*ms) && b.c.expectedDelay(b.c.server(11)) < float64(200*ms)
 		if quick != stalled {
 			t.Errorf("stalled %v: delay %v, silence %v", stalled, b.c.server(10).delay, b.c.expectedDelay(b.c.server(11)))
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -135,7 +135,7 @@
 	}
 	g := &Goodput{settings: s, rng: rand.New(rand.NewPCG(seed, 0x676f6f64)), aim: math.Inf(1), outstanding: map[string]*attempt{}, updatedAt: now, minDelay: math.Inf(1), minDelayAt: now, state: Open, since: now, onChange: onChange}
 	for _, c := range s.Control.Classes {
-		g.aim = min(g.aim, float64(c.Aim))
+		g.aim = min(g.aim, float64(c.TargetDelay))
 	}
 	return g
 }
@@ -147,7 +147,7 @@
 func (g *Goodput) OnEvent(now int64, ev control.Event) {
 	g.update(now)
 	switch ev.Kind {
-	case control.Stands:
+	case control.Established:
 		if a := g.remove(ev.Call); a != nil {
 			if !a.late {
 				g.inTimeCount.add(now, g.settings.FadeTime, 1)
@@ -251,7 +251,7 @@
 // worth only a part of a call at most; while first calls meet the limit, it is refused with a randomly drawn wait,
 // so that callers refused together do not return together.
 func (g *Goodput) Admit(now int64, c join.Call) join.Decision {
-	if g.state != Bounded || !c.Retry {
+	if g.state != Bounded || !c.Redialed {
 		return join.Decision{}
 	}
 	g.update(now)
@@ -290,7 +290,7 @@
 	s := join.Status{Module: g.Name(), State: g.state, Reason: InTime, Since: g.since, Held: g.limitReachedCount, RefusedTotal: g.redialsRefused}
 	if g.state == Bounded {
 		s.Reason = TooManyLate
-		s.Out = fmt.Sprintf("no call at the limit for %d s; now %.1f of %.1f set-ups outstanding, %.0f%% not answered in time", openAfter/second, g.countedOutstanding(lateShare), limit, 100*lateShare)
+		s.ExitCondition = fmt.Sprintf("no call at the limit for %d s; now %.1f of %.1f set-ups outstanding, %.0f%% not answered in time", openAfter/second, g.countedOutstanding(lateShare), limit, 100*lateShare)
 	}
 	return s
 }
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -15,7 +15,7 @@
 const ms = int64(1e6)
 
 func settings() Settings {
-	return Settings{Control: control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{Aim: 1200 * ms, Deadline: 9 * second, Worth: 1}}}}
+	return Settings{Control: control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{TargetDelay: 1200 * ms, Deadline: 9 * second, Value: 1}}}}
 }
 
 // simulator plays the set-ups of an instance: each is sent if there is room, and is answered after a delay or given up.
@@ -51,7 +51,7 @@
 			case sim.givenUp[id]:
 				sim.g.OnEvent(sim.now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: control.TimedOut})
 			default:
-				sim.g.OnEvent(sim.now, control.Event{Kind: control.Stands, Call: id})
+				sim.g.OnEvent(sim.now, control.Event{Kind: control.Established, Call: id})
 			}
 		}
 		sim.outstanding = remaining
@@ -100,7 +100,7 @@
 	if sim.maxOutstanding > 3 { // six without a limit
 		t.Errorf("%d outstanding at once in the congestion", sim.maxOutstanding)
 	}
-	if st := sim.g.Status(sim.now); st.State != Bounded || st.Reason != TooManyLate || st.Out == "" || st.Held == 0 {
+	if st := sim.g.Status(sim.now); st.State != Bounded || st.Reason != TooManyLate || st.ExitCondition == "" || st.Held == 0 {
 		t.Errorf("%+v", st)
 	}
 	if sim.sent == 0 {
@@ -159,7 +159,7 @@
 // While first calls meet the limit, redials are refused with random waits; otherwise control decides on them.
 func TestRedialsAreRefusedWhileBounded(t *testing.T) {
 	sim := newSimulator(settings())
-	redial := func() join.Decision { return sim.g.Admit(sim.now, join.Call{ID: "r", Retry: true}) }
+	redial := func() join.Decision { return sim.g.Admit(sim.now, join.Call{ID: "r", Redialed: true}) }
 	sim.play(10*second, 500*ms, 150*ms)
 	if r := redial(); r.Verdict != join.Admit {
 		t.Error("in a healthy fleet", r)
@@ -202,13 +202,13 @@
 				case 0:
 					g.OnAction(now, control.Action{Kind: control.Send, Call: id})
 				case 1:
-					g.OnEvent(now, control.Event{Kind: control.Stands, Call: id})
+					g.OnEvent(now, control.Event{Kind: control.Established, Call: id})
 				case 2:
 					g.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: id, Outcome: outcome})
 				case 3:
 					g.OnEvent(now, control.Event{Kind: control.Arrival, Call: id})
 				case 4:
-					g.Admit(now, join.Call{ID: id, Retry: true})
+					g.Admit(now, join.Call{ID: id, Redialed: true})
 				}
 				if g == a {
 					for range 3 {
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -32,11 +32,11 @@
 
 // Call is a new call as modules see it. Times are in Unix nanoseconds.
 type Call struct {
-	ID, Key, Tenant string
-	Class, Dest     int
-	Retry           bool // a redial: the caller repeats a call that was not served
-	Taken, NotAfter int64
-	TimesHeld       int // how often the call has been held so far
+	ID, Key, Tenant      string
+	Class, FirstChoice   int
+	Redialed             bool // a redial: the caller repeats a call that was not served
+	ReceivedAt, NotAfter int64
+	TimesHeld            int // how often the call has been held so far
 }
 
 // Module is one decision module that extends control.
@@ -58,29 +58,29 @@
 // GaugeReceiver is implemented by modules that use measurements of the instance itself, which no event carries. used is
 // the part of a resource that is used, or whatever the module defines for that name.
 type GaugeReceiver interface {
-	Gauge(now int64, name string, used float64)
+	OnGauge(now int64, name string, used float64)
 }
 
 // Gauge passes a measurement on to the modules that receive them.
-func (c Chain) Gauge(now int64, name string, used float64) {
+func (c Chain) OnGauge(now int64, name string, used float64) {
 	for _, m := range c {
 		if g, ok := m.(GaugeReceiver); ok {
-			g.Gauge(now, name, used)
+			g.OnGauge(now, name, used)
 		}
 	}
 }
 
 // Status is a module's state for operators.
 type Status struct {
-	Module       string         `json:"module"`
-	State        string         `json:"state"`          // as the module names it
-	Reason       string         `json:"reason"`         // a code
-	Since        int64          `json:"since_ns"`       // Unix nanoseconds
-	Out          string         `json:"out,omitempty"`  // the condition for leaving the state
-	Held         int64          `json:"held_total"`     // calls held since the start
-	RefusedTotal int64          `json:"refused_total"`  // calls refused since the start
-	Capped       int64          `json:"capped_offices"` // servers without room now
-	Servers      []ServerStatus `json:"parts,omitempty"`
+	Module        string         `json:"module"`
+	State         string         `json:"state"`          // as the module names it
+	Reason        string         `json:"reason"`         // a code
+	Since         int64          `json:"since_ns"`       // Unix nanoseconds
+	ExitCondition string         `json:"out,omitempty"`  // the condition for leaving the state
+	Held          int64          `json:"held_total"`     // calls held since the start
+	RefusedTotal  int64          `json:"refused_total"`  // calls refused since the start
+	Capped        int64          `json:"capped_offices"` // servers without room now
+	Servers       []ServerStatus `json:"parts,omitempty"`
 }
 
 // ServerStatus is the state of one server in a module's status.
--- a/control/learnt.go
+++ b/control/learnt.go
@@ -10,7 +10,7 @@
 // as those end with the process. Times are Unix nanoseconds, durations nanoseconds, rates calls a second. Restoring it
 // makes no decisions of its own: every value carries the time of its last update, so that the time between the
 // processes makes it decay as the same time without a call would.
-type Learnt struct {
+type LearnedState struct {
 	At          int64           `json:"at_ns"`
 	StartedAt   int64           `json:"began_ns"`
 	Spacing     float64         `json:"x_ns"` // of held calls
@@ -59,8 +59,8 @@
 func (d DecayingCount) restored() decayingCount { return decayingCount{d.N, d.At} }
 
 // Learnt returns what has been learnt up to the last event.
-func (c *Controller) Learnt() Learnt {
-	l := Learnt{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established,
+func (c *Controller) LearnedState() LearnedState {
+	l := LearnedState{At: c.now, StartedAt: c.startedAt, Spacing: c.spacing, Established: c.established,
 		Carried: c.carried.exported(), Offered: c.offered.exported(), LoadPerUnit: c.loadPerUnit, PeakLoad: c.peakLoad, RefreshedAt: c.refreshedAt}
 	for _, s := range c.servers {
 		o := LearnedServer{ID: s.id, ReadyAt: s.readyAt, Down: s.down, DownAt: s.downAt, BackoffUntil: s.backoffUntil,
@@ -78,7 +78,7 @@
 
 // Check reports values that cannot be right at now: not a number, infinite or negative, and times in the future. Only a
 // backoff may end later, by the longest backoff at most.
-func (l Learnt) Check(now int64) error {
+func (l LearnedState) Check(now int64) error {
 	numbers := []float64{l.Spacing, l.Carried.N, l.Offered.N, l.LoadPerUnit, l.PeakLoad}
 	times := []int64{l.At, l.StartedAt, l.Carried.At, l.Offered.At, l.RefreshedAt}
 	for k, s := range l.Servers {
@@ -105,7 +105,7 @@
 
 // Restore takes over what the process before had learnt. It must follow the first server list: servers that are not
 // listed, or whose processor has started since, are left out. If l is invalid, nothing changes.
-func (c *Controller) Restore(now int64, l Learnt) error {
+func (c *Controller) Restore(now int64, l LearnedState) error {
 	if err := l.Check(now); err != nil {
 		return err
 	}
@@ -138,16 +138,16 @@
 
 // ServerStatus is what an instance assumes about a server, for operators.
 type ServerStatus struct {
-	Server        uint64
-	Available     bool    // listed and not draining
-	Cold          bool    // started recently by the list, or was found down
-	Warmth        float64 // part of its capacity that it is assumed to have
-	Down          bool    // gets single trials only
-	Marked        bool    // by an earlier answer
-	Pressed       bool    // its expected delay blocks calls of the least value
-	Out           int     // set-ups whose answer is awaited
-	Standing      int     // established calls of this instance
-	ExpectedDelay int64   // nanoseconds
+	Server           uint64
+	Available        bool    // listed and not draining
+	Cold             bool    // started recently by the list, or was found down
+	CapacityFraction float64 // part of its capacity that it is assumed to have
+	Down             bool    // gets single trials only
+	InBackoff        bool    // by an earlier answer
+	Overloaded       bool    // its expected delay blocks calls of the least value
+	Pending          int     // set-ups whose answer is awaited
+	EstablishedCalls int     // established calls of this instance
+	ExpectedDelay    int64   // nanoseconds
 }
 
 // ServerStatuses returns the state of all servers at now. It works on copies, so that it changes no decision.
@@ -162,8 +162,8 @@
 	for _, s := range d.servers {
 		delay := d.expectedDelay(s)
 		all = append(all, ServerStatus{Server: s.id, Available: s.available, Cold: d.capacityFraction(s) < 1,
-			Warmth: d.capacityFraction(s), Down: s.down, Marked: d.now < s.backoffUntil,
-			Pressed: delay > rampEnd*d.refDelay, Out: s.pending(), Standing: max(s.calls, 0),
+			CapacityFraction: d.capacityFraction(s), Down: s.down, InBackoff: d.now < s.backoffUntil,
+			Overloaded: delay > rampEnd*d.refDelay, Pending: s.pending(), EstablishedCalls: max(s.calls, 0),
 			ExpectedDelay: int64(min(delay, float64(math.MaxInt64/2)))})
 	}
 	return all
--- a/control/learnt_test.go
+++ b/control/learnt_test.go
@@ -19,9 +19,9 @@
 	for n := range 200 {
 		now += second / 20
 		id := string(rune('a'+n%26)) + string(rune('0'+n/26))
-		for _, a := range c.Handle(now, Event{Kind: Arrival, Call: id, NotAfter: now + 9*second, FarEnd: n % 2}) {
+		for _, a := range c.Handle(now, Event{Kind: Arrival, Call: id, NotAfter: now + 9*second, FirstChoice: n % 2}) {
 			if a.Kind == Send {
-				c.Handle(now+30e6, Event{Kind: Stands, Call: id, Server: a.Server})
+				c.Handle(now+30e6, Event{Kind: Established, Call: id, Server: a.Server})
 				c.Handle(now+40e6, Event{Kind: AttemptEnded, Call: id, Server: a.Server, CallEnded: true})
 			}
 		}
@@ -32,11 +32,11 @@
 
 func TestLearntStateIsRestoredAndDecays(t *testing.T) {
 	c, now := trainedController(t)
-	text, err := json.Marshal(c.Learnt())
+	text, err := json.Marshal(c.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learnt
+	var l LearnedState
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
@@ -52,8 +52,8 @@
 		return d
 	}
 	soon := after(second, Entry{Server: 1, Share: 1}, Entry{Server: 2, Cell: 1, Share: 1})
-	if !reflect.DeepEqual(soon.Learnt().Servers, l.Servers) || soon.fairRate(soon.servers[0]) < 0.8*c.fairRate(c.servers[0]) {
-		t.Errorf("%+v", soon.Learnt())
+	if !reflect.DeepEqual(soon.LearnedState().Servers, l.Servers) || soon.fairRate(soon.servers[0]) < 0.8*c.fairRate(c.servers[0]) {
+		t.Errorf("%+v", soon.LearnedState())
 	}
 	if len(soon.calls) != 0 || len(soon.servers[0].unanswered)+len(soon.servers[1].unanswered) != 0 {
 		t.Error("calls or attempts were restored")
@@ -70,12 +70,12 @@
 
 func TestInvalidLearntStateChangesNothing(t *testing.T) {
 	c, now := trainedController(t)
-	l := c.Learnt()
+	l := c.LearnedState()
 	l.Servers[0].Weight = math.NaN()
 	d, _ := New(testSettings(), 10)
 	d.Handle(now, Event{Kind: ListUpdate, FullList: true, Entries: []Entry{{Server: 1, Share: 1}}})
-	before := d.Learnt()
-	if err := d.Restore(now, l); err == nil || !reflect.DeepEqual(before, d.Learnt()) {
+	before := d.LearnedState()
+	if err := d.Restore(now, l); err == nil || !reflect.DeepEqual(before, d.LearnedState()) {
 		t.Error("the invalid state was restored, or without an error")
 	}
 }
@@ -83,11 +83,11 @@
 // ServerStatuses must leave the learnt state unchanged to the last bit.
 func TestServerStatusesChangeNothing(t *testing.T) {
 	c, now := trainedController(t)
-	before := c.Learnt()
-	if b := c.ServerStatuses(now + second/2); len(b) != 2 || b[0].Out+b[1].Out != 1 || b[0].Cold || !b[0].Available {
+	before := c.LearnedState()
+	if b := c.ServerStatuses(now + second/2); len(b) != 2 || b[0].Pending+b[1].Pending != 1 || b[0].Cold || !b[0].Available {
 		t.Errorf("%+v", b)
 	}
-	if !reflect.DeepEqual(before, c.Learnt()) {
+	if !reflect.DeepEqual(before, c.LearnedState()) {
 		t.Error("ServerStatuses changed the state")
 	}
 }
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -155,7 +155,7 @@
 	l := &Levels{settings: s, rng: rand.New(rand.NewPCG(seed, 0x6c6576656c73)), aim: math.Inf(1), recovering: recovering, since: now, updatedAt: now,
 		gauges: map[string]gauge{}, onChange: onChange}
 	for _, g := range s.Classes {
-		l.aim = min(l.aim, float64(g.Aim))
+		l.aim = min(l.aim, float64(g.TargetDelay))
 	}
 	return l
 }
@@ -165,7 +165,7 @@
 
 // Gauge takes a measurement of the instance itself: the used part of a resource, from 0 to 1, or for ListAge the age of
 // the list's last update in units of ten seconds.
-func (l *Levels) Gauge(now int64, name string, used float64) {
+func (l *Levels) OnGauge(now int64, name string, used float64) {
 	if used >= 0 && !math.IsInf(used, 0) {
 		l.gauges[name] = gauge{used, now}
 	}
@@ -175,7 +175,7 @@
 // OnEvent implements join.Module.
 func (l *Levels) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
-	case control.Stands:
+	case control.Established:
 		l.answered.add(now)
 		l.placed.add(now)
 		l.attempts.add(now)
@@ -218,7 +218,7 @@
 			return join.Decision{}
 		}
 		reason = OwnShortage
-	case l.level >= Reduced && c.Retry:
+	case l.level >= Reduced && c.Redialed:
 		reason = Redial
 	case l.level >= Severe && l.rng.Float64() >= placedFactor*l.placed.value(now)/max(l.offered.value(now), 1):
 		reason = BeyondPlaced
@@ -389,7 +389,7 @@
 
 // Status implements join.Module.
 func (l *Levels) Status(int64) join.Status {
-	st := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, RefusedTotal: l.refused, Out: exitCondition(l.level)}
+	st := join.Status{Module: l.Name(), State: l.level.String(), Reason: Calm, Since: l.since, RefusedTotal: l.refused, ExitCondition: exitCondition(l.level)}
 	if n := len(l.history); n > 0 && l.changed {
 		st.Reason = l.history[n-1].Reason
 	}
--- a/control/levels/levels_test.go
+++ b/control/levels/levels_test.go
@@ -15,7 +15,7 @@
 )
 
 func settings() control.Settings {
-	return control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{Aim: 1200e6, Deadline: 9 * second, Worth: 1}}}
+	return control.Settings{RetryAfter: true, MaxRetryAfter: 2 * second, Classes: []control.Class{{TargetDelay: 1200e6, Deadline: 9 * second, Value: 1}}}
 }
 
 // play offers 20 calls per second for some seconds; control turns away the given part of them.
@@ -32,7 +32,7 @@
 			debt--
 			l.OnAction(now, control.Action{Kind: control.Refuse, Call: call})
 		} else {
-			l.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Elapsed: 50e6})
+			l.OnEvent(now, control.Event{Kind: control.Established, Call: call, Elapsed: 50e6})
 		}
 	}
 	return now
@@ -49,7 +49,7 @@
 	if l.Level() != Reduced || l.Status(now).Reason != TurnedAway {
 		t.Fatalf("%+v", l.Status(now))
 	}
-	r := l.Admit(now, join.Call{ID: "r", Retry: true})
+	r := l.Admit(now, join.Call{ID: "r", Redialed: true})
 	if r.Verdict != join.Refuse || r.Reason != Redial || r.Wait < second || r.Wait > 2*second {
 		t.Error(r)
 	}
@@ -89,7 +89,7 @@
 	now := 100 * second
 	for range 40 {
 		now += second / 10
-		l.Gauge(now, Memory, 0.95)
+		l.OnGauge(now, Memory, 0.95)
 	}
 	if l.Level() != Emergency || l.History()[0].Reason != Memory {
 		t.Fatalf("%+v", l.Status(now))
@@ -105,7 +105,7 @@
 	}
 	for range 600 {
 		now += second / 10
-		l.Gauge(now, Memory, 0.1)
+		l.OnGauge(now, Memory, 0.1)
 	}
 	if l.Level() != Normal {
 		t.Errorf("%+v", l.Status(now))
@@ -188,15 +188,15 @@
 					call := fmt.Sprint(k, "-", n)
 					switch s.Kind {
 					case 0, 1:
-						l.Gauge(now, []string{Memory, ListAge}[s.Kind], s.X)
+						l.OnGauge(now, []string{Memory, ListAge}[s.Kind], s.X)
 						continue
 					}
-					r := l.Admit(now, join.Call{ID: call, Retry: s.Kind == 2})
+					r := l.Admit(now, join.Call{ID: call, Redialed: s.Kind == 2})
 					decisions = append(decisions, r)
 					switch {
 					case r.Verdict != join.Admit:
 					case s.Kind < 5:
-						l.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Elapsed: int64(s.X * 1e9)})
+						l.OnEvent(now, control.Event{Kind: control.Established, Call: call, Elapsed: int64(s.X * 1e9)})
 					case s.Kind == 5:
 						l.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: call, Outcome: control.Saturated})
 					default:
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -112,8 +112,8 @@
 // value is what a call is still worth, in units of the least valuable class.
 func (c *Controller) value(cl *call) float64 {
 	class := c.cfg.Classes[cl.class]
-	value := class.Worth / c.minValue
-	if c.now-cl.firstAt > class.Aim {
+	value := class.Value / c.minValue
+	if c.now-cl.firstAt > class.TargetDelay {
 		value *= class.LateValue
 	}
 	return value
@@ -141,7 +141,7 @@
 	}
 	open, closed := rampStart*scale*c.refDelay+pathDelay, rampEnd*scale*c.refDelay+pathDelay
 	class := c.cfg.Classes[cl.class]
-	if limit := targetFraction * float64(class.Aim); c.now-cl.firstAt <= class.Aim && closed > limit {
+	if limit := targetFraction * float64(class.TargetDelay); c.now-cl.firstAt <= class.TargetDelay && closed > limit {
 		open, closed = min(open, limit/2), limit
 	}
 	return c.expectedDelay(s) > open+(closed-open)*cl.threshold
@@ -149,7 +149,7 @@
 
 // allowed tells whether a server may take the call by the list, the call's class and other modules.
 func (c *Controller) allowed(s *server, cl *call) bool {
-	if !s.available || s.cell == c.cfg.ThisNode || c.excluded(s.id) || cl.inTransit && s.cell != cl.firstChoice {
+	if !s.available || s.cell == c.cfg.OwnCell || c.excluded(s.id) || cl.inTransit && s.cell != cl.firstChoice {
 		return false
 	}
 	cells := c.cfg.Classes[cl.class].Cells
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -112,9 +112,9 @@
 // snapshot, if any.
 func New(s Settings, seed uint64, now int64, restored []Evidence) *Recovery {
 	r := &Recovery{settings: s, startedAt: now, rng: rand.New(rand.NewPCG(seed, 0x7265636f76)), outstanding: map[string]uint64{},
-		restored: map[uint64]Evidence{}, held: map[string]bool{}, aim: s.Control.Classes[0].Aim}
+		restored: map[uint64]Evidence{}, held: map[string]bool{}, aim: s.Control.Classes[0].TargetDelay}
 	for _, g := range s.Control.Classes {
-		r.aim = min(r.aim, g.Aim)
+		r.aim = min(r.aim, g.TargetDelay)
 	}
 	for _, e := range restored {
 		r.restored[e.Server] = e
@@ -143,7 +143,7 @@
 		r.onListUpdate(now, ev)
 	case control.Arrival, control.Aborted:
 		delete(r.held, ev.Call)
-	case control.Stands:
+	case control.Established:
 		if s := r.removeOutstanding(ev.Call); s != nil {
 			r.onSuccess(s, ev.Elapsed)
 		}
@@ -228,10 +228,10 @@
 func (r *Recovery) warmUpFraction(now int64, s *server) float64 {
 	c := r.settings.Control
 	age := now - s.readyAt
-	if s.readyAt <= 0 || age >= c.ColdSpan {
+	if s.readyAt <= 0 || age >= c.WarmUpTime {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*float64(max(age, 0))/float64(c.ColdSpan)
+	return c.ColdFraction + (1-c.ColdFraction)*float64(max(age, 0))/float64(c.WarmUpTime)
 }
 
 // coldRate is what this instance may send to a cold server, in set-ups per second.
@@ -243,7 +243,7 @@
 // idle period does not end in a burst.
 func (r *Recovery) currentCredit(now int64, s *server) float64 {
 	coldRate := r.coldRate(now, s)
-	limit := max(coldRate*creditWindowPart*float64(r.settings.Control.FallWindow)/1e9, minCreditLimit)
+	limit := max(coldRate*creditWindowPart*float64(r.settings.Control.CrashWindow)/1e9, minCreditLimit)
 	return min(s.credit+coldRate*float64(now-s.creditAt)/1e9, limit)
 }
 
@@ -289,7 +289,7 @@
 		delete(r.held, c.ID)
 		return join.Decision{}
 	}
-	remaining := c.Taken + int64(maxHoldPart*float64(r.aim)) - now
+	remaining := c.ReceivedAt + int64(maxHoldPart*float64(r.aim)) - now
 	switch {
 	case remaining < holdInterval || c.NotAfter-now < 2*holdInterval:
 	case r.held[c.ID]:
@@ -298,7 +298,7 @@
 		r.held[c.ID] = true
 		r.heldTotal++
 		return join.Decision{Verdict: join.Hold, Wait: holdInterval, Reason: NoRoom}
-	case c.Retry:
+	case c.Redialed:
 		r.refusedTotal++
 		return join.Decision{Verdict: join.Refuse, Wait: r.randomWait(), Reason: Redial}
 	}
@@ -326,7 +326,7 @@
 // timeLimitReached tells whether ColdSpan has passed since the start: every server that had started unnoticed before
 // this process is warm by then.
 func (r *Recovery) timeLimitReached(now int64) bool {
-	return now-r.startedAt >= r.settings.Control.ColdSpan
+	return now-r.startedAt >= r.settings.Control.WarmUpTime
 }
 
 // checkDone ends the recovery when every listed server is proven and warm, or when the time limit is reached.
@@ -354,13 +354,13 @@
 	if !r.Recovering(now) {
 		st.State, st.Reason, st.Since = "done", r.reason, r.doneAt
 		if !r.done {
-			st.Reason, st.Since = "span", r.startedAt+r.settings.Control.ColdSpan
+			st.Reason, st.Since = "span", r.startedAt+r.settings.Control.WarmUpTime
 		}
 		return st
 	}
 	st.State, st.Reason, st.Since = "recovering", NoEvidence, r.startedAt
-	remaining := float64(max(r.startedAt+r.settings.Control.ColdSpan-now, 0)) / 1e9
-	st.Out = fmt.Sprintf("every listed office proven and warm, or %.1f s more", remaining)
+	remaining := float64(max(r.startedAt+r.settings.Control.WarmUpTime-now, 0)) / 1e9
+	st.ExitCondition = fmt.Sprintf("every listed office proven and warm, or %.1f s more", remaining)
 	if r.listedCount == 0 {
 		st.Reason = NoList
 	}
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -15,9 +15,9 @@
 const second = int64(1e9)
 
 func settings() Settings {
-	return Settings{Planned: 120, Control: control.Settings{GroupSize: 20, ColdFrom: 0.31, ColdSpan: 15 * second, FallMultiple: 2,
-		FallWindow: second, RetryAfter: true, MaxRetryAfter: 2 * second,
-		Classes: []control.Class{{Aim: 1200 * millisecond, Deadline: 9 * second, Worth: 1}}}}
+	return Settings{Planned: 120, Control: control.Settings{GroupSize: 20, ColdFraction: 0.31, WarmUpTime: 15 * second, CrashMultiple: 2,
+		CrashWindow: second, RetryAfter: true, MaxRetryAfter: 2 * second,
+		Classes: []control.Class{{TargetDelay: 1200 * millisecond, Deadline: 9 * second, Value: 1}}}}
 }
 
 func listUpdate(full bool, entries ...control.Entry) control.Event {
@@ -45,18 +45,18 @@
 	if ok, why := r.HasRoom(now, 1); ok || why != Unproven {
 		t.Fatal("a third set-up has room with two unanswered", ok, why)
 	}
-	if got := r.Admit(now, join.Call{ID: "x", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Hold || got.Reason != NoRoom {
+	if got := r.Admit(now, join.Call{ID: "x", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Hold || got.Reason != NoRoom {
 		t.Fatal(got)
 	}
 	for n := range 6 {
 		call := fmt.Sprint(n)
-		r.OnEvent(now, control.Event{Kind: control.Stands, Call: call, Server: 1, Elapsed: 50 * millisecond})
+		r.OnEvent(now, control.Event{Kind: control.Established, Call: call, Server: 1, Elapsed: 50 * millisecond})
 		sendSetUp(r, now, fmt.Sprint(n+2), 1)
 	}
 	if st := r.Status(now); st.State != "done" || st.Reason != "evidence" {
 		t.Fatalf("%+v", st)
 	}
-	if got := r.Admit(now, join.Call{ID: "y", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
+	if got := r.Admit(now, join.Call{ID: "y", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
 		t.Fatal(got)
 	}
 }
@@ -66,7 +66,7 @@
 	r, now := New(settings(), 1, 100*second, nil), 100*second
 	r.OnEvent(now, listUpdate(true, entry(1, 0)))
 	sendSetUp(r, now, "a", 1)
-	r.OnEvent(now, control.Event{Kind: control.Stands, Call: "a", Server: 1, Elapsed: 900 * millisecond})
+	r.OnEvent(now, control.Event{Kind: control.Established, Call: "a", Server: 1, Elapsed: 900 * millisecond})
 	sendSetUp(r, now, "b", 1)
 	if ok, _ := r.HasRoom(now, 1); ok {
 		t.Fatal("a late set-up did not shrink the window")
@@ -110,18 +110,18 @@
 	sendSetUp(r, now, "a", 1)
 	sendSetUp(r, now, "b", 1)
 	for n := range maxHeldPerServer {
-		if got := r.Admit(now, join.Call{ID: fmt.Sprint(n), Retry: true, Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Hold {
+		if got := r.Admit(now, join.Call{ID: fmt.Sprint(n), Redialed: true, ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Hold {
 			t.Fatal(n, got)
 		}
 	}
-	if got := r.Admit(now, join.Call{ID: "first", Taken: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
+	if got := r.Admit(now, join.Call{ID: "first", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
 		t.Fatal("a first call beyond those held is not left to control", got)
 	}
-	got := r.Admit(now, join.Call{ID: "redial", Retry: true, Taken: now, NotAfter: now + 3*second})
+	got := r.Admit(now, join.Call{ID: "redial", Redialed: true, ReceivedAt: now, NotAfter: now + 3*second})
 	if got.Verdict != join.Refuse || got.Reason != Redial || got.Wait < second || got.Wait > 2*second {
 		t.Fatal(got)
 	}
-	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", Taken: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
+	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", ReceivedAt: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
 		t.Fatal("a call held for a quarter of its aim is not left to control", got)
 	}
 }
@@ -161,7 +161,7 @@
 				call := fmt.Sprint(n)
 				switch {
 				case s.Kind < 6:
-					got := r.Admit(now, join.Call{ID: call, Retry: s.Kind == 0, Taken: now - s.Elapsed/4, NotAfter: now + 3*second})
+					got := r.Admit(now, join.Call{ID: call, Redialed: s.Kind == 0, ReceivedAt: now - s.Elapsed/4, NotAfter: now + 3*second})
 					log = append(log, got.Verdict.String(), got.Reason)
 					if got.Verdict == join.Hold && (!r.Recovering(now) || s.Elapsed/4 > 300*millisecond) {
 						t.Fatalf("held at %d ms", s.Elapsed/4/millisecond)
@@ -186,7 +186,7 @@
 					for c, at := range unanswered {
 						if at == s.Server && c == fmt.Sprint(n-1) {
 							delete(unanswered, c)
-							kind := control.Stands
+							kind := control.Established
 							if s.Kind == 8 {
 								kind = control.AttemptEnded
 							}
--- a/control/rollout/rollout.go
+++ b/control/rollout/rollout.go
@@ -34,11 +34,11 @@
 
 // Limits are set by the operators. Times are in nanoseconds.
 type Limits struct {
-	MostAway    float64 // part of the fleet that may be away at once; one instance always may
-	HealthyFor  int64   // how long the first instance of a generation is watched before others follow
-	StartWithin int64   // an instance of the new generation that does not serve after this time has failed
-	ColdMost    int64   // longest pause for a cold office, as a list may be wrong for good
-	Back        bool    // roll back to the previous generation when the new one fails
+	MaxAwayFraction float64 // part of the fleet that may be away at once; one instance always may
+	HealthyFor      int64   // how long the first instance of a generation is watched before others follow
+	StartWithin     int64   // an instance of the new generation that does not serve after this time has failed
+	MaxColdPause    int64   // longest pause for a cold office, as a list may be wrong for good
+	RollBack        bool    // roll back to the previous generation when the new one fails
 }
 
 // State is what a rollout is doing.
@@ -73,7 +73,7 @@
 	Cause     string `json:"why"` // restart or upgrade
 	Halted    string `json:"halted,omitempty"`
 	Detail    string `json:"detail,omitempty"`
-	Back      bool   `json:"back"`    // it is rolled back
+	RollBack  bool   `json:"back"`    // it is rolled back
 	ColdSince int64  `json:"cold_ns"` // since when it pauses for a cold office; 0: it does not
 }
 
@@ -97,7 +97,7 @@
 	}
 	target := r.To
 	if r.Halted != "" {
-		if !r.Back {
+		if !r.RollBack {
 			return Step{State: Halted, Reason: r.Halted, Detail: r.Detail, Remaining: r.remaining(instances, target)}
 		}
 		target = r.From
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	allowance := max(int(math.Floor(l.MostAway*float64(len(instances)))), 1) - away
+	allowance := max(int(math.Floor(l.MaxAwayFraction*float64(len(instances)))), 1) - away
 	if reason := r.pause(now, l, instances, coldOffices, allowance, allSettled); reason != "" {
 		if step.State == Running {
 			step.State, step.Reason = Paused, reason
@@ -192,7 +192,7 @@
 			r.Halted, r.Detail = StartFailed, fmt.Sprintf("%s does not serve as generation %s after %.1f s", s.Name, r.To, float64(now-s.Since)/1e9)
 		}
 		if r.Halted != "" {
-			r.Back = l.Back && r.From != "" && r.From != r.To
+			r.RollBack = l.RollBack && r.From != "" && r.From != r.To
 			return
 		}
 	}
@@ -216,7 +216,7 @@
 		r.ColdSince = now
 	}
 	switch {
-	case r.ColdSince > 0 && now-r.ColdSince < l.ColdMost:
+	case r.ColdSince > 0 && now-r.ColdSince < l.MaxColdPause:
 		return ColdOffice
 	case !allSettled:
 		return InstanceRecovering
--- a/control/rollout/rollout_test.go
+++ b/control/rollout/rollout_test.go
@@ -11,7 +11,7 @@
 
 const second = int64(1e9)
 
-var limits = Limits{MostAway: 0.28, HealthyFor: 5 * second, StartWithin: 10 * second, ColdMost: 30 * second, Back: true}
+var limits = Limits{MaxAwayFraction: 0.28, HealthyFor: 5 * second, StartWithin: 10 * second, MaxColdPause: 30 * second, RollBack: true}
 
 func newFleet(n int, phase Phase) (all []InstanceStatus) {
 	for k := range n {
@@ -59,7 +59,7 @@
 func TestBadVersionHaltsAndRollsBack(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		l := limits
-		l.Back = back
+		l.RollBack = back
 		r, instances := &Rollout{From: "1", To: "2"}, newFleet(5, Serving)
 		instances[0] = InstanceStatus{"n00", "2", Down, second, 1}
 		step := r.Next(2*second, l, instances, 0)
@@ -111,11 +111,11 @@
 		n := rapid.IntRange(1, 30).Draw(t, "n")
 		bad := rapid.Bool().Draw(t, "bad")
 		l := limits
-		l.Back = rapid.Bool().Draw(t, "back")
-		l.MostAway = rapid.Float64Range(0, 1).Draw(t, "away")
+		l.RollBack = rapid.Bool().Draw(t, "back")
+		l.MaxAwayFraction = rapid.Float64Range(0, 1).Draw(t, "away")
 		instances := newFleet(n, Serving)
 		r := &Rollout{From: "1", To: "2"}
-		limit := max(int(l.MostAway*float64(n)), 1)
+		limit := max(int(l.MaxAwayFraction*float64(n)), 1)
 		starts := rapid.SliceOfN(rapid.Int64Range(0, 4), n*2, n*2).Draw(t, "starts")
 		coldFrom, coldFor := rapid.Int64Range(0, 60).Draw(t, "cold from"), rapid.Int64Range(0, 25).Draw(t, "cold for")
 		for tick := range int64(3000) {
--- a/control/shared/attempts.go
+++ b/control/shared/attempts.go
@@ -19,11 +19,11 @@
 }
 
 // OnEvent implements join.Module.
-func (m *Shared) OnEvent(now int64, ev control.Event) {
+func (m *Module) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
 	case control.ListUpdate:
 		m.setServers(ev)
-	case control.Stands:
+	case control.Established:
 		m.countOutcome("p/", ev.Call)
 		if m.finishAttempt(ev.Call) != nil {
 			m.observe(now, ev.Server, outlier.Healthy)
@@ -39,7 +39,7 @@
 }
 
 // OnAction implements join.Module.
-func (m *Shared) OnAction(now int64, a control.Action) {
+func (m *Module) OnAction(now int64, a control.Action) {
 	switch a.Kind {
 	case control.Send:
 		if budget, _, ok := m.coldBudget(now, a.Server); ok {
@@ -52,14 +52,14 @@
 }
 
 // countOutcome counts the end of a call for its tenant, once, under a key with the given prefix.
-func (m *Shared) countOutcome(prefix, call string) {
+func (m *Module) countOutcome(prefix, call string) {
 	if t, ok := m.callTenants[call]; ok {
 		m.count.Add(prefix+t, 1)
 		delete(m.callTenants, call)
 	}
 }
 
-func (m *Shared) beginAttempt(now int64, call string, server uint64) {
+func (m *Module) beginAttempt(now int64, call string, server uint64) {
 	if len(m.attempts) < maxCalls {
 		m.attempts[call] = &attempt{server: server, sentAt: now}
 		m.attemptOrder = append(m.attemptOrder, call)
@@ -67,14 +67,14 @@
 }
 
 // finishAttempt removes and returns the attempt of a call; nil if there is none.
-func (m *Shared) finishAttempt(call string) *attempt {
+func (m *Module) finishAttempt(call string) *attempt {
 	a := m.attempts[call]
 	delete(m.attempts, call)
 	return a
 }
 
 // observeFailure passes what a failed attempt shows about its server to the detector.
-func (m *Shared) observeFailure(now int64, ev control.Event, a *attempt) {
+func (m *Module) observeFailure(now int64, ev control.Event, a *attempt) {
 	switch ev.Outcome {
 	case control.TimedOut:
 		if !a.reportedSilent {
@@ -90,7 +90,7 @@
 }
 
 // reportSilent reports the servers of attempts that have been unanswered for too long.
-func (m *Shared) reportSilent(now int64) {
+func (m *Module) reportSilent(now int64) {
 	for len(m.attemptOrder) > 0 {
 		a := m.attempts[m.attemptOrder[0]]
 		if a != nil && !a.reportedSilent {
@@ -106,7 +106,7 @@
 }
 
 // observe records an observation of a server. Bad ones are broadcast early.
-func (m *Shared) observe(now int64, server uint64, k outlier.Kind) {
+func (m *Module) observe(now int64, server uint64, k outlier.Kind) {
 	m.detector.Observe(now, server, k)
 	m.urgent = m.urgent || k == outlier.Silent || k == outlier.Dead
 }
--- a/control/shared/cold.go
+++ b/control/shared/cold.go
@@ -23,28 +23,28 @@
 
 // coldBudget returns the budget of a cold server and its size in thousandths of a call per second; ok is false for other
 // servers.
-func (m *Shared) coldBudget(now int64, server uint64) (budget string, size int64, ok bool) {
+func (m *Module) coldBudget(now int64, server uint64) (budget string, size int64, ok bool) {
 	s := m.servers[server]
 	if !m.cfg.Budgets || m.cfg.Planned <= 0 || s == nil {
 		return "", 0, false
 	}
 	c := m.cfg.Control
-	listedCold := now-s.readyAt < c.ColdSpan
-	if m.detector.Cold(now, server, c.ColdSpan) && !listedCold && s.foundColdAt == 0 {
+	listedCold := now-s.readyAt < c.WarmUpTime
+	if m.detector.RestartedWithin(now, server, c.WarmUpTime) && !listedCold && s.foundColdAt == 0 {
 		s.foundColdAt = now
 	}
 	startedAt := max(s.readyAt, s.foundColdAt)
 	age := max(now-startedAt, 0)
-	if startedAt <= 0 || age >= c.ColdSpan {
+	if startedAt <= 0 || age >= c.WarmUpTime {
 		return "", 0, false
 	}
-	warmth := c.ColdFrom + (1-c.ColdFrom)*float64(age*warmupSteps/c.ColdSpan)/warmupSteps
+	warmth := c.ColdFraction + (1-c.ColdFraction)*float64(age*warmupSteps/c.WarmUpTime)/warmupSteps
 	size = int64(1000 * coldRateFactor * warmth * m.cfg.Planned / float64(max(m.servingCount, 1)))
 	return "cold/" + strconv.FormatUint(server, 16), size, true
 }
 
 // requestBudgets requests a lease on the budget of each cold server, according to the rate of calls arriving here.
-func (m *Shared) requestBudgets(now int64) {
+func (m *Module) requestBudgets(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
 		if budget, size, ok := m.coldBudget(now, id); ok && m.servers[id].serving {
 			rate := int64(1000 * requestFactor * m.arrivals.rate(now, m.startedAt) / float64(max(m.servingCount, 1)))
--- a/control/shared/message.go
+++ b/control/shared/message.go
@@ -32,7 +32,7 @@
 func outgoingLease(o lease.Outgoing) Outgoing { return Outgoing{o.To, Message{Lease: &o.Message}} }
 
 // Receive handles a message of another instance and returns the messages to send in answer.
-func (m *Shared) Receive(now int64, msg Message) (outgoing []Outgoing) {
+func (m *Module) Receive(now int64, msg Message) (outgoing []Outgoing) {
 	m.lastHeardAt = max(m.lastHeardAt, now)
 	m.updateState(now)
 	if msg.Lease != nil {
@@ -51,7 +51,7 @@
 
 // Tick does what is due and returns the messages to send. It should be called about ten times a second. members is the
 // number of members known.
-func (m *Shared) Tick(now int64, members int) (outgoing []Outgoing) {
+func (m *Module) Tick(now int64, members int) (outgoing []Outgoing) {
 	m.updateState(now)
 	m.reportSilent(now)
 	m.requestBudgets(now)
@@ -65,7 +65,7 @@
 }
 
 // broadcast makes the message for all members, with the parts that are due.
-func (m *Shared) broadcast(now int64, members int) (msg Message) {
+func (m *Module) broadcast(now int64, members int) (msg Message) {
 	interval := broadcastInterval * int64(max(1, (members+fullRateMembers-1)/fullRateMembers))
 	if now-m.countSentAt >= interval {
 		counts := m.count.Broadcast(now)
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -180,7 +180,7 @@
 
 // Cold tells whether any instance saw a server recover from being dead within the given time. Such a server has just
 // started, whatever the list of servers says.
-func (d *Detector) Cold(now int64, id uint64, within int64) bool {
+func (d *Detector) RestartedWithin(now int64, id uint64, within int64) bool {
 	s := d.servers[id]
 	if s == nil {
 		return false
--- a/control/shared/outlier/outlier_test.go
+++ b/control/shared/outlier/outlier_test.go
@@ -161,7 +161,7 @@
 	if n := countAvoiding(now+20e6, all, 1); n != 0 {
 		t.Errorf("%d still avoid it", n)
 	}
-	if !all[5].Cold(now+20e6, 1, 15e9) || all[5].Cold(now+20e6, 2, 15e9) {
+	if !all[5].RestartedWithin(now+20e6, 1, 15e9) || all[5].RestartedWithin(now+20e6, 2, 15e9) {
 		t.Error("the restarted server is not cold, or another one is")
 	}
 }
--- a/control/shared/servers.go
+++ b/control/shared/servers.go
@@ -10,7 +10,7 @@
 }
 
 // setServers applies a full list of servers, or changes of the list.
-func (m *Shared) setServers(ev control.Event) {
+func (m *Module) setServers(ev control.Event) {
 	if ev.FullList {
 		clear(m.servers)
 	}
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -28,7 +28,7 @@
 )
 
 // Shared implements join.Module.
-type Shared struct {
+type Module struct {
 	cfg         Config
 	shortestAim int64 // of all classes of calls
 	startedAt   int64
@@ -55,11 +55,11 @@
 }
 
 // New creates the module for a process that starts at now.
-func New(c Config, seed uint64, now int64, on Callbacks) *Shared {
+func New(c Config, seed uint64, now int64, on Callbacks) *Module {
 	c.Lease.MaxInstances = max(c.Lease.MaxInstances, 1)
-	m := &Shared{
+	m := &Module{
 		cfg:         c,
-		shortestAim: c.Control.Classes[0].Aim,
+		shortestAim: c.Control.Classes[0].TargetDelay,
 		startedAt:   now,
 		state:       Alone,
 		since:       now,
@@ -73,7 +73,7 @@
 		countedKeys: map[string]bool{},
 	}
 	for _, class := range c.Control.Classes {
-		m.shortestAim = min(m.shortestAim, class.Aim)
+		m.shortestAim = min(m.shortestAim, class.TargetDelay)
 	}
 	if on.Leader != nil {
 		m.lease.OnLeader(on.Leader)
@@ -88,10 +88,10 @@
 }
 
 // Name implements join.Module.
-func (m *Shared) Name() string { return "shared" }
+func (m *Module) Name() string { return "shared" }
 
 // updateState decides whether this instance is alone.
-func (m *Shared) updateState(now int64) {
+func (m *Module) updateState(now int64) {
 	state := Together
 	if now-m.lastHeardAt >= aloneTimeout {
 		state = Alone
@@ -102,7 +102,7 @@
 }
 
 // Admit implements join.Module. It counts each new call once, and admits all.
-func (m *Shared) Admit(now int64, c join.Call) join.Decision {
+func (m *Module) Admit(now int64, c join.Call) join.Decision {
 	if c.TimesHeld > 0 {
 		return join.Decision{}
 	}
@@ -123,7 +123,7 @@
 
 // HasRoom implements join.Module. It keeps calls away from servers that the detector avoids, and from cold servers whose
 // budget is used up.
-func (m *Shared) HasRoom(now int64, server uint64) (ok bool, reason string) {
+func (m *Module) HasRoom(now int64, server uint64) (ok bool, reason string) {
 	if m.cfg.DetectOutliers {
 		if avoid, why := m.detector.Avoid(now, server); avoid {
 			return false, SecondHand + why
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -13,7 +13,7 @@
 // group simulates a few instances with instant delivery of messages, in steps of a tenth of a second.
 type group struct {
 	now          int64
-	instances    []*Shared
+	instances    []*Module
 	disconnected map[int]bool
 	callCount    int
 }
@@ -24,7 +24,7 @@
 	g := &group{now: 1000 * second, disconnected: map[int]bool{}}
 	for k := range n {
 		one := c
-		one.Control = control.Settings{GroupSize: n, Ordinal: k, ColdFrom: 0.31, ColdSpan: 15 * second, Classes: []control.Class{{Aim: 1200e6, Deadline: 9 * second, Worth: 1}}}
+		one.Control = control.Settings{GroupSize: n, Ordinal: k, ColdFraction: 0.31, WarmUpTime: 15 * second, Classes: []control.Class{{TargetDelay: 1200e6, Deadline: 9 * second, Value: 1}}}
 		one.Name, one.Machine, one.Epoch = fmt.Sprint("n", k), fmt.Sprint("m", k), uint64(k+1)
 		one.Lease = lease.Config{Voters: []string{"n0", "n1", "n2"}, MaxInstances: n}
 		m := New(one, uint64(k), g.now, Callbacks{})
@@ -57,7 +57,7 @@
 	}
 }
 
-func (g *group) run(d int64, step func(k int, m *Shared)) {
+func (g *group) run(d int64, step func(k int, m *Module)) {
 	for end := g.now + d; g.now < end; {
 		g.now += second / 10
 		for k, m := range g.instances {
@@ -70,7 +70,7 @@
 }
 
 // call offers a call to an instance and, if it has room at the server, sends the call there.
-func (g *group) call(m *Shared, tenant string, server uint64) (id string, sent bool) {
+func (g *group) call(m *Module, tenant string, server uint64) (id string, sent bool) {
 	g.callCount++
 	id = fmt.Sprint(g.callCount)
 	m.Admit(g.now, join.Call{ID: id, Tenant: tenant})
@@ -90,7 +90,7 @@
 		m.OnEvent(g.now, g.list(started))
 	}
 	sent := 0
-	g.run(4*second, func(_ int, m *Shared) {
+	g.run(4*second, func(_ int, m *Module) {
 		for range 2 { // far above the budget: 240 a second
 			if _, ok := g.call(m, "", 1); ok {
 				sent++
@@ -120,17 +120,17 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		lost, last := 0, int64(0)
 		type out struct {
-			m  *Shared
+			m  *Module
 			id string
 			at int64
 		}
 		var waiting []out
 		silent := int64(0)
-		step := func(_ int, m *Shared) {
+		step := func(_ int, m *Module) {
 			for len(waiting) > 0 && g.now-waiting[0].at > 200e6 { // a healthy server answers within 200 ms
 				w := waiting[0]
 				waiting = waiting[1:]
-				w.m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: w.id, Server: uint64(1)})
+				w.m.OnEvent(g.now, control.Event{Kind: control.Established, Call: w.id, Server: uint64(1)})
 			}
 			if rng.IntN(12) > 0 { // each instance has a call every 1.2 s on average
 				return
@@ -145,7 +145,7 @@
 			case server == 1:
 				waiting = append(waiting, out{m, id, g.now})
 			default:
-				m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: id, Server: server})
+				m.OnEvent(g.now, control.Event{Kind: control.Established, Call: id, Server: server})
 			}
 		}
 		g.run(10*second, step)
@@ -160,11 +160,11 @@
 
 func TestTotalsCoverTheFleet(t *testing.T) {
 	g := newGroup(10, Config{Tenants: []string{"slaney-vines", "barrow-estate"}})
-	step := func(k int, m *Shared) {
+	step := func(k int, m *Module) {
 		if g.now/1e8%2 == int64(k)%2 { // each instance has five calls a second
 			id, _ := g.call(m, "slaney-vines", 2)
 			if k < 5 {
-				m.OnEvent(g.now, control.Event{Kind: control.Stands, Call: id, Server: 2})
+				m.OnEvent(g.now, control.Event{Kind: control.Established, Call: id, Server: 2})
 			} else {
 				m.OnAction(g.now, control.Action{Kind: control.Refuse, Call: id})
 			}
@@ -187,7 +187,7 @@
 	if _, ok := g.instances[7].Totals(g.now); ok || g.instances[7].Status(g.now).State != Alone {
 		t.Error("fleet totals available to a disconnected instance")
 	}
-	look := g.instances[1].Look(g.now) // of a voter
+	look := g.instances[1].Snapshot(g.now) // of a voter
 	if len(look.Counts) == 0 || look.Leader == "" || look.Counts[0].LowerBound > look.Counts[0].UpperBound {
 		t.Errorf("%+v", look)
 	}
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -19,7 +19,7 @@
 
 // Totals implements shares.TotalsSource: what the whole fleet was offered, placed and lost recently, in calls per second.
 // ok is false while no other instance is heard.
-func (m *Shared) Totals(now int64) (all shares.Totals, ok bool) {
+func (m *Module) Totals(now int64) (all shares.Totals, ok bool) {
 	if m.state != Together {
 		return all, false
 	}
@@ -34,7 +34,7 @@
 }
 
 // Look is the module's state for operators and the lab's checkers.
-type Look struct {
+type Snapshot struct {
 	State       string              `json:"state"`
 	SinceNS     int64               `json:"since_ns"`
 	Leader      string              `json:"allocator"` // the leader's name; empty if unknown
@@ -53,8 +53,8 @@
 }
 
 // Look returns the module's state.
-func (m *Shared) Look(now int64) Look {
-	l := Look{
+func (m *Module) Snapshot(now int64) Snapshot {
+	l := Snapshot{
 		State:       m.state,
 		SinceNS:     m.since,
 		Leader:      m.lease.Leader(now),
@@ -76,10 +76,10 @@
 }
 
 // Status implements join.Module.
-func (m *Shared) Status(now int64) join.Status {
+func (m *Module) Status(now int64) join.Status {
 	s := join.Status{Module: m.Name(), State: m.state, Reason: "heard", Since: m.since}
 	if m.state == Alone {
-		s.Reason, s.Out = "nobody-heard", "a message of any member"
+		s.Reason, s.ExitCondition = "nobody-heard", "a message of any member"
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
 		if ok, reason := m.HasRoom(now, id); !ok {
@@ -88,7 +88,7 @@
 		}
 	}
 	if leases := m.lease.Leases(now); len(leases) > 0 {
-		s.Out = cmp.Or(s.Out, fmt.Sprintf("%d budgets held", len(leases)))
+		s.ExitCondition = cmp.Or(s.ExitCondition, fmt.Sprintf("%d budgets held", len(leases)))
 	}
 	return s
 }
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -190,7 +190,7 @@
 // OnEvent implements join.Module.
 func (m *Shares) OnEvent(now int64, ev control.Event) {
 	switch ev.Kind {
-	case control.Stands:
+	case control.Established:
 		if m.waiting[ev.Call] {
 			delete(m.waiting, ev.Call)
 			m.placed.add(now)
@@ -434,7 +434,7 @@
 func (m *Shares) Status(int64) join.Status {
 	st := join.Status{Module: m.Name(), State: Open, Reason: "room-for-all", Since: m.since, RefusedTotal: m.refused}
 	if m.limiting {
-		st.State, st.Reason, st.Out = Limiting, "calls-turned-away", "offered calls within the capacity for 5 s"
+		st.State, st.Reason, st.ExitCondition = Limiting, "calls-turned-away", "offered calls within the capacity for 5 s"
 	}
 	return st
 }
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		tokens--
-		m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
+		m.OnEvent(now, control.Event{Kind: control.Established, Call: call})
 		if secondHalf {
 			placedCalls[name]++
 		}
@@ -155,7 +155,7 @@
 				case 2:
 					m.OnEvent(now, control.Event{Kind: control.Aborted, Call: call})
 				case 3, 4:
-					m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
+					m.OnEvent(now, control.Event{Kind: control.Established, Call: call})
 				}
 				if len(m.states) != 4 || len(m.waiting) > len(steps) || m.capacity < 0 || m.pool > max(m.capacity, 1) {
 					t.Fatalf("%+v", m)
@@ -165,7 +165,7 @@
 				now += second
 				call := fmt.Sprint("z", k)
 				if m.Admit(now, join.Call{ID: call, Tenant: "slaney-vines"}).Verdict == join.Admit {
-					m.OnEvent(now, control.Event{Kind: control.Stands, Call: call})
+					m.OnEvent(now, control.Event{Kind: control.Established, Call: call})
 				}
 			}
 			if m.limiting {
--- a/control/trials.go
+++ b/control/trials.go
@@ -101,7 +101,7 @@
 				continue
 			}
 			usual := max(c.spacing, s.delay*math.Exp(-float64(c.now-s.delayAt)/c.scaled(delayDecay)))
-			inTime := float64(c.now+c.cfg.ClearWait-cl.firstAt)+usual < float64(c.cfg.Classes[cl.class].Aim)
+			inTime := float64(c.now+c.cfg.ReleaseWait-cl.firstAt)+usual < float64(c.cfg.Classes[cl.class].TargetDelay)
 			loss := c.lossShare(s)
 			if a.sentAt < s.establishedSentAt { // more likely lost than late, whatever the share of losses
 				loss = max(loss, silentPrior)
--- a/control/types.go
+++ b/control/types.go
@@ -11,22 +11,22 @@
 	Ordinal       int // number of this instance among them, from 0
 	Classes       []Class
 	Meshed        bool // cells are exchanges with trunk groups; otherwise pools shared by all instances
-	ThisNode      int  // own exchange, -1 with pools
+	OwnCell       int  // own exchange, -1 with pools
 	ListOnRequest bool // the server list is sent only after Subscribe
 	MaxAttempts   int
 	MayCancel     bool
 	SecondCopies  bool
 	RetryAfter    bool // a refusal may tell the caller when to call again
 	MaxRetryAfter int64
-	Fields        []string // names of the values of a load report
+	ReportFields  []string // names of the values of a load report
 	Resolution    int64    // least time between two batches of events
 	T1            int64    // a set-up without an answer is repeated after this; 0: never
-	ClearWait     int64    // wait before another attempt after a time-out, lost connection or cancel
+	ReleaseWait   int64    // wait before another attempt after a time-out, lost connection or cancel
 	DrainGrace    int64
-	FallMultiple  float64 // sends within FallWindow, in multiples of its capacity, at which a cold server crashes
-	FallWindow    int64
-	ColdFrom      float64 // part of its capacity that a server has when it starts
-	ColdSpan      int64   // time until it has all of it
+	CrashMultiple float64 // sends within FallWindow, in multiples of its capacity, at which a cold server crashes
+	CrashWindow   int64
+	ColdFraction  float64 // part of its capacity that a server has when it starts
+	WarmUpTime    int64   // time until it has all of it
 }
 
 // Check reports every setting that is missing or out of range, one a line, or nil.
@@ -40,9 +40,9 @@
 			ok   bool
 			text string
 		}{
-			{g.Aim > 0, fmt.Sprintf("aim_ns: %d is not positive", g.Aim)},
+			{g.TargetDelay > 0, fmt.Sprintf("aim_ns: %d is not positive", g.TargetDelay)},
 			{g.Deadline > 0, fmt.Sprintf("deadline_ns: %d is not positive", g.Deadline)},
-			{g.Worth >= 0, fmt.Sprintf("worth: %v is negative or not a number", g.Worth)},
+			{g.Value >= 0, fmt.Sprintf("worth: %v is negative or not a number", g.Value)},
 			{g.LateValue >= 0, fmt.Sprintf("late_value: %v is negative or not a number", g.LateValue)},
 		} {
 			if !f.ok {
@@ -60,12 +60,12 @@
 		{"limits.max_retry_after_ns", s.MaxRetryAfter >= 0},
 		{"resolution_ns", s.Resolution >= 0},
 		{"extra.t1_ns", s.T1 >= 0},
-		{"extra.clear_wait_ns", s.ClearWait >= 0},
+		{"extra.clear_wait_ns", s.ReleaseWait >= 0},
 		{"rules.drain_grace_ns", s.DrainGrace >= 0},
-		{"rules.fall_multiple", s.FallMultiple > 0},
-		{"rules.fall_ns", s.FallWindow > 0},
-		{"rules.cold_from", s.ColdFrom > 0 && s.ColdFrom <= 1},
-		{"rules.cold_ns", s.ColdSpan > 0},
+		{"rules.fall_multiple", s.CrashMultiple > 0},
+		{"rules.fall_ns", s.CrashWindow > 0},
+		{"rules.cold_from", s.ColdFraction > 0 && s.ColdFraction <= 1},
+		{"rules.cold_ns", s.WarmUpTime > 0},
 	} {
 		if !f.ok {
 			wrong = append(wrong, fmt.Errorf("%s: missing or out of range", f.name))
@@ -76,11 +76,11 @@
 
 // Class describes a class of calls.
 type Class struct {
-	Aim, Deadline int64   // time from a call's arrival within which it should, and must, be established
-	Worth         float64 // of a call established within its target time Aim
-	LateValue     float64 // factor of Worth after that
-	Effect        Effect
-	Cells         []int // that may take it; empty: any
+	TargetDelay, Deadline int64   // time from a call's arrival within which it should, and must, be established
+	Value                 float64 // of a call established within its target time Aim
+	LateValue             float64 // factor of Worth after that
+	Effect                Effect
+	Cells                 []int // that may take it; empty: any
 }
 
 // Effect tells whether an attempt that might have run may be followed by another.
@@ -102,7 +102,7 @@
 	ListError                     // a request for the list failed; the old list stays in use
 	Arrival                       // a new call
 	Aborted                       // the caller ended the call
-	Stands                        // an attempt was answered: the call is established
+	Established                   // an attempt was answered: the call is established
 	AttemptEnded                  // an attempt or an established call ended
 	LoadReport                    // a server answered a probe, or reported free lines unasked
 	TimerFired                    // the timer Tag of a StartTimer action
@@ -125,25 +125,25 @@
 
 // Event is something that an instance is told. Which fields have a meaning depends on Kind.
 type Event struct {
-	Kind      EventKind
-	Call      string
-	Class     int
-	Key       string // dialled number
-	NotAfter  int64  // when the call is given up
-	Waited    int64  // time since the call was accepted, if another module held it first
-	FarEnd    int    // cell of the first choice
-	Redialed  bool   // the caller calls again
-	InTransit bool   // only servers of cell FarEnd may take the call
-	Server    uint64
-	Elapsed   int64 // since the attempt or probe was sent
-	Outcome   Outcome
-	CallEnded bool      // the call is over, with no further attempt
-	Note      int       // detail of the outcome: 1 no free line, 4 number busy
-	WaitMS    int64     // wait that the server asked for, in milliseconds
-	Report    []float64 // load report, in the order of Settings.Fields; nil: none
-	Tag       uint64
-	FullList  bool
-	Entries   []Entry
+	Kind        EventKind
+	Call        string
+	Class       int
+	Key         string // dialled number
+	NotAfter    int64  // when the call is given up
+	Waited      int64  // time since the call was accepted, if another module held it first
+	FirstChoice int    // cell of the first choice
+	Redialed    bool   // the caller calls again
+	InTransit   bool   // only servers of cell FarEnd may take the call
+	Server      uint64
+	Elapsed     int64 // since the attempt or probe was sent
+	Outcome     Outcome
+	CallEnded   bool      // the call is over, with no further attempt
+	Note        int       // detail of the outcome: 1 no free line, 4 number busy
+	WaitMS      int64     // wait that the server asked for, in milliseconds
+	Report      []float64 // load report, in the order of Settings.Fields; nil: none
+	Tag         uint64
+	FullList    bool
+	Entries     []Entry
 }
 
 // EntryState is the state of a server on the list.
--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -24,17 +24,17 @@
 	if t == nil || t.established {
 		return // a call gets no second answer
 	}
-	status := map[exchange.Verdict]int{exchange.Stands: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Verdict]
+	status := map[exchange.Verdict]int{exchange.Established: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Verdict]
 	b := append(sip.AppendStatus(make([]byte, 0, 512+len(answer.Description)), status), t.echoedHeaders...)
-	if answer.Verdict == exchange.Stands {
+	if answer.Verdict == exchange.Established {
 		t.established, t.echoedHeaders = true, nil
 		t.openCalls, t.establishedCalls, t.lastUsed = t.openCalls-1, t.establishedCalls+1, time.Now()
 		t.wakeIfDrained()
 	} else {
 		s.remove(t)
 	}
-	if answer.Wait > 0 {
-		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", answer.Wait.Milliseconds())
+	if answer.RetryAfter > 0 {
+		b = fmt.Appendf(b, "X-Later-Ms: %d\r\n", answer.RetryAfter.Milliseconds())
 	}
 	t.Send(sip.AppendBody(b, answer.Description))
 }
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -113,11 +113,11 @@
 	p.expectMessage(200, "", "Call-ID", "ping")
 	p.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	if s := b.lastSetup; string(s.Description) != "hi" || s.Dest != 2 || !s.Again || !s.Retry || s.Number != "17" || s.Tenant != "acme" ||
-		s.ExpiresAt.Sub(s.Taken) != 1500*time.Millisecond {
+	if s := b.lastSetup; string(s.Description) != "hi" || s.FirstChoice != 2 || !s.RepeatFlag || !s.Redialed || s.Number != "17" || s.Tenant != "acme" ||
+		s.ExpiresAt.Sub(s.ReceivedAt) != 1500*time.Millisecond {
 		t.Errorf("set-up %+v", s)
 	}
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log")})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established, Description: []byte("log")})
 	p.expectMessage(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
 	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is dropped
 	p.write(message("BYE", id, ""))
@@ -125,7 +125,7 @@
 	b.expectEvent("hang up " + id)
 	p.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 200 * time.Millisecond})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused, RetryAfter: 200 * time.Millisecond})
 	p.expectMessage(503, "", "X-Later-Ms", "200")
 	p.write(message("BYE", id, ""))
 	p.expectMessage(481, "", "Call-ID", id)
@@ -184,7 +184,7 @@
 	stranger.write(message("CANCEL", id, ""))
 	stranger.expectMessage(481, "", "Call-ID", id)
 	stranger.Close()
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	if len(b.events) != 0 {
 		t.Errorf("got %s", <-b.events)
@@ -200,7 +200,7 @@
 	p.write(message("INVITE", id, headers) + message("INVITE", other, headers))
 	b.expectEvent("arrive " + id)
 	b.expectEvent("arrive " + other)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	p.Close()
 	b.expectEvent("give up " + other)
@@ -270,7 +270,7 @@
 		if !ended(silent) || ended(asked) {
 			t.Errorf("after %v: silent ended %v, asked ended %v", time.Since(began), ended(silent), ended(asked))
 		}
-		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
+		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
 		time.Sleep(2 * idleTimeout)
 		synctest.Wait()
 		if ended(asked) {
@@ -391,7 +391,7 @@
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	q := b.dial()
 	if _, err := p.Next(); err != io.EOF { // evicted; its peer has not closed yet
@@ -516,7 +516,7 @@
 	fresh.write(message("INVITE", "0000000000000003", headers))
 	b.expectEvent("arrive 0000000000000003")
 	// An established call keeps its connection: without a new one, its release can be sent on no other.
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Stands})
+	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
 	busy.expectMessage(200, "", "Call-ID", id)
 	if !errors.Is(busy.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with an established call was closed")
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -26,7 +26,7 @@
 func newConn(c net.Conn, s *Server) *conn {
 	host, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	cn := &conn{server: s, host: host, lastUsed: time.Now()}
-	cn.Conn = sip.NewConn(c, sip.Limits{Write: writeTimeout, MessageTimeout: cn.messageLimit, Idle: cn.idleLimit, ErrorResponse: cn.finalMessages, Linger: lingerTimeout,
+	cn.Conn = sip.NewConn(c, sip.Limits{WriteTimeout: writeTimeout, MessageTimeout: cn.messageLimit, IdleTimeout: cn.idleLimit, ErrorResponse: cn.finalMessages, Linger: lingerTimeout,
 		HalfCloseEnds: true})
 	return cn
 }
--- a/internal/caller/requests.go
+++ b/internal/caller/requests.go
@@ -128,8 +128,8 @@
 		return 413, "description leaves no space for the headers to an office"
 	}
 	number := string(m.User())
-	call := exchange.Setup{ID: id, Owner: owner, Number: number, Description: bytes.Clone(m.Body), Dest: -1,
-		Retry: string(m.Get("X-Retry")) == "1"}
+	call := exchange.Setup{ID: id, Owner: owner, Number: number, Description: bytes.Clone(m.Body), FirstChoice: -1,
+		Redialed: string(m.Get("X-Retry")) == "1"}
 	var patience *int64
 	if p := m.Get("X-Patience"); p != nil {
 		ms, err := strconv.ParseInt(string(p), 10, 64)
@@ -146,11 +146,11 @@
 			case name == "dest" && err != nil:
 				return 400, "dest in X-Facts is not a number"
 			case name == "dest":
-				call.Dest = int(n)
+				call.FirstChoice = int(n)
 			case name == "width" && (err != nil || n < 1):
 				return 400, "width in X-Facts is not a positive number of circuits"
 			case name == "again":
-				call.Again = n == 1
+				call.RepeatFlag = n == 1
 			}
 		}
 	}
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -110,16 +110,16 @@
 	f.write(ws, setup)
 	f.expect("submit " + key)
 	s := f.fakeCore.calls[key]
-	if string(s.Description) != "offer" || s.Dest != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.Taken) != 3*time.Second {
+	if string(s.Description) != "offer" || s.FirstChoice != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.ReceivedAt) != 3*time.Second {
 		t.Errorf("set-up %+v", s)
 	}
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands, Description: []byte("log\r\n")})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established, Description: []byte("log\r\n")})
 	f.read(ws, `{"type":"stands","id":"c1","description":"log\r\n"}`)
 	f.Release(key, true)
 	f.read(ws, `{"type":"released","id":"c1","cut":true}`)
 	f.write(ws, setup)
 	f.expect("submit " + key)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, Wait: 1500 * time.Millisecond})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, RetryAfter: 1500 * time.Millisecond})
 	f.read(ws, `{"type":"refused","id":"c1","later_ms":1500}`)
 	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is not sent
 	f.write(ws, `{"type":"hangup","id":"c1"}`)
@@ -221,7 +221,7 @@
 	ws = f.open()
 	f.write(ws, setup)
 	f.expect("submit " + key)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 	ws.CloseNow()
 	for f.openSockets() > 0 { // until the front has seen the close
@@ -249,7 +249,7 @@
 	f.expect("submit " + key)
 	f.write(ws, strings.Replace(setup, "offer", "another", 1))
 	f.read(ws, `{"type":"error","id":"c1","code":482,"text":"id of another call"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 }
 
@@ -297,7 +297,7 @@
 	f.expect("submit " + Key("station-7", "c2"))
 	f.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Verdict: exchange.Refused})
 	f.read(fresh, `{"type":"refused","id":"c2"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
 	f.read(busy, `{"type":"stands","id":"c1"}`)
 	for _, ws := range []*websocket.Conn{fresh, busy} {
 		if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
@@ -354,7 +354,7 @@
 		ended <- string(reason)
 	}()
 	f := &fixture{t: t}
-	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Description: []byte{0xff}, Wait: time.Second})
+	peer.Invite(exchange.Attempt{ID: "5", Class: "open-log", Number: "17", Description: []byte{0xff}, Timeout: time.Second})
 	f.read(ws, `{"type":"setup","call":"5","class":"open-log","number":"17","patience_ms":1000,"description_base64":"/w=="}`)
 	peer.Cancel("5", 0)
 	f.read(ws, `{"type":"cancel","call":"5"}`)
@@ -411,7 +411,7 @@
 	}
 	f.write(ws, strings.Replace(setup, "c1", "c2", 1))
 	f.read(ws, `{"type":"error","id":"c2","code":401,"text":"the token has changed"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Stands})
+	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 		t.Errorf("after the answer: %v", err)
--- a/internal/callws/server.go
+++ b/internal/callws/server.go
@@ -70,7 +70,7 @@
 // Invite implements office.Peer.
 func (s *server) Invite(a exchange.Attempt) {
 	s.send(serverCommand{Type: "setup", Call: a.ID, Class: a.Class, Number: a.Number,
-		PatienceMS: max(a.Wait.Milliseconds(), 1), description: describe(a.Description)})
+		PatienceMS: max(a.Timeout.Milliseconds(), 1), description: describe(a.Description)})
 }
 
 // Cancel implements office.Peer.
@@ -104,7 +104,7 @@
 		if !ok {
 			outcome = control.Errored
 		}
-		h.Ended(m.Call, exchange.Result{Outcome: outcome, Note: office.Note(m.Note), WaitMS: max(m.WaitMS, 0),
+		h.Ended(m.Call, exchange.Result{Outcome: outcome, Note: office.NoteNumber(m.Note), WaitMS: max(m.WaitMS, 0),
 			Report: report})
 	case "released":
 		h.Released(m.Call, m.Cut, report)
--- a/internal/callws/socket.go
+++ b/internal/callws/socket.go
@@ -98,10 +98,10 @@
 	if len(m.raw()) > maxDescription {
 		return 413, "description leaves no room for the headers to an office"
 	}
-	setup := exchange.Setup{ID: key, Owner: s.owner(), Number: m.Number, Description: m.raw(), Dest: -1, Retry: m.Retry,
-		Again: m.Again}
+	setup := exchange.Setup{ID: key, Owner: s.owner(), Number: m.Number, Description: m.raw(), FirstChoice: -1, Redialed: m.Retry,
+		RepeatFlag: m.Again}
 	if m.FirstChoice != nil {
-		setup.Dest = *m.FirstChoice
+		setup.FirstChoice = *m.FirstChoice
 	}
 	if err := s.front.Names.Apply(&setup, m.Class, m.Tenant, m.PatienceMS, receivedAt); err != nil {
 		return 400, err.Error()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,7 +28,7 @@
 	Seed                  uint64
 	Cores                 float64
 	MemoryMB, Sockets     int
-	Known                 journal.Known
+	Known                 journal.InitialList
 	Settings              control.Settings
 	Names                 exchange.Names
 	ConnectTimeout        time.Duration
@@ -46,9 +46,9 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Journal  string          `json:"journal"`
-	Known    journal.Known   `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Journal  string              `json:"journal"`
+	Known    journal.InitialList `json:"known"`
+	Settings json.RawMessage     `json:"settings"`
 }
 
 // names are the settings that the module has no use for and the sockets need.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if p.Sockets != 1024 || p.Known.Pos != 3 || p.Seed != 0x8c1f30d27a5be964 || p.ConnectTimeout != 500*time.Millisecond ||
-		p.Names.Classes[0].Name != "open-log" || p.Names.Tenants[0] != "acme" || p.Settings.Fields[1] != "total" {
+		p.Names.Classes[0].Name != "open-log" || p.Names.Tenants[0] != "acme" || p.Settings.ReportFields[1] != "total" {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -37,7 +37,7 @@
 	done := make(chan error, 1)
 	tcp := netcase.Listen(t)
 	want := Status{Name: "n3", Phase: Recovering, ListAgeMS: -1, Core: exchange.Status{Open: 3,
-		Offices: []exchange.OfficeState{{ID: "a", Listed: "serving", Cold: true, Marked: true, Warmth: 0.5}}}}
+		Offices: []exchange.OfficeState{{ID: "a", Listed: "serving", Cold: true, InBackoff: true, CapacityFraction: 0.5}}}}
 	go func() {
 		done <- Serve(ctx, l, path, netcase.DiscardLogger(), func() Status { return want }, map[string]net.Listener{"callers": tcp})
 	}()
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -16,7 +16,7 @@
 // Peers is what an instance knows of its fleet.
 type Peers struct {
 	peers.Status
-	Shared shared.Look `json:"shared"`
+	Shared shared.Snapshot `json:"shared"`
 }
 
 // Text writes it for people.
--- a/internal/ctl/text.go
+++ b/internal/ctl/text.go
@@ -23,13 +23,13 @@
 	fmt.Fprintf(t, "listen\t%s\n", s.Listen)
 	fmt.Fprintf(t, "list\tposition %d, heard of %s\n", s.ListPos, age)
 	fmt.Fprintf(t, "calls\t%d open (%d held, %d waiting), %d standing; %d stood, %d refused, %d failed\n", s.Core.Open, s.Core.Held,
-		s.Core.HeldByModules, s.Core.Standing, s.Core.Stands, s.Core.Refused, s.Core.Failed)
+		s.Core.HeldByModules, s.Core.EstablishedCalls, s.Core.EstablishedTotal, s.Core.Refused, s.Core.Failed)
 	fmt.Fprintf(t, "held\t%.1f of %d MB, %d of %d descriptors, %d events waiting\n", s.MemoryMB, s.MemoryLimitMB, s.Descriptors,
 		s.DescriptorLimit, s.Core.InboxLength)
 	for _, m := range s.Core.Modules {
 		fmt.Fprintf(t, "%s\t%s (%s); held %d, refused %d, %d offices capped", m.Module, m.State, m.Reason, m.Held, m.RefusedTotal, m.Capped)
-		if m.Out != "" {
-			fmt.Fprintf(t, "; until %s", m.Out)
+		if m.ExitCondition != "" {
+			fmt.Fprintf(t, "; until %s", m.ExitCondition)
 		}
 		fmt.Fprintln(t)
 	}
@@ -55,7 +55,7 @@
 		for _, b := range []struct {
 			is   bool
 			name string
-		}{{o.Down, "down"}, {o.Cold, "cold"}, {o.Marked, "marked"}, {o.Pressed, "pressed"}} {
+		}{{o.Down, "down"}, {o.Cold, "cold"}, {o.InBackoff, "marked"}, {o.Overloaded, "pressed"}} {
 			if b.is {
 				believed += " " + b.name
 			}
@@ -63,6 +63,6 @@
 		if believed == "" {
 			believed = " well"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.Warmth, believed[1:], o.Out, o.Standing, o.ExpectedDelayMS)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f%%\t%s\t%d\t%d\t%.0f ms\n", o.ID, o.Addr, o.Listed, 100*o.CapacityFraction, believed[1:], o.Pending, o.EstablishedCalls, o.ExpectedDelayMS)
 	}
 }
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -64,11 +64,11 @@
 func (c *core) invite(cl *call, a control.Action) {
 	wait := time.Duration(a.Wait - (c.now - cl.sentAt))
 	cl.sentAt = c.now
-	c.log.Debug("attempt", "call", cl.ID, "n", cl.attempts-1, "server", a.Server, "dest", cl.Dest, "wait_ms", wait.Milliseconds(),
-		"since_ms", (c.now-cl.Taken.UnixNano())/1e6)
+	c.log.Debug("attempt", "call", cl.ID, "n", cl.attempts-1, "server", a.Server, "dest", cl.FirstChoice, "wait_ms", wait.Milliseconds(),
+		"since_ms", (c.now-cl.ReceivedAt.UnixNano())/1e6)
 	caller, id := cl.caller, cl.ID
-	c.offices.Invite(Attempt{ID: cl.ID, Class: cl.Name, Number: cl.Number, Description: cl.Description, Index: cl.attempts - 1, Server: a.Server,
-		Wait: wait, Presence: func() Presence { return presence(caller, id) }})
+	c.offices.Invite(Attempt{ID: cl.ID, Class: cl.ClassName, Number: cl.Number, Description: cl.Description, Index: cl.attempts - 1, Server: a.Server,
+		Timeout: wait, Presence: func() Presence { return presence(caller, id) }})
 }
 
 // recheckPresence delays an attempt while unread input of the client waits, which the reader handles meanwhile. A
@@ -99,7 +99,7 @@
 	c.log.Debug("attempt dropped: client gone", "call", cl.ID, "server", server, "away", cl.disconnected)
 	c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: server, Outcome: control.Canceled, CallEnded: true})
-	c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
+	c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 }
 
 // withdrawAttempt cancels the attempt in flight.
@@ -114,7 +114,7 @@
 		"note", result.Note, "wait_ms", result.WaitMS, "report", result.Report, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
 	if result.Outcome == control.TimedOut || result.Outcome == control.ConnectionLost || result.Outcome == control.Canceled {
-		cl.notBefore = c.now + c.settings.ClearWait
+		cl.notBefore = c.now + c.settings.ReleaseWait
 	}
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
 		Outcome: result.Outcome, Note: result.Note, WaitMS: result.WaitMS, Report: result.Report, CallEnded: c.calls[cl.ID] != cl})
@@ -133,9 +133,9 @@
 	}
 	c.log.Debug("attempt established", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	c.answer(cl, FinalAnswer{Verdict: Stands, Description: description})
+	c.answer(cl, FinalAnswer{Verdict: Established, Description: description})
 	c.scheduleSilenceCheck()
-	c.dispatch(control.Event{Kind: control.Stands, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
+	c.dispatch(control.Event{Kind: control.Established, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
 }
 
 // attemptEnded handles the end of attempt n without an acceptance.
--- a/internal/exchange/attempt_test.go
+++ b/internal/exchange/attempt_test.go
@@ -18,7 +18,7 @@
 
 // submitFrom submits a call of a front.
 func (b *harness) submitFrom(from Caller, id string) {
-	b.submit(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.testTime, ExpiresAt: b.testTime.Add(3 * time.Second)}, from)
+	b.submit(Setup{ID: id, Owner: "o", ClassName: "open-log", Number: "17", ReceivedAt: b.testTime, ExpiresAt: b.testTime.Add(3 * time.Second)}, from)
 }
 
 // A client that has gone gets no attempt, neither a first nor a later one, even if the core has not been told. The
@@ -48,7 +48,7 @@
 	from.presence = Connected
 	b.advance(100 * ms)
 	b.expect("invite a 0 at 10")
-	if cl := b.calls["a"]; cl.sentAt <= cl.Taken.UnixNano() {
+	if cl := b.calls["a"]; cl.sentAt <= cl.ReceivedAt.UnixNano() {
 		t.Error("sentAt is from before the attempt was sent")
 	}
 	b.attemptEstablished(10, "a", 0, nil)
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -29,7 +29,7 @@
 		}
 		cl.disconnected = false
 		if cl.caller = caller; cl.established {
-			caller.Answer(s.ID, FinalAnswer{Verdict: Stands, Description: cl.officeDescription})
+			caller.Answer(s.ID, FinalAnswer{Verdict: Established, Description: cl.officeDescription})
 		}
 		return
 	}
@@ -48,7 +48,7 @@
 	c.calls[s.ID] = cl
 	c.unanswered++
 	if c.loadBytes += bytesPerCall + len(s.Description); c.loadBytes > c.memoryBytes/callMemoryDivisor || c.refusingAll {
-		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
+		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 		return
 	}
 	notAfter := s.ExpiresAt.Add(-answerMargin).UnixNano()
@@ -72,9 +72,9 @@
 // admit asks the joined modules about a new call, and then the controller. A refusal is answered at once. A held call
 // is asked about again until the bounds on holding are reached.
 func (c *core) admit(cl *call) {
-	waited := c.now - cl.Taken.UnixNano()
-	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, Dest: cl.Dest,
-		Retry: cl.Retry, Taken: cl.Taken.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.holds})
+	waited := c.now - cl.ReceivedAt.UnixNano()
+	ruling, module := c.modules.Admit(c.now, join.Call{ID: cl.ID, Key: cl.Number, Tenant: cl.Tenant, Class: cl.Class, FirstChoice: cl.FirstChoice,
+		Redialed: cl.Redialed, ReceivedAt: cl.ReceivedAt.UnixNano(), NotAfter: cl.notAfter, TimesHeld: cl.holds})
 	if cl.holds > 0 {
 		c.heldByModules--
 	}
@@ -86,7 +86,7 @@
 		if !c.settings.RetryAfter {
 			ruling.Wait = 0
 		}
-		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(min(max(ruling.Wait, 0), c.settings.MaxRetryAfter))})
+		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(min(max(ruling.Wait, 0), c.settings.MaxRetryAfter))})
 	case ruling.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
 		cl.holds++
 		c.heldByModules++
@@ -97,7 +97,7 @@
 		}
 		cl.holds = -1
 		c.dispatch(control.Event{Kind: control.Arrival, Call: cl.ID, Class: cl.Class, Key: cl.Number, NotAfter: cl.notAfter,
-			FarEnd: cl.Dest, Redialed: cl.Retry, Waited: waited})
+			FirstChoice: cl.FirstChoice, Redialed: cl.Redialed, Waited: waited})
 	}
 }
 
@@ -109,16 +109,16 @@
 	c.unanswered--
 	c.answersGiven[answer.Verdict]++
 	cl.answeredAt = c.now
-	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Verdict, "later_ms", answer.Wait.Milliseconds(), "attempts",
-		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.Taken.UnixNano())/1e6)
-	if answer.Verdict == Stands {
+	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Verdict, "later_ms", answer.RetryAfter.Milliseconds(), "attempts",
+		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.ReceivedAt.UnixNano())/1e6)
+	if answer.Verdict == Established {
 		cl.established, cl.officeDescription = true, answer.Description
 		c.loadBytes += len(answer.Description)
 	} else {
 		c.remove(cl)
 		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: answer, at: c.now})
 	}
-	c.recordCall(cl, Record{Verdict: answer.Verdict.String(), Wait: answer.Wait})
+	c.recordCall(cl, Record{Verdict: answer.Verdict.String(), RetryAfter: answer.RetryAfter})
 	cl.caller.Answer(cl.ID, answer)
 }
 
@@ -145,13 +145,13 @@
 
 // recordCall passes a record to the store: one with the answer, and another when an established call ends.
 func (c *core) recordCall(cl *call, r Record) {
-	r.ID, r.Owner, r.Class, r.Tenant, r.Number = cl.ID, cl.Owner, cl.Name, cl.Tenant, cl.Number
-	r.Attempts, r.Server, r.Taken = cl.attempts, cl.server, cl.Taken
+	r.ID, r.Owner, r.Class, r.Tenant, r.Number = cl.ID, cl.Owner, cl.ClassName, cl.Tenant, cl.Number
+	r.Attempts, r.Server, r.ReceivedAt = cl.attempts, cl.server, cl.ReceivedAt
 	if cl.answeredAt > 0 {
-		r.Answered = time.Unix(0, cl.answeredAt)
+		r.AnsweredAt = time.Unix(0, cl.answeredAt)
 	}
-	if r.Verdict != Stands.String() || c.calls[cl.ID] != cl {
-		r.Ended = time.Unix(0, c.now)
+	if r.Verdict != Established.String() || c.calls[cl.ID] != cl {
+		r.EndedAt = time.Unix(0, c.now)
 	}
 	c.onRecord(r)
 }
@@ -202,9 +202,9 @@
 // set-ups.
 func (c *core) endEstablished(cl *call, result Result, cut bool) {
 	c.remove(cl)
-	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Stands, Description: cl.officeDescription}, ended: true,
+	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Established, Description: cl.officeDescription}, ended: true,
 		cut: cut, at: c.now})
-	c.recordCall(cl, Record{Verdict: Stands.String(), Cut: cut})
+	c.recordCall(cl, Record{Verdict: Established.String(), Cut: cut})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
 		Outcome: result.Outcome, Report: result.Report, CallEnded: true})
 }
@@ -252,7 +252,7 @@
 			if cl.inFlight {
 				c.withdrawAttempt(cl, control.Canceled)
 			}
-			c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(c.settings.MaxRetryAfter)})
+			c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 		}
 	}
 }
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -145,7 +145,7 @@
 		}
 	case control.Refuse:
 		c.modules.OnAction(c.now, a)
-		c.answer(cl, FinalAnswer{Verdict: Refused, Wait: time.Duration(a.Wait)})
+		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(a.Wait)})
 	case control.Fail:
 		c.modules.OnAction(c.now, a)
 		c.answer(cl, FinalAnswer{Verdict: Failed})
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -56,7 +56,7 @@
 // New creates an exchange; Run starts it. SetOffices sets the offices' side, since each of the two needs the other.
 func New(o Options) (*Exchange, error) {
 	settings := o.Settings
-	settings.ClearWait += clearWaitMargin
+	settings.ReleaseWait += clearWaitMargin
 	controller, err := control.New(settings, o.Seed)
 	if err != nil {
 		return nil, err
@@ -211,7 +211,7 @@
 
 // Restore hands the controller the state that the previous process had saved. It must be called after the list of
 // offices that is known at the start has been handed over, and before Run. Invalid state is logged and ignored.
-func (x *Exchange) Restore(learnt control.Learnt) {
+func (x *Exchange) Restore(learnt control.LearnedState) {
 	x.post(false, func() {
 		if err := x.core.controller.Restore(x.core.now, learnt); err != nil {
 			x.core.log.Warn("snapshot left out", "why", err)
@@ -220,18 +220,18 @@
 }
 
 // Learnt returns the state that the controller has learnt, also after Run has ended.
-func (x *Exchange) Learnt() (l control.Learnt) {
+func (x *Exchange) LearnedState() (l control.LearnedState) {
 	got := false
-	x.runAndWait(func() { l, got = x.core.controller.Learnt(), true })
+	x.runAndWait(func() { l, got = x.core.controller.LearnedState(), true })
 	if !got { // the core has ended, so nothing changes the state any more
-		l = x.core.controller.Learnt()
+		l = x.core.controller.LearnedState()
 	}
 	return l
 }
 
 // Gauge passes a reading of the instance's own resources to the joined modules. It never blocks.
-func (x *Exchange) Gauge(name string, used float64) {
-	x.post(false, func() { x.core.modules.Gauge(x.core.now, name, used) })
+func (x *Exchange) ReportGauge(name string, used float64) {
+	x.post(false, func() { x.core.modules.OnGauge(x.core.now, name, used) })
 }
 
 // TryRun queues f to run in the core and does not wait for it; f gets the core's present time. It is meant for messages
@@ -248,7 +248,7 @@
 }
 
 // Look runs f in the core, where its state may be read, and waits for it. After the core's end f is not run.
-func (x *Exchange) Look(f func()) { x.runAndWait(f) }
+func (x *Exchange) Inspect(f func()) { x.runAndWait(f) }
 
 // InboxUsed returns the used part of the inbox as a fraction of its bound.
 func (x *Exchange) InboxUsed() float64 {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -18,11 +18,11 @@
 const ms = time.Millisecond
 
 func settings() control.Settings {
-	return control.Settings{GroupSize: 4, ThisNode: -1, MaxAttempts: 4, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: int64(2 * time.Second), Fields: []string{"spare", "total"}, Resolution: int64(5 * ms),
-		ClearWait: int64(300 * ms), DrainGrace: int64(time.Second), FallMultiple: 2,
-		FallWindow: int64(time.Second), ColdFrom: 0.3, ColdSpan: int64(15 * time.Second),
-		Classes: []control.Class{{Aim: int64(1200 * ms), Deadline: int64(9 * time.Second), Worth: 1,
+	return control.Settings{GroupSize: 4, OwnCell: -1, MaxAttempts: 4, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: int64(2 * time.Second), ReportFields: []string{"spare", "total"}, Resolution: int64(5 * ms),
+		ReleaseWait: int64(300 * ms), DrainGrace: int64(time.Second), CrashMultiple: 2,
+		CrashWindow: int64(time.Second), ColdFraction: 0.3, WarmUpTime: int64(15 * time.Second),
+		Classes: []control.Class{{TargetDelay: int64(1200 * ms), Deadline: int64(9 * time.Second), Value: 1,
 			LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
@@ -61,7 +61,7 @@
 }
 
 func (b *harness) Answer(id string, f FinalAnswer) {
-	b.outputf("answer %s %s %s %dms", id, f.Verdict, f.Description, f.Wait.Milliseconds())
+	b.outputf("answer %s %s %s %dms", id, f.Verdict, f.Description, f.RetryAfter.Milliseconds())
 }
 func (b *harness) Release(id string, cut bool)            { b.outputf("release %s %v", id, cut) }
 func (b *harness) UpdateList([]Office, bool)              {}
@@ -92,7 +92,7 @@
 }
 
 func (b *harness) submitCall(id string, patience time.Duration) {
-	b.submit(Setup{ID: id, Owner: "o", Name: "open-log", Number: "17", Taken: b.testTime, ExpiresAt: b.testTime.Add(patience)}, b)
+	b.submit(Setup{ID: id, Owner: "o", ClassName: "open-log", Number: "17", ReceivedAt: b.testTime, ExpiresAt: b.testTime.Add(patience)}, b)
 }
 
 func TestCallFromSetUpToRelease(t *testing.T) {
@@ -111,8 +111,8 @@
 	if len(b.unknownReleases) != 0 || b.unanswered != 0 || len(b.calls) != 0 {
 		t.Errorf("left behind: %v, %d open, %d calls", b.unknownReleases, b.unanswered, len(b.calls))
 	}
-	if r := b.records[len(b.records)-1]; len(b.records) != 2 || !b.records[0].Ended.IsZero() || r.Verdict != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
-		r.Answered.Sub(r.Taken) != 50*ms || r.Ended.Sub(r.Taken) != 1050*ms {
+	if r := b.records[len(b.records)-1]; len(b.records) != 2 || !b.records[0].EndedAt.IsZero() || r.Verdict != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
+		r.AnsweredAt.Sub(r.ReceivedAt) != 50*ms || r.EndedAt.Sub(r.ReceivedAt) != 1050*ms {
 		t.Errorf("records %+v", b.records)
 	}
 }
@@ -165,9 +165,9 @@
 func TestRefusedCallIsFreed(t *testing.T) {
 	b := newHarness(t)
 	names := Names{Classes: []Class{{Name: "open-log", Deadline: 9 * time.Second}}}
-	day, s := maxPatience.Milliseconds(), Setup{ID: "a", Number: "17", Dest: -1, Description: make([]byte, 16<<10)}
-	if err := names.Apply(&s, "open-log", "", &day, b.testTime); err != nil || s.ExpiresAt.Sub(s.Taken) != 9*time.Second {
-		t.Fatalf("patience %v, %v", s.ExpiresAt.Sub(s.Taken), err)
+	day, s := maxPatience.Milliseconds(), Setup{ID: "a", Number: "17", FirstChoice: -1, Description: make([]byte, 16<<10)}
+	if err := names.Apply(&s, "open-log", "", &day, b.testTime); err != nil || s.ExpiresAt.Sub(s.ReceivedAt) != 9*time.Second {
+		t.Fatalf("patience %v, %v", s.ExpiresAt.Sub(s.ReceivedAt), err)
 	}
 	s.Owner = "sip"
 	b.submit(s, b)
@@ -313,7 +313,7 @@
 		go func() { done <- x.Run(ctx) }()
 		now := time.Now()
 		for _, id := range []string{"a", "b"} {
-			x.Submit(Setup{ID: id, Taken: now, ExpiresAt: now.Add(time.Second)}, b)
+			x.Submit(Setup{ID: id, ReceivedAt: now, ExpiresAt: now.Add(time.Second)}, b)
 		}
 		x.Accepted(10, "a", 0, nil)
 		if n := x.UnansweredCalls(); n != 1 {
--- a/internal/exchange/names.go
+++ b/internal/exchange/names.go
@@ -45,8 +45,8 @@
 	if len(s.Number) > maxNumberLength || strings.ContainsFunc(s.Number, func(c rune) bool { return c <= ' ' || c > '~' || c == '@' }) {
 		return errors.New("number is too long, or no visible ASCII")
 	}
-	if s.Dest != -1 && (s.Dest < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.Dest)) {
-		return fmt.Errorf("first choice %d is no pool", s.Dest)
+	if s.FirstChoice != -1 && (s.FirstChoice < 0 || len(n.Pools) > 0 && !slices.Contains(n.Pools, s.FirstChoice)) {
+		return fmt.Errorf("first choice %d is no pool", s.FirstChoice)
 	}
 	patience := n.Classes[k].Deadline
 	if patienceMS != nil {
@@ -55,6 +55,6 @@
 		}
 		patience = min(time.Duration(*patienceMS)*time.Millisecond, patience)
 	}
-	s.Class, s.Name, s.Tenant, s.Taken, s.ExpiresAt = k, class, tenant, at, at.Add(patience)
+	s.Class, s.ClassName, s.Tenant, s.ReceivedAt, s.ExpiresAt = k, class, tenant, at, at.Add(patience)
 	return nil
 }
--- a/internal/exchange/status.go
+++ b/internal/exchange/status.go
@@ -7,15 +7,15 @@
 
 // status returns the state for operators. It changes nothing.
 func (c *core) status() Status {
-	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, Standing: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
-		Stands: c.answersGiven[Stands], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.modules.Status(c.now)}
+	s := Status{Open: c.unanswered, Held: c.controller.Held(), HeldByModules: c.heldByModules, EstablishedCalls: len(c.calls) - c.unanswered, ReceivedTotal: c.serial,
+		EstablishedTotal: c.answersGiven[Established], Refused: c.answersGiven[Refused], Failed: c.answersGiven[Failed], LoadBytes: c.loadBytes, Modules: c.modules.Status(c.now)}
 	for _, server := range c.controller.ServerStatuses(c.now) {
 		listed := "serving"
 		if !server.Available {
 			listed = "draining"
 		}
 		s.Offices = append(s.Offices, OfficeState{ID: strconv.FormatUint(server.Server, 16), Addr: c.knownOffices[server.Server].Addr, Listed: listed,
-			Warmth: server.Warmth, Cold: server.Cold, Down: server.Down, Marked: server.Marked, Pressed: server.Pressed, Out: server.Out, Standing: server.Standing,
+			CapacityFraction: server.CapacityFraction, Cold: server.Cold, Down: server.Down, InBackoff: server.InBackoff, Overloaded: server.Overloaded, Pending: server.Pending, EstablishedCalls: server.EstablishedCalls,
 			ExpectedDelayMS: float64(server.ExpectedDelay) / 1e6})
 	}
 	return s
@@ -23,33 +23,33 @@
 
 // Status is the state of the core for operators.
 type Status struct {
-	Open          int           `json:"open"`     // calls without a final answer
-	Held          int           `json:"held"`     // of these, held by control for a later attempt
-	HeldByModules int           `json:"waiting"`  // of these, held by joined modules
-	Standing      int           `json:"standing"` // established calls
-	ReceivedTotal uint64        `json:"taken"`    // calls submitted since the start
-	Stands        uint64        `json:"stands"`   // final answers since the start, by verdict
-	Refused       uint64        `json:"refused"`
-	Failed        uint64        `json:"failed"`
-	LoadBytes     int           `json:"load_bytes"` // memory that all present calls are counted with
-	InboxLength   int           `json:"inbox"`      // queued events
-	Offices       []OfficeState `json:"offices"`
-	Modules       []join.Status `json:"modules"`
+	Open             int           `json:"open"`     // calls without a final answer
+	Held             int           `json:"held"`     // of these, held by control for a later attempt
+	HeldByModules    int           `json:"waiting"`  // of these, held by joined modules
+	EstablishedCalls int           `json:"standing"` // established calls
+	ReceivedTotal    uint64        `json:"taken"`    // calls submitted since the start
+	EstablishedTotal uint64        `json:"stands"`   // final answers since the start, by verdict
+	Refused          uint64        `json:"refused"`
+	Failed           uint64        `json:"failed"`
+	LoadBytes        int           `json:"load_bytes"` // memory that all present calls are counted with
+	InboxLength      int           `json:"inbox"`      // queued events
+	Offices          []OfficeState `json:"offices"`
+	Modules          []join.Status `json:"modules"`
 }
 
 // OfficeState is one office as listed and as the controller sees it.
 type OfficeState struct {
-	ID              string  `json:"id"` // hex
-	Addr            string  `json:"addr"`
-	Listed          string  `json:"listed"` // serving, draining
-	Warmth          float64 `json:"warmth"` // estimated fraction of its full capacity while it warms up
-	Cold            bool    `json:"cold"`
-	Down            bool    `json:"down"`
-	Marked          bool    `json:"marked"`   // an answer marked it as unfit for now
-	Pressed         bool    `json:"pressed"`  // its expected delay is above the reference
-	Out             int     `json:"out"`      // attempts without an answer
-	Standing        int     `json:"standing"` // established calls
-	ExpectedDelayMS float64 `json:"delay_ms"` // expected
+	ID               string  `json:"id"` // hex
+	Addr             string  `json:"addr"`
+	Listed           string  `json:"listed"` // serving, draining
+	CapacityFraction float64 `json:"warmth"` // estimated fraction of its full capacity while it warms up
+	Cold             bool    `json:"cold"`
+	Down             bool    `json:"down"`
+	InBackoff        bool    `json:"marked"`   // an answer marked it as unfit for now
+	Overloaded       bool    `json:"pressed"`  // its expected delay is above the reference
+	Pending          int     `json:"out"`      // attempts without an answer
+	EstablishedCalls int     `json:"standing"` // established calls
+	ExpectedDelayMS  float64 `json:"delay_ms"` // expected
 }
 
 // Status returns the state of the core; the zero Status after its end.
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -12,9 +12,9 @@
 
 // The final answers.
 const (
-	Stands  Verdict = iota // an office accepted the call; it is established
-	Refused                // not accepted; trying again is harmless
-	Failed                 // abandoned
+	Established Verdict = iota // an office accepted the call; it is established
+	Refused                    // not accepted; trying again is harmless
+	Failed                     // abandoned
 )
 
 // String returns the verdict as logs and records name it.
@@ -24,7 +24,7 @@
 type FinalAnswer struct {
 	Verdict     Verdict
 	Description []byte        // of the office, if the call is established
-	Wait        time.Duration // before the caller should try again; 0: no advice
+	RetryAfter  time.Duration // before the caller should try again; 0: no advice
 }
 
 // Setup is a call as the callers' side submits it. It must not be modified afterwards.
@@ -32,14 +32,14 @@
 	ID          string // 16 hex digits, which identify the call at offices
 	Owner       string // who may rejoin the call or end it
 	Class       int
-	Name        string // of the class
+	ClassName   string // of the class
 	Tenant      string
 	Number      string
 	Description []byte
-	Dest        int       // preferred pool; -1: none
-	Retry       bool      // the caller redials
-	Again       bool      // as the caller set it; decisions do not use it
-	Taken       time.Time // when its last byte was received
+	FirstChoice int       // preferred pool; -1: none
+	Redialed    bool      // the caller redials
+	RepeatFlag  bool      // as the caller set it; decisions do not use it
+	ReceivedAt  time.Time // when its last byte was received
 	ExpiresAt   time.Time // until when the caller waits
 }
 
@@ -49,7 +49,7 @@
 func (s *Setup) Fingerprint() uint64 {
 	var h maphash.Hash
 	h.SetSeed(fingerprintSeed)
-	for _, part := range []string{s.Name, s.Tenant, s.Number} {
+	for _, part := range []string{s.ClassName, s.Tenant, s.Number} {
 		h.WriteString(part)
 		h.WriteByte(0)
 	}
@@ -101,7 +101,7 @@
 	Description       []byte
 	Index             int // 0, 1, 2 ... within the call
 	Server            uint64
-	Wait              time.Duration // until the attempt times out
+	Timeout           time.Duration // until the attempt times out
 	// Presence returns the client's presence, for an attempt that is queued before it is written. It may be called from
 	// any goroutine and does not block.
 	Presence func() Presence
@@ -143,7 +143,7 @@
 	Verdict                          string
 	Attempts                         int
 	Server                           uint64
-	Taken, Answered, Ended           time.Time
-	Wait                             time.Duration
+	ReceivedAt, AnsweredAt, EndedAt  time.Time
+	RetryAfter                       time.Duration
 	Cut                              bool
 }
--- a/internal/fleet/spec.go
+++ b/internal/fleet/spec.go
@@ -109,8 +109,8 @@
 
 // limits are the rollout's figures.
 func (s *Spec) limits() rollout.Limits {
-	return rollout.Limits{MostAway: s.Rollout.MostAway, HealthyFor: int64(s.Rollout.HealthyFor), StartWithin: int64(s.Rollout.StartWithin),
-		ColdMost: int64(s.Rollout.ColdMost), Back: s.Rollout.Back == nil || *s.Rollout.Back}
+	return rollout.Limits{MaxAwayFraction: s.Rollout.MostAway, HealthyFor: int64(s.Rollout.HealthyFor), StartWithin: int64(s.Rollout.StartWithin),
+		MaxColdPause: int64(s.Rollout.ColdMost), RollBack: s.Rollout.Back == nil || *s.Rollout.Back}
 }
 
 // nth is the address of the n-th instance.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -57,7 +57,7 @@
 			one := MemberStatus{Name: m.name, PID: m.pid, Phase: m.phase, PhaseSeconds: time.Since(m.since).Seconds(), Generation: m.gen,
 				Listen: m.addrs["callers"], Socket: m.socket(), UnexpectedExits: m.ends, Failed: m.failed}
 			if m.status != nil {
-				one.OpenCalls, one.EstablishedCalls, one.MemoryMB = m.status.Core.Open, m.status.Core.Standing, m.status.MemoryMB
+				one.OpenCalls, one.EstablishedCalls, one.MemoryMB = m.status.Core.Open, m.status.Core.EstablishedCalls, m.status.MemoryMB
 			}
 			st.Instances = append(st.Instances, one)
 		}
--- a/internal/journal/client.go
+++ b/internal/journal/client.go
@@ -80,7 +80,7 @@
 }
 
 // LoadInitial applies the part of the list in the configuration. It must be called before Run.
-func (c *Client) LoadInitial(k Known) {
+func (c *Client) LoadInitial(k InitialList) {
 	for _, raw := range k.Entries {
 		c.apply(raw)
 	}
--- a/internal/journal/decode.go
+++ b/internal/journal/decode.go
@@ -14,7 +14,7 @@
 )
 
 // Known is the part of the server list in the configuration: events of the journal, and the number of the last one.
-type Known struct {
+type InitialList struct {
 	Pos     int64             `json:"pos"`
 	Entries []json.RawMessage `json:"entries"`
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -43,7 +43,7 @@
 func TestKnown(t *testing.T) {
 	var got []update
 	c := newClient(func(x update) { got = append(got, x) })
-	c.LoadInitial(Known{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
+	c.LoadInitial(InitialList{Pos: 42, Entries: []json.RawMessage{[]byte(full), []byte(`{"pos":1}`), []byte(delta("DRAINING"))}})
 	if len(got) != 2 || c.Pos != 42 || !got[0].full || got[1].full {
 		t.Fatalf("%+v at %d", got, c.Pos)
 	}
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -76,11 +76,11 @@
 
 // settings returns control settings with one class of calls, which may go to both servers of New.
 func settings() control.Settings {
-	return control.Settings{GroupSize: 4, ThisNode: -1, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: int64(2 * time.Second),
-		Fields: []string{"spare", "total"}, Resolution: int64(5 * time.Millisecond), ClearWait: int64(300 * time.Millisecond),
-		DrainGrace: int64(time.Second), FallMultiple: 2, FallWindow: int64(time.Second), ColdFrom: 0.3,
-		ColdSpan: int64(15 * time.Second), Classes: []control.Class{{Aim: int64(1200 * time.Millisecond), Deadline: int64(9 * time.Second),
-			Worth: 1, LateValue: 0.25, Cells: []int{0, 1}}}}
+	return control.Settings{GroupSize: 4, OwnCell: -1, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: int64(2 * time.Second),
+		ReportFields: []string{"spare", "total"}, Resolution: int64(5 * time.Millisecond), ReleaseWait: int64(300 * time.Millisecond),
+		DrainGrace: int64(time.Second), CrashMultiple: 2, CrashWindow: int64(time.Second), ColdFraction: 0.3,
+		WarmUpTime: int64(15 * time.Second), Classes: []control.Class{{TargetDelay: int64(1200 * time.Millisecond), Deadline: int64(9 * time.Second),
+			Value: 1, LateValue: 0.25, Cells: []int{0, 1}}}}
 }
 
 // Enter brings a call into a state; send has its client send the set-up. For FirstAttempt it does not call send: the
@@ -114,7 +114,7 @@
 // call may wait for: the module holds it no longer, and the clock advances beyond all waits.
 func (c *Core) Block() (unblock func()) {
 	blocked, resume := make(chan bool), make(chan bool)
-	go c.Look(func() { close(blocked); <-resume })
+	go c.Inspect(func() { close(blocked); <-resume })
 	<-blocked
 	return func() {
 		c.module.holding.Store(false)
@@ -127,10 +127,10 @@
 // seconds of its clock.
 func (c *Core) Settle() {
 	for range 3 {
-		c.Look(func() {})
+		c.Inspect(func() {})
 		c.clockOffset.Add(int64(beyondAllWaits))
 	}
-	c.Look(func() {})
+	c.Inspect(func() {})
 }
 
 // AttemptCount returns the number of attempts of a call that have been started since Enter brought it into its state.
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -99,7 +99,7 @@
 			}
 			continue
 		}
-		dialCtx, cancel := context.WithTimeout(ctx, l.pool.ConnectWait)
+		dialCtx, cancel := context.WithTimeout(ctx, l.pool.ConnectTimeout)
 		peer, err := l.pool.dial(dialCtx, l.addr)
 		cancel()
 		if err != nil {
@@ -168,7 +168,7 @@
 	if !ok {
 		scheme = ""
 	}
-	dial := p.Dials[scheme]
+	dial := p.Dialers[scheme]
 	if dial == nil {
 		return nil, errors.New("no protocol for address " + addr)
 	}
--- a/internal/office/office_test.go
+++ b/internal/office/office_test.go
@@ -70,8 +70,8 @@
 		b.connections <- theirs
 		return &sipPeer{Conn: sip.NewConn(resettable{ours, &b.reset}, limits), name: "n0", fields: fields}, nil
 	}
-	b.Pool = NewPool(Options{Core: b.core, Log: netcase.DiscardLogger(), ConnectWait: 500 * time.Millisecond,
-		Dials: map[string]Dial{"": dial}, ListLive: func() bool { return !b.listStale.Load() }})
+	b.Pool = NewPool(Options{Core: b.core, Log: netcase.DiscardLogger(), ConnectTimeout: 500 * time.Millisecond,
+		Dialers: map[string]Dial{"": dial}, ListLive: func() bool { return !b.listStale.Load() }})
 	go b.Run(t.Context())
 	synctest.Wait()
 	b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: "a:1"}}, true)
@@ -80,7 +80,7 @@
 
 func (b *testPool) invite(n int) {
 	b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Description: []byte("offer"), Index: n,
-		Server: 10, Wait: time.Second})
+		Server: 10, Timeout: time.Second})
 }
 
 func expectEvent(t *testing.T, events chan string, want string) {
@@ -207,7 +207,7 @@
 				(<-b.connections).Close()
 				synctest.Wait()
 				checks := 0
-				b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 10, Wait: time.Second,
+				b.Invite(exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 10, Timeout: time.Second,
 					Presence: func() exchange.Presence {
 						checks++
 						return tc.seen[min(checks, len(tc.seen))-1]
@@ -369,8 +369,8 @@
 		t.Fatal(err)
 	}
 	core := core{make(chan string, 100)}
-	pool := NewPool(Options{Core: core, Log: netcase.DiscardLogger(), ConnectWait: 500 * time.Millisecond,
-		Dials: map[string]Dial{"": DialSIP("n0", fields)}})
+	pool := NewPool(Options{Core: core, Log: netcase.DiscardLogger(), ConnectTimeout: 500 * time.Millisecond,
+		Dialers: map[string]Dial{"": DialSIP("n0", fields)}})
 	go pool.Run(t.Context())
 	pool.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 10}, Addr: listener.Addr().String()}}, true)
 	server, err := listener.Accept()
@@ -456,7 +456,7 @@
 		go io.Copy(io.Discard, silent)
 		b.invite(0)
 		time.Sleep(minAnswerTimeout + silenceCheckInterval)
-		b.Invite(exchange.Attempt{ID: "2", Server: 10, Wait: time.Second})
+		b.Invite(exchange.Attempt{ID: "2", Server: 10, Timeout: time.Second})
 		office := <-b.connections
 		r := sip.NewReader(office)
 		go func() {
@@ -725,12 +725,12 @@
 		<-b.connections
 		proceed := make(chan bool)
 		ours, theirs := net.Pipe()
-		b.Dials[""] = func(context.Context, string) (Peer, error) {
+		b.Dialers[""] = func(context.Context, string) (Peer, error) {
 			<-proceed
 			return &sipPeer{Conn: sip.NewConn(ours, limits), name: "n0", fields: fields}, nil
 		}
 		b.UpdateList([]exchange.Office{{Entry: control.Entry{Server: 11}, Addr: "b:1"}}, false)
-		a := exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 11, Wait: time.Second}
+		a := exchange.Attempt{ID: "9b1f03aa5c7e2d41", Class: "open-log", Number: "17", Server: 11, Timeout: time.Second}
 		b.Invite(a)
 		b.Cancel(11, a.ID, 0)
 		a.ID = "0000000000000002"
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -19,11 +19,11 @@
 
 // Options configures a Pool.
 type Options struct {
-	Core        Core
-	Log         *slog.Logger
-	ConnectWait time.Duration   // a connect that takes longer counts as refused
-	Dials       map[string]Dial // by the scheme of the address; "": an address without one
-	ListLive    func() bool     // whether the server list is up to date, so that it would report the end of a server
+	Core           Core
+	Log            *slog.Logger
+	ConnectTimeout time.Duration   // a connect that takes longer counts as refused
+	Dialers        map[string]Dial // by the scheme of the address; "": an address without one
+	ListLive       func() bool     // whether the server list is up to date, so that it would report the end of a server
 }
 
 // Pool holds the links to all offices on the list.
--- a/internal/office/sip.go
+++ b/internal/office/sip.go
@@ -68,7 +68,7 @@
 	"far_cpu_full": 18}
 
 // Note returns the control module's number for a note; 0 for none or an unknown one.
-func Note(word string) int { return noteNumbers[word] }
+func NoteNumber(word string) int { return noteNumbers[word] }
 
 // DialSIP connects to offices that use SIP. name is this instance's name in the Via header.
 func DialSIP(name string, fields Fields) Dial {
@@ -83,7 +83,7 @@
 
 // limits bound a connection to an office. An answer that is truncated, or has a Content-Length greater than what was
 // sent, blocks all answers behind it, so such a connection is ended. Offices write each message in one piece.
-var limits = sip.Limits{Write: writeTimeout, MessageTimeout: func() time.Duration { return messageTimeout }, Strict: true}
+var limits = sip.Limits{WriteTimeout: writeTimeout, MessageTimeout: func() time.Duration { return messageTimeout }, Strict: true}
 
 type sipPeer struct {
 	*sip.Conn
@@ -104,7 +104,7 @@
 func (p *sipPeer) Invite(a exchange.Attempt) {
 	b := p.request("INVITE", a.Number, a.ID, a.Index)
 	b = sip.AppendHeader(b, "Subject", a.Class)
-	b = fmt.Appendf(b, "X-Patience: %d\r\n", max(a.Wait.Milliseconds(), 1))
+	b = fmt.Appendf(b, "X-Patience: %d\r\n", max(a.Timeout.Milliseconds(), 1))
 	p.Send(sip.AppendBody(b, a.Description))
 }
 
@@ -172,7 +172,7 @@
 
 // refusal maps a response of status 300 or more to the result of the attempt.
 func (p *sipPeer) refusal(m *sip.Message) exchange.Result {
-	e := exchange.Result{Outcome: control.Errored, Note: Note(string(m.Get("X-Note"))),
+	e := exchange.Result{Outcome: control.Errored, Note: NoteNumber(string(m.Get("X-Note"))),
 		Report: p.fields.Parse(m.Get("X-State"))}
 	switch m.Status {
 	case 503:
--- a/internal/sip/conn.go
+++ b/internal/sip/conn.go
@@ -46,11 +46,11 @@
 
 // Limits bound what a peer may do on a connection, and say how the connection ends.
 type Limits struct {
-	Write          time.Duration        // timeout of one write
+	WriteTimeout   time.Duration        // timeout of one write
 	MessageTimeout func() time.Duration // from the first byte of a message to its last, asked when it begins; nil: none
 	// Idle returns how long the connection may be idle from now on; it is called again after that time. 0 ends the
 	// connection. nil: no limit. It is called by the goroutine that handles messages, so never at the same time.
-	Idle func() time.Duration
+	IdleTimeout func() time.Duration
 	// ErrorResponse returns the last message to a peer whose input can't be read any further; nil: none is sent.
 	ErrorResponse func(err error) []byte
 	// Strict: line ends between messages are an error.
@@ -218,8 +218,8 @@
 			until = p.messageDeadline
 		case !partial:
 			p.messageStart = time.Time{}
-			if p.Idle != nil {
-				wait := p.Idle()
+			if p.IdleTimeout != nil {
+				wait := p.IdleTimeout()
 				if wait <= 0 {
 					return p.readPending(b, errIdle)
 				}
@@ -323,7 +323,7 @@
 // flush writes all that is queued, in one system call if possible.
 func (c *Conn) flush() error {
 	return c.out.Write(func(batch [][]byte) error {
-		if err := c.netConn.SetWriteDeadline(time.Now().Add(c.Write)); err != nil {
+		if err := c.netConn.SetWriteDeadline(time.Now().Add(c.WriteTimeout)); err != nil {
 			return err
 		}
 		buffers := net.Buffers(batch)
--- a/internal/sip/conn_test.go
+++ b/internal/sip/conn_test.go
@@ -13,7 +13,7 @@
 // servePipe serves one end of a pipe and returns the other, with the served connection and its reason to end.
 func servePipe(t *testing.T, ctx context.Context) (net.Conn, *Conn, chan Reason) {
 	a, b := net.Pipe()
-	c, reason := NewConn(a, Limits{Write: time.Second}), make(chan Reason, 1)
+	c, reason := NewConn(a, Limits{WriteTimeout: time.Second}), make(chan Reason, 1)
 	go func() {
 		r, _ := c.Run(ctx, func(m *Message) error {
 			c.Send(Response(m, 200))
@@ -63,8 +63,8 @@
 	for text, want := range map[string]Reason{"": Idle, invite[:30]: Stalled, invite + invite[:30]: Stalled, invite: Idle} {
 		synctest.Test(t, func(t *testing.T) {
 			a, b := net.Pipe()
-			c, reason, began, asked := NewConn(a, Limits{Write: time.Second, MessageTimeout: func() time.Duration { return 2 * time.Second }, ErrorResponse: ErrorResponse}), make(chan Reason, 1), time.Now(), 0
-			c.Idle = func() time.Duration {
+			c, reason, began, asked := NewConn(a, Limits{WriteTimeout: time.Second, MessageTimeout: func() time.Duration { return 2 * time.Second }, ErrorResponse: ErrorResponse}), make(chan Reason, 1), time.Now(), 0
+			c.IdleTimeout = func() time.Duration {
 				asked++
 				return 3*time.Second - time.Since(began)
 			}
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits.Write = time.Second
+	limits.WriteTimeout = time.Second
 	c, reason := NewConn(ours, limits), make(chan Reason, 1)
 	go func() {
 		r, _ := c.Run(t.Context(), func(m *Message) error { handle(c, m); return nil })
@@ -190,7 +190,7 @@
 func TestRequestAtIdleTimeout(t *testing.T) {
 	var peer net.Conn
 	arrived, asked := make(chan bool), 0
-	peer, _, reason := serveLoopback(t, Limits{Idle: func() time.Duration {
+	peer, _, reason := serveLoopback(t, Limits{IdleTimeout: func() time.Duration {
 		if asked++; asked == 1 {
 			<-arrived // the request arrives before the check
 		}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -51,11 +51,11 @@
 
 // Snapshot is what the file holds.
 type Snapshot struct {
-	Instance  string         `json:"instance"`
-	WrittenAt time.Time      `json:"at"`
-	StartedAt time.Time      `json:"started"` // of the process that wrote it
-	EndReason string         `json:"ended"`   // why that process ended, in its last snapshot; empty before
-	Learnt    control.Learnt `json:"learnt"`
+	Instance  string               `json:"instance"`
+	WrittenAt time.Time            `json:"at"`
+	StartedAt time.Time            `json:"started"` // of the process that wrote it
+	EndReason string               `json:"ended"`   // why that process ended, in its last snapshot; empty before
+	Learnt    control.LearnedState `json:"learnt"`
 	// Levels are the last changes of the level of service.
 	Levels []levels.Change `json:"levels,omitempty"`
 }
@@ -138,8 +138,8 @@
 	Dir, Instance string
 	Interval      time.Duration
 	Log           *slog.Logger
-	Learnt        func() control.Learnt  // asks the core; may take as long as the core does
-	Levels        func() []levels.Change // the same; nil: there are none
+	Learnt        func() control.LearnedState // asks the core; may take as long as the core does
+	Levels        func() []levels.Change      // the same; nil: there are none
 	WriteFile     func(path string, text []byte) error
 
 	started time.Time
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,7 +22,7 @@
 
 func snapshot() Snapshot {
 	at := now.Add(-time.Second).UnixNano()
-	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", WrittenAt: now.Add(-time.Second), Learnt: control.Learnt{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
+	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", WrittenAt: now.Add(-time.Second), Learnt: control.LearnedState{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
 		Servers: []control.LearnedServer{{ID: 7, ReadyAt: 5, EstablishedSentAt: at, Delay: 4e7, Weight: 1}, {ID: 9, EstablishedSentAt: at, Down: true}}}}
 }
 
@@ -115,7 +115,7 @@
 		frozen := make(chan struct{})
 		var freeze atomic.Bool
 		k := &SnapshotWriter{Dir: "d", Instance: "n3", Interval: time.Second, Log: netcase.DiscardLogger(),
-			Learnt: func() control.Learnt { asked.Add(1); return control.Learnt{At: 1} },
+			Learnt: func() control.LearnedState { asked.Add(1); return control.LearnedState{At: 1} },
 			WriteFile: func(string, []byte) error {
 				writes.Add(1)
 				if freeze.Load() {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -232,9 +232,9 @@
 	if r.Cut {
 		cut = 1
 	}
-	return []any{s.Instance, text(r.ID), ms(r.Taken), text(r.Owner), text(r.Class), text(r.Tenant), text(r.Number),
-		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), ms(r.Answered), ms(r.Ended),
-		r.Wait.Milliseconds(), cut}
+	return []any{s.Instance, text(r.ID), ms(r.ReceivedAt), text(r.Owner), text(r.Class), text(r.Tenant), text(r.Number),
+		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), ms(r.AnsweredAt), ms(r.EndedAt),
+		r.RetryAfter.Milliseconds(), cut}
 }
 
 func ms(t time.Time) int64 {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,7 +23,7 @@
 
 func record(id string) exchange.Record {
 	return exchange.Record{ID: id, Owner: "sip", Class: "open-log", Tenant: "acme", Number: "17\x00\xff", Verdict: "stands",
-		Attempts: 2, Server: 0xc41f7a, Taken: taken, Answered: taken.Add(50 * time.Millisecond)}
+		Attempts: 2, Server: 0xc41f7a, ReceivedAt: taken, AnsweredAt: taken.Add(50 * time.Millisecond)}
 }
 
 // run starts a store and gives the function that ends it.
@@ -51,7 +51,7 @@
 	end()
 	s, end = run(t, "sqlite", file, time.Minute) // the schema is there already
 	over := record("a")
-	over.Ended, over.Cut = taken.Add(time.Second), true
+	over.EndedAt, over.Cut = taken.Add(time.Second), true
 	s.Put(over)
 	for k := range 2*batchMost + 1 {
 		s.Put(record(fmt.Sprint(k)))
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -156,16 +156,16 @@
 		return control.Settings{}, fmt.Errorf("decoding: %w", err)
 	}
 	s := control.Settings{
-		GroupSize: p.GroupSize, Ordinal: p.Ordinal, Meshed: p.Extra.Topology == "meshed", ThisNode: -1,
+		GroupSize: p.GroupSize, Ordinal: p.Ordinal, Meshed: p.Extra.Topology == "meshed", OwnCell: -1,
 		ListOnRequest: p.Discovery == "on_request", MaxAttempts: p.Limits.MaxAttempts,
 		MayCancel: p.Limits.MayCancel, SecondCopies: p.Limits.SecondCopies,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: p.Limits.MaxRetryAfter,
-		Fields: p.Feedback.Fields, Resolution: p.Resolution, T1: p.Extra.T1, ClearWait: p.Extra.ClearWait,
-		DrainGrace: p.Rules.DrainGrace, FallMultiple: p.Rules.FallMultiple, FallWindow: p.Rules.FallWindow,
-		ColdFrom: p.Rules.ColdFrom, ColdSpan: p.Rules.ColdSpan,
+		ReportFields: p.Feedback.Fields, Resolution: p.Resolution, T1: p.Extra.T1, ReleaseWait: p.Extra.ClearWait,
+		DrainGrace: p.Rules.DrainGrace, CrashMultiple: p.Rules.FallMultiple, CrashWindow: p.Rules.FallWindow,
+		ColdFraction: p.Rules.ColdFrom, WarmUpTime: p.Rules.ColdSpan,
 	}
 	if p.Extra.ThisNode != nil {
-		s.ThisNode = *p.Extra.ThisNode
+		s.OwnCell = *p.Extra.ThisNode
 	}
 	effects := map[string]control.Effect{"": control.Idempotent, "free": control.Idempotent, "guarded": control.Guarded,
 		"single_shot": control.SingleShot}
@@ -174,7 +174,7 @@
 		if !ok {
 			return s, fmt.Errorf("grades[%d].effect: unknown %q", k, g.Effect)
 		}
-		c := control.Class{Aim: g.Aim, Deadline: g.Deadline, Worth: g.Worth, LateValue: g.Late, Effect: effect}
+		c := control.Class{TargetDelay: g.Aim, Deadline: g.Deadline, Value: g.Worth, LateValue: g.Late, Effect: effect}
 		if k < len(p.Extra.Cells) {
 			c.Cells = p.Extra.Cells[k]
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -163,7 +163,7 @@
 		f.next("customer")
 		ev.Key, ev.NotAfter = f.optText("target_key"), f.whole("not_after_ns")
 		f.next("size_hint_ns")
-		ev.FarEnd = int(f.number("far_end"))
+		ev.FirstChoice = int(f.number("far_end"))
 		f.next("channels")
 		f.next("via")
 		ev.Redialed = f.flag("resent")
@@ -172,7 +172,7 @@
 	case "aborted":
 		ev.Kind, ev.Call = control.Aborted, f.text("txn")
 	case "head_received":
-		ev.Kind, ev.Call = control.Stands, f.text("txn")
+		ev.Kind, ev.Call = control.Established, f.text("txn")
 		ev.Elapsed, ev.Server = f.whole("cost_time_ns"), uint64(f.whole("server"))
 	case "probed":
 		ev.Kind = control.LoadReport
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -65,8 +65,8 @@
 	c.id = id
 	m.callers[id], c.controller = c, open[0]
 	m.ledger.Offered(id, m.time())
-	open[0].exchange.Submit(exchange.Setup{ID: id, Owner: "model", Name: "open-log", Tenant: c.tenant, Number: c.number, Dest: c.dest, Retry: c.tries > 1,
-		Taken: m.time(), ExpiresAt: time.Unix(0, m.now+patience)}, m)
+	open[0].exchange.Submit(exchange.Setup{ID: id, Owner: "model", ClassName: "open-log", Tenant: c.tenant, Number: c.number, FirstChoice: c.dest, Redialed: c.tries > 1,
+		ReceivedAt: m.time(), ExpiresAt: time.Unix(0, m.now+patience)}, m)
 	open[0].runDue()
 	m.scheduleAfter(patience+50e6, func() {
 		if c.id == id && c.establishedAt == 0 {
@@ -94,11 +94,11 @@
 	if c == nil || c.id != id {
 		return
 	}
-	if f.Verdict == exchange.Stands {
+	if f.Verdict == exchange.Established {
 		c.establishedAt = m.now
 		return
 	}
-	c.scheduleRedial(int64(f.Wait))
+	c.scheduleRedial(int64(f.RetryAfter))
 }
 
 // scheduleRedial ends the current try and schedules the next one, after 0.3 to 1 s or retryAfter, whichever is longer.
--- a/lab/model/controller.go
+++ b/lab/model/controller.go
@@ -22,7 +22,7 @@
 	wakeAt       int64                      // time of the next scheduled runDue; 0: none
 	lastUpdateAt int64                      // when the latest list update arrives; updates stay in order
 	offices      map[uint64]exchange.Office // list of servers as last received; a restarted process begins with it
-	peers        *shared.Shared             // nil: it exchanges no messages with other controllers
+	peers        *shared.Module             // nil: it exchanges no messages with other controllers
 }
 
 func (c *controller) name() string { return fmt.Sprint("n", c.index) }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -256,10 +256,10 @@
 	for c := range cells {
 		cells[c] = c
 	}
-	return control.Settings{GroupSize: m.Controllers, Ordinal: n, ThisNode: -1, MaxAttempts: 4, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 2e9, Fields: []string{"spare", "total", "cpu", "waiting"}, Resolution: 5e6, ClearWait: 300e6, DrainGrace: 1e9,
-		FallMultiple: 2, FallWindow: 1e9, ColdFrom: 0.31, ColdSpan: 15e9,
-		Classes: []control.Class{{Aim: targetDelay, Deadline: deadline, Worth: 1, LateValue: lateValue, Cells: cells}}}
+	return control.Settings{GroupSize: m.Controllers, Ordinal: n, OwnCell: -1, MaxAttempts: 4, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: 2e9, ReportFields: []string{"spare", "total", "cpu", "waiting"}, Resolution: 5e6, ReleaseWait: 300e6, DrainGrace: 1e9,
+		CrashMultiple: 2, CrashWindow: 1e9, ColdFraction: 0.31, WarmUpTime: 15e9,
+		Classes: []control.Class{{TargetDelay: targetDelay, Deadline: deadline, Value: 1, LateValue: lateValue, Cells: cells}}}
 }
 
 // listEntry is the server's entry in the list.
--- a/lab/model/peers.go
+++ b/lab/model/peers.go
@@ -21,7 +21,7 @@
 func (c *controller) startPeerTicks(chain join.Chain) {
 	c.peers = nil
 	for _, module := range chain {
-		if s, ok := module.(*shared.Shared); ok {
+		if s, ok := module.(*shared.Module); ok {
 			c.peers = s
 		}
 	}
--- a/lab/rig/claims.go
+++ b/lab/rig/claims.go
@@ -46,7 +46,7 @@
 	alive     int
 	bytes     int64
 	datagrams int64
-	shared.Look
+	shared.Snapshot
 }
 
 // readClaims reads the claims of one instance's processes. A file that is missing counts as empty.
@@ -100,7 +100,7 @@
 		p.leaderTerms = append(p.leaderTerms, [2]int64{l.At, until})
 	case "look":
 		s := snapshot{at: l.At, alive: l.Alive, bytes: l.Bytes, datagrams: l.Datagrams}
-		json.Unmarshal(l.Claim, &s.Look)
+		json.Unmarshal(l.Claim, &s.Snapshot)
 		p.snapshots = append(p.snapshots, s)
 	case "verdict":
 		var v outlier.Decision
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -227,7 +227,7 @@
 			s.KnownCounts = []count.KnownCounts{{Source: count.Source{Name: name, Epoch: 1}, Counts: map[string]int64{"o/": int64(10 * n)}}}
 			if reported != nil && n == 10 {
 				s.KnownCounts = append(s.KnownCounts, count.KnownCounts{Source: count.Source{Name: "b", Epoch: 1}, Counts: reported, AgeMS: age})
-				s.Look.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: reported["least"], UpperBound: 1000}}}
+				s.Snapshot.Counts = []shared.KeyReading{{Key: "o/", Reading: count.Reading{LowerBound: reported["least"], UpperBound: 1000}}}
 			}
 			p.snapshots = append(p.snapshots, s)
 		}
--- a/lab/scale/call_test.go
+++ b/lab/scale/call_test.go
@@ -98,7 +98,7 @@
 			x.TryRun(func(at int64) { peer.Receive(at, messages[n/2%len(messages)]) })
 		}
 		id := fmt.Sprintf("%016x", n)
-		x.Submit(exchange.Setup{ID: id, Owner: "o", Name: "open-log", Tenant: tenants[n%3], Number: "17", Dest: n % servers, Taken: now, ExpiresAt: now.Add(3 * time.Second)}, side)
+		x.Submit(exchange.Setup{ID: id, Owner: "o", ClassName: "open-log", Tenant: tenants[n%3], Number: "17", FirstChoice: n % servers, ReceivedAt: now, ExpiresAt: now.Add(3 * time.Second)}, side)
 		x.RunDue()
 		x.Accepted(side.server, id, 0, nil)
 		x.RunDue()
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -111,7 +111,7 @@
 		f.open = append(f.open, openCall{id, server, now})
 		return
 	}
-	m.shared.OnEvent(now, control.Event{Kind: control.Stands, Call: id, Server: server})
+	m.shared.OnEvent(now, control.Event{Kind: control.Established, Call: id, Server: server})
 }
 
 // overdue ends the calls whose answer did not come.
--- a/lab/scale/group.go
+++ b/lab/scale/group.go
@@ -209,8 +209,8 @@
 func (m *Member) ages(l *Snapshot) {
 	now := m.now().UnixNano()
 	l.JudgementAgesMS = append(l.JudgementAgesMS, m.ear.ages(now)...)
-	m.core.Look(func() {
-		known := m.shared.Look(now).KnownCounts
+	m.core.Inspect(func() {
+		known := m.shared.Snapshot(now).KnownCounts
 		l.CountSources = max(l.CountSources, len(known))
 		for _, k := range known {
 			if k.Name != m.spec.Name(m.k) {
--- a/lab/scale/member.go
+++ b/lab/scale/member.go
@@ -143,7 +143,7 @@
 	spec   *Spec
 	k      int
 	core   *exchange.Exchange
-	shared *shared.Shared
+	shared *shared.Module
 	peers  *peers.Peers
 	list   *journal.Client
 	ear    *ear
@@ -198,7 +198,7 @@
 		m.core.UpdateOffices(changed, full)
 	}}
 	m.list.LoadInitial(p.Known)
-	m.ear = &ear{Shared: m.shared, without: s.OmitCheck, judged: map[string]int64{}}
+	m.ear = &ear{Module: m.shared, without: s.OmitCheck, judged: map[string]int64{}}
 	m.peers, err = peers.New(peers.Options{Name: s.Name(k), Site: own.Peers.Site, Machine: own.Peers.Machine, Version: "hollow", Epoch: epoch, Listen: own.Peers.Listen,
 		Seeds: own.Peers.Seeds, Keys: own.Peers.DecodedKeys, Log: log, Module: m.ear, TryRun: m.core.TryRun, Reachable: m.reach, ClockSlowdown: s.ClockSlowdown})
 	return m, err
@@ -229,7 +229,7 @@
 
 // ear stands between the membership and the shared state, and notes when each other member's judgements last came.
 type ear struct {
-	*shared.Shared
+	*shared.Module
 	without string
 	mu      sync.Mutex
 	judged  map[string]int64 // by sender: when, by the member's clock
@@ -240,7 +240,7 @@
 
 // Tick implements peers.Module.
 func (e *ear) Tick(now int64, members int) []shared.Outgoing {
-	out := e.Shared.Tick(now, members)
+	out := e.Module.Tick(now, members)
 	if e.without == CheckPace {
 		out = append(out, out...)
 	}
@@ -254,7 +254,7 @@
 		e.judged[m.Health.From] = now
 		e.mu.Unlock()
 	}
-	return e.Shared.Receive(now, m)
+	return e.Module.Receive(now, m)
 }
 
 // ages tells how old each other member's newest judgements are, in milliseconds.
