--- a/cmd/masthill-lab/border.go
+++ b/cmd/masthill-lab/border.go
@@ -18,7 +18,7 @@
 	"masthill/lab/model"
 )
 
-// borderCmd plays jumps of several heights at several sizes and shows at which a fleet does not come back.
+// borderCmd simulates load jumps of several heights at several sizes and shows after which a fleet does not recover.
 type borderCmd struct {
 	Sizes   []string      `default:"7/3,50/8,100/24,150/24,200/24,250/24,300/24,400/24" help:"Sizes, as CONTROLLERS/SERVERS."`
 	Times   []float64     `default:"1.2,1.4,1.6,1.8,2" help:"Heights of the jump, as multiples of the load."`
@@ -32,8 +32,8 @@
 	Plot    string        `help:"Draw both pictures there, as PNG." placeholder:"FILE"`
 }
 
-// cell is one size and one jump.
-type cell struct {
+// borderCell is the result for one size and one jump.
+type borderCell struct {
 	Modules string  `json:"modules"`
 	Size    string  `json:"size"`
 	Times   float64 `json:"times"`
@@ -58,19 +58,19 @@
 			jumps = append(jumps, j)
 		}
 	}
-	if c.For < 0 || jamFrom+c.For+jamBack > jamLength {
-		return fmt.Errorf("wanted a jump of %v at most", jamLength-jamFrom-jamBack)
+	if c.For < 0 || jumpStart+c.For+jamRecovery > jamRunLength {
+		return fmt.Errorf("wanted a jump of %v at most", jamRunLength-jumpStart-jamRecovery)
 	}
-	back, end := int((jamFrom+c.For+jamBack)/time.Second), int(jamLength/time.Second)
-	var cells []cell
+	recovered, end := int((jumpStart+c.For+jamRecovery)/time.Second), int(jamRunLength/time.Second)
+	var cells []borderCell
 	for _, names := range []string{c.Before, c.With} {
-		with, err := modules(names)
+		with, err := parseModules(names)
 		if err != nil {
 			return err
 		}
 		results := make([]*model.Result, len(jumps)*len(numbers))
 		g, ctx := errgroup.WithContext(ctx)
-		g.SetLimit(parallel)
+		g.SetLimit(maxParallelRuns)
 		for k := range results {
 			g.Go(func() (err error) {
 				if err = ctx.Err(); err == nil {
@@ -87,21 +87,21 @@
 			fmt.Printf(" %15s", fmt.Sprintf("x %.1f", times))
 		}
 		for k, j := range jumps {
-			one := cell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
+			result := borderCell{Modules: names, Size: c.Sizes[k/len(c.Times)], Times: j.Times, Worst: 1}
 			for _, r := range results[k*len(numbers) : (k+1)*len(numbers)] {
-				after := share(r.ServedBySecond, r.OfferedBySecond, back, end)
-				one.Served += r.ServedShare / float64(len(numbers))
-				one.After += after / float64(len(numbers))
-				one.Worst = min(one.Worst, after)
+				after := servedShare(r.ServedBySecond, r.OfferedBySecond, recovered, end)
+				result.Served += r.ServedShare / float64(len(numbers))
+				result.After += after / float64(len(numbers))
+				result.Worst = min(result.Worst, after)
 				if r.Any() {
-					return fmt.Errorf("%s, seed %d: a rule was broken: %v", one.Size, r.Seed, r.Descriptions)
+					return fmt.Errorf("%s, seed %d: a rule was broken: %v", result.Size, r.Seed, r.Descriptions)
 				}
 			}
 			if k%len(c.Times) == 0 {
-				fmt.Printf("\n%-10s", one.Size)
+				fmt.Printf("\n%-10s", result.Size)
 			}
-			fmt.Printf(" %6.3f (%6.3f)", one.After, one.Worst)
-			cells = append(cells, one)
+			fmt.Printf(" %6.3f (%6.3f)", result.After, result.Worst)
+			cells = append(cells, result)
 		}
 		fmt.Println()
 	}
@@ -116,10 +116,10 @@
 	return c.plot(cells)
 }
 
-// grid is one picture's cells for the plotter: columns are jumps, rows sizes.
+// grid provides the cells of one plot to the plotter: columns are jumps, rows are sizes.
 type grid struct {
 	c     borderCmd
-	cells []cell
+	cells []borderCell
 }
 
 func (g grid) Dims() (cols, rows int) { return len(g.c.Times), len(g.c.Sizes) }
@@ -140,7 +140,7 @@
 	return all
 }
 
-func (c borderCmd) plot(cells []cell) error {
+func (c borderCmd) plot(cells []borderCell) error {
 	if !strings.HasSuffix(c.Plot, ".png") {
 		return fmt.Errorf("plot %q: wanted a PNG", c.Plot)
 	}
@@ -152,7 +152,7 @@
 		colours.SetMin(0)
 		colours.SetMax(1)
 		heat := plotter.NewHeatMap(g, colours.Palette(64))
-		heat.Min, heat.Max = -0.4, 1 // so that the texts of empty cells can be read
+		heat.Min, heat.Max = -0.4, 1 // keeps the labels of cells near zero readable
 		p := plot.New()
 		p.Title.Text = fmt.Sprintf("%s: served from 15 s after the jump on", names)
 		p.X.Label.Text, p.Y.Label.Text = "height of the jump", "controllers/servers"
--- a/cmd/masthill-lab/levels.go
+++ b/cmd/masthill-lab/levels.go
@@ -14,7 +14,7 @@
 	"masthill/lab/model"
 )
 
-// levelsCmd plays a scenario with and without levels, over paired seeds.
+// levelsCmd simulates a scenario with and without levels of service, over paired seeds.
 type levelsCmd struct {
 	Scenario    string `arg:"" enum:"swing,jump,slowdown,overload" help:"One of ${enum}."`
 	Controllers int    `default:"7" help:"Session controllers."`
@@ -22,15 +22,15 @@
 	Seeds       int    `default:"8" help:"Seeds, from 1."`
 }
 
-// swingEvery is half of a swing.
-const swingEvery = 4 * time.Second
+// halfSwing is half the period of a swing.
+const halfSwing = 4 * time.Second
 
 func (c levelsCmd) scenario(seed uint64) model.Scenario {
 	sc := model.Scenario{Seed: seed, Controllers: min(c.Controllers, 1000), Servers: min(c.Servers, 100), Load: 1, Duration: 80 * time.Second, Redials: 2}
 	switch c.Scenario {
-	case "swing": // from 90% to 120% of plan and back
+	case "swing": // from 90% to 120% of the plan and back
 		sc.RateFactor = func(at time.Duration) float64 {
-			if at > 10*time.Second && at/swingEvery%2 == 1 {
+			if at > 10*time.Second && at/halfSwing%2 == 1 {
 				return 1.2
 			}
 			return 0.9
@@ -42,7 +42,7 @@
 			}
 			return 0.93
 		}
-	case "slowdown": // that ends while a restart wave begins
+	case "slowdown": // ends just after a restart wave begins
 		sc.Load = 0.93
 		sc.Faults = []model.Fault{{Kind: "slow", At: 15 * time.Second, Duration: 15 * time.Second, Magnitude: 2.5},
 			{Kind: "restarts", At: 29 * time.Second, Duration: 20 * time.Second, Share: 0.93, Batch: 0.28}}
@@ -96,22 +96,22 @@
 	}
 	var served [2][]float64
 	for on := range 2 {
-		most, changes, worst, high := 0, 0, 1.0, levels.Normal
+		most, changes, worst, highest := 0, 0, 1.0, levels.Normal
 		for _, p := range runs[on] {
 			if p.r.Any() {
 				return fmt.Errorf("seed %d: a rule was broken: %v", p.r.Seed, p.r.Descriptions)
 			}
 			served[on] = append(served[on], p.r.ServedShare)
-			most, changes, high, worst = max(most, p.most), changes+p.changes, max(high, p.highest), min(worst, p.r.ServedShare)
+			most, changes, highest, worst = max(most, p.most), changes+p.changes, max(highest, p.highest), min(worst, p.r.ServedShare)
 		}
 		mean := 0.0
 		for _, x := range served[on] {
 			mean += x / float64(len(served[on]))
 		}
 		fmt.Printf("levels %-3s served %.4f (worst %.4f); changes of level: %.1f a controller, %d at most; highest %s\n", [...]string{"off", "on"}[on], mean, worst,
-			float64(changes)/float64(c.Seeds*c.Controllers), most, high)
+			float64(changes)/float64(c.Seeds*c.Controllers), most, highest)
 	}
-	mean, half := paired(served[0], served[1])
+	mean, half := pairedDifference(served[0], served[1])
 	fmt.Printf("on - off: %+.4f, 95%% interval %+.4f to %+.4f\n", mean, mean-half, mean+half)
 	return nil
 }
--- a/cmd/masthill/inspect.go
+++ b/cmd/masthill/inspect.go
@@ -14,7 +14,7 @@
 	"masthill/internal/fleet"
 )
 
-// checkCmd reads every file as serving would, and tells all faults in one go.
+// checkCmd reads every file as serveCmd does, and prints all faults.
 type checkCmd struct {
 	JSON   bool `help:"Print the faults as JSON Lines."`
 	Schema bool `help:"Print the JSON Schema of the operators' settings and check nothing."`
@@ -26,8 +26,8 @@
 		return err
 	}
 	_, err := config.Load(os.Getenv)
-	own, ownErr := config.LoadOperatorSettings(os.Getenv)
-	faults := append(config.AllFaults(err), config.AllFaults(ownErr)...)
+	settings, settingsErr := config.LoadOperatorSettings(os.Getenv)
+	faults := append(config.AllFaults(err), config.AllFaults(settingsErr)...)
 	for _, f := range faults {
 		if c.JSON {
 			json.NewEncoder(out).Encode(f)
@@ -36,10 +36,10 @@
 		}
 	}
 	if len(faults) > 0 {
-		return coded{exitUsage, fmt.Errorf("%d faults", len(faults))}
+		return exitError{exitUsage, fmt.Errorf("%d faults", len(faults))}
 	}
-	if own.DeprecatedName {
-		fmt.Fprintln(out, oldName)
+	if settings.DeprecatedName {
+		fmt.Fprintln(out, oldNameWarning)
 	}
 	if !c.JSON {
 		fmt.Fprintln(out, "no faults")
@@ -47,73 +47,75 @@
 	return nil
 }
 
-const oldName = "the settings have a name of before: use deploy/masthill.toml and MASTHILL_SETTINGS"
+// oldNameWarning is printed where the settings are found under their former name.
+const oldNameWarning = "the settings have their former name: use deploy/masthill.toml and MASTHILL_SETTINGS"
 
-// statusCmd asks an instance.
+// statusCmd prints the status of an instance.
 type statusCmd struct {
 	Socket string `help:"The instance's control socket; else the one that the settings name." placeholder:"PATH"`
 	JSON   bool   `help:"Print JSON."`
 }
 
 func (c statusCmd) Run(out stdout) error {
-	s, err := c.ask()
+	s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return indented(out, s)
+		return printJSON(out, s)
 	}
 	s.WriteText(out)
 	return nil
 }
 
-// ask asks the instance that the command line or the settings name.
-func (c statusCmd) ask() (*ctl.Status, error) {
+// queryStatus gets the status of the instance that the command line or else the settings name.
+func (c statusCmd) queryStatus() (*ctl.Status, error) {
 	path := c.Socket
 	if path == "" {
-		own, err := config.LoadOperatorSettings(os.Getenv)
+		settings, err := config.LoadOperatorSettings(os.Getenv)
 		if err != nil {
-			return nil, coded{exitUsage, err}
+			return nil, exitError{exitUsage, err}
 		}
-		if path = own.Socket.Path; path == "" {
-			return nil, coded{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
+		if path = settings.Socket.Path; path == "" {
+			return nil, exitError{exitUsage, errors.New("no socket: set socket.path in the settings, or give --socket")}
 		}
 	}
 	s, err := ctl.FetchStatus(context.Background(), path)
 	if errors.Is(err, ctl.ErrNotRunning) {
-		return nil, coded{exitNobody, err}
+		return nil, exitError{exitNoAnswer, err}
 	}
 	return s, err
 }
 
-func indented(out stdout, v any) error {
+func printJSON(out stdout, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// peersCmd tells what an instance knows of the others.
+// peersCmd prints what an instance knows of the other members of its fleet.
 type peersCmd struct {
 	statusCmd
 }
 
 func (c peersCmd) Run(out stdout) error {
-	s, err := c.ask()
+	s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
 	if s.Peers == nil {
-		return coded{exitFailed, fmt.Errorf("%s knows of no others: peers.listen is not set", s.Name)}
+		return exitError{exitFailed, fmt.Errorf("%s knows of no others: peers.listen is not set", s.Name)}
 	}
 	if c.JSON {
-		return indented(out, s.Peers)
+		return printJSON(out, s.Peers)
 	}
 	s.Peers.WriteText(out)
 	return nil
 }
 
-// launchCmd becomes another program, with LISTEN_PID set to this process, which only the process itself can know, and
-// with the lock of its folder held to its end. The fleet starts its instances by it.
+// launchCmd replaces itself by another program. Before, it locks the instance's directory until the process ends, and
+// sets LISTEN_PID to its own process id, which the parent does not know before the start. The fleet's supervisor starts
+// the instances by it.
 type launchCmd struct {
 	Dir        string   `required:""`
 	Generation string   `required:""`
@@ -124,10 +126,10 @@
 func (c launchCmd) Run() error {
 	err := fleet.Claim(c.Dir, c.Generation, c.Program)
 	if errors.Is(err, fleet.ErrClaimed) {
-		return coded{fleet.ExitClaimed, err}
+		return exitError{fleet.ExitClaimed, err}
 	}
 	if err != nil {
-		return coded{exitFailed, err}
+		return exitError{exitFailed, err}
 	}
 	if os.Getenv("LISTEN_FDS") != "" {
 		os.Setenv("LISTEN_PID", strconv.Itoa(os.Getpid()))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps call records in SQLite or PostgreSQL. Nothing here decides anything, and no answer waits
-// for it: records pass through a bounded queue, and what does not fit is counted and logged.
+// Package store writes call records to SQLite or PostgreSQL. No answer to a caller waits for it: records pass through a
+// bounded queue, and those that don't fit are dropped, counted and logged.
 package store
 
 import (
@@ -19,19 +19,19 @@
 )
 
 const (
-	// queueMost bounds the records that wait for the store: a minute of one instance's busiest traffic.
-	queueMost = 4096
-	// batchMost and batchEvery make one transaction of what came in a moment: a commit costs a disk sync.
-	batchMost, batchEvery = 256, 200 * time.Millisecond
-	// writeFor is the deadline of one batch, lastFor of the one at the end.
-	writeFor, lastFor = 5 * time.Second, time.Second
-	// retryFirst and retryMost bound the wait after a failure.
-	retryFirst, retryMost = 200 * time.Millisecond, 5 * time.Second
-	// textMost cuts what callers may have made long.
-	textMost = 256
+	// queueLimit limits the records that wait to be written; it is a minute of one instance's heaviest traffic.
+	queueLimit = 4096
+	// Up to maxBatch records that arrive within batchInterval form one transaction, as each commit costs a disk sync.
+	maxBatch, batchInterval = 256, 200 * time.Millisecond
+	// writeTimeout is the deadline of one batch, finalTimeout that of all remaining records at the end.
+	writeTimeout, finalTimeout = 5 * time.Second, time.Second
+	// minRetryPause and maxRetryPause limit the pause after a failure.
+	minRetryPause, maxRetryPause = 200 * time.Millisecond, 5 * time.Second
+	// maxTextBytes is the length to which texts are truncated, as callers choose some of them.
+	maxTextBytes = 256
 )
 
-// schema holds one step for each version; what has once been released is never changed.
+// schema holds one migration for each version. A released one must never be changed.
 var schema = []string{
 	`CREATE TABLE IF NOT EXISTS masthill_calls (
 		instance TEXT NOT NULL, call_id TEXT NOT NULL, taken_ms BIGINT NOT NULL, owner TEXT NOT NULL,
@@ -44,10 +44,10 @@
 var columns = []string{"instance", "call_id", "taken_ms", "owner", "class", "tenant", "number", "verdict",
 	"attempts", "server", "answered_ms", "ended_ms", "later_ms", "cut"}
 
-// Options is what a Store is made from.
+// Options are the options of Open.
 type Options struct {
 	Driver   string // "sqlite" or "postgres"
-	DSN      string // a file, or a connection string
+	DSN      string // a file name or a connection string
 	Instance string
 	Log      *slog.Logger
 }
@@ -55,21 +55,21 @@
 // Store writes records in the background.
 type Store struct {
 	Options
-	db    *sql.DB
-	queue chan exchange.Record
-	lost  atomic.Int64
-	put   string
-	final time.Duration // lastFor, but for tests
-	ready bool          // the schema is up to date
+	db           *sql.DB
+	queue        chan exchange.Record
+	lost         atomic.Int64
+	insertSQL    string
+	finalTimeout time.Duration // finalTimeout, except in tests
+	migrated     bool          // the schema is up to date
 }
 
-// Open makes a store; it speaks to the database only in Run. The error names the key that is wrong.
+// Open makes a store; it connects to the database only in Run. The error names the settings key that is wrong.
 func Open(o Options) (*Store, error) {
-	driver, dsn, mark := "", o.DSN, ""
+	driver, dsn, placeholder := "", o.DSN, ""
 	switch o.Driver {
 	case "sqlite":
-		// One writer, each commit on disk before it counts.
-		driver, mark = "sqlite", "?"
+		// There is one writer, and each commit is synced to disk.
+		driver, placeholder = "sqlite", "?"
 		sep := "?"
 		if strings.Contains(dsn, "?") {
 			sep = "&"
@@ -77,7 +77,7 @@
 		dsn = "file:" + strings.TrimPrefix(dsn, "file:") + sep +
 			"_pragma=journal_mode(WAL)&_pragma=synchronous(FULL)&_pragma=busy_timeout(3000)"
 	case "postgres":
-		driver, mark = "pgx", "$"
+		driver, placeholder = "pgx", "$"
 	default:
 		return nil, fmt.Errorf("store.driver: %q is neither sqlite nor postgres", o.Driver)
 	}
@@ -89,24 +89,24 @@
 		return nil, fmt.Errorf("store.dsn: %w", err)
 	}
 	db.SetMaxOpenConns(1)
-	return &Store{Options: o, db: db, queue: make(chan exchange.Record, queueMost), put: insert(mark),
-		final: lastFor}, nil
+	return &Store{Options: o, db: db, queue: make(chan exchange.Record, queueLimit), insertSQL: insertStatement(placeholder),
+		finalTimeout: finalTimeout}, nil
 }
 
-// insert is the statement for one record. A record comes once when its call has its answer and, if that
-// stands, again when it is over; a batch whose commit was in doubt may come twice.
-func insert(mark string) string {
-	marks := make([]string, len(columns))
-	for k := range marks {
-		if marks[k] = mark; mark == "$" {
-			marks[k] += strconv.Itoa(k + 1)
+// insertStatement returns the statement that writes one record. A record is written when its call has its answer and, if
+// the call is established, again when that ends; a batch whose commit may have failed is written twice.
+func insertStatement(placeholder string) string {
+	placeholders := make([]string, len(columns))
+	for k := range placeholders {
+		if placeholders[k] = placeholder; placeholder == "$" {
+			placeholders[k] += strconv.Itoa(k + 1)
 		}
 	}
-	return "INSERT INTO masthill_calls (" + strings.Join(columns, ", ") + ") VALUES (" + strings.Join(marks, ", ") +
+	return "INSERT INTO masthill_calls (" + strings.Join(columns, ", ") + ") VALUES (" + strings.Join(placeholders, ", ") +
 		") ON CONFLICT (instance, call_id, taken_ms) DO UPDATE SET ended_ms = excluded.ended_ms, cut = excluded.cut"
 }
 
-// Put queues a record and never blocks.
+// Put queues a record. It never blocks; if the queue is full, the record is lost and counted.
 func (s *Store) Put(r exchange.Record) {
 	select {
 	case s.queue <- r:
@@ -115,60 +115,61 @@
 	}
 }
 
-// Lost counts the records that never reached the database.
+// LostRecords returns the number of records that were not written to the database.
 func (s *Store) LostRecords() int64 { return s.lost.Load() }
 
-// Run writes batches until ctx ends, and then once more what is left.
+// Run writes batches until ctx ends, and then the remaining records.
 func (s *Store) Run(ctx context.Context) error {
 	defer s.db.Close()
-	pause, told := retryFirst, int64(0)
+	pause, reported := minRetryPause, int64(0)
 	var batch []exchange.Record
 	for ctx.Err() == nil {
 		batch = s.collect(ctx, batch)
-		if lost := s.lost.Load(); lost > told {
-			s.Log.Error("call records lost", "reason", "queue_full", "lost", lost-told, "lost_in_all", lost)
-			told = lost
+		if lost := s.lost.Load(); lost > reported {
+			s.Log.Error("call records lost", "reason", "queue_full", "lost", lost-reported, "lost_in_all", lost)
+			reported = lost
 		}
 		if len(batch) == 0 {
 			continue
 		}
-		err := s.write(ctx, batch, writeFor)
+		err := s.write(ctx, batch, writeTimeout)
 		if err == nil {
-			batch, pause = batch[:0], retryFirst
+			batch, pause = batch[:0], minRetryPause
 			continue
 		}
 		s.Log.Error("store failed", "waiting", len(batch)+len(s.queue), "retry_ms", pause.Milliseconds(), "err", err)
 		sleep(ctx, pause)
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryPause)
 	}
-	return s.last(batch, told)
+	return s.writeRemaining(batch, reported)
 }
 
-// last writes what is left at the end; what the time does not allow is lost, and said so.
-func (s *Store) last(batch []exchange.Record, told int64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), s.final)
+// writeRemaining writes the remaining records at the end. Those that can't be written in time are counted and logged as
+// lost.
+func (s *Store) writeRemaining(batch []exchange.Record, reported int64) error {
+	ctx, cancel := context.WithTimeout(context.Background(), s.finalTimeout)
 	defer cancel()
 	for {
-		for len(batch) < batchMost && len(s.queue) > 0 {
+		for len(batch) < maxBatch && len(s.queue) > 0 {
 			batch = append(batch, <-s.queue)
 		}
 		if len(batch) == 0 {
 			return nil
 		}
-		if err := s.write(ctx, batch, s.final); err != nil {
+		if err := s.write(ctx, batch, s.finalTimeout); err != nil {
 			lost := s.lost.Add(int64(len(batch) + len(s.queue)))
-			s.Log.Error("call records lost", "reason", "ended", "lost", lost-told, "lost_in_all", lost, "err", err)
+			s.Log.Error("call records lost", "reason", "ended", "lost", lost-reported, "lost_in_all", lost, "err", err)
 			return nil
 		}
 		batch = batch[:0]
 	}
 }
 
-// collect fills a batch with what comes within batchEvery.
+// collect adds to a batch the records that arrive within batchInterval.
 func (s *Store) collect(ctx context.Context, batch []exchange.Record) []exchange.Record {
-	timer := time.NewTimer(batchEvery)
+	timer := time.NewTimer(batchInterval)
 	defer timer.Stop()
-	for len(batch) < batchMost {
+	for len(batch) < maxBatch {
 		select {
 		case r := <-s.queue:
 			batch = append(batch, r)
@@ -181,6 +182,7 @@
 	return batch
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -190,24 +192,24 @@
 	}
 }
 
-// write puts a batch into the database in one transaction.
+// write writes a batch in one transaction, after migrating the schema if that is still to be done.
 func (s *Store) write(ctx context.Context, batch []exchange.Record, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	if !s.ready {
+	if !s.migrated {
 		if err := s.migrate(ctx); err != nil {
 			return fmt.Errorf("schema: %w", err)
 		}
-		s.ready = true
+		s.migrated = true
 	}
-	return s.within(ctx, func(tx *sql.Tx) error {
-		put, err := tx.PrepareContext(ctx, s.put)
+	return s.inTransaction(ctx, func(tx *sql.Tx) error {
+		insert, err := tx.PrepareContext(ctx, s.insertSQL)
 		if err != nil {
 			return err
 		}
-		defer put.Close()
+		defer insert.Close()
 		for _, r := range batch {
-			if _, err := put.ExecContext(ctx, s.row(r)...); err != nil {
+			if _, err := insert.ExecContext(ctx, s.row(r)...); err != nil {
 				return err
 			}
 		}
@@ -215,7 +217,8 @@
 	})
 }
 
-func (s *Store) within(ctx context.Context, do func(tx *sql.Tx) error) error {
+// inTransaction runs do in a transaction, which it commits unless do fails.
+func (s *Store) inTransaction(ctx context.Context, do func(tx *sql.Tx) error) error {
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
 		return err
@@ -227,35 +230,36 @@
 	return tx.Commit()
 }
 
+// row returns the values of a record in the order of columns.
 func (s *Store) row(r exchange.Record) []any {
 	cut := int64(0)
 	if r.Cut {
 		cut = 1
 	}
-	return []any{s.Instance, text(r.ID), ms(r.ReceivedAt), text(r.Owner), text(r.Class), text(r.Tenant), text(r.Number),
-		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), ms(r.AnsweredAt), ms(r.EndedAt),
+	return []any{s.Instance, cleanText(r.ID), unixMilli(r.ReceivedAt), cleanText(r.Owner), cleanText(r.Class), cleanText(r.Tenant), cleanText(r.Number),
+		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), unixMilli(r.AnsweredAt), unixMilli(r.EndedAt),
 		r.RetryAfter.Milliseconds(), cut}
 }
 
-func ms(t time.Time) int64 {
+func unixMilli(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-// text makes a value that both databases take: a single odd record would else hold up its batch for ever.
-func text(v string) string {
+// cleanText turns a text into one that both databases accept: a single invalid record would block its batch forever.
+func cleanText(v string) string {
 	v = strings.ToValidUTF8(strings.ReplaceAll(v, "\x00", ""), "?")
-	if len(v) > textMost {
-		v = strings.ToValidUTF8(v[:textMost], "")
+	if len(v) > maxTextBytes {
+		v = strings.ToValidUTF8(v[:maxTextBytes], "")
 	}
 	return v
 }
 
-// migrate brings the schema to this program's version; a newer one, of a later program, is left as it is.
+// migrate updates the schema to this program's version. A newer schema, of a later program, is left as it is.
 func (s *Store) migrate(ctx context.Context) error {
-	return s.within(ctx, func(tx *sql.Tx) error {
+	return s.inTransaction(ctx, func(tx *sql.Tx) error {
 		if _, err := tx.ExecContext(ctx, `CREATE TABLE IF NOT EXISTS masthill_schema (version BIGINT PRIMARY KEY)`); err != nil {
 			return err
 		}
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -17,57 +17,57 @@
 	"masthill/lab/standin"
 )
 
-// Reals are the members that are processes of the program, and the load that they are under.
+// RealMembers describes the members that are processes of the program, and their load.
 type RealMembers struct {
 	Numbers      []int
 	Program      string
-	Dir          string  // for their folders
-	Calls        float64 // real calls a second at each, by stand-ins for callers and servers; 0: none
-	Servers      int     // stand-ins for servers, where there are calls
-	WithoutPeers bool    // they know nothing of each other: what a process costs without control
+	Dir          string  // holds a directory for each
+	Calls        float64 // real calls per second at each, from simulated callers to simulated servers; 0: none
+	Servers      int     // number of simulated servers, if there are calls
+	WithoutPeers bool    // they do not communicate, which shows what a process costs without that
 }
 
-// real is one process of the program.
-type real struct {
+// realProcess is one process of the program.
+type realProcess struct {
 	*host.Instance
-	k      int
+	number int
 	socket string
 }
 
-// realsAtOnce is how many processes start at the same time.
-const realsAtOnce = 4
+// maxConcurrentStarts is how many processes start at the same time.
+const maxConcurrentStarts = 4
 
-// StartReals starts the real members, and their load.
+// StartRealMembers starts the real members and their load.
 func (f *Fleet) StartRealMembers(r RealMembers) error {
 	if len(r.Numbers) == 0 {
 		return nil
 	}
-	load, err := f.load(r)
+	load, err := f.startStandIns(r)
 	if err != nil {
 		return err
 	}
 	var starts errgroup.Group
-	starts.SetLimit(realsAtOnce)
+	starts.SetLimit(maxConcurrentStarts)
 	for _, k := range r.Numbers {
 		dir := filepath.Join(r.Dir, f.Name(k))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return err
 		}
-		one := &real{k: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
-		one.Settings = fmt.Sprintf("[socket]\npath = %q\n", one.socket)
+		member := &realProcess{number: k, socket: filepath.Join(dir, "socket"), Instance: &host.Instance{Name: f.Name(k), Dir: dir, Program: r.Program, Config: f.Platform(k)}}
+		member.Settings = fmt.Sprintf("[socket]\npath = %q\n", member.socket)
 		if !r.WithoutPeers {
-			one.Settings += f.Settings(k)
+			member.Settings += f.Settings(k)
 		}
 		list := f.list
 		if load != nil {
 			list = load.lists[k]
-			one.Config["journal"] = list.Addr()
+			member.Config["journal"] = list.Addr()
 		}
-		f.reals = append(f.reals, one)
+		f.realMembers = append(f.realMembers, member)
 		starts.Go(func() error {
-			addr, err := one.Start(f.ctx, list.KnownList())
+			addr, err := member.Start(f.ctx, list.KnownList())
 			if err == nil && load != nil {
-				err = load.crowd.AddInstance(f.ctx, one.Name, addr)
+				err = load.crowd.AddInstance(f.ctx, member.Name, addr)
 			}
 			return err
 		})
@@ -77,7 +77,7 @@
 	}
 	if load != nil {
 		f.work.Go(func() error {
-			load.crowd.Run(f.ctx, loadMost) // ends with the run
+			load.crowd.Run(f.ctx, maxCallTime) // until the run ends
 			load.crowd.Close()
 			return nil
 		})
@@ -85,35 +85,36 @@
 	return nil
 }
 
-// loadMost bounds how long callers call.
-const loadMost = 10 * time.Minute
+// maxCallTime limits how long callers place calls.
+const maxCallTime = 10 * time.Minute
 
-// load is the stand-ins that real members' calls need.
-type load struct {
+// standIns are the simulated callers, and a list of simulated servers for each real member.
+type standIns struct {
 	crowd *standin.CallerPool
 	lists map[int]*standin.ListService
 }
 
-// loadPart is the part of the stand-ins' planned load that callers bring.
-const loadPart = 0.7
+// loadFraction is the load that callers offer, as a fraction of the simulated servers' planned load.
+const loadFraction = 0.7
 
-// load starts the stand-ins; nil without calls. Their servers are the first ones of the fleet's list.
-func (f *Fleet) load(r RealMembers) (*load, error) {
+// startStandIns starts the simulated callers and servers; it returns nil without calls. The servers have the identities of
+// the first ones on the fleet's list.
+func (f *Fleet) startStandIns(r RealMembers) (*standIns, error) {
 	if r.Calls <= 0 {
 		return nil, nil
 	}
 	rate := r.Calls * float64(len(r.Numbers))
 	rng := rand.New(rand.NewPCG(f.Seed, 0x7363616c65))
-	params := processor.DrawParams(rate/loadPart, r.Servers, rng)
+	params := processor.DrawParams(rate/loadFraction, r.Servers, rng)
 	ledger := check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second, Slack: 50 * time.Millisecond})
 	var names []string
 	for _, k := range r.Numbers {
 		names = append(names, f.Name(k))
 	}
-	l := &load{lists: map[int]*standin.ListService{}}
+	l := &standIns{lists: map[int]*standin.ListService{}}
 	var servers []*standin.Server
 	for k := range r.Servers {
-		s, err := standin.NewServer(entry(k, time.Time{}).ID, k, params, time.Time{}, 9*time.Second, names, rng.Uint64(), ledger)
+		s, err := standin.NewServer(serverEntry(k, time.Time{}).ID, k, params, time.Time{}, 9*time.Second, names, rng.Uint64(), ledger)
 		if err != nil {
 			return nil, err
 		}
@@ -138,39 +139,39 @@
 	return l, nil
 }
 
-// realLook is what one real member shows at one moment.
-type realLook struct {
-	at       int64
-	cpu      time.Duration
-	resident int64
-	sight    MemberStatus
-	taken    uint64 // calls, since its start
-	counts   []int64
+// realSnapshot is the state of one real member at one time.
+type realSnapshot struct {
+	at          int64
+	cpu         time.Duration
+	resident    int64
+	status      MemberStatus
+	calls       uint64 // received since its start
+	countAgesMS []int64
 }
 
-// lookAtReals looks at all real members.
-func (f *Fleet) lookAtReals(ctx context.Context) ([]realLook, error) {
-	var all []realLook
-	for _, r := range f.reals {
+// realSnapshots takes snapshots of all real members.
+func (f *Fleet) realSnapshots(ctx context.Context) ([]realSnapshot, error) {
+	var all []realSnapshot
+	for _, r := range f.realMembers {
 		pid := r.PID()
-		l := realLook{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
+		l := realSnapshot{at: time.Now().UnixNano(), cpu: cpuOf(pid), resident: residentOf(pid)}
 		s, err := ctl.FetchStatus(ctx, r.socket)
 		if err != nil {
-			return nil, fmt.Errorf("%s tells no status: %w", r.Name, err)
+			return nil, fmt.Errorf("cannot read the status of %s: %w", r.Name, err)
 		}
-		if l.taken = s.Core.ReceivedTotal; s.Peers == nil { // it knows of no others
+		if l.calls = s.Core.ReceivedTotal; s.Peers == nil { // it does not communicate with others
 			all = append(all, l)
 			continue
 		}
-		l.sight = MemberStatus{Number: r.k, Name: r.Name, Received: s.Peers.Received, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
+		l.status = MemberStatus{Number: r.number, Name: r.Name, Received: s.Peers.Received, Dropped: s.Peers.Dropped, Deaths: s.Peers.Deaths, Traffic: s.Peers.Traffic}
 		for _, m := range s.Peers.Members {
 			if m.State == "alive" || m.State == "suspect" {
-				l.sight.Alive++
+				l.status.Alive++
 			}
 		}
 		for _, k := range s.Peers.Shared.KnownCounts {
 			if k.Name != r.Name {
-				l.counts = append(l.counts, k.AgeMS)
+				l.countAgesMS = append(l.countAgesMS, k.AgeMS)
 			}
 		}
 		all = append(all, l)
@@ -178,16 +179,16 @@
 	return all, nil
 }
 
-// MeetReals waits until all real members know of so many.
+// WaitForRealMembers waits until all real members see so many members alive.
 func (f *Fleet) WaitForRealMembers(members int) error {
-	for end := time.Now().Add(meetFor); ; {
-		all, err := f.lookAtReals(f.ctx)
+	for end := time.Now().Add(convergeTimeout); ; {
+		all, err := f.realSnapshots(f.ctx)
 		if err != nil {
 			return err
 		}
 		missing := 0
 		for _, l := range all {
-			if l.sight.Alive != members {
+			if l.status.Alive != members {
 				missing++
 			}
 		}
@@ -195,9 +196,9 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d real members do not know all %d", missing, members)
+			return fmt.Errorf("%d real members do not know all %d members", missing, members)
 		}
-		if err := f.pass(lookEvery); err != nil {
+		if err := f.sleep(pollInterval); err != nil {
 			return err
 		}
 	}
--- a/lab/scale/scale_test.go
+++ b/lab/scale/scale_test.go
@@ -15,46 +15,47 @@
 	"masthill/control/shared/lease"
 )
 
-// small is a fleet in this process.
-func small(size int, calls float64) Layout {
+// smallLayout is a fleet in this process.
+func smallLayout(size int, calls float64) Layout {
 	return Layout{Spec: Spec{Size: size, Servers: size, Zones: 3, SyntheticCalls: calls, Seed: 5}, Groups: SplitEvenly(0, size, 10)}
 }
 
-// counted measures a fleet of hollow members by its counters.
-func counted(t *testing.T, l Layout) *Point {
+// measureTraffic measures a fleet of hollow members, and fails if it saw no traffic.
+func measureTraffic(t *testing.T, l Layout) *Point {
 	t.Helper()
 	p, err := SteadyRun{Layout: l, WarmUp: time.Second, MeasureFor: 3 * time.Second}.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.Hollow.Members != l.Size || p.Hollow.SentDatagrams < 1 || p.Hollow.SentStream <= 0 || p.Hollow.ReceivedDatagrams < 1 {
-		t.Fatalf("too little was seen: %+v", p)
+		t.Fatalf("no traffic, or not of all members: %+v", p)
 	}
 	return p
 }
 
-// A machine that is busy makes members send less, so these bounds hold on any.
+// The traffic of small fleets stays within the formula. Members send less on a busy machine, so the bounds hold on any.
 func TestTrafficStaysUnderTheFormula(t *testing.T) {
 	for size, calls := range map[int]float64{20: 10, 40: 0} {
-		for _, found := range ExceededLimits(counted(t, small(size, calls)), size) {
+		for _, found := range ExceededLimits(measureTraffic(t, smallLayout(size, calls)), size) {
 			t.Error(found)
 		}
 	}
 }
 
-// A build that tells everything twice is over the formula.
-func TestAChattyBuildIsCaught(t *testing.T) {
-	l := small(20, 0)
+// A build that sends every message twice exceeds the formula.
+func TestDuplicatedMessagesExceedTheFormula(t *testing.T) {
+	l := smallLayout(20, 0)
 	l.OmitCheck = CheckPace
-	if p := counted(t, l); len(ExceededLimits(p, l.Size)) == 0 {
-		t.Errorf("nothing found: %+v", p.Hollow)
+	if p := measureTraffic(t, l); len(ExceededLimits(p, l.Size)) == 0 {
+		t.Errorf("no limit exceeded: %+v", p.Hollow)
 	}
 }
 
-// What a member keeps of others goes by how many there are and have been of late, not by how often they start.
-func TestStateHasItsBound(t *testing.T) {
+// The state that a member keeps of others is bounded by how many processes there are and have been lately, however often
+// they restart.
+func TestStateIsBounded(t *testing.T) {
 	const size, again = 20, 10
-	f, err := NewFleet(t.Context(), small(size, 5))
+	f, err := NewFleet(t.Context(), smallLayout(size, 5))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,36 +67,36 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := f.groups[1].do(order{Do: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
+		if _, err := f.groups[1].do(request{Action: doRestart, Members: f.Groups[1][:again], Pause: 50 * time.Millisecond}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, err := f.WaitForMembers(size); err != nil {
 		t.Fatal(err)
 	}
-	looks, err := f.Snapshot(SnapshotOptions{MembersForAges: size})
+	snapshots, err := f.Snapshot(SnapshotOptions{MembersForAges: size})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range looks {
+	for _, l := range snapshots {
 		if l.CountSources < 2 || l.CountSources > size+2*again {
 			t.Errorf("counts of %d processes are kept", l.CountSources)
 		}
 		for _, s := range l.Members {
 			if s.Alive+s.Gone > size {
-				t.Errorf("%s keeps %d members", s.Name, s.Alive+s.Gone)
+				t.Errorf("%s keeps %d members, too many", s.Name, s.Alive+s.Gone)
 			}
 		}
 	}
 }
 
-// pressing is a rate of calls with which members ask for more of a cold server's budget than there is.
-const pressing = 100
+// excessCallRate is a rate of calls at which members request more of a cold server's budget than there is.
+const excessCallRate = 100
 
-// struck has something happen to a fleet in this process.
-func struck(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
+// runFault injects a fault into a fleet in this process.
+func runFault(t *testing.T, kind string, size int, calls float64, without string) (r *Fault) {
 	t.Helper()
-	l := small(size, calls)
+	l := smallLayout(size, calls)
 	l.OmitCheck = without
 	err := FaultRun{Layout: l, Kinds: []string{kind}, GroupSize: 10, PartitionFor: 2 * time.Second, MeasureBaseline: time.Second,
 		OnResult: func(_ *Point, f *Fault) error { r = f; return nil }}.Run(t.Context())
@@ -105,28 +106,28 @@
 	return r
 }
 
-func TestADeadAllocatorIsKnownToAll(t *testing.T) {
-	r := struck(t, FaultAllocator, 40, 10, "")
+func TestDeadAllocatorIsDetectedByAll(t *testing.T) {
+	r := runFault(t, FaultAllocator, 40, 10, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
-		t.Errorf("not all know: %+v", r)
+		t.Errorf("not detected by all members, or not ended: %+v", r)
 	}
 	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 40 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
-func TestACutRegionEndsWithAllKnowing(t *testing.T) {
-	r := struck(t, FaultRegion, 12, pressing, "")
+func TestPartitionedRegionRecovers(t *testing.T) {
+	r := runFault(t, FaultRegion, 12, excessCallRate, "")
 	if r.DetectedS < 0 || r.RecoveredS < 0 || r.Note != "" {
-		t.Errorf("not all know: %+v", r)
+		t.Errorf("not detected by all members, or not ended: %+v", r)
 	}
 	if r.Budgets.Overspent > 0 || r.Budgets.ConcurrentLeaders > 0 || r.Budgets.Claims < 10 || r.Budgets.MaxInUse == 0 {
 		t.Errorf("budgets: %+v", r.Budgets)
 	}
 }
 
-func TestALostAllocatorOverspendsNothing(t *testing.T) {
-	r := struck(t, FaultAllocator, 10, pressing, "")
+func TestLostAllocatorOverspendsNothing(t *testing.T) {
+	r := runFault(t, FaultAllocator, 10, excessCallRate, "")
 	if r.DetectedS < 0 || r.Affected != 1 || r.Note != "" {
 		t.Errorf("%+v", r)
 	}
@@ -135,9 +136,9 @@
 	}
 }
 
-// With a slower clock the same happens, by that clock.
-func TestALostAllocatorBySlowerClock(t *testing.T) {
-	l := small(6, pressing)
+// With a slowed clock the results are the same, by that clock.
+func TestLostAllocatorWithSlowedClock(t *testing.T) {
+	l := smallLayout(6, excessCallRate)
 	l.ClockSlowdown = 2
 	var r *Fault
 	err := FaultRun{Layout: l, Kinds: []string{FaultAllocator}, GroupSize: 6, MeasureBaseline: time.Second,
@@ -150,14 +151,14 @@
 	}
 }
 
-// A build whose allocator keeps no books is caught.
-func TestABuildWithoutBooksIsCaught(t *testing.T) {
-	if r := struck(t, FaultAllocator, 10, pressing, lease.CheckReservations); r.Budgets.Overspent == 0 {
-		t.Errorf("nothing found: %+v", r.Budgets)
+// A build whose leader does not track which parts of a budget are leased out overspends budgets, and the check reports it.
+func TestMissingReservationsAreDetected(t *testing.T) {
+	if r := runFault(t, FaultAllocator, 10, excessCallRate, lease.CheckReservations); r.Budgets.Overspent == 0 {
+		t.Errorf("no overspent budget found: %+v", r.Budgets)
 	}
 }
 
-func TestTheCheckOfBudgets(t *testing.T) {
+func TestCheckBudgets(t *testing.T) {
 	at := func(s float64) int64 { return int64(s * 1e9) }
 	claim := func(name string, from, until float64, rate int64) Claim {
 		return Claim{Name: name, Epoch: 1, At: at(from), Claim: lease.Claim{Budget: "b", Floor: 1000, Rate: rate, Until: at(until), Size: 10_000}}
@@ -177,13 +178,13 @@
 			t.Errorf("%s: %+v", what, b)
 		}
 	}
-	reign := func(name string, from, until float64) Claim {
+	leadership := func(name string, from, until float64) Claim {
 		return Claim{Name: name, Epoch: 1, At: at(from), LeaderUntil: at(until)}
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 3, 5)}, 2, nil); b.ConcurrentLeaders != 0 {
+	if b := CheckBudgets([]Claim{leadership("a", 1, 3), leadership("b", 3, 5)}, 2, nil); b.ConcurrentLeaders != 0 {
 		t.Errorf("%+v", b)
 	}
-	if b := CheckBudgets([]Claim{reign("a", 1, 3), reign("b", 2.9, 5)}, 2, nil); b.ConcurrentLeaders != 1 {
+	if b := CheckBudgets([]Claim{leadership("a", 1, 3), leadership("b", 2.9, 5)}, 2, nil); b.ConcurrentLeaders != 1 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -194,7 +195,7 @@
 		t.Errorf("%+v", l)
 	}
 	if l := FitLine("y", "x", []float64{1, 2}, []float64{1, 2}); l.Slope != 0 || l.Points != 2 {
-		t.Errorf("a line through two points: %+v", l)
+		t.Errorf("a line was fitted to two points: %+v", l)
 	}
 }
 
@@ -203,15 +204,15 @@
 	for k := range 200 {
 		all = append(all, int64(200-k))
 	}
-	if a := agesFrom(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Samples != 200 {
+	if a := summarizeAges(all); a.Median != 100 || a.P99 != 198 || a.Max != 200 || a.Samples != 200 {
 		t.Errorf("%+v", a)
 	}
-	if a := agesFrom(nil); a != (Ages{}) {
+	if a := summarizeAges(nil); a != (Ages{}) {
 		t.Errorf("%+v", a)
 	}
 }
 
-// Results are kept over a run that was cut, and a size that they have is not measured again.
+// Results survive an interrupted run, and sizes that they contain count as measured.
 func TestResultsAreKept(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "results.json")
 	r, err := ReadResults(file)
@@ -231,16 +232,16 @@
 		t.Error(err)
 	}
 	if text, _ := os.ReadFile(file + ".svg"); !bytes.Contains(text, []byte("<svg")) {
-		t.Error("no picture")
+		t.Error("the plot is no SVG")
 	}
 }
 
-// A group's process takes orders until its input ends, and says what is wrong with one.
-func TestServeTakesOrders(t *testing.T) {
+// A group's process handles requests until its input ends, and reports an error for an invalid one.
+func TestServeHandlesRequests(t *testing.T) {
 	var in, out bytes.Buffer
-	orders := json.NewEncoder(&in)
-	for _, o := range []order{{Do: doLook}, {Do: doBegin, Spec: &Spec{Size: 3}}, {Do: "dance"}, {Do: doLook}} {
-		orders.Encode(o)
+	requests := json.NewEncoder(&in)
+	for _, req := range []request{{Action: doSnapshot}, {Action: doBegin, Spec: &Spec{Size: 3}}, {Action: "dance"}, {Action: doSnapshot}} {
+		requests.Encode(req)
 	}
 	if err := Serve(t.Context(), &in, &out); err != nil {
 		t.Fatal(err)
@@ -267,16 +268,16 @@
 	for k := range s.Size {
 		addr := s.Addr(k)
 		if seen[addr] {
-			t.Fatalf("%s twice", addr)
+			t.Fatalf("two members have the address %s", addr)
 		}
 		seen[addr] = true
 		host := strings.TrimSuffix(addr, ":2908")
 		if n := s.number(mustAddr(t, host)); n != k {
-			t.Fatalf("%s is %d, not %d", addr, n, k)
+			t.Fatalf("%s: number %d, want %d", addr, n, k)
 		}
 	}
 	if s.number(mustAddr(t, "127.0.0.1")) != -1 {
-		t.Error("an address outside is a member's")
+		t.Error("an address outside the network belongs to a member")
 	}
 }
 
@@ -287,22 +288,22 @@
 		for _, g := range groups {
 			for _, k := range g {
 				if seen[k] {
-					t.Errorf("%d twice", k)
+					t.Errorf("member %d is in two groups", k)
 				}
 				seen[k] = true
 			}
 		}
 		if len(seen) != size || len(groups[rack]) != min(12, size/4) || len(groups[zone]) != max(size/11, 1) {
-			t.Errorf("%d: %d members, a rack of %d, a zone of %d", size, len(seen), len(groups[rack]), len(groups[zone]))
+			t.Errorf("size %d: %d members in groups, a rack of %d, a zone of %d", size, len(seen), len(groups[rack]), len(groups[zone]))
 		}
 	}
 }
 
-// An interrupted run ends with all that it started, and says that it was interrupted.
-func TestAnInterruptedRunEnds(t *testing.T) {
+// An interrupted run stops all that it started, and returns the cancellation.
+func TestInterruptedRunStops(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(2*time.Second, cancel)
-	_, err := SteadyRun{Layout: small(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
+	_, err := SteadyRun{Layout: smallLayout(6, 0), WarmUp: time.Minute, MeasureFor: time.Minute}.Run(ctx)
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
--- a/lab/scale/wiretap.go
+++ b/lab/scale/wiretap.go
@@ -13,77 +13,79 @@
 // segmentHeaders are the bytes that IPv4 and TCP with timestamps add to a segment.
 const segmentHeaders = 52
 
-// wire is what connections have carried, both ways.
-type wire struct {
+// traffic is what connections have carried, in both directions.
+type traffic struct {
 	Bytes    int64 // payload
 	Segments int64
 }
 
-func (w wire) minus(o wire) wire { return wire{w.Bytes - o.Bytes, w.Segments - o.Segments} }
+func (w traffic) minus(o traffic) traffic { return traffic{w.Bytes - o.Bytes, w.Segments - o.Segments} }
 
-// withHeaders is the bytes on the network.
-func (w wire) withHeaders() int64 { return w.Bytes + segmentHeaders*w.Segments }
+// withHeaders is the number of bytes with the headers of IP and TCP.
+func (w traffic) withHeaders() int64 { return w.Bytes + segmentHeaders*w.Segments }
 
-// wiretap counts what the connections of some members carry, and can cut members off.
+// wiretap counts the traffic of members' connections, and can partition members from the servers.
 type wiretap struct {
-	mu    sync.Mutex
-	ended wire
-	open  map[*tappedConn]bool
-	cut   map[int]bool
+	mu          sync.Mutex
+	closed      traffic
+	open        map[*tappedConn]bool
+	partitioned map[int]bool
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("partitioned from the servers")
 
-func newWiretap() *wiretap { return &wiretap{open: map[*tappedConn]bool{}, cut: map[int]bool{}} }
+func newWiretap() *wiretap {
+	return &wiretap{open: map[*tappedConn]bool{}, partitioned: map[int]bool{}}
+}
 
-// dial makes the dialer of a member.
+// dial returns the dialer of a member.
 func (t *wiretap) dial(member int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if t.isCut(member) {
-			return nil, errCut
+		if t.isPartitioned(member) {
+			return nil, errPartitioned
 		}
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		one := &tappedConn{TCPConn: c.(*net.TCPConn), tap: t, member: member}
+		conn := &tappedConn{TCPConn: c.(*net.TCPConn), tap: t, member: member}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.open[one] = true
-		return one, nil
+		t.open[conn] = true
+		return conn, nil
 	}
 }
 
-func (t *wiretap) isCut(member int) bool {
+func (t *wiretap) isPartitioned(member int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.cut[member]
+	return t.partitioned[member]
 }
 
-// cutOff cuts members off, in place of those before.
-func (t *wiretap) cutOff(members ...int) {
+// partition cuts these members off, and reconnects those that were cut off before.
+func (t *wiretap) partition(members ...int) {
 	t.mu.Lock()
-	clear(t.cut)
+	clear(t.partitioned)
 	for _, k := range members {
-		t.cut[k] = true
+		t.partitioned[k] = true
 	}
-	var struck []*tappedConn
+	var affected []*tappedConn
 	for c := range t.open {
-		if t.cut[c.member] {
-			struck = append(struck, c)
+		if t.partitioned[c.member] {
+			affected = append(affected, c)
 		}
 	}
 	t.mu.Unlock()
-	for _, c := range struck {
+	for _, c := range affected {
 		c.Close()
 	}
 }
 
-// carried is what all connections have carried since the beginning.
-func (t *wiretap) carried() wire {
+// carried is the traffic of all connections since the beginning.
+func (t *wiretap) carried() traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.ended
+	all := t.closed
 	for c := range t.open {
 		now := c.carried()
 		all.Bytes, all.Segments = all.Bytes+now.Bytes, all.Segments+now.Segments
@@ -91,15 +93,15 @@
 	return all
 }
 
-// tappedConn is a connection whose traffic is counted by the kernel.
+// tappedConn is a connection whose traffic is read from the kernel's counters.
 type tappedConn struct {
 	*net.TCPConn
 	tap    *wiretap
 	member int
 }
 
-// carried reads the kernel's counts.
-func (c *tappedConn) carried() (w wire) {
+// carried reads the kernel's counters.
+func (c *tappedConn) carried() (w traffic) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return w
@@ -107,7 +109,7 @@
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), syscall.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil {
-			w = wire{int64(info.Bytes_acked + info.Bytes_received), int64(info.Segs_out) + int64(info.Segs_in)}
+			w = traffic{int64(info.Bytes_acked + info.Bytes_received), int64(info.Segs_out) + int64(info.Segs_in)}
 		}
 	})
 	return w
@@ -118,7 +120,7 @@
 	c.tap.mu.Lock()
 	if c.tap.open[c] {
 		now := c.carried()
-		c.tap.ended = wire{c.tap.ended.Bytes + now.Bytes, c.tap.ended.Segments + now.Segments}
+		c.tap.closed = traffic{c.tap.closed.Bytes + now.Bytes, c.tap.closed.Segments + now.Segments}
 		delete(c.tap.open, c)
 	}
 	c.tap.mu.Unlock()
