--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -32,13 +32,13 @@
 	ID          string // 16 hex digits, which identify the call at offices
 	Owner       string // who may rejoin the call or end it
 	Class       int
-	ClassName   string // of the class
+	ClassName   string
 	Tenant      string
 	Number      string
 	Description []byte
 	FirstChoice int       // preferred pool; -1: none
 	Redialed    bool      // the caller redials
-	RepeatFlag  bool      // as the caller set it; decisions do not use it
+	RepeatFlag  bool      // the caller's own mark of a repeated call; decisions do not use it
 	ReceivedAt  time.Time // when its last byte was received
 	ExpiresAt   time.Time // until when the caller waits
 }
@@ -65,7 +65,7 @@
 	Release(id string, cut bool)
 }
 
-// Presence is what a front knows of the client of a call that waits for its answer.
+// Presence is what a front end knows of the client of a call that waits for its answer.
 type Presence int
 
 // The states of a client.
