--- a/cmd/masthill/descriptors.go
+++ b/cmd/masthill/descriptors.go
@@ -19,7 +19,7 @@
 const shrinkTimeout = 2 * time.Second
 
 // resizable is a front whose limit of connections can change.
-type resizable interface{ SetMaxOpen(n int) }
+type resizable interface{ SetMaxConnections(n int) }
 
 // allocation keeps each user of file descriptors within its share. It recomputes the shares when the list of servers
 // changes, when a second process serves the same address, and when the limit is lowered from outside.
@@ -80,7 +80,7 @@
 
 func (f sharedFront) apply(share descriptors.FrontShare) {
 	if f.resizable != nil {
-		f.SetMaxOpen(share.MaxConnections)
+		f.SetMaxConnections(share.MaxConnections)
 		f.listener.SetLimit(share.Descriptors)
 	}
 }
--- a/cmd/masthill/parts.go
+++ b/cmd/masthill/parts.go
@@ -68,7 +68,7 @@
 	var previous *state.Snapshot
 	if dir := in.settings.State.Dir; dir != "" {
 		in.snapshotWriter = &state.SnapshotWriter{Dir: dir, Instance: in.platform.Name, Interval: in.settings.State.Interval, Log: in.log.With(logs.PartKey, "state"),
-			Learnt: func() (l control.LearnedState) { return in.core.LearnedState() }}
+			LearnedState: func() (l control.LearnedState) { return in.core.LearnedState() }}
 		s, err := state.Load(dir, in.platform.Name, time.Now(), in.settings.State.MaxAge)
 		switch {
 		case errors.Is(err, state.ErrNoSnapshot):
@@ -269,7 +269,7 @@
 		}}
 	in.feed.LoadInitial(in.platform.Known)
 	if in.previous != nil {
-		in.core.Restore(in.previous.Learnt)
+		in.core.Restore(in.previous.LearnedState)
 	}
 	return subsystem{run: in.feed.Run}, nil
 }
--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -160,7 +160,7 @@
 		// it was late shows neither.
 		g.remove(ev.Call)
 	case control.Arrival:
-		if ok, _ := g.HasRoom(now, 0); !ok {
+		if ok, _ := g.HasCapacity(now, 0); !ok {
 			g.limitReachedCount++
 			g.limitReachedAt = now
 			g.setState(now, Bounded, TooManyLate)
@@ -259,7 +259,7 @@
 		return join.Decision{}
 	}
 	g.redialsRefused++
-	r := join.Decision{Verdict: join.Refuse, Reason: Redial}
+	r := join.Decision{Kind: join.Refuse, Reason: Redial}
 	if maxWait := g.settings.Control.MaxRetryAfter; maxWait > 0 {
 		r.Wait = maxWait/2 + g.rng.Int64N(maxWait/2+1)
 	}
@@ -267,7 +267,7 @@
 }
 
 // HasRoom implements join.Module.
-func (g *Goodput) HasRoom(now int64, _ uint64) (bool, string) {
+func (g *Goodput) HasCapacity(now int64, _ uint64) (bool, string) {
 	limit, lateShare := g.limit(now)
 	if g.countedOutstanding(lateShare)+1 > limit {
 		return false, TooManyLate
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -62,7 +62,7 @@
 		sim.n++
 		id := fmt.Sprint(sim.n)
 		sim.g.OnEvent(sim.now, control.Event{Kind: control.Arrival, Call: id})
-		if ok, _ := sim.g.HasRoom(sim.now, 1); !ok {
+		if ok, _ := sim.g.HasCapacity(sim.now, 1); !ok {
 			sim.blocked++
 			continue
 		}
@@ -161,14 +161,14 @@
 	sim := newSimulator(settings())
 	redial := func() join.Decision { return sim.g.Admit(sim.now, join.Call{ID: "r", Redialed: true}) }
 	sim.play(10*second, 500*ms, 150*ms)
-	if r := redial(); r.Verdict != join.Admit {
+	if r := redial(); r.Kind != join.Admit {
 		t.Error("in a healthy fleet", r)
 	}
 	sim.play(20*second, 300*ms, 0)
 	waits := map[int64]bool{}
 	for range 20 {
 		r := redial()
-		if r.Verdict != join.Refuse || r.Reason != Redial || r.Wait < second || r.Wait > 2*second {
+		if r.Kind != join.Refuse || r.Reason != Redial || r.Wait < second || r.Wait > 2*second {
 			t.Fatal(r)
 		}
 		waits[r.Wait] = true
@@ -176,11 +176,11 @@
 	if len(waits) < 15 {
 		t.Error("the waits are alike", waits)
 	}
-	if r := sim.g.Admit(sim.now, join.Call{ID: "f"}); r.Verdict != join.Admit {
+	if r := sim.g.Admit(sim.now, join.Call{ID: "f"}); r.Kind != join.Admit {
 		t.Error("a first call", r)
 	}
 	sim.play(40*second, 500*ms, 150*ms)
-	if r := redial(); r.Verdict != join.Admit {
+	if r := redial(); r.Kind != join.Admit {
 		t.Error("after the congestion", r)
 	}
 }
@@ -212,7 +212,7 @@
 				}
 				if g == a {
 					for range 3 {
-						g.HasRoom(now, 1) // called often
+						g.HasCapacity(now, 1) // called often
 					}
 				}
 			}
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -12,23 +12,23 @@
 )
 
 // Verdict is what a module decides to do with a new call.
-type Verdict int
+type DecisionKind int
 
 // The verdicts on a call.
 const (
-	Admit  Verdict = iota // control decides
-	Hold                  // the module is asked again after Wait
-	Refuse                // the call is answered finally; Wait is the Retry-After of the answer
+	Admit  DecisionKind = iota // control decides
+	Hold                       // the module is asked again after Wait
+	Refuse                     // the call is answered finally; Wait is the Retry-After of the answer
 )
 
 // String returns the name of the verdict.
-func (v Verdict) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
+func (v DecisionKind) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
 // Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer names no wait.
 type Decision struct {
-	Verdict Verdict
-	Wait    int64
-	Reason  string // a code of the module, for logs and operators; empty only with Admit
+	Kind   DecisionKind
+	Wait   int64
+	Reason string // a code of the module, for logs and operators; empty only with Admit
 }
 
 // Call is a new call as modules see it. Times are in Unix nanoseconds.
@@ -51,7 +51,7 @@
 	Admit(now int64, c Call) Decision
 	// HasRoom tells whether one more set-up may go to a server now. It must not change any state, as it is called
 	// often.
-	HasRoom(now int64, server uint64) (ok bool, reason string)
+	HasCapacity(now int64, server uint64) (ok bool, reason string)
 	// Status describes the state of the module and its reason to operators.
 	Status(now int64) Status
 }
@@ -111,7 +111,7 @@
 // Admit returns the first decision that does not admit the call, and the name of the module that made it.
 func (c Chain) Admit(now int64, call Call) (Decision, string) {
 	for _, m := range c {
-		if r := m.Admit(now, call); r.Verdict != Admit {
+		if r := m.Admit(now, call); r.Kind != Admit {
 			return r, m.Name()
 		}
 	}
@@ -120,9 +120,9 @@
 
 // HasRoom tells whether all modules have room at a server; if not, it returns the name and the reason of the first that
 // has none.
-func (c Chain) HasRoom(now int64, server uint64) (ok bool, module, reason string) {
+func (c Chain) HasCapacity(now int64, server uint64) (ok bool, module, reason string) {
 	for _, m := range c {
-		if ok, reason := m.HasRoom(now, server); !ok {
+		if ok, reason := m.HasCapacity(now, server); !ok {
 			return false, m.Name(), reason
 		}
 	}
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -204,7 +204,7 @@
 }
 
 // HasRoom implements join.Module. It is always true, as levels limit callers, not servers.
-func (l *Levels) HasRoom(int64, uint64) (bool, string) { return true, "" }
+func (l *Levels) HasCapacity(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
 func (l *Levels) Admit(now int64, c join.Call) join.Decision {
@@ -227,7 +227,7 @@
 		return join.Decision{}
 	}
 	l.refused++
-	return join.Decision{Verdict: join.Refuse, Wait: l.randomWait(), Reason: reason}
+	return join.Decision{Kind: join.Refuse, Wait: l.randomWait(), Reason: reason}
 }
 
 // randomWait draws a Retry-After from the upper half of the allowed range, so that refused callers do not return
--- a/control/levels/levels_test.go
+++ b/control/levels/levels_test.go
@@ -25,7 +25,7 @@
 	for n := int64(0); n < 20*seconds; n++ {
 		now += second / 20
 		call := fmt.Sprint(now)
-		if l.Admit(now, join.Call{ID: call}).Verdict != join.Admit {
+		if l.Admit(now, join.Call{ID: call}).Kind != join.Admit {
 			continue
 		}
 		if debt += turnedAway; debt >= 1 {
@@ -50,10 +50,10 @@
 		t.Fatalf("%+v", l.Status(now))
 	}
 	r := l.Admit(now, join.Call{ID: "r", Redialed: true})
-	if r.Verdict != join.Refuse || r.Reason != Redial || r.Wait < second || r.Wait > 2*second {
+	if r.Kind != join.Refuse || r.Reason != Redial || r.Wait < second || r.Wait > 2*second {
 		t.Error(r)
 	}
-	if r := l.Admit(now, join.Call{ID: "f"}); r.Verdict != join.Admit {
+	if r := l.Admit(now, join.Call{ID: "f"}); r.Kind != join.Admit {
 		t.Error("a first call is not admitted", r)
 	}
 	play(l, now, 40, 0)
@@ -96,7 +96,7 @@
 	}
 	admitted := 0
 	for n := range 1000 {
-		if l.Admit(now, join.Call{ID: fmt.Sprint(n)}).Verdict == join.Admit {
+		if l.Admit(now, join.Call{ID: fmt.Sprint(n)}).Kind == join.Admit {
 			admitted++
 		}
 	}
@@ -194,7 +194,7 @@
 					r := l.Admit(now, join.Call{ID: call, Redialed: s.Kind == 2})
 					decisions = append(decisions, r)
 					switch {
-					case r.Verdict != join.Admit:
+					case r.Kind != join.Admit:
 					case s.Kind < 5:
 						l.OnEvent(now, control.Event{Kind: control.Established, Call: call, Elapsed: int64(s.X * 1e9)})
 					case s.Kind == 5:
--- a/control/recovery/recovery.go
+++ b/control/recovery/recovery.go
@@ -26,7 +26,7 @@
 	Cold       = "cold"        // the budget of a cold server is used up for now
 	NoEvidence = "no-evidence" // some server is not yet proven
 	NoList     = "no-list"     // no server is listed
-	NoRoom     = "no-room"     // no server has room for a new call
+	NoCapacity = "no-room"     // no server has room for a new call
 	Redial     = "redial"      // a redial, while as many calls are held as can be served soon
 )
 
@@ -253,7 +253,7 @@
 }
 
 // HasRoom implements join.Module.
-func (r *Recovery) HasRoom(now int64, id uint64) (ok bool, reason string) {
+func (r *Recovery) HasCapacity(now int64, id uint64) (ok bool, reason string) {
 	s := r.find(id)
 	switch {
 	case r.done || s == nil || r.timeLimitReached(now):
@@ -293,14 +293,14 @@
 	switch {
 	case remaining < holdInterval || c.NotAfter-now < 2*holdInterval:
 	case r.held[c.ID]:
-		return join.Decision{Verdict: join.Hold, Wait: holdInterval, Reason: NoRoom}
+		return join.Decision{Kind: join.Hold, Wait: holdInterval, Reason: NoCapacity}
 	case len(r.held) < maxHeldPerServer*r.listedCount:
 		r.held[c.ID] = true
 		r.heldTotal++
-		return join.Decision{Verdict: join.Hold, Wait: holdInterval, Reason: NoRoom}
+		return join.Decision{Kind: join.Hold, Wait: holdInterval, Reason: NoCapacity}
 	case c.Redialed:
 		r.refusedTotal++
-		return join.Decision{Verdict: join.Refuse, Wait: r.randomWait(), Reason: Redial}
+		return join.Decision{Kind: join.Refuse, Wait: r.randomWait(), Reason: Redial}
 	}
 	delete(r.held, c.ID)
 	return join.Decision{}
@@ -318,7 +318,7 @@
 
 func (r *Recovery) anyServerHasRoom(now int64) bool {
 	return slices.ContainsFunc(r.servers, func(s *server) bool {
-		ok, _ := r.HasRoom(now, s.id)
+		ok, _ := r.HasCapacity(now, s.id)
 		return s.isListed && ok
 	})
 }
@@ -369,7 +369,7 @@
 		if s.proven {
 			serverStatus.State = "proven"
 		}
-		if ok, reason := r.HasRoom(now, s.id); !ok {
+		if ok, reason := r.HasCapacity(now, s.id); !ok {
 			serverStatus.Reason = reason
 			status.Capped++
 		}
--- a/control/recovery/recovery_test.go
+++ b/control/recovery/recovery_test.go
@@ -37,15 +37,15 @@
 	r, now := New(settings(), 1, 100*second, nil), 100*second
 	r.OnEvent(now, listUpdate(true, entry(1, 0)))
 	for n := range 2 {
-		if ok, why := r.HasRoom(now, 1); !ok {
+		if ok, why := r.HasCapacity(now, 1); !ok {
 			t.Fatal(n, why)
 		}
 		sendSetUp(r, now, fmt.Sprint(n), 1)
 	}
-	if ok, why := r.HasRoom(now, 1); ok || why != Unproven {
+	if ok, why := r.HasCapacity(now, 1); ok || why != Unproven {
 		t.Fatal("a third set-up has room with two unanswered", ok, why)
 	}
-	if got := r.Admit(now, join.Call{ID: "x", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Hold || got.Reason != NoRoom {
+	if got := r.Admit(now, join.Call{ID: "x", ReceivedAt: now, NotAfter: now + 3*second}); got.Kind != join.Hold || got.Reason != NoCapacity {
 		t.Fatal(got)
 	}
 	for n := range 6 {
@@ -56,7 +56,7 @@
 	if st := r.Status(now); st.State != "done" || st.Reason != "evidence" {
 		t.Fatalf("%+v", st)
 	}
-	if got := r.Admit(now, join.Call{ID: "y", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
+	if got := r.Admit(now, join.Call{ID: "y", ReceivedAt: now, NotAfter: now + 3*second}); got.Kind != join.Admit {
 		t.Fatal(got)
 	}
 }
@@ -68,11 +68,11 @@
 	sendSetUp(r, now, "a", 1)
 	r.OnEvent(now, control.Event{Kind: control.Established, Call: "a", Server: 1, Elapsed: 900 * millisecond})
 	sendSetUp(r, now, "b", 1)
-	if ok, _ := r.HasRoom(now, 1); ok {
+	if ok, _ := r.HasCapacity(now, 1); ok {
 		t.Fatal("a late set-up did not shrink the window")
 	}
 	r.OnEvent(now, control.Event{Kind: control.AttemptEnded, Call: "b", Server: 1, Outcome: control.Saturated})
-	if ok, _ := r.HasRoom(now, 1); !ok {
+	if ok, _ := r.HasCapacity(now, 1); !ok {
 		t.Fatal("no room with nothing outstanding")
 	}
 	if r.Recovering(now+15*second) || !r.Recovering(now+14*second) {
@@ -110,18 +110,18 @@
 	sendSetUp(r, now, "a", 1)
 	sendSetUp(r, now, "b", 1)
 	for n := range maxHeldPerServer {
-		if got := r.Admit(now, join.Call{ID: fmt.Sprint(n), Redialed: true, ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Hold {
+		if got := r.Admit(now, join.Call{ID: fmt.Sprint(n), Redialed: true, ReceivedAt: now, NotAfter: now + 3*second}); got.Kind != join.Hold {
 			t.Fatal(n, got)
 		}
 	}
-	if got := r.Admit(now, join.Call{ID: "first", ReceivedAt: now, NotAfter: now + 3*second}); got.Verdict != join.Admit {
+	if got := r.Admit(now, join.Call{ID: "first", ReceivedAt: now, NotAfter: now + 3*second}); got.Kind != join.Admit {
 		t.Fatal("a first call beyond those held is not left to control", got)
 	}
 	got := r.Admit(now, join.Call{ID: "redial", Redialed: true, ReceivedAt: now, NotAfter: now + 3*second})
-	if got.Verdict != join.Refuse || got.Reason != Redial || got.Wait < second || got.Wait > 2*second {
+	if got.Kind != join.Refuse || got.Reason != Redial || got.Wait < second || got.Wait > 2*second {
 		t.Fatal(got)
 	}
-	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", ReceivedAt: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Verdict != join.Admit {
+	if got := r.Admit(now+301*millisecond, join.Call{ID: "0", ReceivedAt: now, NotAfter: now + 3*second, TimesHeld: 9}); got.Kind != join.Admit {
 		t.Fatal("a call held for a quarter of its target delay is not left to control", got)
 	}
 }
@@ -162,15 +162,15 @@
 				switch {
 				case s.Kind < 6:
 					got := r.Admit(now, join.Call{ID: call, Redialed: s.Kind == 0, ReceivedAt: now - s.Elapsed/4, NotAfter: now + 3*second})
-					log = append(log, got.Verdict.String(), got.Reason)
-					if got.Verdict == join.Hold && (!r.Recovering(now) || s.Elapsed/4 > 300*millisecond) {
+					log = append(log, got.Kind.String(), got.Reason)
+					if got.Kind == join.Hold && (!r.Recovering(now) || s.Elapsed/4 > 300*millisecond) {
 						t.Fatalf("held at %d ms", s.Elapsed/4/millisecond)
 					}
-					if got.Verdict != join.Admit {
+					if got.Kind != join.Admit {
 						break
 					}
 					r.OnEvent(now, control.Event{Kind: control.Arrival, Call: call})
-					if ok, _ := r.HasRoom(now, s.Server); !ok {
+					if ok, _ := r.HasCapacity(now, s.Server); !ok {
 						break
 					}
 					sendSetUp(r, now, call, s.Server)
--- a/control/shared/shared_test.go
+++ b/control/shared/shared_test.go
@@ -74,7 +74,7 @@
 	g.callCount++
 	id = fmt.Sprint(g.callCount)
 	m.Admit(g.now, join.Call{ID: id, Tenant: tenant})
-	if ok, _ := m.HasRoom(g.now, server); !ok {
+	if ok, _ := m.HasCapacity(g.now, server); !ok {
 		return id, false
 	}
 	m.OnAction(g.now, control.Action{Kind: control.Send, Call: id, Server: server})
@@ -102,14 +102,14 @@
 	if float64(sent) > most+12 || float64(sent) < most*0.4 {
 		t.Errorf("%d calls sent in 4 s, the budget is %.1f", sent, most)
 	}
-	if ok, why := g.instances[0].HasRoom(g.now, 1); ok || why != ColdBudget {
+	if ok, why := g.instances[0].HasCapacity(g.now, 1); ok || why != ColdBudget {
 		t.Errorf("room %v, reason %q", ok, why)
 	}
-	if ok, why := g.instances[0].HasRoom(g.now, 2); !ok {
+	if ok, why := g.instances[0].HasCapacity(g.now, 2); !ok {
 		t.Errorf("warm server has no room: %s", why)
 	}
 	g.run(15*second, nil)
-	if ok, why := g.instances[0].HasRoom(g.now, 1); !ok {
+	if ok, why := g.instances[0].HasCapacity(g.now, 1); !ok {
 		t.Errorf("server has no room after it has warmed up: %s", why)
 	}
 }
--- a/control/shared/status.go
+++ b/control/shared/status.go
@@ -82,7 +82,7 @@
 		s.Reason, s.ExitCondition = "nobody-heard", "a message of any member"
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.servers)) {
-		if ok, reason := m.HasRoom(now, id); !ok {
+		if ok, reason := m.HasCapacity(now, id); !ok {
 			s.Capped++
 			s.Servers = append(s.Servers, join.ServerStatus{Server: id, State: "capped", Reason: reason})
 		}
--- a/control/shares/shares.go
+++ b/control/shares/shares.go
@@ -212,7 +212,7 @@
 }
 
 // HasRoom implements join.Module. It is always true, as shares limit callers, not servers.
-func (m *Shares) HasRoom(int64, uint64) (bool, string) { return true, "" }
+func (m *Shares) HasCapacity(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
 func (m *Shares) Admit(now int64, c join.Call) join.Decision {
@@ -225,7 +225,7 @@
 	if m.limiting && !m.admits(now, c.Tenant, state) {
 		state.refused++
 		m.refused++
-		return join.Decision{Verdict: join.Refuse, Wait: m.randomWait(), Reason: OverShare}
+		return join.Decision{Kind: join.Refuse, Wait: m.randomWait(), Reason: OverShare}
 	}
 	state.admitted++
 	if len(m.waiting) < maxWaiting {
--- a/control/shares/shares_test.go
+++ b/control/shares/shares_test.go
@@ -47,7 +47,7 @@
 			offeredCalls[name]++
 		}
 		call := fmt.Sprint(n)
-		if m.Admit(now, join.Call{ID: call, Tenant: name}).Verdict != join.Admit {
+		if m.Admit(now, join.Call{ID: call, Tenant: name}).Kind != join.Admit {
 			continue
 		}
 		if tokens < 1 {
@@ -97,7 +97,7 @@
 	admitted := 0
 	for n := range 100 { // one second of calls from one tenant alone
 		now += second / 100
-		if m.Admit(now, join.Call{ID: fmt.Sprint("f", n), Tenant: "barrow-estate"}).Verdict == join.Admit {
+		if m.Admit(now, join.Call{ID: fmt.Sprint("f", n), Tenant: "barrow-estate"}).Kind == join.Admit {
 			admitted++
 		}
 	}
@@ -108,7 +108,7 @@
 	for n := range 100 { // the owner of the borrowed part returns
 		now += second / 100
 		m.Admit(now, join.Call{ID: fmt.Sprint("g", n), Tenant: "barrow-estate"})
-		if n%5 < 2 && m.Admit(now, join.Call{ID: fmt.Sprint("s", n), Tenant: "slaney-vines"}).Verdict == join.Admit && n >= 50 {
+		if n%5 < 2 && m.Admit(now, join.Call{ID: fmt.Sprint("s", n), Tenant: "slaney-vines"}).Kind == join.Admit && n >= 50 {
 			owner++
 		}
 	}
@@ -143,10 +143,10 @@
 				}
 				r := m.Admit(now, join.Call{ID: call, Tenant: name})
 				log = append(log, r)
-				if r.Verdict == join.Refuse && (!m.limiting || r.Wait < second || r.Wait > 2*second) {
+				if r.Kind == join.Refuse && (!m.limiting || r.Wait < second || r.Wait > 2*second) {
 					t.Fatal(r, m.limiting)
 				}
-				if r.Verdict != join.Admit {
+				if r.Kind != join.Admit {
 					continue
 				}
 				switch s.Kind {
@@ -164,7 +164,7 @@
 			for k := range 40 { // one call per second, which succeeds
 				now += second
 				call := fmt.Sprint("z", k)
-				if m.Admit(now, join.Call{ID: call, Tenant: "slaney-vines"}).Verdict == join.Admit {
+				if m.Admit(now, join.Call{ID: call, Tenant: "slaney-vines"}).Kind == join.Admit {
 					m.OnEvent(now, control.Event{Kind: control.Established, Call: call})
 				}
 			}
@@ -204,7 +204,7 @@
 			now += second / 10
 			for _, name := range []string{"slaney-vines", "barrow-estate", "suir-growers", "x"} {
 				r := m.Admit(now, join.Call{ID: fmt.Sprint(now, k, name), Tenant: name})
-				if r.Verdict == join.Admit {
+				if r.Kind == join.Admit {
 					admitted[name]++
 				} else if r.Reason != OverShare || r.Wait < second || r.Wait > 2*second {
 					t.Fatalf("%+v", r)
@@ -256,7 +256,7 @@
 	now, refused := second, 0
 	for k := range 300 { // half a minute
 		now += second / 10
-		if m.Admit(now, join.Call{ID: fmt.Sprint(k), Tenant: "slaney-vines"}).Verdict != join.Admit {
+		if m.Admit(now, join.Call{ID: fmt.Sprint(k), Tenant: "slaney-vines"}).Kind != join.Admit {
 			refused++
 		}
 	}
--- a/internal/caller/answers.go
+++ b/internal/caller/answers.go
@@ -24,9 +24,9 @@
 	if t == nil || t.established {
 		return // a call gets no second answer
 	}
-	status := map[exchange.Verdict]int{exchange.Established: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Verdict]
+	status := map[exchange.AnswerKind]int{exchange.Established: 200, exchange.Refused: 503, exchange.Failed: 500}[answer.Kind]
 	b := append(sip.AppendStatus(make([]byte, 0, 512+len(answer.Description)), status), t.echoedHeaders...)
-	if answer.Verdict == exchange.Established {
+	if answer.Kind == exchange.Established {
 		t.established, t.echoedHeaders = true, nil
 		t.openCalls, t.establishedCalls, t.lastUsed = t.openCalls-1, t.establishedCalls+1, time.Now()
 		t.wakeIfDrained()
--- a/internal/caller/caller_test.go
+++ b/internal/caller/caller_test.go
@@ -117,15 +117,15 @@
 		s.ExpiresAt.Sub(s.ReceivedAt) != 1500*time.Millisecond {
 		t.Errorf("set-up %+v", s)
 	}
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established, Description: []byte("log")})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Established, Description: []byte("log")})
 	p.expectMessage(200, "", "Via", "SIP/2.0/TCP peer;branch=1")
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is dropped
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Failed}) // a second answer is dropped
 	p.write(message("BYE", id, ""))
 	p.expectMessage(200, "", "Call-ID", id)
 	b.expectEvent("hang up " + id)
 	p.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused, RetryAfter: 200 * time.Millisecond})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused, RetryAfter: 200 * time.Millisecond})
 	p.expectMessage(503, "", "X-Later-Ms", "200")
 	p.write(message("BYE", id, ""))
 	p.expectMessage(481, "", "Call-ID", id)
@@ -184,7 +184,7 @@
 	stranger.write(message("CANCEL", id, ""))
 	stranger.expectMessage(481, "", "Call-ID", id)
 	stranger.Close()
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	if len(b.events) != 0 {
 		t.Errorf("got %s", <-b.events)
@@ -200,7 +200,7 @@
 	p.write(message("INVITE", id, headers) + message("INVITE", other, headers))
 	b.expectEvent("arrive " + id)
 	b.expectEvent("arrive " + other)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	p.Close()
 	b.expectEvent("give up " + other)
@@ -228,7 +228,7 @@
 	if _, err := b.dial().Next(); err == nil {
 		t.Error("a third connection was served, with a limit of two")
 	}
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 	good.expectMessage(503, "", "Call-ID", id)
 	if b.dial(); !errors.Is(last.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with an open set-up was evicted")
@@ -270,7 +270,7 @@
 		if !ended(silent) || ended(asked) {
 			t.Errorf("after %v: silent ended %v, asked ended %v", time.Since(began), ended(silent), ended(asked))
 		}
-		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
+		s.Answer(id, exchange.FinalAnswer{Kind: exchange.Established})
 		time.Sleep(2 * idleTimeout)
 		synctest.Wait()
 		if ended(asked) {
@@ -391,7 +391,7 @@
 	p := b.dial()
 	p.write(message("INVITE", id, headers))
 	b.expectEvent("arrive " + id)
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Established})
 	p.expectMessage(200, "", "Call-ID", id)
 	q := b.dial()
 	if _, err := p.Next(); err != io.EOF { // evicted; its peer has not closed yet
@@ -431,7 +431,7 @@
 	if _, err := q.Next(); err != io.EOF {
 		t.Errorf("on a connection without a set-up: %v", err)
 	}
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 	p.expectMessage(503, "", "Call-ID", id)
 	if _, err := p.Next(); err != io.EOF {
 		t.Errorf("at the end: %v", err)
@@ -473,7 +473,7 @@
 				if got := <-core.events; got != "arrive "+id {
 					t.Errorf("got %s", got)
 				}
-				s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+				s.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 			}
 			m, err := sip.NewReader(theirs).Next()
 			if want := map[bool]int{true: 503, false: 408}[early]; err != nil || m.Status != want {
@@ -516,7 +516,7 @@
 	fresh.write(message("INVITE", "0000000000000003", headers))
 	b.expectEvent("arrive 0000000000000003")
 	// An established call keeps its connection: without a new one, its release can be sent on no other.
-	b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Established})
+	b.Answer(id, exchange.FinalAnswer{Kind: exchange.Established})
 	busy.expectMessage(200, "", "Call-ID", id)
 	if !errors.Is(busy.readByte(), os.ErrDeadlineExceeded) {
 		t.Error("a connection with an established call was closed")
@@ -525,7 +525,7 @@
 	b.Release(id, false)
 	busy.expectMessage(0, "BYE", "Call-ID", id)
 	for id, p := range map[string]peer{other: crossing, "0000000000000003": fresh} {
-		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+		b.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 		p.expectMessage(503, "", "Call-ID", id)
 	}
 	for _, p := range []peer{busy, crossing, fresh} {
@@ -556,7 +556,7 @@
 	p.write(message("INVITE", "0000000000000003", headers))
 	p.expectMessage(503, "", "Call-ID", "0000000000000003")
 	for _, id := range []string{id, "0000000000000002"} {
-		b.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+		b.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 		p.expectMessage(503, "", "Call-ID", id)
 	}
 	if _, err := p.Next(); err != io.EOF {
@@ -578,7 +578,7 @@
 		<-core.events
 		s.Drain(0)
 		synctest.Wait()
-		s.Answer(id, exchange.FinalAnswer{Verdict: exchange.Refused})
+		s.Answer(id, exchange.FinalAnswer{Kind: exchange.Refused})
 		synctest.Wait()
 		s.mu.Lock()
 		if !c.ending {
--- a/internal/callws/answers.go
+++ b/internal/callws/answers.go
@@ -19,13 +19,13 @@
 	if c.socket != nil && !c.accepted {
 		c.socket.unanswered--
 	}
-	if final.Verdict != exchange.Established {
+	if final.Kind != exchange.Established {
 		delete(f.calls, key)
 	} else if c.socket != nil {
 		c.accepted = true
 	}
 	if c.socket != nil {
-		c.socket.send(reply{Type: final.Verdict.String(), ID: c.id, LaterMS: final.RetryAfter.Milliseconds(),
+		c.socket.send(reply{Type: final.Kind.String(), ID: c.id, LaterMS: final.RetryAfter.Milliseconds(),
 			description: describe(final.Description)})
 	}
 }
--- a/internal/callws/callws_test.go
+++ b/internal/callws/callws_test.go
@@ -113,15 +113,15 @@
 	if string(s.Description) != "offer" || s.FirstChoice != 1 || s.Owner != "ws/station-7" || s.ExpiresAt.Sub(s.ReceivedAt) != 3*time.Second {
 		t.Errorf("set-up %+v", s)
 	}
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established, Description: []byte("log\r\n")})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Established, Description: []byte("log\r\n")})
 	f.read(ws, `{"type":"stands","id":"c1","description":"log\r\n"}`)
 	f.Release(key, true)
 	f.read(ws, `{"type":"released","id":"c1","cut":true}`)
 	f.write(ws, setup)
 	f.expect("submit " + key)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Refused, RetryAfter: 1500 * time.Millisecond})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Refused, RetryAfter: 1500 * time.Millisecond})
 	f.read(ws, `{"type":"refused","id":"c1","later_ms":1500}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed}) // a second answer is not sent
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Failed}) // a second answer is not sent
 	f.write(ws, `{"type":"hangup","id":"c1"}`)
 	f.read(ws, `{"type":"error","id":"c1","code":481,"text":"no such call"}`)
 	f.write(ws, setup)
@@ -221,7 +221,7 @@
 	ws = f.open()
 	f.write(ws, setup)
 	f.expect("submit " + key)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 	ws.CloseNow()
 	for f.openSockets() > 0 { // until the front has seen the close
@@ -249,7 +249,7 @@
 	f.expect("submit " + key)
 	f.write(ws, strings.Replace(setup, "offer", "another", 1))
 	f.read(ws, `{"type":"error","id":"c1","code":482,"text":"id of another call"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 }
 
@@ -269,7 +269,7 @@
 		f.write(ws, strings.Replace(setup, `"c1"`, fmt.Sprintf(`"d%d"`, n), 1))
 	}
 	f.read(ws, fmt.Sprintf(`{"type":"error","id":"d%d","code":503,"text":"too many calls"}`, maxOpenCalls-1))
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Failed})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Failed})
 	f.read(ws, `{"type":"failed","id":"c1"}`)
 	f.write(ws, setup)
 	f.write(ws, `{"type":"cancel","id":"c1"}`)
@@ -284,7 +284,7 @@
 	idle, busy := f.open(), f.open()
 	f.write(idle, strings.Replace(setup, "c1", "c0", 1))
 	f.expect("submit " + Key("station-7", "c0"))
-	f.Answer(Key("station-7", "c0"), exchange.FinalAnswer{Verdict: exchange.Refused})
+	f.Answer(Key("station-7", "c0"), exchange.FinalAnswer{Kind: exchange.Refused})
 	f.read(idle, `{"type":"refused","id":"c0"}`)
 	f.write(busy, setup)
 	f.expect("submit " + key)
@@ -295,9 +295,9 @@
 	fresh := f.open()
 	f.write(fresh, strings.Replace(setup, "c1", "c2", 1))
 	f.expect("submit " + Key("station-7", "c2"))
-	f.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Verdict: exchange.Refused})
+	f.Answer(Key("station-7", "c2"), exchange.FinalAnswer{Kind: exchange.Refused})
 	f.read(fresh, `{"type":"refused","id":"c2"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Established})
 	f.read(busy, `{"type":"stands","id":"c1"}`)
 	for _, ws := range []*websocket.Conn{fresh, busy} {
 		if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
@@ -411,7 +411,7 @@
 	}
 	f.write(ws, strings.Replace(setup, "c1", "c2", 1))
 	f.read(ws, `{"type":"error","id":"c2","code":401,"text":"the token has changed"}`)
-	f.Answer(key, exchange.FinalAnswer{Verdict: exchange.Established})
+	f.Answer(key, exchange.FinalAnswer{Kind: exchange.Established})
 	f.read(ws, `{"type":"stands","id":"c1"}`)
 	if _, _, err := ws.Read(t.Context()); websocket.CloseStatus(err) != websocket.StatusGoingAway {
 		t.Errorf("after the answer: %v", err)
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -103,7 +103,7 @@
 
 // SetMaxOpen changes the limit on open connections. Of those beyond it, the ones that have not become a socket are
 // closed.
-func (f *Front) SetMaxOpen(n int) { f.listener.setLimit(n) }
+func (f *Front) SetMaxConnections(n int) { f.listener.setLimit(n) }
 
 // SetCallers changes who may connect. A socket whose caller now has another token accepts no further calls, and is closed
 // once all calls that it has accepted are answered.
--- a/internal/exchange/attempt.go
+++ b/internal/exchange/attempt.go
@@ -28,7 +28,7 @@
 		c.refuseAbsentClient(cl, a.Server)
 		return
 	}
-	hasRoom, module, reason := c.modules.HasRoom(c.now, a.Server)
+	hasRoom, module, reason := c.modules.HasCapacity(c.now, a.Server)
 	if cl.inFlight || c.now < cl.notBefore || !c.isServing(a.Server) || !hasRoom {
 		c.log.Error("attempt kept back", "call", cl.ID, "server", a.Server, "out", cl.inFlight,
 			"clear_in_ms", (cl.notBefore-c.now)/1e6, "serving", c.isServing(a.Server), "capped_by", module, "why", reason)
@@ -99,7 +99,7 @@
 	c.log.Debug("attempt dropped: client gone", "call", cl.ID, "server", server, "away", cl.disconnected)
 	c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: server, Outcome: control.Canceled, CallEnded: true})
-	c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
+	c.answer(cl, FinalAnswer{Kind: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 }
 
 // withdrawAttempt cancels the attempt in flight.
@@ -133,7 +133,7 @@
 	}
 	c.log.Debug("attempt established", "call", id, "n", n, "server", server, "after_ms", (c.now-cl.sentAt)/1e6)
 	cl.inFlight = false
-	c.answer(cl, FinalAnswer{Verdict: Established, Description: description})
+	c.answer(cl, FinalAnswer{Kind: Established, Description: description})
 	c.scheduleSilenceCheck()
 	c.dispatch(control.Event{Kind: control.Established, Call: id, Server: server, Elapsed: c.now - cl.sentAt})
 }
--- a/internal/exchange/calls.go
+++ b/internal/exchange/calls.go
@@ -24,18 +24,18 @@
 func (c *core) submit(s Setup, caller Caller) {
 	if cl := c.calls[s.ID]; cl != nil {
 		if cl.Owner != s.Owner || cl.Fingerprint() != s.Fingerprint() {
-			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
+			caller.Answer(s.ID, FinalAnswer{Kind: Failed})
 			return
 		}
 		cl.disconnected = false
 		if cl.caller = caller; cl.established {
-			caller.Answer(s.ID, FinalAnswer{Verdict: Established, Description: cl.officeDescription})
+			caller.Answer(s.ID, FinalAnswer{Kind: Established, Description: cl.officeDescription})
 		}
 		return
 	}
 	if recorded := c.answers[s.ID]; recorded != nil {
 		if recorded.owner != s.Owner || recorded.fingerprint != s.Fingerprint() { // another call with the same id
-			caller.Answer(s.ID, FinalAnswer{Verdict: Failed})
+			caller.Answer(s.ID, FinalAnswer{Kind: Failed})
 			return
 		}
 		if caller.Answer(s.ID, recorded.answer); recorded.ended {
@@ -48,7 +48,7 @@
 	c.calls[s.ID] = cl
 	c.unanswered++
 	if c.loadBytes += bytesPerCall + len(s.Description); c.loadBytes > c.memoryBytes/callMemoryDivisor || c.refusingAll {
-		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
+		c.answer(cl, FinalAnswer{Kind: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 		return
 	}
 	notAfter := s.ExpiresAt.Add(-answerMargin).UnixNano()
@@ -63,7 +63,7 @@
 		}
 		if c.calls[cl.ID] == cl {
 			c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID})
-			c.answer(cl, FinalAnswer{Verdict: Failed})
+			c.answer(cl, FinalAnswer{Kind: Failed})
 		}
 	})
 	c.admit(cl)
@@ -79,15 +79,15 @@
 		c.heldByModules--
 	}
 	switch {
-	case decision.Verdict == join.Refuse:
+	case decision.Kind == join.Refuse:
 		c.log.Debug("call refused by module", "call", cl.ID, "by", module, "why", decision.Reason, "later_ms", decision.Wait/1e6)
 		cl.holds = -1
 		c.dispatch(control.Event{Kind: control.Aborted, Call: cl.ID}) // for the other modules; the controller never saw the call
 		if !c.settings.RetryAfter {
 			decision.Wait = 0
 		}
-		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(min(max(decision.Wait, 0), c.settings.MaxRetryAfter))})
-	case decision.Verdict == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
+		c.answer(cl, FinalAnswer{Kind: Refused, RetryAfter: time.Duration(min(max(decision.Wait, 0), c.settings.MaxRetryAfter))})
+	case decision.Kind == join.Hold && waited < int64(maxHold) && c.heldByModules*bytesPerCall < c.memoryBytes/heldMemoryDivisor:
 		cl.holds++
 		c.heldByModules++
 		c.afterForCall(cl, max(time.Duration(decision.Wait), minHoldInterval), c.admit)
@@ -107,18 +107,18 @@
 		return
 	}
 	c.unanswered--
-	c.answersGiven[answer.Verdict]++
+	c.answersGiven[answer.Kind]++
 	cl.answeredAt = c.now
-	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Verdict, "later_ms", answer.RetryAfter.Milliseconds(), "attempts",
+	c.log.Debug("answer", "call", cl.ID, "verdict", answer.Kind, "later_ms", answer.RetryAfter.Milliseconds(), "attempts",
 		cl.attempts, "server", cl.server, "after_ms", (c.now-cl.ReceivedAt.UnixNano())/1e6)
-	if answer.Verdict == Established {
+	if answer.Kind == Established {
 		cl.established, cl.officeDescription = true, answer.Description
 		c.loadBytes += len(answer.Description)
 	} else {
 		c.remove(cl)
 		c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: answer, at: c.now})
 	}
-	c.recordCall(cl, Record{Verdict: answer.Verdict.String(), RetryAfter: answer.RetryAfter})
+	c.recordCall(cl, Record{AnswerKind: answer.Kind.String(), RetryAfter: answer.RetryAfter})
 	cl.caller.Answer(cl.ID, answer)
 }
 
@@ -150,7 +150,7 @@
 	if cl.answeredAt > 0 {
 		r.AnsweredAt = time.Unix(0, cl.answeredAt)
 	}
-	if r.Verdict != Established.String() || c.calls[cl.ID] != cl {
+	if r.AnswerKind != Established.String() || c.calls[cl.ID] != cl {
 		r.EndedAt = time.Unix(0, c.now)
 	}
 	c.onRecord(r)
@@ -184,8 +184,8 @@
 	}
 	c.remove(cl)
 	c.unanswered--
-	c.recordAnswer(&recordedAnswer{id: id, owner: owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Failed}, at: c.now})
-	c.recordCall(cl, Record{Verdict: "left"})
+	c.recordAnswer(&recordedAnswer{id: id, owner: owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Kind: Failed}, at: c.now})
+	c.recordCall(cl, Record{AnswerKind: "left"})
 	c.dispatch(control.Event{Kind: control.Aborted, Call: id})
 	if cl.inFlight {
 		c.withdrawAttempt(cl, control.Canceled)
@@ -202,9 +202,9 @@
 // set-ups.
 func (c *core) endEstablished(cl *call, result Result, cut bool) {
 	c.remove(cl)
-	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Verdict: Established, Description: cl.officeDescription}, ended: true,
+	c.recordAnswer(&recordedAnswer{id: cl.ID, owner: cl.Owner, fingerprint: cl.Fingerprint(), answer: FinalAnswer{Kind: Established, Description: cl.officeDescription}, ended: true,
 		cut: cut, at: c.now})
-	c.recordCall(cl, Record{Verdict: Established.String(), Cut: cut})
+	c.recordCall(cl, Record{AnswerKind: Established.String(), Cut: cut})
 	c.dispatch(control.Event{Kind: control.AttemptEnded, Call: cl.ID, Server: cl.server, Elapsed: c.now - cl.sentAt,
 		Outcome: result.Outcome, Report: result.Report, CallEnded: true})
 }
@@ -252,7 +252,7 @@
 			if cl.inFlight {
 				c.withdrawAttempt(cl, control.Canceled)
 			}
-			c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
+			c.answer(cl, FinalAnswer{Kind: Refused, RetryAfter: time.Duration(c.settings.MaxRetryAfter)})
 		}
 	}
 }
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -97,7 +97,7 @@
 	c := &core{memoryBytes: o.MemoryBytes, modules: o.Join, clock: o.Now, log: o.Log, onRecord: o.Record, onUnknownRelease: o.OnUnknownRelease, controller: controller, settings: o.Settings,
 		calls: map[string]*call{}, knownOffices: map[uint64]Office{}, lastHeard: map[uint64]int64{}, answers: map[string]*recordedAnswer{}}
 	if len(o.Join) > 0 {
-		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.HasRoom(c.now, server); return !ok })
+		controller.ExcludeServers(func(server uint64) bool { ok, _, _ := c.modules.HasCapacity(c.now, server); return !ok })
 	}
 	return c
 }
@@ -145,9 +145,9 @@
 		}
 	case control.Refuse:
 		c.modules.OnAction(c.now, a)
-		c.answer(cl, FinalAnswer{Verdict: Refused, RetryAfter: time.Duration(a.Wait)})
+		c.answer(cl, FinalAnswer{Kind: Refused, RetryAfter: time.Duration(a.Wait)})
 	case control.Fail:
 		c.modules.OnAction(c.now, a)
-		c.answer(cl, FinalAnswer{Verdict: Failed})
+		c.answer(cl, FinalAnswer{Kind: Failed})
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -61,7 +61,7 @@
 }
 
 func (b *harness) Answer(id string, f FinalAnswer) {
-	b.outputf("answer %s %s %s %dms", id, f.Verdict, f.Description, f.RetryAfter.Milliseconds())
+	b.outputf("answer %s %s %s %dms", id, f.Kind, f.Description, f.RetryAfter.Milliseconds())
 }
 func (b *harness) Release(id string, cut bool)            { b.outputf("release %s %v", id, cut) }
 func (b *harness) UpdateList([]Office, bool)              {}
@@ -111,7 +111,7 @@
 	if len(b.unknownReleases) != 0 || b.unanswered != 0 || len(b.calls) != 0 {
 		t.Errorf("left behind: %v, %d open, %d calls", b.unknownReleases, b.unanswered, len(b.calls))
 	}
-	if r := b.records[len(b.records)-1]; len(b.records) != 2 || !b.records[0].EndedAt.IsZero() || r.Verdict != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
+	if r := b.records[len(b.records)-1]; len(b.records) != 2 || !b.records[0].EndedAt.IsZero() || r.AnswerKind != "stands" || r.Attempts != 1 || r.Server != 10 || r.Cut ||
 		r.AnsweredAt.Sub(r.ReceivedAt) != 50*ms || r.EndedAt.Sub(r.ReceivedAt) != 1050*ms {
 		t.Errorf("records %+v", b.records)
 	}
--- a/internal/exchange/goodput_test.go
+++ b/internal/exchange/goodput_test.go
@@ -20,7 +20,7 @@
 		b := newHarness(t)
 		if on {
 			b.modules = join.Chain{goodput.New(goodput.Settings{Control: settings()}, 1, b.now, nil)}
-			b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.HasRoom(b.now, s); return !ok })
+			b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.HasCapacity(b.now, s); return !ok })
 		}
 		var list []Office
 		for k := range 40 {
--- a/internal/exchange/join_test.go
+++ b/internal/exchange/join_test.go
@@ -18,24 +18,24 @@
 	actions  []control.ActionKind
 }
 
-func (g *moduleStub) Name() string                             { return g.name }
-func (g *moduleStub) OnEvent(_ int64, ev control.Event)        { g.events = append(g.events, ev.Kind) }
-func (g *moduleStub) OnAction(_ int64, a control.Action)       { g.actions = append(g.actions, a.Kind) }
-func (g *moduleStub) Admit(int64, join.Call) join.Decision     { return g.decision }
-func (g *moduleStub) HasRoom(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
-func (g *moduleStub) Status(int64) join.Status                 { return join.Status{Module: g.name} }
+func (g *moduleStub) Name() string                                 { return g.name }
+func (g *moduleStub) OnEvent(_ int64, ev control.Event)            { g.events = append(g.events, ev.Kind) }
+func (g *moduleStub) OnAction(_ int64, a control.Action)           { g.actions = append(g.actions, a.Kind) }
+func (g *moduleStub) Admit(int64, join.Call) join.Decision         { return g.decision }
+func (g *moduleStub) HasCapacity(_ int64, s uint64) (bool, string) { return !g.full[s], "shut" }
+func (g *moduleStub) Status(int64) join.Status                     { return join.Status{Module: g.name} }
 
 func newHarnessWithModule(t *testing.T) (*harness, *moduleStub) {
 	g := &moduleStub{name: "gate", full: map[uint64]bool{}}
 	b := newHarness(t)
 	b.modules = join.Chain{g}
-	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.HasRoom(b.now, s); return !ok })
+	b.controller.ExcludeServers(func(s uint64) bool { ok, _, _ := b.modules.HasCapacity(b.now, s); return !ok })
 	return b, g
 }
 
 func TestModuleRefuses(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.decision = join.Decision{Verdict: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
+	g.decision = join.Decision{Kind: join.Refuse, Wait: int64(time.Hour), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.expect("answer a refused  2000ms") // at once, with the wait limited to the settings' greatest
 	if b.unanswered != 0 || len(b.calls) != 0 {
@@ -48,7 +48,7 @@
 // A held call is asked about again. Whatever the module says, package control decides after maxHold at the latest.
 func TestHeldCallReachesControl(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.decision = join.Decision{Verdict: join.Hold, Wait: int64(20 * ms), Reason: "r"}
+	g.decision = join.Decision{Kind: join.Hold, Wait: int64(20 * ms), Reason: "r"}
 	b.submitCall("a", 3*time.Second)
 	b.submitCall("gone", 3*time.Second)
 	b.advance(500 * ms)
@@ -68,7 +68,7 @@
 
 func TestHeldCallIsAnsweredInTime(t *testing.T) {
 	b, g := newHarnessWithModule(t)
-	g.decision = join.Decision{Verdict: join.Hold, Wait: int64(time.Minute), Reason: "r"}
+	g.decision = join.Decision{Kind: join.Hold, Wait: int64(time.Minute), Reason: "r"}
 	b.submitCall("a", 300*ms)
 	b.advance(300 * ms)
 	b.expect("answer a failed  0ms")
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -8,21 +8,21 @@
 )
 
 // Verdict is the kind of a final answer.
-type Verdict int
+type AnswerKind int
 
 // The final answers.
 const (
-	Established Verdict = iota // an office accepted the call; it is established
-	Refused                    // not accepted; trying again is harmless
-	Failed                     // abandoned
+	Established AnswerKind = iota // an office accepted the call; it is established
+	Refused                       // not accepted; trying again is harmless
+	Failed                        // abandoned
 )
 
 // String returns the verdict as logs and records name it.
-func (v Verdict) String() string { return [...]string{"stands", "refused", "failed"}[v] }
+func (v AnswerKind) String() string { return [...]string{"stands", "refused", "failed"}[v] }
 
 // FinalAnswer is the one final answer to a call.
 type FinalAnswer struct {
-	Verdict     Verdict
+	Kind        AnswerKind
 	Description []byte        // of the office, if the call is established
 	RetryAfter  time.Duration // before the caller should try again; 0: no advice
 }
@@ -140,7 +140,7 @@
 // has no end.
 type Record struct {
 	ID, Owner, Class, Tenant, Number string
-	Verdict                          string
+	AnswerKind                       string
 	Attempts                         int
 	Server                           uint64
 	ReceivedAt, AnsweredAt, EndedAt  time.Time
--- a/internal/netcase/corecase/corecase.go
+++ b/internal/netcase/corecase/corecase.go
@@ -179,14 +179,14 @@
 // holdModule is a joined module that holds all calls while holding is true.
 type holdModule struct{ holding atomic.Bool }
 
-func (g *holdModule) Name() string                         { return "gate" }
-func (g *holdModule) OnEvent(int64, control.Event)         {}
-func (g *holdModule) OnAction(int64, control.Action)       {}
-func (g *holdModule) HasRoom(int64, uint64) (bool, string) { return true, "" }
-func (g *holdModule) Status(int64) join.Status             { return join.Status{Module: "gate"} }
+func (g *holdModule) Name() string                             { return "gate" }
+func (g *holdModule) OnEvent(int64, control.Event)             {}
+func (g *holdModule) OnAction(int64, control.Action)           {}
+func (g *holdModule) HasCapacity(int64, uint64) (bool, string) { return true, "" }
+func (g *holdModule) Status(int64) join.Status                 { return join.Status{Module: "gate"} }
 func (g *holdModule) Admit(int64, join.Call) join.Decision {
 	if g.holding.Load() {
-		return join.Decision{Verdict: join.Hold, Wait: int64(5 * time.Millisecond), Reason: "shut"}
+		return join.Decision{Kind: join.Hold, Wait: int64(5 * time.Millisecond), Reason: "shut"}
 	}
 	return join.Decision{}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -51,11 +51,11 @@
 
 // Snapshot is the content of the file.
 type Snapshot struct {
-	Instance  string               `json:"instance"`
-	WrittenAt time.Time            `json:"at"`
-	StartedAt time.Time            `json:"started"` // of the process that wrote it
-	EndReason string               `json:"ended"`   // set in the last snapshot of a process: why it ended
-	Learnt    control.LearnedState `json:"learnt"`
+	Instance     string               `json:"instance"`
+	WrittenAt    time.Time            `json:"at"`
+	StartedAt    time.Time            `json:"started"` // of the process that wrote it
+	EndReason    string               `json:"ended"`   // set in the last snapshot of a process: why it ended
+	LearnedState control.LearnedState `json:"learnt"`
 	// Levels are the latest changes of the level of service.
 	Levels []levels.Change `json:"levels,omitempty"`
 }
@@ -97,7 +97,7 @@
 	case age > mostAge:
 		return nil, fmt.Errorf("%w: %v", ErrTooOld, age.Round(time.Millisecond))
 	}
-	if err := s.Learnt.Check(now.UnixNano()); err != nil {
+	if err := s.LearnedState.Check(now.UnixNano()); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrInvalid, err)
 	}
 	return &s, nil
@@ -125,7 +125,7 @@
 
 // Evidence returns the servers that were known to work, for the recovery after a start.
 func (s *Snapshot) Evidence() (e []recovery.Evidence) {
-	for _, o := range s.Learnt.Servers {
+	for _, o := range s.LearnedState.Servers {
 		if o.EstablishedSentAt > 0 && !o.Down {
 			e = append(e, recovery.Evidence{Server: o.ID, ReadyAt: o.ReadyAt, SucceededAt: o.EstablishedSentAt, Delay: int64(o.Delay)})
 		}
@@ -138,7 +138,7 @@
 	Dir, Instance string
 	Interval      time.Duration
 	Log           *slog.Logger
-	Learnt        func() control.LearnedState // asks the core; may block as long as the core is busy
+	LearnedState  func() control.LearnedState // asks the core; may block as long as the core is busy
 	Levels        func() []levels.Change      // as Learnt; nil: there are no levels
 	WriteFile     func(path string, text []byte) error
 
@@ -176,7 +176,7 @@
 			return nil
 		}
 		done := make(chan struct{})
-		s := Snapshot{Learnt: w.Learnt(), EndReason: endReason}
+		s := Snapshot{LearnedState: w.LearnedState(), EndReason: endReason}
 		if w.Levels != nil {
 			s.Levels = w.Levels()
 		}
@@ -213,7 +213,7 @@
 
 // save writes a snapshot and logs when writing starts to fail or works again.
 func (w *SnapshotWriter) save(s Snapshot) {
-	if s.Learnt.At == 0 { // the core has ended, or has had no event yet
+	if s.LearnedState.At == 0 { // the core has ended, or has had no event yet
 		return
 	}
 	s.Instance, s.WrittenAt, s.StartedAt = w.Instance, time.Now(), w.started
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,7 +22,7 @@
 
 func snapshot() Snapshot {
 	at := now.Add(-time.Second).UnixNano()
-	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", WrittenAt: now.Add(-time.Second), Learnt: control.LearnedState{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
+	return Snapshot{Levels: []levels.Change{{At: at, To: levels.Busy, Reason: levels.Delay}}, Instance: "n3", WrittenAt: now.Add(-time.Second), LearnedState: control.LearnedState{At: at, StartedAt: at - 1e9, Spacing: 5e7, LoadPerUnit: 3,
 		Servers: []control.LearnedServer{{ID: 7, ReadyAt: 5, EstablishedSentAt: at, Delay: 4e7, Weight: 1}, {ID: 9, EstablishedSentAt: at, Down: true}}}}
 }
 
@@ -37,7 +37,7 @@
 
 func TestRejectedSnapshots(t *testing.T) {
 	good := encoded(t, snapshot())
-	if s, err := Decode(good, "n3", now, time.Minute); err != nil || s.Learnt.Spacing != 5e7 || len(s.Levels) != 1 || s.Levels[0].To != levels.Busy || len(s.Evidence()) != 1 || s.Evidence()[0].Server != 7 {
+	if s, err := Decode(good, "n3", now, time.Minute); err != nil || s.LearnedState.Spacing != 5e7 || len(s.Levels) != 1 || s.Levels[0].To != levels.Busy || len(s.Evidence()) != 1 || s.Evidence()[0].Server != 7 {
 		t.Fatal(s, err)
 	}
 	changed := func(f func(s *Snapshot)) []byte {
@@ -55,9 +55,9 @@
 		{"another's", changed(func(s *Snapshot) { s.Instance = "n4" }), ErrOtherInstance},
 		{"old", changed(func(s *Snapshot) { s.WrittenAt = now.Add(-2 * time.Minute) }), ErrTooOld},
 		{"the clock went back", changed(func(s *Snapshot) { s.WrittenAt = now.Add(time.Hour) }), ErrFutureTime},
-		{"negative", changed(func(s *Snapshot) { s.Learnt.Servers[0].Delay = -1 }), ErrInvalid},
-		{"a time to come", changed(func(s *Snapshot) { s.Learnt.Servers[0].DelayAt = now.UnixNano() + 1 }), ErrInvalid},
-		{"out of order", changed(func(s *Snapshot) { s.Learnt.Servers[1].ID = 7 }), ErrInvalid},
+		{"negative", changed(func(s *Snapshot) { s.LearnedState.Servers[0].Delay = -1 }), ErrInvalid},
+		{"a time to come", changed(func(s *Snapshot) { s.LearnedState.Servers[0].DelayAt = now.UnixNano() + 1 }), ErrInvalid},
+		{"out of order", changed(func(s *Snapshot) { s.LearnedState.Servers[1].ID = 7 }), ErrInvalid},
 	} {
 		if _, err := Decode(tc.text, "n3", now, time.Minute); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v", tc.name, err)
@@ -115,7 +115,7 @@
 		frozen := make(chan struct{})
 		var freeze atomic.Bool
 		w := &SnapshotWriter{Dir: "d", Instance: "n3", Interval: time.Second, Log: netcase.DiscardLogger(),
-			Learnt: func() control.LearnedState { asked.Add(1); return control.LearnedState{At: 1} },
+			LearnedState: func() control.LearnedState { asked.Add(1); return control.LearnedState{At: 1} },
 			WriteFile: func(string, []byte) error {
 				writes.Add(1)
 				if freeze.Load() {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -237,7 +237,7 @@
 		cut = 1
 	}
 	return []any{s.Instance, cleanText(r.ID), unixMilli(r.ReceivedAt), cleanText(r.Owner), cleanText(r.Class), cleanText(r.Tenant), cleanText(r.Number),
-		r.Verdict, int64(r.Attempts), fmt.Sprintf("%x", r.Server), unixMilli(r.AnsweredAt), unixMilli(r.EndedAt),
+		r.AnswerKind, int64(r.Attempts), fmt.Sprintf("%x", r.Server), unixMilli(r.AnsweredAt), unixMilli(r.EndedAt),
 		r.RetryAfter.Milliseconds(), cut}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,7 +22,7 @@
 var taken = time.UnixMilli(1_700_000_000_000)
 
 func record(id string) exchange.Record {
-	return exchange.Record{ID: id, Owner: "sip", Class: "open-log", Tenant: "acme", Number: "17\x00\xff", Verdict: "stands",
+	return exchange.Record{ID: id, Owner: "sip", Class: "open-log", Tenant: "acme", Number: "17\x00\xff", AnswerKind: "stands",
 		Attempts: 2, Server: 0xc41f7a, ReceivedAt: taken, AnsweredAt: taken.Add(50 * time.Millisecond)}
 }
 
--- a/lab/model/caller.go
+++ b/lab/model/caller.go
@@ -94,7 +94,7 @@
 	if c == nil || c.id != id {
 		return
 	}
-	if f.Verdict == exchange.Established {
+	if f.Kind == exchange.Established {
 		c.establishedAt = m.now
 		return
 	}
--- a/lab/model/cold.go
+++ b/lab/model/cold.go
@@ -58,7 +58,7 @@
 	for tracker.sends[0].at <= m.now-m.fallWindow {
 		tracker.sends = tracker.sends[1:]
 	}
-	warmth := m.params.ColdFrom + (1-m.params.ColdFrom)*float64(age)/float64(m.coldSpan)
+	warmth := m.params.ColdFraction + (1-m.params.ColdFraction)*float64(age)/float64(m.coldSpan)
 	budget := m.fallMultiple * warmth * m.params.Capacity() * float64(m.fallWindow) / 1e9
 	informedCount := 0
 	for _, send := range tracker.sends {
--- a/lab/model/cold_test.go
+++ b/lab/model/cold_test.go
@@ -13,7 +13,7 @@
 // newColdServer makes a server that can take 10 calls a second when warm, two seconds after its start, and a controller
 // that knows of the start if informed.
 func newColdServer(informed bool) (*server, *controller) {
-	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFrom: 0.4}, fallMultiple: 2, fallWindow: 1e9, coldSpan: 10e9}
+	m := &model{clock: clock{now: start + 2e9}, params: processor.Params{SetUp: 100e6, ColdFraction: 0.4}, fallMultiple: 2, fallWindow: 1e9, coldSpan: 10e9}
 	c := &controller{model: m, offices: map[uint64]exchange.Office{}}
 	if informed {
 		c.offices[0] = exchange.Office{Entry: control.Entry{ReadyAt: start}}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -172,12 +172,12 @@
 	m := &model{clock: clock{now: start}, Scenario: sc, ledger: check.New(check.Rules{ReleaseWait: 300 * time.Millisecond, DrainGrace: time.Second}),
 		rng: randomStream(sc.Seed, streamCallers, 0), callers: map[string]*caller{}, logger: slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.Level(100)})),
 		params: processor.Params{SetUp: int64(setUpWork), Answer: int64(setUpWork * followShare / 2), Release: int64(setUpWork * followShare / 2), Reject: int64(setUpWork * 0.2), RefusalWait: refusalWait,
-			ColdFrom: 0.31, ColdSpan: 15e9, FallMultiple: 2, FallWindow: 1e9,
+			ColdFraction: 0.31, WarmUpTime: 15e9, CrashMultiple: 2, CrashWindow: 1e9,
 			QueueOrder: sc.QueueOrder, DropAnswers: sc.DropAnswers}}
 	m.utilization = utilization
-	m.fallMultiple, m.fallWindow, m.coldSpan = m.params.FallMultiple, m.params.FallWindow, m.params.ColdSpan
+	m.fallMultiple, m.fallWindow, m.coldSpan = m.params.CrashMultiple, m.params.CrashWindow, m.params.WarmUpTime
 	if sc.TrackColdStarts {
-		m.params.FallMultiple = math.MaxFloat64
+		m.params.CrashMultiple = math.MaxFloat64
 	}
 	m.drawTrafficShares()
 	m.unreachableUntil = make([]int64, sc.Servers)
--- a/lab/processor/processor.go
+++ b/lab/processor/processor.go
@@ -17,10 +17,10 @@
 	SetUp, Answer, Release int64   // work of each step of an established call
 	Reject                 int64   // work of refusing a set-up
 	RefusalWait            int64   // expected wait above which set-ups are refused
-	ColdFrom               float64 // share of the full capacity at the start
-	ColdSpan               int64   // time until it is warm; the capacity grows linearly in between
-	FallMultiple           float64 // a cold processor falls over above this multiple of its present capacity over FallWindow
-	FallWindow             int64
+	ColdFraction           float64 // share of the full capacity at the start
+	WarmUpTime             int64   // time until it is warm; the capacity grows linearly in between
+	CrashMultiple          float64 // a cold processor falls over above this multiple of its present capacity over FallWindow
+	CrashWindow            int64
 	QueueOrder             QueueOrder // the zero value is the order that the operators describe
 	DropAnswers            bool       // dropping a call removes its queued answer, not only its set-up
 }
@@ -101,10 +101,10 @@
 
 // warmth is the share of the full capacity at now.
 func (p *Processor) warmth(now int64) float64 {
-	if p.startedAt <= 0 || now >= p.startedAt+p.params.ColdSpan {
+	if p.startedAt <= 0 || now >= p.startedAt+p.params.WarmUpTime {
 		return 1
 	}
-	return p.params.ColdFrom + (1-p.params.ColdFrom)*float64(max(now-p.startedAt, 0))/float64(p.params.ColdSpan)
+	return p.params.ColdFraction + (1-p.params.ColdFraction)*float64(max(now-p.startedAt, 0))/float64(p.params.WarmUpTime)
 }
 
 // SetSlowdown makes the processor slower by a factor from now on; 1 is normal speed.
@@ -196,14 +196,14 @@
 // recordArrival counts a set-up, and has a cold processor fall over that gets too many.
 func (p *Processor) recordArrival(now int64) {
 	p.arrivals = append(p.arrivals, now)
-	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.FallWindow {
+	for len(p.arrivals) > 0 && p.arrivals[0] <= now-p.params.CrashWindow {
 		p.arrivals = p.arrivals[1:]
 	}
 	w := p.warmth(now)
 	if w >= 1 {
 		return
 	}
-	budget := p.params.FallMultiple * w * p.params.Capacity() * float64(p.params.FallWindow) / 1e9
+	budget := p.params.CrashMultiple * w * p.params.Capacity() * float64(p.params.CrashWindow) / 1e9
 	if float64(len(p.arrivals)) > budget+math.Sqrt(budget) { // allows for random variation
 		p.fellOver = true
 		p.current, p.setUps, p.otherWork = nil, nil, nil
@@ -310,6 +310,6 @@
 	setUpWork := work / (1 + followShare)
 	refusalWait := time.Duration(2100+rng.IntN(1500)) * time.Millisecond
 	return Params{SetUp: int64(setUpWork), Answer: int64(setUpWork * followShare / 2), Release: int64(setUpWork * followShare / 2),
-		Reject: int64(setUpWork * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFrom: 0.31, ColdSpan: int64(15 * time.Second),
-		FallMultiple: 2, FallWindow: int64(time.Second)}
+		Reject: int64(setUpWork * (0.1 + rng.Float64()*0.2)), RefusalWait: int64(refusalWait), ColdFraction: 0.31, WarmUpTime: int64(15 * time.Second),
+		CrashMultiple: 2, CrashWindow: int64(time.Second)}
 }
--- a/lab/processor/processor_test.go
+++ b/lab/processor/processor_test.go
@@ -9,8 +9,8 @@
 const ms = int64(1e6)
 
 func params() Params {
-	return Params{SetUp: 20 * ms, Answer: 5 * ms, Release: 5 * ms, Reject: 4 * ms, RefusalWait: 200 * ms, ColdFrom: 0.25, ColdSpan: 10_000 * ms,
-		FallMultiple: 2, FallWindow: 1000 * ms}
+	return Params{SetUp: 20 * ms, Answer: 5 * ms, Release: 5 * ms, Reject: 4 * ms, RefusalWait: 200 * ms, ColdFraction: 0.25, WarmUpTime: 10_000 * ms,
+		CrashMultiple: 2, CrashWindow: 1000 * ms}
 }
 
 // play offers set-ups at a rate and has each call answered and released. It gives the number of calls that were established
@@ -140,7 +140,7 @@
 // only.
 func TestQueueOrders(t *testing.T) {
 	for name, want := range map[string]int{"setups-first": 3, "in-turn": 2, "answers-first": 1} {
-		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFrom: 1, FallMultiple: 2, FallWindow: 1e9, QueueOrder: QueueOrders[name]}, 0)
+		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFraction: 1, CrashMultiple: 2, CrashWindow: 1e9, QueueOrder: QueueOrders[name]}, 0)
 		p.Offer(1, "a")
 		p.Offer(1, "b")
 		p.Add(1, Answer, "x")
@@ -160,7 +160,7 @@
 // Dropping a call removes its queued set-up, and its queued answer only with DropAnswers.
 func TestDropAnswers(t *testing.T) {
 	for _, drop := range []bool{false, true} {
-		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFrom: 1, FallMultiple: 2, FallWindow: 1e9, DropAnswers: drop}, 0)
+		p := New(Params{SetUp: 100, Answer: 100, RefusalWait: 1e9, ColdFraction: 1, CrashMultiple: 2, CrashWindow: 1e9, DropAnswers: drop}, 0)
 		p.Offer(1, "a")
 		p.Offer(1, "b")
 		p.Add(1, Answer, "x")
@@ -174,7 +174,7 @@
 
 // Set-ups that arrived while a processor was silent do not count against it once it is back cold.
 func TestArrivalsDuringSilenceDoNotCount(t *testing.T) {
-	p := New(Params{SetUp: 1e7, Answer: 1e6, Release: 1e6, RefusalWait: 1e10, ColdFrom: 0.3, ColdSpan: 15e9, FallMultiple: 2, FallWindow: 1e9}, 0)
+	p := New(Params{SetUp: 1e7, Answer: 1e6, Release: 1e6, RefusalWait: 1e10, ColdFraction: 0.3, WarmUpTime: 15e9, CrashMultiple: 2, CrashWindow: 1e9}, 0)
 	p.SetSilent(1e9, true)
 	for k := range 200 {
 		p.Offer(int64(1e9)+int64(k)*4e6, "x")
--- a/lab/scale/feed.go
+++ b/lab/scale/feed.go
@@ -102,7 +102,7 @@
 func (f *feed) call(now int64, m *Member, call, server uint64) {
 	id := "f" + strconv.FormatUint(call, 16)
 	m.shared.Admit(now, join.Call{ID: id, Tenant: tenants[call%uint64(len(tenants))]})
-	if ok, _ := m.shared.HasRoom(now, server); !ok {
+	if ok, _ := m.shared.HasCapacity(now, server); !ok {
 		m.shared.OnEvent(now, control.Event{Kind: control.Aborted, Call: id})
 		return
 	}
