--- a/internal/peers/seal.go
+++ b/internal/peers/seal.go
@@ -19,9 +19,9 @@
 	// streamMark is the first byte of this package's own streams. Streams of the membership library begin with another byte,
 	// because they have a label (clusterLabel).
 	streamMark = 'M'
-	// maxRecordSize bounds the plain text of one record.
+	// maxRecordSize bounds the plaintext of one record.
 	maxRecordSize = 16 << 10
-	// maxRecordOverhead bounds what encryption adds to it.
+	// maxRecordOverhead bounds what encryption adds to a record.
 	maxRecordOverhead = 64
 	// saltSize is the length of each side's salt.
 	saltSize = 16
@@ -29,18 +29,18 @@
 	handshakeTimeout = 2 * time.Second
 )
 
-var errUnauthenticated = errors.New("a record that no key opens")
+var errUnauthenticated = errors.New("record cannot be decrypted with any key")
 
 // sealedConn is a connection whose records are encrypted and authenticated with the fleet's keys: AES-GCM with random
 // nonces, as in the membership library's datagrams. Each record is bound to its connection, direction and position by
-// additional data (both sides' salts and the record's number), so none can be replayed. The ring's first key encrypts and
+// additional data (both sides' salts and the record's number), so none can be replayed. The keyring's first key encrypts and
 // all of them decrypt, so keys can change while a connection is open.
 type sealedConn struct {
 	net.Conn
-	ring *memberlist.Keyring
+	keyring *memberlist.Keyring
 
 	writeMu      sync.Mutex
-	sendBinding  []byte // the additional data, with room for the record's number
+	sendBinding  []byte // the additional data, which ends with the record's number
 	sentRecords  uint64
 	writeCiphers cipherCache
 
@@ -53,9 +53,10 @@
 // cipherCache keeps the ciphers of the keys in use, because making one costs more than encrypting a short record.
 type cipherCache map[string]cipher.AEAD
 
-// maxCiphers bounds a cipherCache, as keys change. A ring has eight keys at most.
+// maxCiphers bounds a cipherCache while keys change. A keyring has at most eight keys.
 const maxCiphers = 16
 
+// get returns the cipher of a key, and makes it if necessary.
 func (c *cipherCache) get(key []byte) (cipher.AEAD, error) {
 	if a := (*c)[string(key)]; a != nil {
 		return a, nil
@@ -71,17 +72,17 @@
 	return a, nil
 }
 
-// seal exchanges salts with the other side, and makes a sealed connection.
-func seal(c net.Conn, ring *memberlist.Keyring, dialled bool) (*sealedConn, error) {
+// seal exchanges salts with the other side and returns an encrypted connection.
+func seal(c net.Conn, keyring *memberlist.Keyring, dialled bool) (*sealedConn, error) {
 	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer c.SetDeadline(time.Time{})
 	mine, theirs := make([]byte, saltSize), make([]byte, saltSize)
 	rand.Read(mine)
-	hello := mine
+	greeting := mine
 	if dialled {
-		hello = append([]byte{streamMark}, mine...)
+		greeting = append([]byte{streamMark}, mine...)
 	}
-	if _, err := c.Write(hello); err != nil {
+	if _, err := c.Write(greeting); err != nil {
 		return nil, err
 	}
 	if _, err := io.ReadFull(c, theirs); err != nil {
@@ -90,12 +91,13 @@
 	number := make([]byte, 8)
 	return &sealedConn{
 		Conn:           c,
-		ring:           ring,
+		keyring:        keyring,
 		sendBinding:    slices.Concat(mine, theirs, number),
 		receiveBinding: slices.Concat(theirs, mine, number),
 	}, nil
 }
 
+// newGCM makes an AES-GCM cipher for a key.
 func newGCM(key []byte) (cipher.AEAD, error) {
 	b, err := aes.NewCipher(key)
 	if err != nil {
@@ -109,22 +111,22 @@
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
 	for len(b) > 0 {
-		part := b[:min(len(b), maxRecordSize)]
-		a, err := s.writeCiphers.get(s.ring.GetPrimaryKey())
+		chunk := b[:min(len(b), maxRecordSize)]
+		a, err := s.writeCiphers.get(s.keyring.GetPrimaryKey())
 		if err != nil {
 			return n, err
 		}
 		binary.BigEndian.PutUint64(s.sendBinding[2*saltSize:], s.sentRecords)
 		s.sentRecords++
-		record := make([]byte, 4+a.NonceSize(), 4+a.NonceSize()+len(part)+a.Overhead())
+		record := make([]byte, 4+a.NonceSize(), 4+a.NonceSize()+len(chunk)+a.Overhead())
 		rand.Read(record[4:])
-		record = a.Seal(record, record[4:], part, s.sendBinding)
+		record = a.Seal(record, record[4:], chunk, s.sendBinding)
 		binary.BigEndian.PutUint32(record, uint32(len(record)-4))
 		if _, err := s.Conn.Write(record); err != nil {
 			return n, err
 		}
-		n += len(part)
-		b = b[len(part):]
+		n += len(chunk)
+		b = b[len(chunk):]
 	}
 	return n, nil
 }
@@ -156,14 +158,14 @@
 		return err
 	}
 	binary.BigEndian.PutUint64(s.receiveBinding[2*saltSize:], s.receivedRecords)
-	for _, key := range s.ring.GetKeys() {
+	for _, key := range s.keyring.GetKeys() {
 		a, err := s.readCiphers.get(key)
 		if err != nil || len(record) < a.NonceSize()+a.Overhead() {
 			return errUnauthenticated
 		}
-		if text, err := a.Open(nil, record[:a.NonceSize()], record[a.NonceSize():], s.receiveBinding); err == nil {
+		if plaintext, err := a.Open(nil, record[:a.NonceSize()], record[a.NonceSize():], s.receiveBinding); err == nil {
 			s.receivedRecords++
-			s.unread = text
+			s.unread = plaintext
 			return nil
 		}
 	}
--- a/lab/rig/network.go
+++ b/lab/rig/network.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// driveInterval is how often the links are set by the faults of the moment.
-const driveInterval = 50 * time.Millisecond
+// linkUpdateInterval is how often the states of the links are updated from the present faults.
+const linkUpdateInterval = 50 * time.Millisecond
 
-// driveLinks sets the links until the run ends, and records how late the rig itself runs.
-func (w *run) driveLinks() {
+// updateLinks updates the states of the links until the run ends, and records how late the rig itself runs.
+func (w *run) updateLinks() {
 	for n := 1; ; n++ {
-		due := time.Duration(n) * driveInterval
+		due := time.Duration(n) * linkUpdateInterval
 		if !w.sleepUntil(due) {
 			return
 		}
@@ -25,26 +25,26 @@
 	}
 }
 
-// linkState adds up the faults of a link at a time.
+// linkState combines the faults of a link at a time.
 func (w *run) linkState(now time.Duration, from, to int) (state LinkState) {
 	for _, f := range w.faults {
 		if now < f.At || now >= f.At+f.Duration {
 			continue
 		}
-		fromHit, toHit := slices.Contains(f.Targets, from), slices.Contains(f.Targets, to)
+		fromAffected, toAffected := slices.Contains(f.Targets, from), slices.Contains(f.Targets, to)
 		switch f.Kind {
 		case "cut":
-			state.Cut = state.Cut || fromHit != toHit
+			state.Cut = state.Cut || fromAffected != toAffected
 		case "flap":
-			state.Cut = state.Cut || fromHit != toHit && now%time.Second < time.Second/2
+			state.Cut = state.Cut || fromAffected != toAffected && now%time.Second < time.Second/2
 		case "between":
-			state.Cut = state.Cut || fromHit && toHit
+			state.Cut = state.Cut || fromAffected && toAffected
 		case "oneway":
-			state.Cut = state.Cut || toHit && !fromHit
+			state.Cut = state.Cut || toAffected && !fromAffected
 		case "halfopen":
-			state.HalfOpen = state.HalfOpen || toHit
+			state.HalfOpen = state.HalfOpen || toAffected
 		case "noise":
-			if fromHit || toHit {
+			if fromAffected || toAffected {
 				state.addNoise(f)
 			}
 		}
@@ -52,7 +52,8 @@
 	return state
 }
 
-// addNoise adds a fault of kind noise: the worse of two values counts.
+// addNoise adds a fault of kind noise. Of several faults the worst values count, except for BytesPerSecond, where the last
+// fault counts.
 func (s *LinkState) addNoise(f Fault) {
 	s.Loss = max(s.Loss, f.Loss)
 	s.Duplicate = max(s.Duplicate, f.Duplicate)
