--- a/internal/peers/memberlist.go
+++ b/internal/peers/memberlist.go
@@ -14,13 +14,13 @@
 // clusterLabel marks all datagrams and streams of the membership library. It must not be empty: see streamMark.
 const clusterLabel = "masthill"
 
-// memberlistConfig is the configuration of the membership library.
+// memberlistConfig returns the configuration of the membership library.
 func (p *Peers) memberlistConfig() *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = p.options.Name
 	c.Label = clusterLabel
 	c.Transport = p.transport
-	c.Keyring = p.ring
+	c.Keyring = p.keyring
 	c.GossipVerifyIncoming = true
 	c.GossipVerifyOutgoing = true
 
@@ -47,11 +47,11 @@
 	c.Conflict = callbacks
 	c.Alive = callbacks
 	c.Logger = stdlog.New(logWriter{p.log}, "", 0)
-	return p.options.slow(c)
+	return p.options.stretchConfig(c)
 }
 
-// logWriter passes the library's log lines on: its errors at level info, as they are no faults of this program, and the
-// rest at level debug.
+// logWriter forwards the library's log lines: errors at level info, as they are not errors of this program, and the rest at
+// level debug.
 type logWriter struct{ log *slog.Logger }
 
 // Write implements io.Writer.
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -10,7 +10,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic is what a member has sent and received since its start: payload bytes, without the headers of UDP, TCP and IP.
+// Traffic counts what a member has sent and received since its start. Bytes are payload, without the headers of UDP, TCP
+// and IP.
 type Traffic struct {
 	SentDatagrams         int64 `json:"sent_datagrams"`
 	SentDatagramBytes     int64 `json:"sent_datagram_bytes"`
@@ -21,63 +22,65 @@
 	Streams               int64 `json:"streams"` // opened and accepted
 }
 
-// meter counts a transport's traffic, beside the sent datagrams that the transport itself counts.
+// meter counts a transport's traffic, except for the sent datagrams, which the transport itself counts.
 type meter struct {
-	gotDatagrams, gotDatagramBytes atomic.Int64
-	sentStream, gotStream, streams atomic.Int64
-	deaths                         atomic.Int64 // of others, as this member took it
+	receivedDatagrams, receivedDatagramBytes      atomic.Int64
+	sentStreamBytes, receivedStreamBytes, streams atomic.Int64
+	deaths                                        atomic.Int64 // of other members, as this one saw them
 }
 
-// datagram counts one that was received.
-func (m *meter) datagram(n int) {
-	m.gotDatagrams.Add(1)
-	m.gotDatagramBytes.Add(int64(n))
+// countDatagram counts a received datagram of n bytes.
+func (m *meter) countDatagram(n int) {
+	m.receivedDatagrams.Add(1)
+	m.receivedDatagramBytes.Add(int64(n))
 }
 
-// stream counts what goes over a connection from now on.
-func (m *meter) stream(c net.Conn) net.Conn {
+// countStream counts a stream, and returns its connection wrapped so that its bytes are counted too.
+func (m *meter) countStream(c net.Conn) net.Conn {
 	m.streams.Add(1)
-	return &metered{c, m}
+	return &meteredConn{c, m}
 }
 
-// metered is a connection whose bytes are counted.
-type metered struct {
+// meteredConn is a connection whose bytes are counted.
+type meteredConn struct {
 	net.Conn
-	m *meter
+	meter *meter
 }
 
-func (c *metered) Read(b []byte) (int, error) {
+func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.gotStream.Add(int64(n))
+	c.meter.receivedStreamBytes.Add(int64(n))
 	return n, err
 }
 
-func (c *metered) Write(b []byte) (int, error) {
+func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.sentStream.Add(int64(n))
+	c.meter.sentStreamBytes.Add(int64(n))
 	return n, err
 }
 
-// Traffic tells what this member has sent and received.
+// Traffic returns what this member has sent and received.
 func (p *Peers) Traffic() Traffic {
 	t := p.transport
 	return Traffic{SentDatagrams: t.sentPackets.Load(), SentDatagramBytes: t.sentBytes.Load(),
-		ReceivedDatagrams: t.meter.gotDatagrams.Load(), ReceivedDatagramBytes: t.meter.gotDatagramBytes.Load(),
-		SentStreamBytes: t.meter.sentStream.Load(), ReceivedStreamBytes: t.meter.gotStream.Load(), Streams: t.meter.streams.Load()}
+		ReceivedDatagrams: t.meter.receivedDatagrams.Load(), ReceivedDatagramBytes: t.meter.receivedDatagramBytes.Load(),
+		SentStreamBytes: t.meter.sentStreamBytes.Load(), ReceivedStreamBytes: t.meter.receivedStreamBytes.Load(), Streams: t.meter.streams.Load()}
 }
 
-// Reach tells whether an address can be reached now, and be heard from. A lab cuts networks by it; nil reaches all.
+// Reachable tells whether datagrams and connections can pass between this member and an address now. Tests use it to
+// simulate partitions. With nil all addresses are reachable.
 type Reachable func(addr netip.AddrPort) bool
 
-// cut tells whether an address is out of reach.
-func (r Reachable) cut(addr netip.AddrPort) bool {
+// blocks tells whether an address cannot be reached.
+func (r Reachable) blocks(addr netip.AddrPort) bool {
 	return r != nil && !r(netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port()))
 }
 
-// dial connects to a member. An address out of reach takes as long as a network that answers nothing.
+// dial connects to a member. With an unreachable address it fails after the whole timeout, as on a network that drops
+// everything.
 func (t *transport) dial(ctx context.Context, a memberlist.Address, wait time.Duration) (net.Conn, error) {
 	addr := t.addressOf(a)
-	if to, err := netip.ParseAddrPort(addr); err == nil && t.reach.cut(to) {
+	if to, err := netip.ParseAddrPort(addr); err == nil && t.reachable.blocks(to) {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -91,5 +94,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.meter.stream(c), nil
+	return t.meter.countStream(c), nil
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -14,39 +14,38 @@
 )
 
 const (
-	// maxPacketSize is the longest datagram that is read.
+	// maxPacketSize is the size of the longest datagram that is read.
 	maxPacketSize = 64 << 10
-	// packetQueueSize bounds the datagrams that wait for the membership library. Further ones are dropped, as a network drops
-	// them.
+	// packetQueueSize bounds the datagrams that wait for the membership library. Further ones are dropped.
 	packetQueueSize = 256
 	// maxPendingStreams bounds the incoming connections whose peer has not yet shown that it knows a key.
 	maxPendingStreams = 64
 	// acceptPause is how long after a failed accept the next one is tried.
 	acceptPause = 50 * time.Millisecond
-	// listenAttempts is how often a port is drawn that must be free for both TCP and UDP.
+	// listenAttempts is how many ports are tried until one is free for both TCP and UDP.
 	listenAttempts = 8
 )
 
 // transport carries the membership library's datagrams and streams, and this package's own streams, over one address.
 type transport struct {
-	udp              *net.UDPConn
-	tcp              *net.TCPListener
-	addressOverrides map[string]string // of members, by name; they replace the advertised ones
-	packets          chan *memberlist.Packet
-	streams          chan net.Conn
-	handleStream     func(net.Conn) // takes this package's own streams, after streamMark
-	log              *slog.Logger
-	pending          atomic.Int32
-	dropped          atomic.Int64 // datagrams
-	sentPackets      atomic.Int64
-	sentBytes        atomic.Int64
-	meter            meter
-	reach            Reachable
+	udp           *net.UDPConn
+	tcp           *net.TCPListener
+	addrOverrides map[string]string // of members, by name; they replace the advertised ones
+	packets       chan *memberlist.Packet
+	streams       chan net.Conn
+	handleStream  func(net.Conn) // takes this package's own streams, after streamMark
+	log           *slog.Logger
+	pending       atomic.Int32
+	dropped       atomic.Int64 // datagrams
+	sentPackets   atomic.Int64
+	sentBytes     atomic.Int64
+	meter         meter
+	reachable     Reachable
 }
 
 // listen opens a transport. Port 0 stands for any port that is free for both TCP and UDP.
-func listen(addr string, via map[string]string, log *slog.Logger) (*transport, error) {
-	var last error
+func listen(addr string, addrOverrides map[string]string, log *slog.Logger) (*transport, error) {
+	var lastErr error
 	for range listenAttempts {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -55,20 +54,21 @@
 		u, err := net.ListenPacket("udp", l.Addr().String())
 		if err == nil {
 			return &transport{
-				udp:              u.(*net.UDPConn),
-				tcp:              l.(*net.TCPListener),
-				addressOverrides: via,
-				packets:          make(chan *memberlist.Packet, packetQueueSize),
-				streams:          make(chan net.Conn),
-				log:              log,
+				udp:           u.(*net.UDPConn),
+				tcp:           l.(*net.TCPListener),
+				addrOverrides: addrOverrides,
+				packets:       make(chan *memberlist.Packet, packetQueueSize),
+				streams:       make(chan net.Conn),
+				log:           log,
 			}, nil
 		}
 		l.Close()
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
+// addr is the address of both listeners.
 func (t *transport) addr() *net.TCPAddr { return t.tcp.Addr().(*net.TCPAddr) }
 
 // run receives datagrams and accepts streams until ctx ends.
@@ -85,7 +85,7 @@
 		t.acceptStreams(func(c net.Conn) {
 			g.Go(func() error {
 				defer t.pending.Add(-1)
-				t.dispatch(ctx, t.meter.stream(c))
+				t.dispatch(ctx, t.meter.countStream(c))
 				return nil
 			})
 		})
@@ -105,8 +105,8 @@
 		if err != nil || n < 1 {
 			continue
 		}
-		t.meter.datagram(n)
-		if t.reach.cut(from.AddrPort()) {
+		t.meter.countDatagram(n)
+		if t.reachable.blocks(from.AddrPort()) {
 			continue
 		}
 		select {
@@ -117,8 +117,8 @@
 	}
 }
 
-// acceptStreams hands incoming connections to serve until the listener is closed. Each counts as pending, and serve must
-// take it off again. Connections beyond maxPendingStreams are closed.
+// acceptStreams hands incoming connections to serve until the listener is closed. Each counts as pending until serve
+// subtracts it from pending. Connections beyond maxPendingStreams are closed.
 func (t *transport) acceptStreams(serve func(net.Conn)) {
 	for {
 		c, err := t.tcp.Accept()
@@ -144,7 +144,7 @@
 	c.Close()
 }
 
-// dispatch hands a stream to this package or to the membership library, by its first byte.
+// dispatch hands a stream to this package or to the membership library, depending on its first byte.
 func (t *transport) dispatch(ctx context.Context, c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	var first [1]byte
@@ -184,8 +184,8 @@
 
 // addressOf is the address at which a member is reached.
 func (t *transport) addressOf(a memberlist.Address) string {
-	if via := t.addressOverrides[a.Name]; via != "" {
-		return via
+	if override := t.addrOverrides[a.Name]; override != "" {
+		return override
 	}
 	return a.Addr
 }
@@ -198,7 +198,7 @@
 	}
 	parsed := net.ParseIP(ip)
 	if parsed == nil {
-		return nil, 0, fmt.Errorf("%q is no IP address", ip)
+		return nil, 0, fmt.Errorf("%q is not an IP address", ip)
 	}
 	if port == 0 {
 		port = own.Port
@@ -219,7 +219,7 @@
 	}
 	t.sentBytes.Add(int64(len(b)))
 	t.sentPackets.Add(1)
-	if t.reach.cut(to.AddrPort()) {
+	if t.reachable.blocks(to.AddrPort()) {
 		return time.Now(), nil
 	}
 	_, err = t.udp.WriteToUDP(b, to)
