--- a/cmd/masthill/descriptors_test.go
+++ b/cmd/masthill/descriptors_test.go
@@ -356,7 +356,7 @@
 	return sip.Closed, nil
 }
 
-// With more servers than descriptors, connections beyond the servers' share fail at once with ErrShareTaken and the
+// With more servers than descriptors, connections beyond the servers' share fail at once with ErrShareExhausted and the
 // clients keep a third. When a connection ends, another one can be made.
 func TestMoreServersThanDescriptors(t *testing.T) {
 	a := newAllocation(descriptors.Demand{Limit: fewDescriptors}, 1000, netcase.DiscardLogger())
--- a/cmd/masthill/peers.go
+++ b/cmd/masthill/peers.go
@@ -141,8 +141,7 @@
 	At    int64  `json:"at"`
 	Kind  string `json:"kind"` // start, claim, reign (leadership), verdict (outlier decision) or look (snapshot)
 	Claim any    `json:"claim"`
-	// Only for the kind "look": how many members are considered alive, and the bytes and datagrams sent so
-	// far.
+	// Only for the kind "look": how many members are considered alive, and the bytes and datagrams sent so far.
 	Alive     int   `json:"alive,omitempty"`
 	Bytes     int64 `json:"bytes,omitempty"`
 	Datagrams int64 `json:"datagrams,omitempty"`
--- a/control/join/join.go
+++ b/control/join/join.go
@@ -24,8 +24,7 @@
 // String returns the name of the kind.
 func (v DecisionKind) String() string { return [...]string{"admit", "hold", "refuse"}[v] }
 
-// Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer has no
-// Retry-After.
+// Decision is a module's decision on one call. Wait is in nanoseconds; 0 in a refusal: the answer has no Retry-After.
 type Decision struct {
 	Kind   DecisionKind
 	Wait   int64
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -194,14 +194,14 @@
 	}
 }
 
-// streamHandler answers a request with a stream, whose content say writes.
-func streamHandler(say func(w io.Writer)) func(*testing.T, net.Conn) {
+// streamHandler answers a request with a stream, whose content writeEvents writes.
+func streamHandler(writeEvents func(w io.Writer)) func(*testing.T, net.Conn) {
 	return func(t *testing.T, peer net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(peer)); err != nil {
 			return
 		}
 		io.WriteString(peer, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-		say(peer)
+		writeEvents(peer)
 		io.Copy(io.Discard, peer)
 	}
 }
@@ -233,7 +233,7 @@
 	})
 }
 
-// A silent stream and two hanging connects in a row are given up in time: changes are taken as known after 7 s.
+// A silent stream and two hanging connects in a row are given up in time: changes have to be known after 7 s.
 func TestSilenceAndHangingConnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got := make(chan update, 1)
