--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -44,10 +44,10 @@
 	ErrNoSnapshot    = errors.New("none")
 	ErrDamaged       = errors.New("damaged")
 	ErrNewerVersion  = errors.New("of a newer version")
-	ErrOtherInstance = errors.New("of another instance")
+	ErrOtherInstance = errors.New("another instance's")
 	ErrTooOld        = errors.New("too old")
 	ErrFutureTime    = errors.New("from the future: the clock went back")
-	ErrInvalid       = errors.New("invalid content")
+	ErrInvalid       = errors.New("makes no sense")
 )
 
 // Snapshot is the content of the file.
