--- a/control/control.go
+++ b/control/control.go
@@ -1,7 +1,7 @@
 // Package control decides for one instance which signalling server sets up a call, when a call is held for a later
-// attempt and when it is refused, by deferral with deterministic spacing (DSRT), see docs/design.md. It is pure:
-// callers pass in events with their time and carry out the actions it returns. Constants and state are in control.go,
-// the interface in types.go, and each other file has one concern.
+// attempt and when it is refused. Held attempts follow each other at the recent mean set-up delay: deferral with
+// deterministic spacing (DSRT), see docs/design.md. It is pure: it takes events with their time and returns actions.
+// Constants and state are in control.go, the interface in types.go, and each other file has one concern.
 package control
 
 import (
@@ -38,22 +38,22 @@
 	excessGain, excessFrom, maxExcess        = 0.5, 0.4, 2.5
 	maxExcessGap, excessDecay, minDelayDecay = 3 * float64(second), 15 * float64(second), 20 * float64(second)
 	// minValueScale and maxValueScale bound how far a call's value scales the ramp: the least call still gets an idle
-	// server, the most valuable one must be established in time. A delay beyond targetFraction of the target is no use.
+	// server, the most valuable one must be in time. A delay beyond targetFraction of the target is too late.
 	minValueScale, maxValueScale, targetFraction = 0.3, 2.0, 0.65
-	// A server without a free line is avoided for minBackoff over the square of the call's value, between these bounds:
+	// A server without a free line is avoided for minBackoff times 1/(square of the call's value), within these bounds:
 	// calls of little value wait until lines have been free for long, valuable ones take the next.
 	minLineFactor, maxLineFactor = 0.1, 16
-	// minRetryTime is the time that must be left of a call's target to ask its caller back after shortRetryAfter.
+	// With minRetryTime left of a call's target, its caller is asked to call again after shortRetryAfter.
 	minRetryTime, shortRetryAfter = 2 * second / 5, second / 5
 	// refusalMemory is how long a refused number is remembered, to recognize its caller's redial.
 	refusalMemory, maxNumbers = 8 * second, 4096
 	// The delay estimated from unanswered set-ups needs a known load, from minEstablished established calls on, and
 	// assumes a rate of minFairRate a second at least.
 	minEstablished, minFairRate = 10, 0.1
-	// saturatedDelay is the delay, in references, that "full" stands for: it is answered only far beyond any target.
+	// saturatedDelay is the delay, in references, that "full" counts as: servers answer it only far beyond any target.
 	saturatedDelay = 2.5
 	// A call cut within earlyCutAge of its start is an early cut. If more than maxBadShare of the last few
-	// (badShareSmoothing) are, the server gets trials only, until badShareDecay has passed.
+	// (badShareSmoothing) are, the server gets trials only. The share decays over badShareDecay. Faults count alike.
 	earlyCutAge, maxBadShare, badShareSmoothing, badShareDecay = 2 * second, 0.5, 0.2, 8 * float64(second)
 	// A server regains weightRecovery of its lost weight in a second; a fault leaves faultWeightFactor of the weight.
 	weightRecovery, faultWeightFactor = 0.3, 0.7
@@ -62,19 +62,19 @@
 	minTrialInterval, maxTrialInterval, callsPerTrial = second, 2 * second, 4.0
 	// An unanswered set-up counts as lost when one sent reorderMargin later is answered; it is longer than path jitter.
 	reorderMargin = second / 10
-	// A server's share of lost answers is combined with that of all servers, which weighs as lossPrior set-ups, and is
-	// forgotten over lossDecay. A share of minLoss is chance; a server is down when so many misses in a row are less
-	// likely by chance than downThreshold. silentPrior is the prior probability that a silent server is down.
+	// A server's share of lost answers is combined with that of all servers, which weighs as much as lossPrior set-ups,
+	// and is forgotten over lossDecay. A server is down when, by its share (at least minLoss, as by chance), so many
+	// misses in a row are less likely than downThreshold. silentPrior is the prior chance that a silent one is down.
 	lossPrior, lossDecay                = 2.0, 8 * float64(second)
 	minLoss, downThreshold, silentPrior = 0.1, 0.02, 0.03
 	// checkInterval is the time between checks of unanswered set-ups; one older than maxUnansweredAge tells nothing. A
 	// check that is late by more than minStall shows that this instance itself was stalled.
 	checkInterval, maxUnansweredAge, minStall = second / 10, 8 * second, second / 20
 	// coldPace limits sends to a cold server, as a multiple of its present fair share; coldBudgetPart is the part of
-	// the crash budget used at most, as repeats and rejected work count there too. coldOfferedPart is the part of the
-	// offered calls that an instance goes by before it has carried any. Unused credit is capped at a window's sends
-	// over coldBurst. Where over coldSparse sends are due in a window, whole credits lapse beyond 1 plus a margin
-	// instead, if that is below 1: coldCreditMargin times those sends and the capacity fraction.
+	// the crash budget used at most, as repeats and rejected work count there too. coldOfferedPart is the part of its
+	// share of the offered calls that an instance may send at least. Unused credit is capped at 1, or at the sends due
+	// in a crash window over coldBurst if more. But if these are over coldSparse, and coldCreditMargin times the sum of
+	// them and the capacity fraction is below 1, whole credits lapse instead beyond 1 plus that product.
 	coldPace, coldBudgetPart, coldOfferedPart, coldBurst, coldCreditMargin, coldSparse = 1.4, 0.6, 0.8, 4, 0.3, 0.1
 	// loadAveraging is the averaging time of the load carried by warm servers, from which capacity is estimated.
 	// peakDecay is how slowly its peak is forgotten: longer than a server is slow, drains or warms up.
@@ -88,16 +88,16 @@
 // server is what this instance knows of one signalling server.
 type server struct {
 	id                     uint64
-	cell                   int
-	share                  float64
-	removed                bool      // from the list, for good
-	available              bool      // listed and not draining
-	readyAt, downAt        int64     // its processor's last start (0: long ago), and when it was last found down
-	down                   bool      // found down since the last established call: gets one trial at a time
-	backoffUntil           int64     // it gets no calls before
-	noLineAt               int64     // when it last had no free line, or less than one by its report
-	unanswered             []attempt // set-ups without an answer, by the time they were sent
-	sentAt                 int64
+	cell                   int           // pool or exchange that it belongs to
+	share                  float64       // of the capacity, by the list
+	removed                bool          // from the list, for good
+	available              bool          // listed and not draining
+	readyAt, downAt        int64         // its processor's last start (0: long ago), and when it was last found down
+	down                   bool          // found down since the last established call: gets one trial at a time
+	backoffUntil           int64         // it gets no calls before
+	noLineAt               int64         // when it last had no free line, by an answer or a report
+	unanswered             []attempt     // set-ups without an answer, by the time they were sent
+	sentAt                 int64         // when the latest set-up was sent
 	establishedSentAt      int64         // when the latest set-up that was established had been sent
 	calls                  int           // established calls of this instance
 	delay, excessDelay     float64       // set-up delay, and the integral of delays beyond the threshold
@@ -106,18 +106,18 @@
 	lost, answered         decayingCount // set-ups whose answer was lost, and those answered
 	earlyCuts              decayingCount // share of ended calls that were cut right after they were established
 	faults                 decayingCount // share of faults among set-ups that faulted or were established
-	weight                 float64
+	weight                 float64       // up to 1: scales its chance to be picked; falls with delays and faults
 	weightAt               int64
 	credit                 float64 // sends left to this instance of its cold budget; grows with time
 	creditAt, rateAt       int64
-	rate, peakRate         float64 // reported set-ups a second that it can take from all, and its peak
+	rate, peakRate         float64 // reported set-ups a second that it can take from all instances, and its peak
 }
 
 // Controller is the state machine of one instance.
 type Controller struct {
 	cfg                   Settings
 	rng                   *rand.Rand
-	now, startedAt        int64     // startedAt: the first event
+	now, startedAt        int64     // startedAt: time of the first event
 	servers               []*server // by id
 	calls                 map[string]*call
 	timers                map[uint64]string
@@ -125,8 +125,8 @@
 	actions               []Action
 	spacing               float64 // of held calls: the recent mean delay of established set-ups
 	held                  int
-	lastTryAt             int64
-	minValue              float64
+	lastTryAt             int64                 // when the last scheduled held attempt is due
+	minValue              float64               // the least positive value of a class
 	timeScale, refDelay   float64               // see scaled; the unit of delays, half the shortest target or t1
 	established           int                   // calls so far
 	carried, offered      decayingCount         // calls established on all servers, and new calls offered
@@ -244,7 +244,7 @@
 		s.cell, s.available, s.removed, s.readyAt, s.share = e.Cell, e.State == Serving, e.State == Removed,
 			e.ReadyAt, max(e.Share, 1e-6)
 	}
-	// Replacements have new ids, so that removed servers would accumulate if kept.
+	// Replacements have new ids, so removed servers would accumulate if kept.
 	c.servers = slices.DeleteFunc(c.servers, func(s *server) bool { return s.removed })
 }
 
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -10,8 +10,8 @@
 // busyNumber is a dialled number whose lines were all busy: how long it gets no calls, and until when.
 type busyNumber struct{ wait, until int64 }
 
-// capacity is a server's capacity, at present or at its best: its reported rate while that is valid; else its peak
-// rate, or for want of one its listed share, scaled to those that report, and as far as it has warmed up.
+// capacity is a server's capacity when warm: its peak rate, or without one its listed share, scaled by the servers that
+// report rates. The present capacity is the reported rate while that is valid, else the warmed-up part of the former.
 func (c *Controller) capacity(s *server, present bool) float64 {
 	if present && s.rate > 0 && c.now-s.rateAt < rateMaxAge {
 		return s.rate
@@ -52,9 +52,9 @@
 	return d.decayed(c.now, loadAveraging) * float64(second) / observed
 }
 
-// refreshTotals updates, once an event, what concerns all servers: the share of lost answers, and the recent peaks of
-// this instance's carried load, in total and for a unit of capacity. The present load would not do: it is small while
-// servers are away, and a new processor held to its part of that would stay idle when it is needed most.
+// refreshTotals updates, once per event, what concerns all servers: the share of lost answers, and the recent peaks of
+// this instance's carried load, in total and for a unit of capacity. The present load is not used: it is small while
+// servers are away, and a new processor limited to its part of it would stay idle when it is needed most.
 func (c *Controller) refreshTotals() {
 	if c.refreshedAt == c.now {
 		return
@@ -87,7 +87,7 @@
 // expectedDelay is the set-up delay to expect at a server, the greatest of three: the delay of the last answers,
 // decaying without new ones, plus the integral of excess delay; the age of the oldest unanswered set-up, which shows a
 // hang or an overload before any answer; and the time that the unanswered ones take at this instance's fair share
-// (Little's law, if others do alike), which keeps a burst off a small or long unused server. The last can limit a
+// (Little's law, if others do so too), which keeps a burst off a small or long unused server. The last can limit a
 // server much larger than its listed share to one set-up at a time.
 func (c *Controller) expectedDelay(s *server) float64 {
 	age := float64(c.now - s.delayAt)
@@ -119,8 +119,8 @@
 	return value
 }
 
-// blocked tells whether a server is closed to this call: it answered this call with a fault, is in backoff, under
-// trial, out of lines, out of its cold budget, or overloaded beyond what the call's value and threshold allow.
+// blocked tells whether a server is closed to this call: it answered this call with a fault, is in backoff, has its
+// one trial pending, is out of lines or cold budget, or is overloaded beyond what the call's value and threshold allow.
 func (c *Controller) blocked(s *server, cl *call) bool {
 	if slices.Contains(cl.faultyServers, s) || c.now < s.backoffUntil || s.down && s.pending() > 0 ||
 		!c.hasColdCredit(s) {
@@ -211,7 +211,7 @@
 		return
 	}
 	gap := float64(c.now - s.excessDelayAt)
-	threshold := min(max(excessFrom*c.refDelay, 2*s.minDelay), rampEnd*c.refDelay) // a small server is always slow
+	threshold := min(max(excessFrom*c.refDelay, 2*s.minDelay), rampEnd*c.refDelay) // small ones are slow even when idle
 	noAnswer := math.Exp(-c.fairRate(s) * c.scaled(delayDecay) / float64(second))
 	more := excessGain * (delay - threshold) * min(gap, c.scaled(maxExcessGap)) / c.scaled(float64(second)) * noAnswer
 	s.excessDelay = min(max(s.excessDelay*math.Exp(-gap/c.scaled(excessDecay))+more, 0), maxExcess*c.refDelay)
@@ -242,7 +242,7 @@
 
 // recordCallEnd counts how established calls end. A server that establishes calls and cuts them at once looks fast and
 // healthy otherwise; while most are cut early it gets one trial at a time. A crash, a drain or lost lines cut calls of
-// any age once and hardly count, but one may close a server with few calls.
+// any age once and hardly count, but one such event may close a server with few calls.
 func (c *Controller) recordCallEnd(s *server, early bool) {
 	s.earlyCuts.n = s.earlyCuts.decayed(c.now, badShareDecay) * (1 - badShareSmoothing)
 	if early {
@@ -308,7 +308,7 @@
 	})
 }
 
-// recordBusyNumber keeps calls from a number whose lines are all busy. It covers any flood to one number; a line that
+// recordBusyNumber keeps calls from a number whose lines are all busy. It limits any flood to one number; a line that
 // is freed meanwhile stays unused for up to maxBusyWait.
 func (c *Controller) recordBusyNumber(key string) {
 	if len(c.busyNumbers) >= maxNumbers {
--- a/control/shared/outlier/decision.go
+++ b/control/shared/outlier/decision.go
@@ -36,7 +36,7 @@
 	return false, ""
 }
 
-// Decisions lists the servers that have bad reports, for operators.
+// Decisions lists the decisions on servers that are avoided or have bad reports, for operators.
 func (d *Detector) Decisions(now int64) (all []Decision) {
 	d.refresh(now)
 	for _, id := range slices.Sorted(maps.Keys(d.servers)) {
@@ -47,8 +47,9 @@
 	return all
 }
 
-// refresh evaluates the suspects if there is something new about them or the last evaluation is too old. As it may run
-// before each call, its cost depends on the number of suspects and not on that of all servers.
+// refresh evaluates the suspects, which are the servers with bad evidence, if there is something new about them or the
+// last evaluation is too old. As it may run before each call, its cost depends on the number of suspects and not on
+// that of all servers.
 func (d *Detector) refresh(now int64) {
 	if !d.dirty && now-d.evaluatedAt < refreshInterval {
 		return
@@ -73,20 +74,20 @@
 	return s.decision.Avoided || len(s.decision.Observers) > 0 || s.hasOwn && bad(s.own) || slices.ContainsFunc(s.secondHand, bad)
 }
 
-// limitAvoided bounds the number of avoided servers. The servers with the most bad reports come first.
+// limitAvoided bounds the number of avoided servers. Those with the most bad reports take precedence.
 func (d *Detector) limitAvoided(decisions []Decision) {
 	slices.SortStableFunc(decisions, func(x, y Decision) int { return cmp.Compare(len(y.Observers), len(x.Observers)) })
-	room := max(int(d.cfg.MaxAvoidedShare*float64(d.listed)), 1)
+	remaining := max(int(d.cfg.MaxAvoidedShare*float64(d.listed)), 1)
 	for k := range decisions {
 		decision := &decisions[k]
 		if !decision.Avoided {
 			continue
 		}
-		if room == 0 {
+		if remaining == 0 {
 			decision.Avoided, decision.Reason = false, TooManyAvoided
 			continue
 		}
-		room--
+		remaining--
 	}
 }
 
@@ -110,7 +111,8 @@
 	}
 }
 
-// sample returns the youngest observations of a server, one for each machine. This instance's own one is among them.
+// sample returns the youngest observations of a server, one for each machine. This instance's own one stands for its
+// machine, unless another instance there has a younger one.
 func (d *Detector) sample(now int64, s *serverState) []observation {
 	all := slices.Clone(s.secondHand)
 	if s.hasOwn && now-s.own.seenAt < d.cfg.Retention {
@@ -156,7 +158,7 @@
 			decision.Reason = Dead.String()
 		}
 		d.extendAvoidance(now, s, sample[0].seenAt)
-	case s.decision.Avoided && decision.GoodReports == 0 && now < s.avoidedUntil: // the evidence has expired, and there is no good report
+	case s.decision.Avoided && decision.GoodReports == 0 && now < s.avoidedUntil: // too little evidence is left, but no good report
 		decision = s.decision
 		decision.GoodReports = 0
 	case bad == 0 && decision.GoodReports == 0:
--- a/control/trials.go
+++ b/control/trials.go
@@ -13,7 +13,7 @@
 	call      string
 	sentAt    int64
 	abandoned bool  // canceled, timed out, or its connection was lost
-	cutAt     int64 // when its connection was lost, which is not silence; 0: not
+	cutAt     int64 // when its connection was lost, which is not silence; 0: it was not
 }
 
 // silentSetUps counts the set-ups on which a server is silent, and tells when the first and the last were sent. One
@@ -59,7 +59,7 @@
 	}
 }
 
-// lossShare is the share of a server's set-ups whose answer is lost, combined by their number with that of all servers.
+// lossShare is the share of lost answers to a server's set-ups. The fewer set-ups, the more that of all servers counts.
 func (c *Controller) lossShare(s *server) float64 {
 	c.refreshTotals()
 	lost := s.lost.decayed(c.now, lossDecay)
@@ -76,7 +76,7 @@
 	return n
 }
 
-// cancel cancels an attempt, which stays among the unanswered ones.
+// cancel cancels an attempt, if that is allowed and its call has attempts left. It stays among the unanswered ones.
 func (c *Controller) cancel(s *server, a *attempt) {
 	cl := c.calls[a.call]
 	if !a.abandoned && cl != nil && cl.server == s && c.cfg.MayCancel && cl.attempts < c.cfg.MaxAttempts {
@@ -86,8 +86,8 @@
 }
 
 // checkUnanswered cancels a set-up as soon as its answer is more likely lost than late, by the share of losses and the
-// usual delay, while the held attempt can still be in time. It covers lost set-ups and answers of any cause and does
-// nothing without losses; when delays grow right after losses it may cancel set-ups that would have succeeded.
+// usual delay, while the held attempt can still be in time. It covers losses of any cause. Without any, only set-ups
+// sent before an established one are canceled; when delays grow right after losses, some that would have succeeded.
 func (c *Controller) checkUnanswered() {
 	c.checkDue = 0
 	for _, s := range c.servers {
@@ -116,7 +116,7 @@
 
 // compensateStall is called when a check comes late because this instance itself was stalled. The servers are not to
 // blame for the silence, and answers that waited here tell nothing about a queue: the times of delays and unanswered
-// set-ups are moved on. This covers stalls of any cause; a real overload that began meanwhile is noticed that much
+// set-ups are moved forward. This covers stalls of any cause; a real overload that began meanwhile is noticed that much
 // later.
 func (c *Controller) compensateStall(late int64) {
 	c.checkDue = c.now + checkInterval
@@ -148,8 +148,8 @@
 }
 
 // recordMiss takes the end of an attempt without an answer, which stays among the unanswered ones. One may be the
-// network's fault, and the server gets a short backoff. Chance explains a few in a row, by the share of losses at all
-// servers; a server with more is down.
+// network's fault, and the server gets a short backoff. A few in a row may be chance, by the share of lost answers; a
+// server with more is down.
 func (c *Controller) recordMiss(s *server, id string, connectionLost bool) {
 	for k := range s.unanswered {
 		if a := &s.unanswered[k]; a.call == id {
--- a/internal/caller/conn.go
+++ b/internal/caller/conn.go
@@ -14,7 +14,7 @@
 	rejected         int       // rejected requests; used by the reader only
 	host             string    // of the peer
 	openCalls        int       // unanswered set-ups
-	establishedCalls int       // established calls of its set-ups
+	establishedCalls int       // established calls that were set up over it
 	hasRequested     bool      // a valid request was received
 	lastUsed         time.Time // when the last valid request or answer was; initially when it was accepted
 	ending           bool      // new set-ups are refused
@@ -111,8 +111,8 @@
 	return 4
 }
 
-// exceedsDrain tells whether the connection has had an unanswered set-up ever since the drain began, for longer than
-// drainTimeout. New set-ups on it are refused, or it would never end.
+// exceedsDrain tells whether an unanswered set-up has kept the connection open for more than drainTimeout after a drain
+// was due to close it. New set-ups on it are refused, or it would never end.
 func (c *conn) exceedsDrain() bool {
 	remaining, drains := c.drainTimeLeft()
 	return drains && c.openCalls > 0 && remaining < -drainTimeout
@@ -132,8 +132,8 @@
 	return c.lastUsed
 }
 
-// drainTimeLeft returns how long the connection is kept open in a drain without an unanswered set-up, and whether the
-// drain applies to it.
+// drainTimeLeft returns how long it takes until a drain closes the connection if it has no unanswered set-up, and
+// whether a drain applies to it. The time is negative once that moment has passed.
 func (c *conn) drainTimeLeft() (remaining time.Duration, drains bool) {
 	if c.server.drainAt.IsZero() || !c.hasRequested || c.establishedCalls > 0 {
 		return 0, false
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -10,11 +10,11 @@
 
 const (
 	// answerRetention is how long final answers are kept for callers that repeat a set-up: longer than any class's
-	// deadline. At the busiest rates of one instance they are a few thousand. answerMemoryDivisor bounds their
-	// descriptions as a fraction of the instance's memory, 1/24, and with bytesPerAnswer their number.
+	// deadline. At the highest call rates of one instance that is a few thousand answers. answerMemoryDivisor bounds
+	// their descriptions as a fraction of the instance's memory, 1/24, and with bytesPerAnswer their number.
 	answerRetention, answerMemoryDivisor, bytesPerAnswer = 30 * time.Second, 24, 1 << 10
-	// releaseWaitMargin is added to the release wait that the controller is configured with: the controller counts from
-	// its event, while the rule counts from when the CANCEL has been written.
+	// releaseWaitMargin is added to the release wait that the controller is configured with: the controller counts
+	// from its event, while the required wait counts from when the CANCEL has been written.
 	releaseWaitMargin = 15 * int64(time.Millisecond)
 	// silenceLimit is the silence of an office after which its connection is checked if calls are established there: it
 	// sends a report about once a second while anything changes. Silent offices are looked for every
@@ -25,8 +25,8 @@
 	callMemoryDivisor, bytesPerCall = 4, 1 << 10
 	// maxDepartedServers bounds how many known servers there may be before those removed from the list are forgotten.
 	maxDepartedServers = 1024
-	// maxHold is how long joined modules may hold a call in all before package control gets it. minHoldInterval is the
-	// least wait until they are asked again. heldMemoryDivisor bounds the memory of held calls as a fraction of the
+	// maxHold is how long joined modules may hold a call in total before package control gets it. minHoldInterval is
+	// the least wait until they are asked again. heldMemoryDivisor bounds the memory of held calls as a fraction of the
 	// instance's, 1/16, counting bytesPerCall for each. Beyond any of these bounds control decides at once, so no
 	// module can withhold a call from it.
 	maxHold, minHoldInterval, heldMemoryDivisor = time.Second, 5 * time.Millisecond, 16
@@ -37,7 +37,7 @@
 	Setup
 	serial            uint64 // unique to this call, also among calls with the same id
 	caller            Caller
-	attempts          int  // number sent so far
+	attempts          int  // number of attempts sent so far
 	inFlight          bool // the last attempt has not ended
 	server            uint64
 	sentAt            int64
@@ -59,7 +59,7 @@
 	controller       *control.Controller
 	modules          join.Chain
 	heldByModules    int       // calls that joined modules hold
-	answersGiven     [3]uint64 // final answers by verdict
+	answersGiven     [3]uint64 // final answers by kind
 	settings         control.Settings
 	offices          Offices
 
@@ -70,7 +70,7 @@
 
 	calls           map[string]*call
 	unanswered      int // calls without a final answer
-	loadBytes       int // memory that all present calls are counted with
+	loadBytes       int // memory that all present calls are assumed to take: bytesPerCall and the descriptions of each
 	memoryBytes     int // memory of the instance
 	knownOffices    map[uint64]Office
 	lastHeard       map[uint64]int64 // when each server last sent anything
--- a/internal/office/link.go
+++ b/internal/office/link.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// minRedialDelay and maxRedialDelay bound the delay between two connects that no attempt waits for, so that the fleet
-	// does not flood a dead office with connects. A waiting attempt connects at once.
+	// minRedialDelay and maxRedialDelay bound the delay between two connects that no attempt waits for, so that the
+	// fleet does not flood a dead office with connects. A waiting attempt connects at once.
 	minRedialDelay, maxRedialDelay = 200 * time.Millisecond, 3 * time.Second
 	// presencePollInterval is how often the presence of a client with unread input is checked again.
 	presencePollInterval = 2 * time.Millisecond
@@ -40,8 +40,8 @@
 // release is a request to the office to release a call.
 type release struct {
 	id  string
-	n   int
-	cut bool
+	n   int       // of the attempt that established the call
+	cut bool      // before its regular end
 	at  time.Time // when it was sent
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// usableSession returns the current session, or nil if a new connection is needed. What waits is sent if the session is
-// not stale, or no longer.
+// usableSession returns the current session, or nil if a new connection is needed. If the session is not stale,
+// it also sends what waits for a connection.
 func (l *link) usableSession() *session {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
@@ -219,7 +219,7 @@
 }
 
 // scheduleProbe schedules the connect that may prove the server dead. It is independent of the growing delay between
-// redials, as the calls of clients must be released within a fixed time. The caller holds the lock.
+// redials, as the calls of clients must be released within a fixed time. Called with the lock held.
 func (l *link) scheduleProbe(now time.Time) {
 	l.cancelProbe()
 	wait := l.liveness.nextProbeAt(l.current != nil).Sub(now)
@@ -233,8 +233,8 @@
 	}
 }
 
-// runProbe has run connect, or schedules the probe again if a failed connect would not yet prove the server dead, such
-// as while the server list would report its end.
+// runProbe makes run open a connection, or schedules the probe again if a failed connect would not yet prove the server
+// dead, for example while the server list is up to date and would report its end.
 func (l *link) runProbe() {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
--- a/internal/office/pool.go
+++ b/internal/office/pool.go
@@ -161,9 +161,10 @@
 }
 
 // ReportSilence tells that something has been due from an office since that time. If nothing at all was received on its
-// connection since then, the connection may lead to a machine that has vanished: it would stay open and silent for
-// ever, even after the machine is back. Attempts then go over a new connection. With forceConnect, it is opened even if
-// nothing waits to be sent.
+// connection since then, and the machine has refused no other connect, the connection may lead to a machine that has
+// vanished: it would stay open and silent forever, even after the machine is back. Attempts then go over a new
+// connection. With forceConnect, it is opened even if nothing waits to be sent; without it, the old one must also have
+// been silent for longer than set-ups take.
 func (p *Pool) ReportSilence(server uint64, since time.Time, forceConnect bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -22,7 +22,7 @@
 	maxPendingStreams = 64
 	// acceptPause is how long after a failed accept the next one is tried.
 	acceptPause = 50 * time.Millisecond
-	// listenAttempts is how many ports are tried until one is free for both TCP and UDP.
+	// listenAttempts is how often a port is tried until one is free for both TCP and UDP.
 	listenAttempts = 8
 )
 
@@ -35,12 +35,12 @@
 	streams       chan net.Conn
 	handleStream  func(net.Conn) // takes this package's own streams, after streamMark
 	log           *slog.Logger
-	pending       atomic.Int32
+	pending       atomic.Int32 // accepted connections that count towards maxPendingStreams
 	dropped       atomic.Int64 // datagrams
-	sentPackets   atomic.Int64
-	sentBytes     atomic.Int64
+	sentPackets   atomic.Int64 // datagrams, including those that reachable blocks
+	sentBytes     atomic.Int64 // of these
 	meter         meter
-	reachable     Reachable
+	reachable     Reachable // nil: all addresses are
 }
 
 // listen opens a transport. Port 0 stands for any port that is free for both TCP and UDP.
@@ -138,7 +138,7 @@
 	}
 }
 
-// refuse closes a stream and logs why.
+// refuse closes an incoming stream and logs why.
 func (t *transport) refuse(c net.Conn, reason string, err error) {
 	t.log.Warn("peer stream refused", "reason", reason, "peer", c.RemoteAddr().String(), "err", err)
 	c.Close()
--- a/internal/releases/member.go
+++ b/internal/releases/member.go
@@ -19,10 +19,11 @@
 const (
 	// firstRetry and maxRetry bound the pause before the next server is tried.
 	firstRetry, maxRetry = 100 * time.Millisecond, time.Second
-	// rebalanceInterval is how long a server is followed before another one is drawn, so that a server that has come back
-	// gets its share of the instances.
+	// rebalanceInterval is how long a server is followed before another one is drawn, so that a server that has come
+	// back gets its share of the instances.
 	rebalanceInterval = time.Minute
-	// stageAge is the greatest age of the known state at which a new release is still applied.
+	// stageAge is how old the known state (see distribution.Follower.Age) may be for a new release to be applied: an
+	// older one may miss that the release has been halted.
 	stageAge = 3 * time.Second
 	// memberFile is the file with the state that outlives an instance's process.
 	memberFile = "release.json"
@@ -64,7 +65,7 @@
 type MemberStatus struct {
 	distribution.Acknowledgement
 	Server string `json:"server"`
-	AgeMS  int64  `json:"age_ms"` // the age of what is known; -1: nothing is known
+	AgeMS  int64  `json:"age_ms"` // of the known state, see distribution.Follower.Age; -1: nothing is known
 }
 
 // NewMember creates a Member from the stored state. Run then applies the release that was running before the restart.
@@ -93,10 +94,10 @@
 		m.options.Log.Info("release in force", "version", release.Version, "before", "the same")
 		return
 	}
-	m.options.Log.Error("release of before not in force", "reason", "unfit", "version", release.Version, "err", err)
+	m.options.Log.Error("stored release not in force", "reason", "unfit", "version", release.Version, "err", err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.follower.RecordResult(0, nil)
+	m.follower.RecordResult(0, nil) // no release is in force, only the instance's own files
 	m.follower.RecordResult(release.Version, err)
 }
 
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// reasonCode returns the reason code for leaving a server.
+// reasonCode returns the reason code that is logged when a server is left because of err.
 func reasonCode(err error) string {
 	switch {
 	case errors.Is(err, distribution.ErrStaleServer):
@@ -187,7 +188,7 @@
 
 func now() int64 { return time.Now().UnixNano() }
 
-// handleHead processes a server's head and fetches the releases it requires.
+// handleHead processes a server's head, which describes its newest release, and fetches the releases that it requires.
 func (m *Member) handleHead(ctx context.Context, server string, head distribution.Head) error {
 	m.mu.Lock()
 	err := m.follower.ReceiveHead(now(), head)
@@ -219,7 +220,7 @@
 		return
 	}
 	var err error
-	if release.Version == 0 {
+	if release.Version == 0 { // back to the instance's own files
 		err = m.options.Apply(nil)
 	} else {
 		err = m.options.Apply(&release)
--- a/lab/scale/fault_run.go
+++ b/lab/scale/fault_run.go
@@ -14,10 +14,10 @@
 	size          int // members before the fault
 	fleet         *Fleet
 	result        *Fault
-	rack, zone    int
+	rack, zone    int           // groups that a rack and a zone fault kill
 	deathsBefore  map[int]int64 // deaths reported before the fault, by member
-	droppedBefore int64
-	samples       [][]Snapshot
+	droppedBefore int64         // messages dropped by all members before the fault
+	samples       [][]Snapshot  // taken during the fault, each of all groups
 	stop          chan struct{}
 	done          chan error
 }
@@ -34,8 +34,8 @@
 		err = p.fleet.sleep(p.machineTime(5 * time.Second))
 	}
 	close(p.stop)
-	if watched := <-p.done; err == nil {
-		err = watched
+	if sampleErr := <-p.done; err == nil {
+		err = sampleErr
 	}
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 // sampleInterval is the pause between two samples during a fault, by the members' clock.
 const sampleInterval = time.Second
 
-// startSampling takes snapshots of the fleet until the fault is over.
+// startSampling takes snapshots of the fleet until stop is closed.
 func (p *faultTest) startSampling() {
 	p.stop, p.done = make(chan struct{}), make(chan error, 1)
 	go func() {
@@ -130,21 +130,22 @@
 
 // summarize computes the result from the samples.
 func (p *faultTest) summarize() error {
-	p.peaks()
+	p.computeCosts()
 	last, err := p.fleet.Snapshot(SnapshotOptions{Heap: true, Claims: true})
 	if err != nil {
 		return err
 	}
 	p.result.HeapAfter = heapPerMember(last)
-	p.falseDeaths(last)
+	p.countFalseDeaths(last)
 	p.fleet.mu.Lock()
 	defer p.fleet.mu.Unlock()
 	p.result.Budgets = CheckBudgets(slices.Clone(p.fleet.claims), p.Size, p.fleet.killedAt)
 	return nil
 }
 
-// peaks finds the greatest costs of any process between two samples, and the mean over all samples and members.
-func (p *faultTest) peaks() {
+// computeCosts computes the greatest costs per member of any process between two samples, and the mean traffic over all
+// samples and members.
+func (p *faultTest) computeCosts() {
 	r := p.result
 	sum, members := 0.0, 0
 	for n := 1; n < len(p.samples); n++ {
@@ -176,13 +177,13 @@
 	return before
 }
 
-// falseDeaths counts the deaths that members reported beyond those that happened.
-func (p *faultTest) falseDeaths(last []Snapshot) {
+// countFalseDeaths counts the deaths that members reported beyond those that happened, and the dropped messages.
+func (p *faultTest) countFalseDeaths(last []Snapshot) {
 	p.result.Dropped = -p.droppedBefore
 	for _, l := range last {
 		for _, m := range l.Members {
 			before := p.deathsBefore[m.Number]
-			if m.Deaths < before { // a new process
+			if m.Deaths < before { // a new process, which counts from 0
 				before = 0
 			}
 			p.result.FalseDeaths += max(m.Deaths-before-p.expectedDeaths(m.Number), 0)
@@ -191,7 +192,7 @@
 	}
 }
 
-// expectedDeaths is how many deaths a member should have reported.
+// expectedDeaths is how many deaths a member should have reported. In a region fault, each side reports the other.
 func (p *faultTest) expectedDeaths(number int) int64 {
 	switch p.kind {
 	case FaultMachine, FaultRack, FaultZone, FaultAllocator:
