--- a/control/goodput/goodput.go
+++ b/control/goodput/goodput.go
@@ -266,7 +266,7 @@
 	return r
 }
 
-// HasRoom implements join.Module.
+// HasCapacity implements join.Module.
 func (g *Goodput) HasCapacity(now int64, _ uint64) (bool, string) {
 	limit, lateShare := g.limit(now)
 	if g.countedOutstanding(lateShare)+1 > limit {
--- a/control/goodput/goodput_test.go
+++ b/control/goodput/goodput_test.go
@@ -186,7 +186,7 @@
 }
 
 // With random events in any order, exactly the outstanding set-ups are followed, the limit is a finite number of at
-// least one, HasRoom changes nothing, and the same events lead to the same state.
+// least one, HasCapacity changes nothing, and the same events lead to the same state.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(settings(), 7, 0, nil), New(settings(), 7, 0, nil)
--- a/control/levels/levels.go
+++ b/control/levels/levels.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// HasRoom implements join.Module. It is always true, as levels limit callers, not servers.
+// HasCapacity implements join.Module. It is always true, as levels limit callers, not servers.
 func (l *Levels) HasCapacity(int64, uint64) (bool, string) { return true, "" }
 
 // Admit implements join.Module.
--- a/control/shared/outlier/detector.go
+++ b/control/shared/outlier/detector.go
@@ -7,7 +7,7 @@
 // The youngest reports decide, rather than sums over a time, because that is faster: when a server goes silent there are
 // hundreds of good observations, all of them older than the first bad one.
 //
-// A decision only keeps calls away, as HasRoom of package join does, and overrides no other rule. It expires by itself:
+// A decision only keeps calls away, as HasCapacity of package join does, and overrides no other rule. It expires by itself:
 // each instance then tries the server again at a random time of its own, so that the first to try informs the others.
 //
 // The package is pure: callers pass in the time. Reports carry ages, so no common clock is needed.
--- a/control/shared/shared.go
+++ b/control/shared/shared.go
@@ -121,7 +121,7 @@
 	return join.Decision{}
 }
 
-// HasRoom implements join.Module. It keeps calls away from servers that the detector avoids, and from cold servers whose
+// HasCapacity implements join.Module. It keeps calls away from servers that the detector avoids, and from cold servers whose
 // budget is used up.
 func (m *Module) HasCapacity(now int64, server uint64) (ok bool, reason string) {
 	if m.cfg.DetectOutliers {
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// SetMaxOpen changes MaxConnections. Connections beyond it are evicted, those that can best be spared first.
+// SetMaxConnections changes MaxConnections. Connections beyond it are evicted, those that can best be spared first.
 func (s *Server) SetMaxConnections(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/callws/front.go
+++ b/internal/callws/front.go
@@ -101,7 +101,7 @@
 	f.drainFrom = time.Now().Add(after)
 }
 
-// SetMaxOpen changes the limit on open connections. Of those beyond it, the ones that have not become a socket are
+// SetMaxConnections changes the limit on open connections. Of those beyond it, the ones that have not become a socket are
 // closed.
 func (f *Front) SetMaxConnections(n int) { f.listener.setLimit(n) }
 
